--- /dev/null
+++ b/tests/gateway/test_pinned_controller.py
@@ -0,0 +1,200 @@
+"""What a controller answers, stores and publishes, byte for byte, as recorded with the program of ae67546.
+
+recorded/controller_calls.json holds scenes: steps, each a call with the answer that it got (status, headers
+and body), and the state of the controller after the last one: the rows of its disk, and the records of its
+store as it publishes them. recorded/controller_disk.json holds the files of a controller's data folder.
+
+Where the program renames something, the accessors below follow; the recorded files never change.
+"""
+
+import json
+import tempfile
+import zlib
+from base64 import b64decode
+from pathlib import Path
+
+from ward import each, test
+
+from honeywood.gateway.register.disk import Disk
+from honeywood.gateway.rpc.asgi import CONTEXT, RequestContext
+from honeywood.gateway.rpc.departure import ClientDeparture
+from honeywood.lab.emulator.world import World
+
+RECORDED = Path(__file__).parent / "recorded"
+ANSWERED_WITHIN_S = 0.3  # seconds that a step takes, unless it says otherwise
+OPERATORS_PORT, METRICS_PORT = 82, 9464
+SCENES = (
+    "instances",
+    "configurations",
+    "rollouts",
+    "requests that are malformed",
+    "other programs",
+    "metrics",
+    "cut off",
+    "not replicated in time",
+    "stalled",
+    "before the register is bootstrapped",
+    "the disk refuses writes",
+)
+
+
+# Accessors: the only places that know the program's names.
+def application(world, name):
+    """The ASGI application of a controller."""
+    return world.nodes[name].app
+
+
+def open_metrics_port(world, name):
+    """Has a controller answer at its metrics address."""
+    world.nodes[name].metrics_port = METRICS_PORT
+
+
+def refuse_writes(world, name):
+    """Has a controller's disk refuse all writes."""
+    world.disk(name, None)
+
+
+def published_records(world, name):
+    """The records of a controller's store as they stand in an answer to /news: [key, stamp, value]."""
+    records = world.nodes[name].publisher.store.records
+    return [[key, records[key].stamp, records[key].value] for key in sorted(records)]
+
+
+def disk_rows(world, name):
+    """The rows of a controller's disk by key, as they are written."""
+    return dict(sorted(world.disks.get(name, {}).items()))
+
+
+def request_context(target, left):
+    """What the server hands over beside an ASGI scope."""
+    return RequestContext(target, ClientDeparture(lambda: left))
+
+
+class DiskWorld(World):
+    """A world whose controllers have real folders below `folder`."""
+
+    def __init__(self, folder, *given, **more):
+        super().__init__(*given, **more)
+        self.folder = folder
+
+    def _disk(self):
+        return lambda name: Disk(f"{self.folder}/{name}")
+
+
+# Playing what was recorded.
+class Exchange:
+    """One call at a controller's application, and the answer as it leaves."""
+
+    def __init__(self, world, name, step):
+        self.messages, self.step = [], step
+        target = step["target"]
+        path, _, query = target.partition("?")
+        scope = {
+            "type": "http",
+            "client": ("192.0.2.1", 1),
+            "server": (name, step.get("port", OPERATORS_PORT)),
+            "method": step.get("method", "POST"),
+            "path": path,
+            "query_string": query.encode(),
+            CONTEXT: request_context(target.encode(), step.get("left", False)),
+        }
+        world.processes[name].run(application(world, name)(scope, self.receive, self.send))
+
+    async def receive(self):
+        if self.step.get("broken_off"):
+            return {"type": "http.disconnect"}
+        body = self.step.get("text", "").encode() * self.step.get("repeated", 1)
+        return {"type": "http.request", "body": body, "more_body": False}
+
+    async def send(self, message):
+        self.messages.append(message)
+
+    def answer(self):
+        """The answer's bytes; None while there is none."""
+        if not self.messages:
+            return None
+        start, *bodies = self.messages
+        return {
+            "status": start["status"],
+            "headers": [[key.decode(), value.decode()] for key, value in start["headers"]],
+            "body": b"".join(one["body"] for one in bodies).decode(),
+        }
+
+
+def play(world, scene):
+    """The answers of a scene's steps, in their order."""
+    for name in world.controllers:
+        world.start(name)
+    world.run(scene["begins_s"])
+    answers = []
+    for step in scene["steps"]:
+        if "cut" in step:
+            world.cut(step["cut"], [other for other in world.controllers if other != step["cut"]])
+        world.loop.now += step.get("stalled_s", 0.0)
+        if step.get("disk_refuses"):
+            refuse_writes(world, "a")
+        if step.get("metrics_port"):
+            open_metrics_port(world, "a")
+        exchanges = [Exchange(world, "a", step)] if "target" in step else []
+        world.run(world.loop.time() + step.get("within_s", ANSWERED_WITHIN_S))
+        answers += [exchange.answer() for exchange in exchanges]
+    return answers
+
+
+def recorded(name):
+    """A recorded file's content."""
+    return json.loads((RECORDED / name).read_text())
+
+
+def as_text(value):
+    """JSON as a controller writes it."""
+    return json.dumps(value, separators=(",", ":"))
+
+
+def world_of(scene):
+    """The world in which a scene was recorded."""
+    world = World(scene["controllers"], bear=scene["tolerated"])
+    world.fresh = scene["fresh"]
+    return world
+
+
+def seen(scene):
+    """The answers of a scene, and what its first controller stores and publishes at the end."""
+    world = world_of(scene)
+    try:
+        answers = play(world, scene)
+        return answers, as_text(published_records(world, "a")), as_text(disk_rows(world, "a"))
+    finally:
+        world.close()
+
+
+@test("a controller answers as recorded, and stores and publishes the recorded bytes: {name}")
+def _(name=each(*SCENES)):
+    scene = recorded("controller_calls.json")[name]
+    answers, records, rows = seen(scene)
+    calls = [step for step in scene["steps"] if "target" in step]
+    assert len(answers) == len(calls)
+    for step, answer in zip(calls, answers):
+        assert answer == step["answer"], step["target"]
+    assert records == scene["records"]
+    assert rows == scene["rows"]
+
+
+@test("a controller that starts from a recorded data folder answers as the one that wrote it")
+def _():
+    scene = recorded("controller_disk.json")
+    with tempfile.TemporaryDirectory() as folder:
+        data = Path(folder) / "a"
+        data.mkdir()
+        for name, packed in scene["files"].items():
+            (data / name).write_bytes(zlib.decompress(b64decode(packed)))
+        world = DiskWorld(folder, scene["controllers"], bear=scene["tolerated"])
+        world.fresh = scene["fresh"]
+        try:
+            answers = play(world, scene)
+            records = as_text(published_records(world, "a"))
+        finally:
+            world.close()
+    for step, answer in zip(scene["steps"], answers):
+        assert answer == step["answer"], step["target"]
+    assert records == scene["records"]
