--- /dev/null
+++ b/tests/gateway/test_pinned_configuration.py
@@ -0,0 +1,200 @@
+"""Settings, configurations and their stored records, compared with what revision ae67546 made of them.
+
+The recordings under recorded/ are never edited: they are the form of files and records that exist. Only the
+accessors below follow when a name in the code changes.
+"""
+
+import json
+from pathlib import Path
+
+from ward import each, test
+
+from honeywood.gateway.configuration import config as configuration
+from honeywood.gateway.configuration import settings, versions
+from honeywood.gateway.configuration.check import address, read_json
+from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.configuration.tenants import hash_key
+
+RECORDED = json.loads((Path(__file__).parent / "recorded" / "configuration.json").read_text())
+
+
+# Accessors: the only place that names what the code is called.
+
+
+def error_fields(error):
+    """An error as [operation, reason, peer, status, text]."""
+    failed = error.failed
+    return [failed.step, failed.why, failed.peer, failed.status, str(error)]
+
+
+def result_or_error(function, *given):
+    """{"result": value} or {"error": its fields} of a call."""
+    try:
+        return {"result": function(*given)}
+    except Wrong as error:
+        return {"error": error_fields(error)}
+
+
+def settings_fields(text):
+    """The fields of a settings file by their keys in it; those worked out stand under `derived`."""
+    found = settings.read(text)
+    return {
+        "node": found.node,
+        "role": found.role,
+        "ip": found.ip,
+        "zone": found.zone,
+        "seeds": [list(seed) for seed in found.seeds],
+        "fresh": found.fresh,
+        "datadir": found.datadir,
+        "port_range": list(found.ports),
+        "listen": {key: list(at) for key, at in found.listen.items()},
+        "bounds": dict(found.bounds),
+        "tolerate.machines": found.bear,
+        "limits.nofile": found.nofile,
+        "limits.mem_mb": found.mem_mb,
+        "beat_s": found.beat_s,
+        "derived": {
+            "link_bytes_per_s": found.link,
+            "proxy_port": found.proxy_port,
+            "controller_port": found.controller_port,
+        },
+    }
+
+
+def configuration_fields(raw, hashed=False):
+    """The parts of a configuration by their keys in it."""
+    found = configuration.read(raw, "192.0.2.7", hashed)
+    limits = found.limits
+    return {
+        "ver": found.version,
+        "routes": [_route_fields(route) for route in found.routes],
+        "svcs": [[name, one.name, one.health, one.max_conns] for name, one in found.services.items()],
+        "limits": [limits.header_bytes, limits.body_bytes, limits.header_s, limits.idle_s],
+        "tenants": [[one.name, [key.hex() for key in one.key_hashes], one.priority] for one in found.tenants],
+    }
+
+
+def _route_fields(route):
+    return {
+        "name": route.name,
+        "vhost": route.host,
+        "pfx": route.prefix,
+        "kind": route.kind,
+        "may run twice": route.safe,
+        "timeout_s": route.timeout,
+        "target_s": route.target,
+        "prio": route.priority,
+        "tries": route.tries,
+        "split": [list(part) for part in route.split],
+        "public": route.public,
+    }
+
+
+def pack(raw):
+    """A configuration's bytes as the text that is stored."""
+    return configuration.pack(raw)
+
+
+def unpack(text):
+    """The bytes of a stored text, as text."""
+    return configuration.unpack(text, "192.0.2.7").decode("latin-1")
+
+
+def packed_for_proxies(text):
+    """What proxies get of a stored text."""
+    return configuration.for_proxies(text)
+
+
+def content_digest(raw):
+    """The digest of a configuration's bytes."""
+    return versions.digest(raw)
+
+
+def order_outcome(stored, version, digest):
+    """What an order has come to, as operators read it, or None."""
+    return versions.outcome(stored, version, digest)
+
+
+def stored_after_order(stored, version, text, digest):
+    """The stored record after an order."""
+    return versions.ordered(stored, version, text, digest)
+
+
+def plain(value):
+    """A value as it comes back from JSON, or the same: whole numbers stay whole, order of keys too."""
+    return json.dumps(value)
+
+
+def raw_of(case):
+    """The bytes of a case, which stand in its JSON as text, one character a byte."""
+    return case["raw"].encode("latin-1")
+
+
+# Tests
+
+
+def numbered(kind):
+    """The numbers of a kind's cases."""
+    return each(*range(len(RECORDED[kind])))
+
+
+@test("settings file {number} gives the recorded fields, or the recorded refusal")
+def _(number=numbered("settings")):
+    case = RECORDED["settings"][number]
+    assert plain(result_or_error(settings_fields, case["text"])) == plain(case["found"])
+
+
+@test("configuration {number} gives the recorded parts, or the recorded refusal")
+def _(number=numbered("configurations")):
+    case = RECORDED["configurations"][number]
+    found = result_or_error(configuration_fields, raw_of(case), case["hashed"])
+    assert plain(found) == plain(case["found"])
+
+
+@test("stored text {number} is unpacked to the recorded bytes, or refused as recorded")
+def _(number=numbered("packed")):
+    case = RECORDED["packed"][number]
+    assert plain(result_or_error(unpack, case["text"])) == plain(case["found"])
+
+
+@test("configuration {number} is packed, digested and passed to proxies as recorded")
+def _(number=numbered("stored")):
+    case = RECORDED["stored"][number]
+    raw = raw_of(case)
+    assert pack(raw) == case["packed"]
+    assert unpack(case["packed"]).encode("latin-1") == raw
+    assert content_digest(raw) == case["digest"]
+    assert packed_for_proxies(case["packed"]) == case["for proxies"]
+    assert unpack(case["for proxies"]) == case["unpacked for proxies"]
+
+
+@test("order {number} has the recorded outcome, and leaves the recorded stored record")
+def _(number=numbered("orders")):
+    case = RECORDED["orders"][number]
+    stored, version, text, digest = (case[key] for key in ("stored", "version", "text", "digest"))
+    before = None if stored is None else json.loads(stored)
+    assert order_outcome(before, version, digest) == case["outcome before"]
+    after = stored_after_order(before, version, text, digest)
+    assert plain(after) == case["stored after"]
+    assert order_outcome(json.loads(plain(after)), version, digest) == case["outcome after"]
+    assert stored is None or plain(before) == stored
+
+
+@test("address {number} is read, or refused, as recorded")
+def _(number=numbered("addresses")):
+    case = RECORDED["addresses"][number]
+    found = result_or_error(lambda: list(address(case["text"], "settings: seeds", "192.0.2.7")))
+    assert plain(found) == plain(case["found"])
+
+
+@test("JSON text {number} is read, or refused, as recorded")
+def _(number=numbered("json")):
+    case = RECORDED["json"][number]
+    found = result_or_error(read_json, raw_of(case), "some call", "192.0.2.7")
+    assert plain(found) == plain(case["found"])
+
+
+@test("key {number} has the recorded hash")
+def _(number=numbered("keys")):
+    case = RECORDED["keys"][number]
+    assert hash_key(case["key"].encode()).hex() == case["hash"]
