--- a/tests/gateway/socket_scene.py
+++ b/tests/gateway/socket_scene.py
@@ -35,7 +35,7 @@
                 head, fields, body = await read_request(reader)
                 self.seen.append((head, fields, body))
                 step = self.script.pop(0) if len(self.script) > 1 else self.script[0]
-                await step(fields[b"x-try-id"], writer)
+                await step(fields.get(b"x-try-id", b""), writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
--- /dev/null
+++ b/tests/gateway/test_pinned_proxy.py
@@ -0,0 +1,467 @@
+"""What a proxy puts on the wire, compared byte by byte with what ae67546 put there.
+
+Covered: answers to clients, requests to machines, the calls of one proxy to another and to controllers, and
+the metrics page. A proxy has no data folder, so nothing stored is pinned here. Figures that depend on time or
+chance are masked, the rest of each message is compared as it is. `recorded/proxy.json` holds the recorded
+bytes as Latin-1 text, long bodies as their length and hash.
+"""
+
+import asyncio
+import json
+import re
+from collections.abc import Callable
+from contextlib import AsyncExitStack
+from dataclasses import dataclass
+from hashlib import blake2b
+from pathlib import Path
+from random import Random
+
+from ports import free_port
+from socket_scene import (
+    GET,
+    HEAD,
+    Machine,
+    close,
+    cut,
+    full,
+    noise,
+    ok,
+    other,
+    sick,
+    silent_503,
+    stranger,
+)
+from timeline import config
+from ward import each, test
+
+from honeywood.gateway.configuration.config import for_proxies
+from honeywood.gateway.configuration.settings import read
+from honeywood.gateway.proxy.program import Proxy
+from honeywood.gateway.routing.attempts import Refusal
+from honeywood.gateway.routing.outcomes import AttemptOutcome
+from honeywood.gateway.rpc.server import HttpServer
+from honeywood.lab.emulator.boot import BOUNDS, boot
+
+RECORDED = json.loads((Path(__file__).parent / "recorded" / "proxy.json").read_text())
+LONGEST_BODY = 2000  # bytes that are recorded as they are
+MASKS = (
+    (re.compile(rb"(?<=x-deadline-ms: )\d+"), b"MS"),
+    (re.compile(rb"(?<=x-call-id: )[0-9a-f]+-\d+"), b"CALL"),
+    (re.compile(rb"(?<=host: 127.0.0.1:)\d+"), b"PORT"),
+    (re.compile(rb'(?<="port":)\d{5}'), b"PORT"),
+    (re.compile(rb'(?<=ms after their client"} )\d+'), b"MS"),
+)
+
+
+# Accessors: everything below that depends on names of the code, besides the imports.
+def make_proxy(text: str, frozen: bool) -> Proxy:
+    """A proxy with these settings that logs nothing; its incarnation is always the same."""
+    quiet = type("Quiet", (Proxy,), {"say": lambda *said, **more: None})
+    now = asyncio.get_running_loop().time
+    began_at = now()
+    clock = (lambda: began_at) if frozen else now
+    proxy = quiet(read(text), None, clock, lambda: 1.7e9, random=Random(1))
+    proxy.server = HttpServer(proxy.app)
+    return proxy
+
+
+async def listen(proxy: Proxy) -> None:
+    """Opens all listeners of a proxy."""
+    s = proxy.settings
+    proxy.metrics_port = free_port()
+    await proxy.server.open([s.listen["http"], s.listen["ready"], (s.ip, s.proxy_port)])
+    await proxy.open_metrics(proxy.server)
+
+
+def deliver(proxy: Proxy, key: str, value: object) -> None:
+    """A record reaches the proxy's store."""
+    proxy.publisher.store.put(key, [1], value)
+
+
+def stop(proxy: Proxy) -> None:
+    proxy.stopping.set()
+
+
+def meet_quorum(proxy: Proxy) -> None:
+    proxy.met_majority = True
+
+
+async def poll_once(proxy: Proxy) -> None:
+    await proxy.ask_controller("127.0.0.1")
+
+
+async def listen_once(proxy: Proxy) -> None:
+    await proxy.listen()
+
+
+def values_of(enumeration: type[Refusal] | type[AttemptOutcome]) -> list[str]:
+    return sorted(str(one) for one in enumeration)
+
+
+# What is played.
+async def not_found(id, writer):
+    writer.write(
+        b"HTTP/1.1 404 Not Found\r\nX-Try-Id: %s\r\nX-Seal: s\r\nConnection: keep-alive, X-Hop\r\n"
+        b"X-Hop: 1\r\nKeep-Alive: timeout=9\r\nServer: m\r\nX-Load: 1,2,3\r\nContent-Length: 4\r\n\r\ngone"
+        % id
+    )
+
+
+async def no_content(id, writer):
+    writer.write(b"HTTP/1.1 204 No Content\r\nX-Try-Id: %s\r\nX-Seal: s\r\n\r\n" % id)
+
+
+async def chunks(id, writer):
+    head = b"HTTP/1.1 200 OK\r\nx-try-id: %s\r\nX-SEAL: s\r\nTransfer-Encoding: chunked\r\n\r\n" % id
+    writer.write(head + b"2\r\nok\r\n1\r\n!\r\n0\r\n\r\n")
+
+
+async def long_body(id, writer):
+    writer.write(HEAD.replace(b"Length: 2", b"Length: 400000") % id + b"xy" * 200_000)
+
+
+async def long_chunks(id, writer):
+    head = b"HTTP/1.1 200 OK\r\nX-Try-Id: %s\r\nX-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n" % id
+    writer.write(head + b"61a80\r\n" + b"xy" * 200_000 + b"\r\n0\r\n\r\n")
+
+
+async def head_only(id, writer):
+    writer.write(HEAD % id)
+
+
+async def silence(id, writer):
+    pass
+
+
+async def late_stranger(id, writer):
+    await stranger(id, writer)
+    await ok(id, writer)
+
+
+LINE = b"%s /p0/a%%2Fb/../c?d=%%20e HTTP/1.1\r\nHost: H.example:80\r\n"
+PLAIN = LINE % b"GET" + b"X-Try-Id: id1\r\n"
+POSTED = LINE % b"POST" + b"X-Try-Id: id1\r\nContent-Length: 4\r\n\r\nbody"
+HOP_BY_HOP = (
+    b"Connection: close, X-Mine\r\nX-Mine: 1\r\nKeep-Alive: 5\r\nProxy-Connection: 1\r\nTE: trailers\r\n"
+    b"Trailer: t\r\nProxy-Authenticate: a\r\nProxy-Authorization: b\r\n"
+)
+CLIENTS_OWN = (
+    b"X-Deadline-Ms: 5000\r\nX-Want-Instance: i-7\r\nAccept-Encoding: gzip\r\nCookie: a=1\r\nCookie: b=2\r\n"
+    b"X-Tenant: t\r\nX-Api-Key: k\r\nAuthorization: c\r\nUser-Agent: u\r\nX-Forwarded-For: 1.2.3.4\r\n"
+)
+KEY = "48wuakn2ftimaj3nr26t"
+TENANT = {"type": "tenants", "hdr": {"name": "cuka620"}, "spec": {"apikeys": [KEY], "prio": 3}}
+KNOWN_KEY = b"X-Api-Key: %s\r\nX-Tenant: other\r\n" % KEY.encode()
+LIMITS = {"type": "limits", "hdr": {"name": ""}, "spec": {"body_bytes": 8, "hdr_s": 0.05, "hdr_bytes": 256}}
+CHUNKED_POST = LINE % b"POST" + b"X-Try-Id: id1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"
+
+
+@dataclass(frozen=True)
+class Case:
+    """One exchange: what a client sends, and the script of the proxy's only machine (None: no machine).
+
+    `extra` is added to the configuration; `changes` overrides fields of its route; `prepare` gets the proxy
+    before the client comes; `port` names the listener that is asked.
+    """
+
+    sent: bytes
+    script: tuple[Callable, ...] | None = (ok,)
+    kind: str = "safe"
+    extra: tuple[dict, ...] = ()
+    changes: tuple[tuple[str, object], ...] = ()
+    bounds: tuple[tuple[str, float], ...] = ()
+    prepare: Callable[[Proxy], None] = lambda proxy: None
+    configured: bool = True
+    port: str = "http"
+    state: str = "ready"
+    answers: int = 1
+
+
+def call(path: bytes, body: bytes, method: bytes = b"POST") -> bytes:
+    return b"%s %s HTTP/1.1\r\nHost: f\r\nX-Call-Id: c-1\r\nContent-Length: %d\r\n\r\n%s" % (
+        method,
+        path,
+        len(body),
+        body,
+    )
+
+
+ASK = {
+    "who": {"node": "f2", "ip": "127.0.0.1", "zone": "z", "life": "1", "front": True, "epoch": 0},
+    "rev": 0,
+}
+SMUGGLED = b"POST /p0/ HTTP/1.1\r\nHost: h.example\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
+CASES = {
+    "GET": Case(PLAIN + b"\r\n"),
+    "GET without an id": Case(LINE % b"GET" + b"\r\n"),
+    "GET with headers of its own": Case(PLAIN + CLIENTS_OWN + b"\r\n"),
+    "GET with hop-by-hop headers": Case(PLAIN + HOP_BY_HOP + b"\r\n"),
+    "GET with a deadline": Case(PLAIN + b"X-Deadline-Ms: 400\r\n\r\n"),
+    "GET with a body": Case(PLAIN + b"Content-Length: 2\r\n\r\nab"),
+    "HEAD": Case(LINE % b"HEAD" + b"X-Try-Id: id1\r\n\r\n", (head_only,)),
+    "OPTIONS": Case(LINE % b"OPTIONS" + b"X-Try-Id: id1\r\n\r\n"),
+    "DELETE without a body": Case(LINE % b"DELETE" + b"X-Try-Id: id1\r\n\r\n", kind="unsafe"),
+    "POST": Case(POSTED, kind="unsafe"),
+    "POST in chunks": Case(CHUNKED_POST, kind="unsafe"),
+    "POST that expects 100": Case(POSTED.replace(b"X-Try", b"Expect: 100-continue\r\nX-Try"), kind="unsafe"),
+    "an answer in chunks": Case(PLAIN + b"\r\n", (chunks,)),
+    "an answer without content": Case(PLAIN + b"\r\n", (no_content,)),
+    "a long answer": Case(PLAIN + b"\r\n", (long_body,)),
+    "a long answer in chunks": Case(PLAIN + b"\r\n", (long_chunks,)),
+    "a machine's 404": Case(PLAIN + b"\r\n", (not_found,), kind="unsafe"),
+    "a machine's 500": Case(PLAIN + b"\r\n", (sick,), kind="unsafe"),
+    "a machine's 503 without promise": Case(PLAIN + b"\r\n", (silent_503,), kind="unsafe"),
+    "an answer after a refusal": Case(PLAIN + b"\r\n", (full, ok)),
+    "an answer after a 421": Case(PLAIN + b"\r\n", (other, ok), kind="unsafe"),
+    "an answer after another's": Case(PLAIN + b"\r\n", (stranger, silence)),
+    "no answer": Case(POSTED, (close,), kind="unsafe"),
+    "half an answer": Case(POSTED, (cut,), kind="unsafe"),
+    "noise": Case(POSTED, (noise,), kind="unsafe"),
+    "silence": Case(POSTED, (silence,), kind="unsafe", changes=(("timeout_s", 0.05),)),
+    "always refused": Case(PLAIN + b"\r\n", (full,), bounds=(("retry_slack", 6400),)),
+    "no budget": Case(
+        PLAIN + b"\r\n",
+        (full,),
+        bounds=(("retry_slack", 0), ("retry_ratio", 0)),
+    ),
+    "one behind another": Case(GET % b"a" + GET % b"b", answers=2),
+    "a machine that drains": Case(PLAIN + b"\r\n", state="draining"),
+    "no machine": Case(PLAIN + b"\r\n", None),
+    "a deadline that has passed": Case(PLAIN + b"X-Deadline-Ms: 1\r\n\r\n"),
+    "a deadline that is no number": Case(PLAIN + b"X-Deadline-Ms: soon\r\n\r\n"),
+    "no route": Case(b"GET /q/ HTTP/1.1\r\nHost: h.example\r\n\r\n"),
+    "no host of that name": Case(b"GET /p0/ HTTP/1.1\r\nHost: g.example\r\n\r\n"),
+    "no configuration": Case(PLAIN + b"\r\n", configured=False),
+    "a known key": Case(PLAIN + KNOWN_KEY + b"\r\n", extra=(TENANT,)),
+    "no key": Case(PLAIN + b"\r\n", extra=(TENANT,)),
+    "no key on a public route": Case(
+        PLAIN + b"X-Tenant: other\r\n\r\n", extra=(TENANT,), changes=(("public", True),)
+    ),
+    "a body that is too long": Case(POSTED.replace(b": 4", b": 9") + b"12345", extra=(LIMITS,)),
+    "a head that is too long": Case(PLAIN + b"X: %s\r\n\r\n" % (b"a" * 300), extra=(LIMITS,)),
+    "a head that doesn't end": Case(PLAIN, extra=(LIMITS,)),
+    "two framings": Case(SMUGGLED),
+    "no Host": Case(b"GET /p0/ HTTP/1.1\r\n\r\n"),
+    "two Hosts": Case(PLAIN + b"Host: g.example\r\n\r\n"),
+    "an absolute target": Case(b"GET http://h.example/p0/ HTTP/1.1\r\nHost: h.example\r\n\r\n"),
+    "a proxy that stops": Case(PLAIN + b"\r\n", prepare=stop),
+    "a proxy that stops refuses": Case(b"GET /q/ HTTP/1.1\r\nHost: h.example\r\n\r\n", prepare=stop),
+    "ready": Case(b"GET /v1/readyz HTTP/1.1\r\nHost: h\r\n\r\n", prepare=meet_quorum, port="ready"),
+    "not ready": Case(b"GET /v1/readyz HTTP/1.1\r\nHost: h\r\n\r\n", port="ready"),
+    "not ready as it stops": Case(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", prepare=stop, port="ready"),
+    "another proxy's call": Case(call(b"/news", json.dumps(ASK).encode()), port="proxies"),
+    "a call without its fields": Case(call(b"/news", b"{}"), port="proxies"),
+    "a call that is no JSON": Case(call(b"/news", b"{"), port="proxies"),
+    "a call to another path": Case(call(b"/else", b"{}"), port="proxies"),
+    "a call by another method": Case(call(b"/news", b"", b"GET"), port="proxies"),
+    "metrics at another path": Case(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", port="metrics"),
+}
+
+
+async def begin(stack: AsyncExitStack, case: Case, frozen: bool = False, controller: int | None = None):
+    """A proxy that listens, with its configuration and its machine: (the proxy, its machine or None)."""
+    first = controller - 1 if controller else free_port()
+    ports = free_port(), free_port(), free_port(), first, 65535
+    seeds = (f"127.0.0.1:{ports[2]}",) if controller else ()
+    text = boot("f", ip="127.0.0.1", bear=0, seeds=seeds, ports=ports)
+    for name, value in case.bounds:
+        text = text.replace(f"{name} = {BOUNDS[name]}\n", f"{name} = {value}\n")
+    proxy = make_proxy(text, frozen)
+    await listen(proxy)
+    stack.push_async_callback(proxy.server.close, 0.05)
+    if case.configured:
+        sent = config(5, kind=case.kind)
+        sent["res"][0]["spec"] |= dict(case.changes)
+        sent["res"] += case.extra
+        deliver(proxy, "config", for_proxies(json.dumps(sent)))
+    if case.script is None:
+        return proxy, None
+    machine = await Machine(*case.script).open()
+    stack.callback(machine.server.close)
+    place = {"svc": "s", "ip": "127.0.0.1", "port": machine.port, "zone": "z", "ver": "v1", "slots": 4}
+    if case.configured:
+        deliver(proxy, "machine/i-0", {**place, "state": case.state, "cold": 0})
+    case.prepare(proxy)
+    return proxy, machine
+
+
+async def read_answer(reader: asyncio.StreamReader, method: bytes) -> bytes:
+    """One answer, with those of status 100 before it; of a long one in chunks the head alone."""
+    head = b""
+    while not head or head.startswith(b"HTTP/1.1 1"):
+        head += (part := await reader.readuntil(b"\r\n\r\n"))
+        if not part.startswith(b"HTTP/1.1 1"):
+            break
+    length = re.search(rb"\r\ncontent-length: (\d+)", part)
+    if length is None or method == b"HEAD":
+        return head
+    return head + await reader.readexactly(int(length[1]))
+
+
+def compact(message: bytes) -> str:
+    """A message as it is recorded: masked, and a long body as its length and hash."""
+    for mask, by in MASKS:
+        message = mask.sub(by, message)
+    head, end, body = message.partition(b"\r\n\r\n")
+    if len(body) > LONGEST_BODY:
+        body = b"<%d bytes, %s>" % (len(body), blake2b(body, digest_size=8).hexdigest().encode())
+    return (head + end + body).decode("latin-1")
+
+
+async def exchange(port: int, sent: bytes, answers: int = 1) -> list[str]:
+    """What comes back for bytes that a client sends."""
+    reader, writer = await asyncio.open_connection("127.0.0.1", port)
+    writer.write(sent)
+    async with asyncio.timeout(5.0):
+        found = [compact(await read_answer(reader, sent.partition(b" ")[0])) for _ in range(answers)]
+    writer.close()
+    return found
+
+
+def port_of(proxy: Proxy, name: str) -> int:
+    s = proxy.settings
+    return {"proxies": s.proxy_port, "metrics": proxy.metrics_port}.get(name) or s.listen[name][1]
+
+
+async def play(case: Case) -> dict[str, list[str]]:
+    """What a client and the machine get."""
+    async with AsyncExitStack() as stack:
+        proxy, machine = await begin(stack, case)
+        found = await exchange(port_of(proxy, case.port), case.sent, case.answers)
+        seen = machine.seen if machine else []
+        return {"client": found, "machine": [compact(head + body) for head, _, body in seen]}
+
+
+@test("bytes as recorded: {name}")
+def _(name=each(*CASES)):
+    assert asyncio.run(play(CASES[name])) == RECORDED["exchanges"][name]
+
+
+@test("each case has a record and each record a case")
+def _():
+    assert list(CASES) == list(RECORDED["exchanges"])
+
+
+async def metrics_page(proxy: Proxy) -> str:
+    request = b"GET /metrics HTTP/1.1\r\nHost: h\r\n\r\n"
+    (page,) = await exchange(port_of(proxy, "metrics"), request)
+    return page
+
+
+async def metrics_of_answers() -> str:
+    """After requests that were served at once, after a refusal and after another's answer, that failed, that
+    no machine took, and that were refused for want of a key or a route."""
+    case = Case(b"", (ok, full, ok, late_stranger, sick, full), extra=(TENANT,))
+    async with AsyncExitStack() as stack:
+        proxy, _ = await begin(stack, case)
+        known = PLAIN + KNOWN_KEY + b"\r\n"
+        for sent in (*[known] * 5, PLAIN + b"\r\n", b"GET /q/ HTTP/1.1\r\nHost: h.example\r\n\r\n"):
+            await exchange(port_of(proxy, "http"), sent)
+        return await metrics_page(proxy)
+
+
+async def metrics_of_departure() -> str:
+    """After a request that was served late, and one whose client leaves while a machine has it."""
+    async with AsyncExitStack() as stack:
+        case = Case(b"", (ok, silence), changes=(("target_s", 0), ("timeout_s", 5)))
+        proxy, machine = await begin(stack, case)
+        await exchange(port_of(proxy, "http"), PLAIN + b"\r\n")
+        _, writer = await asyncio.open_connection("127.0.0.1", port_of(proxy, "http"))
+        writer.write(PLAIN + b"\r\n")
+        async with asyncio.timeout(5.0):
+            while len(machine.seen) < 2:
+                await asyncio.sleep(0.005)
+            writer.close()
+            while "honeywood_open_requests 0" not in (page := await metrics_page(proxy)):
+                await asyncio.sleep(0.005)
+        return page.partition("\r\n\r\n")[2]  # its length depends on the masked figure
+
+
+@test("the metrics page is as recorded")
+def _():
+    assert asyncio.run(metrics_of_answers()) == RECORDED["metrics of answers"]
+
+
+@test("the metrics page of a client's departure is as recorded")
+def _():
+    assert asyncio.run(metrics_of_departure()) == RECORDED["metrics of a departure"]
+
+
+ROLLOUT = {
+    "svc": "s",
+    "to_ver": "v2",
+    "over_s": 30.0,
+    "state": "active",
+    "stage": "trial",
+    "lasted": 0.0,
+    "n": 3,
+    "order": 3,
+    "past": [],
+    "back": [],
+}
+TOLD = [
+    {
+        "life": "c",
+        "rev": 4,
+        "notes": [["rollout/s", [3], ROLLOUT]],
+        "joined": True,
+        "fleet": [2, []],
+        "counted": 0,
+    },
+    {"life": "c", "rev": 4, "notes": [], "joined": True, "fleet": [2, []], "counted": 1},
+    {"life": "c", "rev": 4, "notes": [], "joined": True, "fleet": [2, []], "counted": 2},
+]
+
+
+class Controller:
+    """A scripted controller: repeats each call's id and tells one item of TOLD after the other."""
+
+    def __init__(self):
+        self.seen, self.left = [], list(TOLD)
+
+    async def open(self, stack: AsyncExitStack) -> "Controller":
+        self.port = free_port() + 1
+        server = await asyncio.start_server(self.serve, "127.0.0.1", self.port)
+        stack.callback(server.close)
+        return self
+
+    async def serve(self, reader, writer):
+        try:
+            while True:
+                head = await reader.readuntil(b"\r\n\r\n")
+                fields = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:] if line)
+                body = await reader.readexactly(int(fields[b"content-length"]))
+                self.seen.append(compact(head + body))
+                told = json.dumps(self.left.pop(0) if len(self.left) > 1 else self.left[0]).encode()
+                writer.write(
+                    b"HTTP/1.1 200 OK\r\nX-Call-Id: %s\r\nContent-Length: %d\r\n\r\n%s"
+                    % (fields[b"x-call-id"], len(told), told)
+                )
+        except (asyncio.IncompleteReadError, ConnectionError):
+            writer.close()
+
+
+async def calls_to_controllers() -> list[str]:
+    """Polls before a rollout, during it with counts of requests, and after these have been taken; then the
+    call that is held."""
+    async with AsyncExitStack() as stack:
+        controller = await Controller().open(stack)
+        proxy, _ = await begin(stack, Case(b"", (ok, sick)), frozen=True, controller=controller.port)
+        await poll_once(proxy)
+        for _ in range(3):
+            await exchange(port_of(proxy, "http"), PLAIN + b"\r\n")
+        for _ in range(3):
+            await poll_once(proxy)
+        await listen_once(proxy)
+        return controller.seen
+
+
+@test("calls to controllers, with counts, are as recorded")
+def _():
+    assert asyncio.run(calls_to_controllers()) == RECORDED["calls to controllers"]
+
+
+@test("what stands in X-Gateway and in counts keeps its names")
+def _():
+    found = {"refusals": values_of(Refusal), "outcomes": values_of(AttemptOutcome)}
+    assert found == RECORDED["names"]
