--- /dev/null
+++ b/tests/test_recorded_outsides.py
@@ -0,0 +1,245 @@
+"""The first balancer's configuration, wire formats and decisions against bytes recorded by commit ae67546.
+
+The recordings stand in recorded/. The accessors below are the only place where this file names the program's
+parts: a rename edits them and never an expectation.
+"""
+
+import io
+import json
+import pathlib
+import struct
+import zlib
+
+import pytest
+
+from honeywood.benchlink import adapter, codec
+from honeywood.program import config
+from honeywood.protocol import discovery, platform
+from honeywood.settings import BadKey
+from honeywood.transport.buffer import Buffer
+
+RECORDED = pathlib.Path(__file__).parent / "recorded"
+
+# Accessors: the recorded name of each field, and the program's.
+METHOD_FIELDS = {
+    name: name
+    for name in (
+        "kind",
+        "soft",
+        "soft_stretch",
+        "deadline",
+        "utility",
+        "late_utility",
+        "group",
+        "window",
+        "place",
+        "name",
+    )
+}
+SETTINGS_FIELDS = {
+    name: name
+    for name in (
+        "seed",
+        "tick",
+        "zone",
+        "fronts",
+        "me",
+        "max_picks",
+        "may_duplicate",
+        "may_cancel",
+        "may_probe",
+        "max_wait",
+        "must_ask",
+        "ask_within",
+        "cold_share",
+        "cold_time",
+        "tip_multiple",
+        "tip_time",
+        "report_fields",
+        "cross_price",
+        "probe_price",
+        "caps",
+        "waves",
+        "free_picks",
+        "exposure_window",
+        "per_method",
+        "guarded_steps",
+        "one_way",
+        "vote_rule",
+        "back_votes",
+        "go_votes",
+        "vote_life",
+        "vote_wait",
+        "tally_period",
+        "zones",
+        "idle_close",
+        "connect_within",
+    )
+}
+CONFIGURATION_FIELDS = {
+    name: name
+    for name in (
+        "name",
+        "listen",
+        "discovery",
+        "platform",
+        "news",
+        "known",
+        "sockets",
+        "memory_mb",
+        "settings_text",
+        "seed",
+        "fixed",
+    )
+}
+EVENT_FORMATS, ACTION_FORMATS = codec.EVENTS, codec.ACTIONS
+
+
+def configuration(text, environ):
+    """What the program makes of a configuration file's text, as plain values, or its refusal."""
+    try:
+        read = config.checked(json.loads(text), environ)
+    except BadKey as refused:
+        return {"refused": str(refused)}
+    settings = {name: getattr(read.settings, ours) for name, ours in SETTINGS_FIELDS.items()}
+    settings["methods"] = [
+        {name: getattr(method, ours) for name, ours in METHOD_FIELDS.items()}
+        for method in read.settings.methods
+    ]
+    return {
+        "settings": settings,
+        **{name: getattr(read, ours) for name, ours in CONFIGURATION_FIELDS.items()},
+    }
+
+
+def buffered(data):
+    buffer = Buffer()
+    buffer.add(data)
+    return buffer
+
+
+def parse_platform(form, data, steps):
+    words = platform.line(buffered(data))
+    if words is None:
+        return None
+    return {
+        "state": lambda: platform.state(words, steps),
+        "reply": lambda: platform.reply(words, steps),
+        "bare": lambda: platform.reply(words, steps, bare=True),
+        "tally": lambda: platform.tally(words),
+        "flag": lambda: platform.flag(words),
+        "words": lambda: words,
+    }[form]()
+
+
+def platform_line(form, data, steps):
+    try:
+        return parse_platform(form, data, steps)
+    except platform.BadLine as refused:
+        return {"refused": str(refused)}
+
+
+def discovery_line(data):
+    try:
+        return discovery.line(data)
+    except discovery.BadList as refused:
+        return {"refused": str(refused)}
+
+
+def written_lines():
+    return [
+        platform.SUBSCRIBE.decode(),
+        *(
+            platform.ballot(41, step, verdict).decode()
+            for step, verdict in enumerate(sorted(platform.VERDICTS))
+        ),
+        discovery.target(41),
+    ]
+
+
+def event_fields(code, record):
+    return codec.fields(code, record)
+
+
+def actions(calls):
+    """The frame of these actions: (instance, code, values, text or None) each."""
+    reply = codec.Reply()
+    for instance, code, values, text in calls:
+        reply.add(instance, code, *values, text=text)
+    return reply.frame()
+
+
+def server_entries(tail, start, count):
+    return codec.entries(tail, start, count)
+
+
+def answer(process, frame):
+    return process.answer(*codec.read_frame(frame)).frame()
+
+
+def bench_host():
+    return adapter.Process()
+
+
+# The recorded cases.
+def recorded(name):
+    return json.loads((RECORDED / name).read_text())
+
+
+def plain(value):
+    """As JSON has it: tuples are lists."""
+    return json.loads(json.dumps(value))
+
+
+@pytest.mark.parametrize("case", recorded("configuration.json"), ids=lambda case: case["name"])
+def test_a_configuration_is_read_or_refused_as_it_was(case):
+    assert plain(configuration(case["text"], case["environ"])) == case["read"]
+
+
+@pytest.mark.parametrize("case", recorded("platform_lines.json"), ids=lambda case: case["line"][:40])
+def test_a_line_of_the_platform_is_read_as_it_was(case):
+    line = case["line"].encode("latin-1")
+    assert plain(platform_line(case["form"], line, case["steps"])) == case["read"]
+
+
+@pytest.mark.parametrize("case", recorded("discovery_lines.json"), ids=lambda case: case["line"][:40])
+def test_a_line_of_discovery_is_read_as_it_was(case):
+    assert plain(discovery_line(case["line"].encode("latin-1"))) == case["read"]
+
+
+def test_lines_are_written_as_they_were():
+    assert written_lines() == recorded("written_lines.json")
+
+
+def test_records_of_the_bench_have_the_layout_that_they_had():
+    saved = recorded("bench_records.json")
+    assert {str(code) for code in EVENT_FORMATS} == set(saved["events"])
+    for code, case in saved["events"].items():
+        record = bytes.fromhex(case["record"])
+        assert plain(event_fields(int(code), record)) == case["fields"]
+        packed = struct.pack(">H", int(code)) + EVENT_FORMATS[int(code)].pack(*case["fields"])[2:]
+        assert packed.ljust(40, b"\0") == record
+    assert {str(code) for code in ACTION_FORMATS} == {str(call[1]) for call in saved["actions"]} | {"68"}
+    assert actions(saved["actions"]).hex() == saved["frame"]
+    tail = bytes.fromhex(saved["tail"])
+    assert plain(server_entries(tail, 3, 2)) == saved["entries"]
+
+
+def conversation():
+    """The frames of a recorded conversation in turn: (what the bench sent, what it was answered)."""
+    data, at = zlib.decompress((RECORDED / "bench_conversation.zlib").read_bytes()), 0
+    while at < len(data):
+        parts = []
+        for _ in range(2):
+            (size,) = struct.unpack_from(">I", data, at)
+            parts.append(data[at + 4 : at + 4 + size])
+            at += 4 + size
+        yield parts
+
+
+def test_the_decisions_answer_a_recorded_conversation_with_the_same_bytes():
+    process, frames = bench_host(), 0
+    for sent, answered in conversation():
+        assert answer(process, io.BytesIO(sent)) == answered, f"frame {frames}"
+        frames += 1
+    assert frames > 1000
--- /dev/null
+++ b/tests/trace/test_recorded_trace.py
@@ -0,0 +1,131 @@
+"""Trace files against one recorded by commit ae67546: read as they were, written with the same bytes.
+
+The accessors below are the only place where this file names the program's parts: a rename edits them and never
+an expectation.
+"""
+
+import json
+import pathlib
+import types
+
+from honeywood.interface import Bar, Method, Pick, Rpc, Server
+from honeywood.trace import format, schema, writer
+from honeywood.trace.reader import Reader
+from honeywood.trace.tape import Tape
+
+RECORDED = pathlib.Path(__file__).parent / "recorded"
+ALL_KINDS = RECORDED / "all_kinds.trace"
+
+
+# Accessors.
+def kinds():
+    """What each kind of record is: number, name, whether it is an input, its fields."""
+    return [
+        [kind.number, kind.name, kind.input, [list(field) for field in kind.fields]]
+        for kind in schema.KINDS.values()
+    ]
+
+
+def version():
+    return [schema.MAJOR, schema.MINOR]
+
+
+def read(path):
+    """(the header's map, blocks of records, each (time, source, kind, values))."""
+    with Reader(path) as reader:
+        blocks = [[list(record) for record in found.records()] for _, found in reader.blocks()]
+        return reader.about, blocks
+
+
+def index(path):
+    """(offset, size, packed head) of each block, by the file's index."""
+    with Reader(path) as reader:
+        return [[offset, size, entry.packed()] for offset, size, entry in reader.entries()]
+
+
+def write(path, about, blocks, monkeypatch):
+    """The file anew, under the seed of its header's map."""
+    about = dict(about)
+    monkeypatch.setattr(writer.secrets, "randbits", lambda bits, seed=about.pop("seed"): seed)
+    made = writer.create(path, about)
+    for block in blocks:
+        made.block([schema.Record(time, source, kind, values) for time, source, kind, values in block])
+    made.close()
+    made.file.close()
+
+
+def recorded_calls():
+    """What a front's recorder holds after one call of each kind."""
+    tape = Tape(1000, -500_000, ("x-customer",), ("x-parcel", "x-other"))
+    fields = {"x-customer": "c" * 5000, "x-other": "p1"}
+    request = types.SimpleNamespace(get=fields.get)
+    client = types.SimpleNamespace(connection=types.SimpleNamespace(peer="10.0.0.7:4000"))
+    call = types.SimpleNamespace(serial=1, name="id-1", request=request, client=client, arrived=970)
+    method = Method(name="read")
+    servers = [Server(host=types.SimpleNamespace(name=name)) for name in ("s1", "s2", "s3")]
+    rpc = Rpc(method=method, host=call, taken=970, deadline=40_000, work=12, repeat=True, done=False, why=4)
+    pick = Pick(rpc=rpc, server=servers[0], number=0, build=7, sent=1010)
+    tape.began(1000)
+    tape.listed(1001, 9, [(servers[0], 7, 0, 1, 3.0, 2, -(10**12)), (servers[1], 8, 1, 2, 0.5, 1, 900)], True)
+    tape.listed(1001, 10, [], False)
+    tape.news(1002, 1, False, 8, 0, 0.25, 0, 400)
+    tape.taken(1003, rpc)
+    tape.weighed(rpc, servers[0], Bar.COLD)
+    tape.weighed(rpc, servers[1], Bar.NONE)
+    tape.asked_all(rpc, servers, [Bar.SILENT, Bar.TRIED, Bar.NONE])
+    tape.sent(pick, 40_000)
+    tape.begun(1100, pick)
+    tape.ended(1200, pick, 0, (2.0, 0.5), False)
+    tape.weighed(rpc, servers[2], Bar.EXPOSURE)
+    tape.pushed_back(1201, rpc, 250)
+    tape.aborted(1202, rpc)
+    tape.ended(1203, pick, 1, (), True)
+    tape.left(1204, rpc)
+    tape.probed(1300, servers[2], 1, 20, (4.0,))
+    tape.tallied(1301, 8, method, 2, 57, 185, 900)
+    tape.found_wrong(1302, servers[1], method)
+    tape.tested(1303, [(0.25, "failures of method 0", 3, 20, 1.5), (1.0, "tallied times", 4.5, 21, 2)])
+    tape.voted(1303, 8, 0, 3)
+    tape.looked(1400)
+    tape.list_failed(1401)
+    tape.said(1402, "s" * 5000)
+    tape.intake.lost, tape.intake.lost_rpcs = 3, 1
+    return [list(record) for record in [*tape.queue, *tape.drop_note(1403, "queue")]]
+
+
+# The recorded cases.
+def recorded(name):
+    return json.loads((RECORDED / name).read_text())
+
+
+def plain(value):
+    """As JSON has it: tuples are lists."""
+    return json.loads(json.dumps(value))
+
+
+def test_kinds_and_fields_have_the_figures_that_they_had():
+    assert plain(kinds()) == recorded("kinds.json") and version() == [1, 1]
+
+
+def test_a_recorded_file_is_read_as_it_was():
+    about, blocks = read(ALL_KINDS)
+    assert plain([about, blocks]) == recorded("all_kinds.json")
+    assert {record[2] for block in blocks for record in block} == {kind[0] for kind in recorded("kinds.json")}
+
+
+def test_a_recorded_file_written_again_has_the_same_bytes(tmp_path, monkeypatch):
+    about, blocks = read(ALL_KINDS)
+    write(tmp_path / "again", about, blocks, monkeypatch)
+    assert (tmp_path / "again").read_bytes() == ALL_KINDS.read_bytes()
+
+
+def test_the_index_of_a_recorded_file_says_what_its_blocks_do(tmp_path):
+    whole = ALL_KINDS.read_bytes()
+    by_index = index(ALL_KINDS)
+    end = by_index[-1][0] + by_index[-1][1]
+    (tmp_path / "cut").write_bytes(whole[:end])
+    assert index(tmp_path / "cut") == by_index and whole[end : end + 4] == format.INDEX
+
+
+def test_a_fronts_calls_become_the_records_that_they_became():
+    assert plain(recorded_calls()) == recorded("recorder_calls.json")
