--- a/honeywood/gateway/configuration/check.py
+++ b/honeywood/gateway/configuration/check.py
@@ -1,20 +1,20 @@
-"""Hand-written checks of plain values. Each raises outcome.Wrong that names the key."""
+"""Hand-written checks of plain values. Each raises errors.InvalidInput that names the key."""
 
 import json
 import socket
 from math import inf, isfinite
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidInput
 
 MISSING = object()
 
 
 def need(table, key, kind, where, default=MISSING, least=None, most=None, peer=""):
     """The value under `key`, of `kind` (float takes whole numbers, never booleans) and within bounds; raises
-    outcome.Wrong that names the key, `where` it stands and the peer that sent it."""
+    errors.InvalidInput that names the key, `where` it stands and the peer that sent it."""
     value = table.get(key, default)
     if value is MISSING:
-        raise Wrong(where, f"{key} is missing", peer)
+        raise InvalidInput(where, f"{key} is missing", peer)
     if value is default:
         return value
     number = kind in (int, float)
@@ -23,11 +23,11 @@
         and kind is not bool
         or not isinstance(value, (int, float) if kind is float else kind)
     ):
-        raise Wrong(where, f"{key} must be {kind.__name__}, not {type(value).__name__}", peer)
+        raise InvalidInput(where, f"{key} must be {kind.__name__}, not {type(value).__name__}", peer)
     if isinstance(value, float) and not isfinite(value):
-        raise Wrong(where, f"{key} must be finite", peer)
+        raise InvalidInput(where, f"{key} must be finite", peer)
     if number and not (-inf if least is None else least) <= value <= (inf if most is None else most):
-        raise Wrong(where, f"{key} is out of bounds: {value}", peer)
+        raise InvalidInput(where, f"{key} is out of bounds: {value}", peer)
     return value
 
 
@@ -36,7 +36,7 @@
     try:
         socket.inet_pton(socket.AF_INET, text)
     except (OSError, TypeError, ValueError):
-        raise Wrong(where, f"{text!r} is no numeric IPv4 address", peer) from None
+        raise InvalidInput(where, f"{text!r} is no numeric IPv4 address", peer) from None
     return text
 
 
@@ -44,7 +44,7 @@
     """ "ip:port" as (ip, port); `where` names the key."""
     ip, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not (colon and port.isascii() and port.isdecimal() and 0 < int(port[:6]) < 65536):
-        raise Wrong(where, f"{text!r} is no address and port", peer)
+        raise InvalidInput(where, f"{text!r} is no address and port", peer)
     return ipv4(ip, where, peer), int(port)
 
 
@@ -67,7 +67,7 @@
         if "\\ud" in text or "\\uD" in text:  # half a pair is no text: it can't be written down
             json.dumps(value, ensure_ascii=False).encode()
     except (ValueError, RecursionError) as wrong:
-        raise Wrong(where, f"no JSON: {wrong}", peer) from None
+        raise InvalidInput(where, f"no JSON: {wrong}", peer) from None
     if not isinstance(value, dict):
-        raise Wrong(where, "must be an object", peer)
+        raise InvalidInput(where, "must be an object", peer)
     return value
--- a/honeywood/gateway/configuration/config.py
+++ b/honeywood/gateway/configuration/config.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from honeywood.gateway.configuration.check import need, read_json
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidConfiguration
 from honeywood.gateway.configuration.tenants import (
     TENANTS,
     Tenant,
@@ -85,16 +85,16 @@
 
 
 def unpack(text, peer=""):
-    """The bytes that were packed; raises outcome.Wrong where they aren't whole."""
+    """The bytes that were packed; raises errors.InvalidConfiguration where they aren't whole."""
     if text.startswith(PLAIN):
         return text.encode()
     try:
         reader = zlib.decompressobj()
         raw = reader.decompress(a2b_base64(text), MOST)
     except (ValueError, zlib.error) as wrong:
-        raise Wrong(STEP, f"not whole: {wrong}", peer) from None
+        raise InvalidConfiguration(STEP, f"not whole: {wrong}", peer) from None
     if not reader.eof:
-        raise Wrong(STEP, "not whole or too long", peer)
+        raise InvalidConfiguration(STEP, "not whole or too long", peer)
     return raw
 
 
@@ -108,7 +108,7 @@
 def version(text, peer=""):
     """Eight hexadecimal digits as a number."""
     if not (isinstance(text, str) and len(text) == 8 and all(c in "0123456789abcdef" for c in text.lower())):
-        raise Wrong(STEP, f"ver: {text!r} is not eight hexadecimal digits", peer)
+        raise InvalidConfiguration(STEP, f"ver: {text!r} is not eight hexadecimal digits", peer)
     return int(text, 16)
 
 
@@ -117,27 +117,28 @@
         return ((need(spec, "svc", str, where), 1.0),)
     parts = need(spec, "split", list, where)
     if not parts or not all(isinstance(part, dict) for part in parts) or "svc" in spec:
-        raise Wrong(where, "split must be a list of services and weights, with no svc beside it")
+        why = "split must be a list of services and weights, with no svc beside it"
+        raise InvalidConfiguration(where, why)
     found = tuple((need(part, "svc", str, where), need(part, "wt", float, where, least=0)) for part in parts)
     if len({svc for svc, _ in found}) != len(found):
-        raise Wrong(where, "split names a service twice")
+        raise InvalidConfiguration(where, "split names a service twice")
     if not sum(weight for _, weight in found) > 0:
-        raise Wrong(where, "split has no weight above 0")
+        raise InvalidConfiguration(where, "split has no weight above 0")
     return found
 
 
 def _route(name, spec, where):
     kind, prefix = need(spec, "kind", str, where), need(spec, "pfx", str, where)
     if kind not in KINDS:
-        raise Wrong(where, f"kind {kind!r} is not one of {', '.join(KINDS)}")
+        raise InvalidConfiguration(where, f"kind {kind!r} is not one of {', '.join(KINDS)}")
     if not (prefix.startswith("/") and prefix.endswith("/")):
-        raise Wrong(where, f"pfx {prefix!r} must begin and end with a slash")
+        raise InvalidConfiguration(where, f"pfx {prefix!r} must begin and end with a slash")
     host = need(spec, "vhost", str, where)
     if not host or host != host.strip():
-        raise Wrong(where, "vhost is empty or padded")
+        raise InvalidConfiguration(where, "vhost is empty or padded")
     timeout = need(spec, "timeout_s", float, where, least=0, most=FAR)
     if not timeout > 0:
-        raise Wrong(where, "timeout_s must be above 0")
+        raise InvalidConfiguration(where, "timeout_s must be above 0")
     return Route(
         name,
         host.lower(),
@@ -155,7 +156,7 @@
 def _service(name, spec, where):
     proto, tls = need(spec, "proto", str, where, "h1"), need(spec, "tls", bool, where, False)
     if proto != "h1" or tls:
-        raise Wrong(where, "only proto h1 without tls is spoken")
+        raise InvalidConfiguration(where, "only proto h1 without tls is spoken")
     return Service(name, need(spec, "hc_path", str, where, "/"), need(spec, "max_conns", int, where, least=1))
 
 
@@ -174,19 +175,19 @@
 
 def read(raw, peer="", hashed=False):
     """A Config out of the bytes of config.replace, or with `hashed` of what proxies are told of one; raises
-    outcome.Wrong naming entry and key."""
+    errors.InvalidConfiguration naming entry and key."""
     table, readers = read_json(raw, STEP, peer), HASHED_READERS if hashed else READERS
     number, found = version(table.get("ver"), peer), {kind: {} for kind in readers}
     for at, entry in enumerate(need(table, "res", list, STEP)):
         where = f"{STEP}: res[{at}]"
         if not isinstance(entry, dict):
-            raise Wrong(where, "must be an object", peer)
+            raise InvalidConfiguration(where, "must be an object", peer)
         kind, header = need(entry, "type", str, where), need(entry, "hdr", dict, where)
         if kind not in readers:
-            raise Wrong(where, f"type {kind!r} is not known", peer)
+            raise InvalidConfiguration(where, f"type {kind!r} is not known", peer)
         name = need(header, "name", str, where, "" if kind == "limits" else None)
         if name is None or name in found[kind]:
-            raise Wrong(where, f"name {name!r} is missing or stands twice", peer)
+            raise InvalidConfiguration(where, f"name {name!r} is missing or stands twice", peer)
         found[kind][name] = readers[kind](name, need(entry, "spec", dict, where), f"{where} {name}")
     return _whole(number, found, peer)
 
@@ -194,13 +195,15 @@
 def _whole(number, found, peer):
     routes, services, places = found["routes"].values(), found["svcs"], set()
     if len(found["limits"]) > 1:
-        raise Wrong(STEP, "limits stand twice", peer)
+        raise InvalidConfiguration(STEP, "limits stand twice", peer)
     for route in routes:
         unknown = [svc for svc, _ in route.split if svc not in services]
         if unknown:
-            raise Wrong(STEP, f"route {route.name} names the unknown service {unknown[0]!r}", peer)
+            why = f"route {route.name} names the unknown service {unknown[0]!r}"
+            raise InvalidConfiguration(STEP, why, peer)
         if (route.host, route.prefix) in places:
-            raise Wrong(STEP, f"route {route.name}: {route.host}{route.prefix} is taken by another", peer)
+            why = f"route {route.name}: {route.host}{route.prefix} is taken by another"
+            raise InvalidConfiguration(STEP, why, peer)
         places.add((route.host, route.prefix))
     limits, tenants = next(iter(found["limits"].values()), Limits()), tuple(found[TENANTS].values())
     check_keys_differ(tenants, STEP, peer)
--- a/honeywood/gateway/configuration/settings.py
+++ b/honeywood/gateway/configuration/settings.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from honeywood.gateway.configuration.check import address, ipv4, need
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidSettings
 
 BOUNDS = (
     "reuse_s",
@@ -56,15 +56,15 @@
 
 
 def read(text):
-    """Settings out of the file's text; raises outcome.Wrong naming the key."""
+    """Settings out of the file's text; raises errors.InvalidSettings naming the key."""
     where = "settings"
     try:
         table = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as wrong:
-        raise Wrong(where, f"no TOML: {wrong}") from None
+        raise InvalidSettings(where, f"no TOML: {wrong}") from None
     ports = need(table, "port_range", list, where)
     if len(ports) != 2 or not all(type(p) is int and 0 < p < 65536 for p in ports) or ports[1] <= ports[0]:
-        raise Wrong(where, "port_range must be two ports, the first the lower")
+        raise InvalidSettings(where, "port_range must be two ports, the first the lower")
     listen, given = need(table, "listen", dict, where, {}), need(table, "bounds", dict, where)
     limits, tolerate = need(table, "limits", dict, where, {}), need(table, "tolerate", dict, where, {})
     return Settings(
--- a/honeywood/gateway/configuration/tenants.py
+++ b/honeywood/gateway/configuration/tenants.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidConfiguration
 
 TENANTS = "tenants"  # the kind of item
 QUOTED_TENANTS, ESCAPE = b'"tenants"', b"\\u"  # as it stands in a text, unless its letters are escaped
@@ -35,10 +35,10 @@
 
 
 def read_tenant(name: str, spec: dict, where: str) -> Tenant:
-    """A tenant as operators send it; raises outcome.Wrong, which never holds a key."""
+    """A tenant as operators send it; raises errors.InvalidConfiguration, which never holds a key."""
     keys = need(spec, KEYS, list, where)
     if not all(isinstance(key, str) and _is_header_value(key) for key in keys):
-        raise Wrong(where, f"{KEYS} holds what can't stand in a header")
+        raise InvalidConfiguration(where, f"{KEYS} holds what can't stand in a header")
     return _tenant(name, spec, where, [hash_key(key.encode()) for key in keys])
 
 
@@ -47,15 +47,15 @@
     try:
         hashes = [bytes.fromhex(text) for text in need(spec, KEY_HASHES, list, where)]
     except (TypeError, ValueError):
-        raise Wrong(where, f"{KEY_HASHES} holds what is no hash") from None
+        raise InvalidConfiguration(where, f"{KEY_HASHES} holds what is no hash") from None
     if any(len(one) != HASH_BYTES for one in hashes):
-        raise Wrong(where, f"{KEY_HASHES} holds a hash of another length")
+        raise InvalidConfiguration(where, f"{KEY_HASHES} holds a hash of another length")
     return _tenant(name, spec, where, hashes)
 
 
 def _tenant(name, spec, where, hashes):
     if not _is_header_value(name):
-        raise Wrong(where, "the name can't stand in a header")
+        raise InvalidConfiguration(where, "the name can't stand in a header")
     priority = need(spec, PRIORITY, int, where, None, least=0, most=PRIORITY_MOST)
     return Tenant(name, tuple(dict.fromkeys(hashes)), priority)
 
@@ -66,12 +66,13 @@
 
 
 def check_keys_differ(tenants, where: str, peer: str = "") -> None:
-    """Raises outcome.Wrong where two tenants share a key."""
+    """Raises errors.InvalidConfiguration where two tenants share a key."""
     owners: dict[bytes, str] = {}
     for tenant in tenants:
         for one in tenant.key_hashes:
             if owners.setdefault(one, tenant.name) != tenant.name:
-                raise Wrong(where, f"tenants {owners[one]} and {tenant.name} share a key", peer)
+                why = f"tenants {owners[one]} and {tenant.name} share a key"
+                raise InvalidConfiguration(where, why, peer)
 
 
 def with_hashed_keys(raw: bytes) -> bytes:
--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -7,12 +7,13 @@
 
 from honeywood.gateway.configuration import config
 from honeywood.gateway.configuration.check import need, read_json
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import GatewayError, NotFound, PayloadTooLarge
 from honeywood.gateway.controller import machines
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH
 from honeywood.gateway.register import replica as register
 from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of
+from honeywood.gateway.rpc.statuses import status_of
 
 MOST = 8 << 20  # bytes of a call's body
 JSON = [(b"content-type", b"application/json")]
@@ -44,24 +45,24 @@
         call = self.ours.get(place) if inside else self.calls.get((*place, named))
         try:
             if call is None:
-                raise Wrong("dispatch", f"no such call: {scope['method']} {scope['path']} {named}", peer, 404)
+                raise NotFound("dispatch", f"no such call: {scope['method']} {scope['path']} {named}", peer)
             body = await body_of(receive, MOST)
             if body is None:
-                raise Wrong(named, "the body is too long or broken off", peer, 413)
+                raise PayloadTooLarge(named, "the body is too long or broken off", peer)
             # an order begins nothing for a caller that has gone, nor is it told what others wait for
             departure = scope[CONTEXT].departure
             clock = self.controller.clock
             heeds_departure = call in (self.start, self.news)
             more = {"left": lambda: departure.check(clock())} if heeds_departure else {}
             found = await call(of, body, peer, **more)
-        except Wrong as wrong:
-            failed = wrong.failed
-            self.refused[f"refused: {named or failed.step} {failed.status}"] += 1
+        except GatewayError as error:
+            status = status_of(error)
+            self.refused[f"refused: {named or error.operation} {status}"] += 1
             self.controller.say(
-                "refused", 1.0, step=failed.step, peer=peer, why=failed.why, status=failed.status
+                "refused", 1.0, step=error.operation, peer=peer, why=error.reason, status=status
             )
-            found = json.dumps({"step": failed.step, "peer": peer, "why": failed.why}).encode()
-            return await answer(send, failed.status, JSON, found)
+            found = json.dumps({"step": error.operation, "peer": peer, "why": error.reason}).encode()
+            return await answer(send, status, JSON, found)
         if not isinstance(found, bytes):
             found = json.dumps(found, separators=(",", ":")).encode()
         await answer(send, 200, JSON, found)
--- a/honeywood/gateway/controller/disk_health.py
+++ b/honeywood/gateway/controller/disk_health.py
@@ -2,13 +2,13 @@
 
 import asyncio
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import GatewayError
 
 CHECK_S = 1.0  # seconds between writes that show it; a disk that hangs for longer takes none
 
 
 class DiskHealth:
-    """`write` puts nothing on the disk, which costs a sync, or raises outcome.Wrong. `refused_since` is when
+    """`write` puts nothing on the disk, which costs a sync, or raises GatewayError. `refused_since` is when
     the first write of a row of refused ones was begun, None while the disk takes them."""
 
     def __init__(self, write, clock, say):
@@ -34,7 +34,7 @@
     async def _write(self, begun):
         try:
             await self.write()
-        except Wrong as wrong:
+        except GatewayError as wrong:
             return self._refused(begun, str(wrong))
         if self.refused_since is not None:
             self.say("disk takes writes again", refused_s=round(self.clock() - self.refused_since, 1))
--- a/honeywood/gateway/controller/machine_loop.py
+++ b/honeywood/gateway/controller/machine_loop.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import GatewayError, Unavailable
 from honeywood.gateway.controller.machine_records import MachineRecords
 from honeywood.gateway.controller.machines import Machines
 
@@ -33,7 +33,7 @@
 
     def _need_quorum(self, step):
         if not self.contacts.in_quorum(self.clock()):
-            raise Wrong(step, "cut off from the other controllers", "", 503)
+            raise Unavailable(step, "cut off from the other controllers")
 
     async def _keep_within_bound(self):
         """Puts records on this disk; one that is slow or refuses holds up no answer long."""
@@ -45,7 +45,7 @@
         try:
             if self.register.sound:
                 await self.records.keep()
-        except Wrong as wrong:
+        except GatewayError as wrong:
             self.say("notes not kept", 5.0, why=str(wrong))
 
     def poll(self, now):
--- a/honeywood/gateway/controller/machine_records.py
+++ b/honeywood/gateway/controller/machine_records.py
@@ -3,11 +3,11 @@
 
 import asyncio
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import GatewayError
 
 
 class MachineRecords:
-    """`write` puts {id: [stamp, value] or None} on disk, or raises outcome.Wrong. While it does, at most one
+    """`write` puts {id: [stamp, value] or None} on disk, or raises GatewayError. While it does, at most one
     more write waits, with all that changes meanwhile: a disk that hangs leaves nothing queued behind it but
     that."""
 
@@ -20,7 +20,7 @@
         self.changed[id] = record
 
     async def keep(self):
-        """Ends when what has changed by now is on disk; raises outcome.Wrong where the disk refuses."""
+        """Ends when what has changed by now is on disk; raises GatewayError where the disk refuses."""
         if self.waiting is None:
             self.waiting = asyncio.ensure_future(self._write(self.writing))
         await asyncio.shield(self.waiting)
@@ -33,6 +33,6 @@
         try:
             if changed:
                 await self.write(changed)
-        except Wrong:
+        except GatewayError:
             self.changed = {**changed, **self.changed}
             raise
--- a/honeywood/gateway/controller/machines.py
+++ b/honeywood/gateway/controller/machines.py
@@ -1,7 +1,7 @@
 """What machines tell of themselves, as records. Pure."""
 
 from honeywood.gateway.configuration.check import address, need
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidInput
 from honeywood.gateway.dissemination import departed
 from honeywood.gateway.dissemination.history import History
 from honeywood.gateway.routing.endpoints import DRAINING, GONE, LOST, READY
@@ -15,19 +15,19 @@
 
 
 def named(step, id, peer):
-    """Raises outcome.Wrong where a call names no machine."""
+    """Raises errors.InvalidInput where a call names no machine."""
     if not id:
-        raise Wrong(step, "of is missing", peer)
+        raise InvalidInput(step, "of is missing", peer)
     if DEPARTED_ROW in id or len(id.encode()) > LONGEST:
-        raise Wrong(step, "of is no id: it holds a NUL or is too long", peer)
+        raise InvalidInput(step, "of is no id: it holds a NUL or is too long", peer)
 
 
 def beat(id, body, peer):
-    """(stamp, value) out of a heartbeat's body; raises outcome.Wrong naming the key."""
+    """(stamp, value) out of a heartbeat's body; raises errors.InvalidInput naming the key."""
     named(STEP, id, peer)
     state = need(body, "state", str, STEP, peer=peer)
     if state not in (READY, DRAINING):
-        raise Wrong(STEP, f"state {state!r} is not known", peer)
+        raise InvalidInput(STEP, f"state {state!r} is not known", peer)
     ip, port = address(need(body, "addr", str, STEP, peer=peer), f"{STEP}: addr", peer)
     return [need(body, "seq", int, STEP, least=0, most=LAST - 1, peer=peer), 0], {
         "svc": need(body, "svc", str, STEP, peer=peer),
--- a/honeywood/gateway/controller/orders.py
+++ b/honeywood/gateway/controller/orders.py
@@ -6,7 +6,7 @@
 
 from honeywood.gateway.configuration import config
 from honeywood.gateway.configuration import versions as held
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidInput, NotFound, Unavailable, VersionConflict
 from honeywood.gateway.rollout import record
 from honeywood.gateway.routing.endpoints import DRAINING, READY
 
@@ -44,14 +44,14 @@
     async def _read(self, step, key, peer):
         found = await self.register.read(key)
         if not found.ok:
-            raise Wrong(step, found.why, peer, 503)
+            raise Unavailable(step, found.why, peer)
         self.publish(key, found.value)
         return found.value
 
     async def _change(self, step, key, change, peer):
         found = await self.register.change(key, change)
         if not found.ok:
-            raise Wrong(step, found.why, peer, 503)
+            raise Unavailable(step, found.why, peer)
         self.publish(key, found.value)
         return found.value
 
@@ -59,7 +59,7 @@
         """The newest configuration, packed; 404 where a majority holds none."""
         value = await self._read(READ, CONFIG, peer)
         if value is None:
-            raise Wrong(READ, "none yet", peer, 404)
+            raise NotFound(READ, "none yet", peer)
         return value["text"]
 
     async def replace(self, version, raw, peer):
@@ -78,7 +78,8 @@
         if found != held.TAKEN:
             self.say(found, ordered=f"{version:08x}", held=f"{value['ver']:08x}", digest=mark)
         if found == held.OTHER:
-            raise Wrong(REPLACE, f"{version:08x} stands for another content; take a higher one", peer, 412)
+            why = f"{version:08x} stands for another content; take a higher one"
+            raise VersionConflict(REPLACE, why, peer)
         return found, value["ver"]
 
     async def order(self, svc, to_ver, over_s, peer, left=lambda: False):
@@ -86,7 +87,7 @@
         the caller has gone: nothing is begun for one who has."""
         came = self.clock()
         if self.late:
-            raise Wrong(START, "this controller stood still; the order may be an old one", peer, 503)
+            raise Unavailable(START, "this controller stood still; the order may be an old one", peer)
         held = await self._orderable(svc, peer)
         alone = await self._agreed_alone(svc, to_ver, peer)
         if record.sent_back(held, to_ver):
@@ -94,9 +95,9 @@
 
         def begun(held):
             if left():
-                raise Wrong(START, "its caller has left", peer, 503)
+                raise Unavailable(START, "its caller has left", peer)
             if self.clock() - came > FRESH:
-                raise Wrong(START, "too late; it is no longer waited for", peer, 503)
+                raise Unavailable(START, "too late; it is no longer waited for", peer)
             since_s = 0.0 if held is None else self.controller.rollouts.since(held)
             still_alone = alone and self._alone(svc, to_ver)
             again_s = self.controller.settings.bounds["ack_s"] + AGAIN
@@ -115,7 +116,7 @@
         )
         known = configuration is None or svc in config.read(config.unpack(configuration["text"])).services
         if not known:
-            raise Wrong(START, f"svc {svc!r} is not known", peer)
+            raise InvalidInput(START, f"svc {svc!r} is not known", peer)
         return None if value is None else record.decode(value)
 
     def _alone(self, svc, ver):
@@ -130,12 +131,12 @@
         if not self._alone(svc, ver):
             return False
         if not await self.controller.hear_others():
-            raise Wrong(START, "too few other controllers told which machines they know", peer, 503)
+            raise Unavailable(START, "too few other controllers told which machines they know", peer)
         return self._alone(svc, ver)
 
     async def rollout(self, svc, peer):
         """The Rollout of a service; 404 where a majority holds none."""
         value = await self._read(ROLLOUT_READ, ROLLOUT + svc, peer)
         if value is None:
-            raise Wrong(ROLLOUT_READ, f"no rollout of {svc!r}", peer, 404)
+            raise NotFound(ROLLOUT_READ, f"no rollout of {svc!r}", peer)
         return record.decode(value)
--- a/honeywood/gateway/controller/peers.py
+++ b/honeywood/gateway/controller/peers.py
@@ -1,11 +1,13 @@
 """Polling the other controllers for what they know: a loop for each. Their answers show contact."""
 
 import asyncio
+from contextlib import suppress
 
 from honeywood.gateway.controller.contact import disk_state
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.messages import Asker
 from honeywood.gateway.dissemination.subscriber import Subscriber
+from honeywood.gateway.errors import CallFailed
 
 HOLD_S = 0.5  # seconds that another controller holds a poll while there is nothing new
 BACKOFF_S = 0.5  # seconds at most for which a controller that doesn't answer isn't polled
@@ -54,9 +56,8 @@
             self.polled.discard(ip)
             raise asyncio.CancelledError  # ends the loop that this is a turn of
         asked_at = self.clock()  # an answer may lie here unread while this process is frozen
-        reply = await self.subscriber.ask(ip, self.settings.controller_port, HOLD_S)
-        if reply.ok:
-            told = reply.value
+        with suppress(CallFailed):
+            told = await self.subscriber.ask(ip, self.settings.controller_port, HOLD_S)
             self.contacts.answered(ip, asked_at, told.whole, told.stamp, disk_state(told.disk))
         await asyncio.sleep(min(BACKOFF_S, self.subscriber.backoff.rest(ip, self.clock())))
 
@@ -67,5 +68,8 @@
         return self.contacts.is_enough(ip for ip, told in zip(others, complete) if told)
 
     async def _tells_all(self, ip):
-        reply = await self.subscriber.ask(ip, self.settings.controller_port, 0.0)
-        return reply.ok and reply.value.whole
+        try:
+            answer = await self.subscriber.ask(ip, self.settings.controller_port, 0.0)
+        except CallFailed:
+            return False
+        return answer.whole
--- a/honeywood/gateway/controller/replication.py
+++ b/honeywood/gateway/controller/replication.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import Unavailable
 
 WITHIN_S = 0.8  # seconds in which enough others must have heard
 
@@ -20,7 +20,7 @@
             heard.set()
 
     async def wait(self):
-        """Ends when enough others have all that the store says now; raises outcome.Wrong otherwise."""
+        """Ends when enough others have all that the store says now; raises errors.GatewayError otherwise."""
         revision, until, heard = self.store.rev, self.clock() + WITHIN_S, asyncio.Event()
         self._waiting.append(heard)
         try:
@@ -29,6 +29,6 @@
                 async with asyncio.timeout(until - self.clock()):
                     await heard.wait()
         except TimeoutError:
-            raise Wrong("instances", "too few other controllers heard it in time", "", 503) from None
+            raise Unavailable("instances", "too few other controllers heard it in time") from None
         finally:
             self._waiting.remove(heard)
--- a/honeywood/gateway/dissemination/chunk.py
+++ b/honeywood/gateway/dissemination/chunk.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidMessage
 from honeywood.gateway.dissemination.record import PATH, Record, stamp_of
 
 
@@ -39,7 +39,7 @@
 
     @classmethod
     def decode(cls, table, peer=""):
-        """A chunk out of an answer; raises outcome.Wrong that names field and peer."""
+        """A chunk out of an answer; raises errors.InvalidMessage that names field and peer."""
         where = f"{PATH}: piece"
         return cls(
             need(table, "key", str, where, peer=peer),
@@ -65,9 +65,9 @@
 
     @classmethod
     def decode(cls, found, peer=""):
-        """Progress out of an ask; raises outcome.Wrong that names field and peer."""
+        """Progress out of an ask; raises errors.InvalidMessage that names field and peer."""
         if not (isinstance(found, list) and len(found) == 3 and type(found[2]) is int and found[2] >= 0):
-            raise Wrong(PATH, "have must be lists of stamp, mark and characters by key", peer)
+            raise InvalidMessage(PATH, "have must be lists of stamp, mark and characters by key", peer)
         return cls(stamp_of(found[0], "have: stamp", peer), found[1], found[2])
 
 
--- a/honeywood/gateway/dissemination/departed.py
+++ b/honeywood/gateway/dissemination/departed.py
@@ -9,7 +9,7 @@
 from _blake2 import blake2b  # hashlib would bring OpenSSL
 from binascii import a2b_base64, b2a_base64
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidMessage
 
 PREFIX = "left/"
 BUCKETS = 256  # records over which names are spread: a name that is added tells some 1 KB at most
@@ -28,11 +28,11 @@
 
 
 def decode(value):
-    """A bucket's {hash: logical clock} out of its record's value; raises outcome.Wrong."""
+    """A bucket's {hash: logical clock} out of its record's value; raises errors.InvalidMessage."""
     try:
         return dict(ENTRY.iter_unpack(a2b_base64(value)))
     except (ValueError, TypeError, struct.error) as wrong:
-        raise Wrong("news", f"{PREFIX}: {wrong}") from None
+        raise InvalidMessage("news", f"{PREFIX}: {wrong}") from None
 
 
 def encode(entries):
--- a/honeywood/gateway/dissemination/messages.py
+++ b/honeywood/gateway/dissemination/messages.py
@@ -1,11 +1,11 @@
 """The messages of /news: an ask, and its answer. Each has one encode and one decode; what is decoded holds,
-or outcome.Wrong names the field and the peer."""
+or errors.InvalidMessage names the field and the peer."""
 
 from dataclasses import dataclass, field
 from typing import Any
 
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidMessage
 from honeywood.gateway.dissemination import epochs
 from honeywood.gateway.dissemination.chunk import Chunk, Progress
 from honeywood.gateway.dissemination.record import PATH, Record, stamp_of
@@ -49,7 +49,7 @@
 
     @classmethod
     def decode(cls, table, peer=""):
-        """Who asks, out of an ask; raises outcome.Wrong that names field and peer."""
+        """Who asks, out of an ask; raises errors.InvalidMessage that names field and peer."""
         where = f"{PATH}: who"
         names = [need(table, key, str, where, "", peer=peer) for key in ("node", "ip", "zone", "life")]
         kinds = [need(table, key, bool, where, False, peer=peer) for key in ("private", "front")]
@@ -91,7 +91,7 @@
 
     @classmethod
     def decode(cls, table, peer=""):
-        """An ask as it came; raises outcome.Wrong that names field and peer."""
+        """An ask as it came; raises errors.InvalidMessage that names field and peer."""
         held, have = (
             need(table, "held", dict, PATH, {}, peer=peer),
             need(table, "have", dict, PATH, {}, peer=peer),
@@ -151,9 +151,9 @@
 
     @classmethod
     def decode(cls, table, peer=""):
-        """An answer as it came; raises outcome.Wrong that names field and peer."""
+        """An answer as it came; raises errors.InvalidMessage that names field and peer."""
         if not isinstance(table, dict):
-            raise Wrong(PATH, "the answer must be an object", peer)
+            raise InvalidMessage(PATH, "the answer must be an object", peer)
         chunk = need(table, "piece", dict, PATH, None, peer=peer)
         return cls(
             need(table, "life", str, PATH, peer=peer),
@@ -176,5 +176,5 @@
     if fleet is None:
         return None
     if not (len(fleet) == 2 and type(fleet[0]) is int and isinstance(fleet[1], list)):
-        raise Wrong(PATH, "fleet must be a count and a list of addresses", peer)
+        raise InvalidMessage(PATH, "fleet must be a count and a list of addresses", peer)
     return fleet[0], fleet[1]
--- a/honeywood/gateway/dissemination/record.py
+++ b/honeywood/gateway/dissemination/record.py
@@ -3,15 +3,15 @@
 from dataclasses import dataclass
 from typing import Any
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidMessage
 
 PATH = "/news"
 
 
 def stamp_of(stamp, where, peer=""):
-    """A stamp, a list of whole numbers that only rises; raises outcome.Wrong that names `where` and peer."""
+    """A stamp, a list of whole numbers that only rises; raises InvalidMessage that names `where` and peer."""
     if not (isinstance(stamp, list) and stamp and all(type(number) is int for number in stamp)):
-        raise Wrong(PATH, f"{where} must be a list of whole numbers", peer)
+        raise InvalidMessage(PATH, f"{where} must be a list of whole numbers", peer)
     return stamp
 
 
@@ -29,9 +29,9 @@
 
     @classmethod
     def decode(cls, found, where, peer=""):
-        """A record out of a message; raises outcome.Wrong that names field and peer."""
+        """A record out of a message; raises InvalidMessage that names field and peer."""
         if not (isinstance(found, list) and len(found) == 3 and isinstance(found[0], str)):
-            raise Wrong(PATH, f"{where} must be lists of key, stamp and value", peer)
+            raise InvalidMessage(PATH, f"{where} must be lists of key, stamp and value", peer)
         return cls(found[0], stamp_of(found[1], f"{where}: {found[0]}: stamp", peer), found[2])
 
 
--- a/honeywood/gateway/dissemination/subscriber.py
+++ b/honeywood/gateway/dissemination/subscriber.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import replace
 
-from honeywood.gateway.configuration.outcome import Done, Wrong
+from honeywood.gateway.errors import CallFailed, GatewayError
 from honeywood.gateway.dissemination.messages import Answer, Ask
 from honeywood.gateway.dissemination.record import PATH
 
@@ -42,19 +42,17 @@
         self.known = {place: told for place, told in self.known.items() if place[0] != ip}
 
     async def ask(self, ip, port, hold_s):
-        """One ask; Done with the Answer once it is heard, or Failed."""
+        """One ask; the Answer once it is heard. Raises CallFailed where there is none."""
         body = self._ask(ip, port, hold_s).encode()
-        reply = await self.caller.call(ip, port, PATH, body, hold_s + MARGIN_S, again=True)
-        now = asyncio.get_running_loop().time()
-        if not reply.ok:
-            self.backoff.silent(ip, now)
-            return reply
+        loop = asyncio.get_running_loop()
         try:
-            answer = Answer.decode(reply.value, ip)
-        except Wrong as wrong:
-            self.backoff.silent(ip, now)
-            return wrong.failed
+            reply = await self.caller.call(ip, port, PATH, body, hold_s + MARGIN_S, again=True)
+            answer = Answer.decode(reply, ip)
+        except GatewayError as error:
+            self.backoff.silent(ip, loop.time())
+            raise CallFailed(error.operation, error.reason, error.peer) from error
+        now = loop.time()
         self.backoff.answered(ip, now + (answer.later_s or 0.0))
         self.publisher.hear_answer(answer)
         self.known[ip, port] = answer.life, answer.rev
-        return Done(answer)
+        return answer
--- a/honeywood/gateway/program.py
+++ b/honeywood/gateway/program.py
@@ -11,7 +11,7 @@
 
 import structlog
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.configuration.settings import read
 from honeywood.gateway.metrics import CONTENT_TYPE, Figures, render
 from honeywood.gateway.metrics import PATH as METRICS_PATH
@@ -57,7 +57,7 @@
             self.changed = os.stat(self.path).st_mtime_ns
             with open(self.path, encoding="utf-8") as file:
                 return read(file.read())
-        except (OSError, UnicodeDecodeError, Wrong) as wrong:
+        except (OSError, UnicodeDecodeError, GatewayError) as wrong:
             print(json.dumps({"event": "settings", "why": f"{self.path}: {wrong}"}), flush=True)
             raise SystemExit(2) from None
 
@@ -83,7 +83,7 @@
             with open(self.path, encoding="utf-8") as file:
                 self.found([ip for ip, _ in read(file.read()).seeds])
             self.say("settings read again")
-        except (OSError, UnicodeDecodeError, Wrong) as wrong:
+        except (OSError, UnicodeDecodeError, GatewayError) as wrong:
             self.say("settings not taken", 5.0, why=str(wrong))
 
     def found(self, controllers):
@@ -116,8 +116,9 @@
             while True:
                 try:
                     await step()
-                except Exception as wrong:  # one turn's trouble must not end a loop that others rely on
-                    self.say("loop failed", 1.0, step=step.__qualname__, why=repr(wrong))
+                except Exception as error:  # one turn's failure must not end a loop that others rely on
+                    foreseen = isinstance(error, GatewayError)
+                    self.say("loop failed", 1.0, step=step.__qualname__, why=repr(error), foreseen=foreseen)
                 await asyncio.sleep(every)
 
         task = asyncio.get_running_loop().create_task(run())
--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -6,7 +6,7 @@
 import httpcore
 
 from honeywood.gateway.configuration.check import read_json
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH
 from honeywood.gateway.proxy.forwarding import ClientRequest
@@ -156,7 +156,7 @@
                 return await answer(send, BODY_TOO_LONG)
             departure = scope[CONTEXT].departure
             found = await self.hear(raw, peer, lambda: departure.gone)
-        except Wrong as wrong:
+        except GatewayError as wrong:
             return await answer(send, BAD_REQUEST, (), str(wrong).encode())
         await answer(
             send,
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -10,6 +10,7 @@
 from honeywood.gateway.dissemination.publisher import HOLD, SMALL, Publisher
 from honeywood.gateway.dissemination.rendezvous import order
 from honeywood.gateway.dissemination.subscriber import Subscriber
+from honeywood.gateway.errors import CallFailed
 from honeywood.gateway.metrics import Figures
 from honeywood.gateway.program import COUNTS, Program
 from honeywood.gateway.proxy.app import App
@@ -146,10 +147,12 @@
         places = [(ip, s.proxy_port) for ip in relays if not backoff.rest(ip, now)]
         places += [(ip, s.controller_port) for ip in backoff.fit(order(self.controllers, s.node), now)]
         for ip, port in places:
-            reply = await self.subscriber.ask(ip, port, HOLD)
-            if reply.ok:
-                self.listened_at = self.clock()
-                return await asyncio.sleep(min(HOLD, reply.value.later_s or 0.0))
+            try:
+                answer = await self.subscriber.ask(ip, port, HOLD)
+            except CallFailed:
+                continue
+            self.listened_at = self.clock()
+            return await asyncio.sleep(min(HOLD, answer.later_s or 0.0))
         await asyncio.sleep(FIRST)
 
     async def poll(self):
@@ -173,10 +176,10 @@
         """(when it was asked last, its last Answer or None): again while it has more to tell."""
         for _ in range(ASKS_IN_A_ROW):
             asked_at = self.clock()  # an answer may have lain here unread while this process was frozen
-            reply = await self.poller.ask(ip, self.settings.controller_port, 0.0)
-            if not reply.ok:
+            try:
+                answer = await self.poller.ask(ip, self.settings.controller_port, 0.0)
+            except CallFailed:
                 return asked_at, None
-            answer = reply.value
             if answer.fleet is not None:
                 count, self.relays = answer.fleet
                 self.counts.held_by(ip, answer.counted or 0)
--- a/honeywood/gateway/register/fields.py
+++ b/honeywood/gateway/register/fields.py
@@ -1,7 +1,7 @@
 """Fields of the controllers' messages, read one by one; errors name step, field and peer. Pure."""
 
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidInput, InvalidMessage
 from honeywood.gateway.register.row import Ballot
 
 PATH = "/register"
@@ -18,14 +18,14 @@
 
     def wrong(self, why):
         """The error to raise about this message."""
-        return Wrong(PATH, f"{self.kind}: {why}", self.peer)
+        return InvalidMessage(PATH, f"{self.kind}: {why}", self.peer)
 
     def take(self, name, kind, **more):
         """The field `name`, of `kind` and within the bounds given."""
         try:
             return need(self.table, name, kind, PATH, **more)
-        except Wrong as wrong:
-            raise self.wrong(wrong.failed.why) from None
+        except InvalidInput as error:
+            raise self.wrong(error.reason) from None
 
     def within(self, name):
         """The fields of the object under `name`."""
--- a/honeywood/gateway/configuration/outcome.py
+++ b/honeywood/gateway/register/outcome.py
@@ -1,8 +1,12 @@
-"""Tagged outcomes: what went right, and what went wrong at which step with which peer."""
+"""Results of steps inside the register, until its operations raise what went wrong."""
+
+from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Any
 
+from honeywood.gateway.errors import GatewayError
+
 
 @dataclass(frozen=True, slots=True)
 class Done:
@@ -27,10 +31,6 @@
         return f"{self.step}{' with ' + self.peer if self.peer else ''}: {self.why}"
 
 
-class Wrong(Exception):
-    """Something that can't be used; carries the Failed that tells it."""
-
-    def __init__(self, step, why, peer="", status=400):
-        """`step` and `peer` say where, `why` what was wrong, `status` what a caller is told."""
-        self.failed = Failed(step, why, peer, status)
-        super().__init__(str(self.failed))
+def failed_by(error: GatewayError) -> Failed:
+    """The result of a step that an exception ended."""
+    return Failed(error.operation, error.reason, error.peer, 503)
--- a/honeywood/gateway/register/paging.py
+++ b/honeywood/gateway/register/paging.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from honeywood.gateway.configuration.outcome import Done, Failed, Wrong
+from honeywood.gateway.errors import CallFailed
 from honeywood.gateway.register.parts import PartReceiver, PartSender
 
 LONG = ("pull", "survey")  # steps whose answers may be long
@@ -25,15 +25,13 @@
         self.caller, self.hearer, self.calls = caller, PartReceiver(), 0
 
     async def call(self, ip, port, path, body, within, again=False):
-        """Done with the whole answer, or Failed."""
+        """The whole answer; raises CallFailed where not all of it came in time."""
         if body.get("step") not in LONG:
             return await self.caller.call(ip, port, path, body, within, again=again)
         self.calls += 1
         key = _question(ip, body) if body["step"] == "pull" else self.calls
         try:
             return await self._parts(key, ip, port, path, body, within, again)
-        except Wrong as wrong:
-            return wrong.failed
         finally:
             if body["step"] != "pull":
                 self.hearer.open.pop(key, None)
@@ -45,14 +43,12 @@
             have = self.hearer.have(key)
             asked, step = {**body, HAVE: have}, min(STEP, within, left)
             reply = await self.caller.call(ip, port, path, asked, step, again=again)
-            if not reply.ok:
-                return reply
-            whole = self.hearer.take(key, reply.value, ip)
+            whole = self.hearer.take(key, reply, ip)
             if whole is not None:
-                return Done(whole)
+                return whole
             if have == self.hearer.have(key):
                 break  # damaged: not asked for again and again without a pause
-        return Failed(path, "not all parts came in time", ip, 503)
+        raise CallFailed(path, "not all parts came in time", ip)
 
 
 class PagedResponder:
--- a/honeywood/gateway/register/parts.py
+++ b/honeywood/gateway/register/parts.py
@@ -92,9 +92,9 @@
         return [marked, len(text)] if marked else []
 
     def take(self, question, answer, peer=""):
-        """Takes an answer or a part of one: the whole answer once it is there, else None; Wrong where it is
-        neither. A part that is damaged or doesn't go on where the last one ended changes nothing, a first one
-        begins anew."""
+        """Takes an answer or a part of one: the whole answer once it is there, else None. Raises
+        InvalidMessage where it is neither. A part that is damaged or doesn't go on where the last one ended
+        changes nothing, a first one begins anew."""
         if "part" not in answer:
             self.open.pop(question, None)
             return answer
--- a/honeywood/gateway/register/peers.py
+++ b/honeywood/gateway/register/peers.py
@@ -2,8 +2,9 @@
 
 import asyncio
 
-from honeywood.gateway.configuration.outcome import Done, Wrong
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.register.fields import PATH
+from honeywood.gateway.register.outcome import Done, failed_by
 from honeywood.gateway.register.replies import Fenced
 from honeywood.gateway.register.requests import Told, decode_reply, encode_request
 
@@ -24,9 +25,9 @@
                 return Done(await self.serve(request, ip))
             body, port = encode_request(request), self.settings.controller_port
             reply = await self.caller.call(ip, port, PATH, body, within, again=True)
-            return Done(decode_reply(request, reply.value, ip)) if reply.ok else reply
-        except Wrong as wrong:
-            return wrong.failed
+            return Done(decode_reply(request, reply, ip))
+        except GatewayError as error:
+            return failed_by(error)
 
     async def ask_all(self, ips, request, take, within=STEP_S, call=None, most=None):
         """Asks all of `ips` at once until `take` says that it is enough, for `most` seconds at the most where
--- a/honeywood/gateway/register/reads.py
+++ b/honeywood/gateway/register/reads.py
@@ -1,8 +1,8 @@
 """Reads: what a majority of the members' disks agrees on, without a ballot where nothing is in doubt."""
 
-from honeywood.gateway.configuration.outcome import Done
 from honeywood.gateway.register import acceptor
 from honeywood.gateway.register import membership as members
+from honeywood.gateway.register.outcome import Done
 from honeywood.gateway.register.proposer import agreed, current
 from honeywood.gateway.register.requests import Read, Survey
 from honeywood.gateway.register.rounds import NO_MAJORITY, VALUE_LATE
--- a/honeywood/gateway/register/rebuild.py
+++ b/honeywood/gateway/register/rebuild.py
@@ -4,7 +4,7 @@
 import asyncio
 from dataclasses import replace
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.register import acceptor
 from honeywood.gateway.register import membership as members
 from honeywood.gateway.register.proposer import FIRST
@@ -35,7 +35,7 @@
             try:
                 await storage.keep({BORN: FIRST, MEMBERS: seeds})
                 epochs.sound, epochs.here = True, seeds
-            except Wrong as wrong:  # taken for a lost one until it can be written to
+            except GatewayError as wrong:  # taken for a lost one until it can be written to
                 self.say("register not begun", why=str(wrong))
         told = {"sound": epochs.sound, "rows": len(storage.rows)}
         self.say("register", **told, epoch=epochs.epoch, members=epochs.members)
@@ -55,7 +55,7 @@
                 return  # what it waited for came by another way, while `follow` had the lock
             elif epochs.newer or not await self._move():
                 await self._join(known)
-        except Wrong as wrong:
+        except GatewayError as wrong:
             self.say("register waits for its disk", 5.0, why=str(wrong))
 
     async def _found(self, known):
--- a/honeywood/gateway/register/replica.py
+++ b/honeywood/gateway/register/replica.py
@@ -4,7 +4,7 @@
 brings a disk to where it counts.
 """
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import Unavailable
 from honeywood.gateway.register.epochs import Epochs
 from honeywood.gateway.register.fields import PATH
 from honeywood.gateway.register.peers import Peers
@@ -84,7 +84,7 @@
     async def keep_notes(self, notes):
         """Puts notes of machines, {id: [stamp, value] or None}, aside for this disk's next life."""
         if not self.sound:
-            raise Wrong(PATH, "this disk was lost and is not rebuilt", self.settings.ip, 503)
+            raise Unavailable(PATH, "this disk was lost and is not rebuilt", self.settings.ip)
         await self.storage.keep_notes(notes)
 
     async def open(self):
@@ -100,7 +100,7 @@
         return await self.rebuild.replace(lost, spare)
 
     async def serve(self, ask, peer):
-        """The answer to another's message; Wrong where there is none."""
+        """The answer to another's message; Unavailable where there is none."""
         return encode_reply(await self.service.serve(decode_request(ask, peer), peer))
 
     async def change(self, key, change):
--- a/honeywood/gateway/register/requests.py
+++ b/honeywood/gateway/register/requests.py
@@ -189,7 +189,7 @@
 
 
 def decode_request(table, peer):
-    """The request of a peer; Wrong where it is of another form, not known, or not sound."""
+    """The request of a peer; InvalidMessage where it is of another form, not known, or not sound."""
     fields = Fields(table, "request", peer)
     form = table.get("form", 1)
     if form != FORM:
@@ -206,7 +206,7 @@
 
 
 def decode_reply(request, table, peer):
-    """The reply of a peer to a request; Wrong where it is none to it, or not sound."""
+    """The reply of a peer to a request; InvalidMessage where it is none to it, or not sound."""
     kind = Fields(table, f"reply to {request.step}", peer).take("reply", str)
     for answer in request.answers:
         if answer.kind == kind:
--- a/honeywood/gateway/register/rounds.py
+++ b/honeywood/gateway/register/rounds.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from honeywood.gateway.configuration.outcome import Done, Failed
 from honeywood.gateway.register import membership as members
+from honeywood.gateway.register.outcome import Done, Failed
 from honeywood.gateway.register.proposer import Proposal
 from honeywood.gateway.register.replies import ValueWanted
 from honeywood.gateway.register.requests import Accept, Prepare
--- a/honeywood/gateway/register/service.py
+++ b/honeywood/gateway/register/service.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import replace
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import Unavailable
 from honeywood.gateway.register import acceptor
 from honeywood.gateway.register import membership as members
 from honeywood.gateway.register import requests as asked
@@ -50,7 +50,7 @@
             return await self._answer(request, peer)
         now, turn = asyncio.get_running_loop().time(), object()
         if self.waiting and now - next(iter(self.waiting.values())) > STEP_S:
-            raise Wrong(PATH, "the disk hangs", peer, 503)
+            raise Unavailable(PATH, "the disk hangs", peer)
         self.waiting[turn] = now
         try:
             return await self._answer(request, peer)
@@ -59,7 +59,7 @@
 
     async def _answer(self, request, peer):
         if not (self.epochs.sound or isinstance(request, asked.Told)):
-            raise Wrong(PATH, "this disk was lost and is not rebuilt", peer, 503)
+            raise Unavailable(PATH, "this disk was lost and is not rebuilt", peer)
         return await self.answers[type(request)](request)
 
     def _fenced(self, epoch):
--- a/honeywood/gateway/register/storage.py
+++ b/honeywood/gateway/register/storage.py
@@ -3,7 +3,7 @@
 import asyncio
 from concurrent.futures import ThreadPoolExecutor
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import Unavailable
 from honeywood.gateway.register.fields import PATH
 from honeywood.gateway.register.proposer import FIRST
 from honeywood.gateway.register.row import row_from_disk
@@ -41,11 +41,11 @@
         self.rows = {key: row_from_disk(row) if _is_register(key) else row for key, row in rows.items()}
 
     async def keep(self, rows):
-        """Puts rows on disk, or removes those that are None; Wrong where the disk refuses."""
+        """Puts rows on disk, or removes those that are None; Unavailable where the disk refuses."""
         try:
             await self._on_disk(self.disk.put, rows)
         except OSError as wrong:
-            raise Wrong(PATH, f"the disk refuses: {wrong}", self.settings.ip, 503) from None
+            raise Unavailable(PATH, f"the disk refuses: {wrong}", self.settings.ip) from None
         self.rows.update(rows)
         for key in [key for key, row in rows.items() if row is None]:
             del self.rows[key]
--- a/honeywood/gateway/rollout/record.py
+++ b/honeywood/gateway/rollout/record.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidMessage
 
 ACTIVE, DONE, REVERTED = "active", "done", "reverted"
 TRIAL, WIDE, FULL = "trial", "wide", "full"
@@ -68,9 +68,9 @@
 
 
 def decode(value, peer=""):
-    """The Rollout of a stored form; outcome.Wrong names the field and the peer that told it."""
+    """The Rollout of a stored form; errors.InvalidMessage names the field and the peer that told it."""
     if not isinstance(value, dict):
-        raise Wrong(STEP, f"must be a table, not {type(value).__name__}", peer)
+        raise InvalidMessage(STEP, f"must be a table, not {type(value).__name__}", peer)
     past, back = (need(value, key, list, STEP, peer=peer) for key in ("past", "back"))
     return Rollout(
         service=need(value, "svc", str, STEP, peer=peer),
@@ -89,13 +89,13 @@
 def _one_of(value, key, known, peer):
     found = need(value, key, str, STEP, peer=peer)
     if found not in known:
-        raise Wrong(STEP, f"{key} {found!r} is not known", peer)
+        raise InvalidMessage(STEP, f"{key} {found!r} is not known", peer)
     return found
 
 
 def _earlier(value, peer):
     if len(value) != 3:
-        raise Wrong(STEP, f"past has an order of {len(value)} items, not 3", peer)
+        raise InvalidMessage(STEP, f"past has an order of {len(value)} items, not 3", peer)
     return EarlierOrder(*value)
 
 
--- a/honeywood/gateway/rollout/report.py
+++ b/honeywood/gateway/rollout/report.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidMessage
 
 STEP = "count"
 
@@ -62,11 +62,11 @@
 
 
 def decode(value, peer=""):
-    """The Report of a form told; outcome.Wrong names the field and the peer that told it."""
+    """The Report of a form told; errors.InvalidMessage names the field and the peer that told it."""
     rows = need(value, "rows", list, STEP, peer=peer)
     votes, pending, known = (need(value, key, dict, STEP, peer=peer) for key in ("votes", "left", "known"))
     if any(len(row) != 6 for row in rows):
-        raise Wrong(STEP, "rows must have 6 items", peer)
+        raise InvalidMessage(STEP, "rows must have 6 items", peer)
     ballots = {}
     for service in {**pending, **known}:
         revision, count = pending.get(service) or (known[service][0], 0)
--- a/honeywood/gateway/rpc/client.py
+++ b/honeywood/gateway/rpc/client.py
@@ -13,7 +13,7 @@
 import httpcore
 
 from honeywood.gateway.configuration.check import read_json
-from honeywood.gateway.configuration.outcome import Done, Failed, Wrong
+from honeywood.gateway.errors import CallFailed, CallRefused
 from honeywood.gateway.rpc.connection import Connection, ExchangeFailed
 from honeywood.gateway.rpc.server import CALL_ID
 
@@ -21,7 +21,6 @@
 IDLE_S = 5.0  # seconds after which an idle connection isn't trusted
 LEAST_S = 0.001  # seconds that a connection is given, however late the call is
 ANSWER_MOST = 8 << 20  # bytes of an answer
-UNAVAILABLE = 503
 
 
 class Caller:
@@ -33,7 +32,8 @@
         self.carried = Counter()
 
     async def call(self, ip, port, path, body, within, again=False):
-        """Done with the answer's object, or Failed with step and peer, after `within` seconds at the most.
+        """The answer's object, after `within` seconds at the most. Raises CallFailed, CallRefused or
+        InvalidInput.
 
         `again` is the call's word that it may be made twice: if a kept connection ends before its answer, it
         is made once more on another. A call that doesn't say so is made again only where nothing of it left.
@@ -45,17 +45,17 @@
         self.carried[f"{path} asked"] += len(raw)
         try:
             connection, reply = await self._exchange((ip, port), path, headers, raw, until, again)
-        except (httpcore.ConnectError, httpcore.ConnectTimeout) as wrong:
-            return Failed(path, f"{type(wrong).__name__}: {wrong}", peer, UNAVAILABLE)
+        except (httpcore.ConnectError, httpcore.ConnectTimeout) as error:
+            raise CallFailed(path, f"{type(error).__name__}: {error}", peer) from None
         if isinstance(reply, ExchangeFailed):
-            return Failed(path, reply.reason, peer, UNAVAILABLE)
+            raise CallFailed(path, reply.reason, peer)
         self.carried[f"{path} answered"] += len(reply.body)
         if reply.fields.get(CALL_ID) != id or reply.remainder is not None:
             connection.close()
-            return Failed(path, "no answer to this call, or one too long", peer, UNAVAILABLE)
+            raise CallFailed(path, "no answer to this call, or one too long", peer)
         if connection.reusable:
             self.idle[ip, port].append(connection)
-        return _outcome(reply, path, peer)
+        return _object_of(reply, path, peer)
 
     async def _exchange(self, place, path, headers, raw, until, again):
         """(connection, Reply or ExchangeFailed), over a kept connection or a new one."""
@@ -83,11 +83,8 @@
         return None
 
 
-def _outcome(reply, path, peer):
-    """What an answer to a call says."""
+def _object_of(reply, path, peer):
+    """The JSON object that an answer to a call holds."""
     if reply.status != 200:
-        return Failed(path, reply.body.decode(errors="replace")[:200], peer, reply.status)
-    try:
-        return Done(read_json(reply.body, path, peer))
-    except Wrong as wrong:
-        return wrong.failed
+        raise CallRefused(path, reply.body.decode(errors="replace")[:200], peer, reply.status)
+    return read_json(reply.body, path, peer)
--- a/honeywood/lab/emulator/loopback.py
+++ b/honeywood/lab/emulator/loopback.py
@@ -10,9 +10,10 @@
 import tempfile
 import time
 
-from honeywood.gateway.configuration.outcome import Failed
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.rpc.client import Caller
 from honeywood.gateway.rpc.connection import ExchangeFailed, Connection
+from honeywood.gateway.rpc.statuses import INTERNAL_ERROR, status_of
 from honeywood.lab.emulator.boot import boot
 from standins.sorting import Machine
 
@@ -74,13 +75,16 @@
         )
 
     async def operate(self, call, of="", body=None):
-        """An operator's call to whichever controller answers."""
+        """The answer to an operator's call by whichever controller answers, None where it was refused or
+        none did."""
         for ip in self.random.sample(CONTROLLERS, len(CONTROLLERS)) * 20:
-            found = await self.caller.call(ip, CTL, f"/v1/rpc?call={call}&of={of}", body or {}, 1.0)
-            if found.ok or found.status < 500:
-                return found
+            try:
+                return await self.caller.call(ip, CTL, f"/v1/rpc?call={call}&of={of}", body or {}, 1.0)
+            except GatewayError as error:
+                if status_of(error) < INTERNAL_ERROR:
+                    return None
             await asyncio.sleep(0.1)
-        return found
+        return None
 
     async def heartbeats(self):
         """What the machines call the controllers for."""
@@ -134,7 +138,7 @@
         while state == "active":
             await asyncio.sleep(0.25)
             found = await self.operate("rollouts.read", SERVICE)
-            state = found.value["state"] if found.ok else "active"
+            state = "active" if found is None else found["state"]
         self.tell(f"operator: rollouts.read says {state}")
         for machine in [m for m in self.machines if (m.ver == version) == (state == "reverted")]:
             self.machines.remove(machine)
@@ -148,9 +152,7 @@
                 await self.start(role, ip)
         self.tell("three controllers and two proxies start")
         found = await self.operate("config.replace", "", configuration(1))
-        self.tell(
-            f"operator: config.replace 00000001: {found if isinstance(found, Failed) else 'acknowledged'}"
-        )
+        self.tell(f"operator: config.replace 00000001: {'refused' if found is None else 'acknowledged'}")
         self.machines = [await Machine(SERVICE, "v1", 0.0).open() for _ in range(3)]
         tasks = [asyncio.ensure_future(work) for work in (self.heartbeats(), self.client(), self.report())]
         await asyncio.sleep(3)
@@ -160,7 +162,7 @@
         self.processes[CONTROLLERS[0]].send_signal(signal.SIGKILL)
         await self.rollout("v3", 0.5)
         found = await self.operate("config.read")
-        self.tell(f"operator: config.read says version {found.value['ver']}")
+        self.tell(f"operator: config.read says version {found["ver"]}")
         for task in tasks:
             task.cancel()
         for ip, process in self.processes.items():
--- a/honeywood/lab/emulator/network.py
+++ b/honeywood/lab/emulator/network.py
@@ -9,7 +9,8 @@
 from collections import Counter
 from contextvars import Context
 
-from honeywood.gateway.configuration.outcome import Done, Failed, Wrong
+from honeywood.gateway.errors import CallFailed, GatewayError
+from honeywood.gateway.rpc.statuses import INTERNAL_ERROR, status_of
 
 OUTSIDE = "outside"  # clients, machines and operators, as one end of a link
 COPY_AFTER_S = 0.2  # seconds after which a copy of a call comes at the earliest
@@ -25,15 +26,13 @@
         self.network, self.node, self.links, self.carried = network, node, {}, Counter()
 
     async def call(self, ip, port, path, body, within, again=False):
-        """A call to a program at `ip`: its Done, or Failed when `within` seconds have passed."""
+        """A call to a program at `ip`: its answer; raises CallFailed when `within` seconds have passed."""
         answer = self.network.carry(self.node, ip, path, json.dumps(body), again)
         try:
             async with asyncio.timeout(within):
                 return await answer
         except TimeoutError:
-            return Failed(path, "silence", ip, 503)
-        except Wrong as wrong:
-            return wrong.failed
+            raise CallFailed(path, "silence", ip) from None
 
 
 class Network:
@@ -74,8 +73,8 @@
         return self.copies and self.random.random() < self.copies
 
     def carry(self, source, target, path, raw, again=True):
-        """One call over the net: a future of Done; the answer may be lost though the call was not. `again`
-        says that it may come a second time."""
+        """One call over the net: a future of its answer; the answer may be lost though the call was not.
+        `again` says that it may come a second time."""
         answer = self.loop.create_future()
         self.loop.create_task(self._carry(answer, source, target, path, raw, again), context=Context())
         return answer
@@ -90,7 +89,7 @@
         process, node = self.processes.get(target), self.nodes.get(target)
         if node is None:
             if answer and not answer.done() and (process is None or process.pace == 1.0):
-                answer.set_exception(Wrong(path, "refused", target, 503))
+                answer.set_exception(CallFailed(path, "refused", target))
             return
         try:
             found, wrong = json.dumps(await process.run(self._handler(node, target, path, raw, source))), None
@@ -98,14 +97,14 @@
             return  # the process has ended
         except Exception as raised:
             found, wrong = "", raised
-            if not isinstance(raised, Wrong):
+            if not isinstance(raised, GatewayError):
                 self.raised.append(raised)
-                wrong = Wrong(path, repr(raised), target, 500)
+                wrong = CallFailed(path, repr(raised), target)
         await asyncio.sleep(self.delay * (1 + self.random.random()) + self._queued_s(target, len(found)))
         if answer is None or answer.done() or self.lost(target, source) or life != self.lives.get(target):
             return
         if wrong is None:
-            answer.set_result(Done(json.loads(found)))
+            answer.set_result(json.loads(found))
         else:
             answer.set_exception(wrong)
 
@@ -138,12 +137,12 @@
             return 0, None
         wrong = work.exception()
         if wrong is not None:
-            return (wrong.failed.status, wrong.failed) if isinstance(wrong, Wrong) else (500, None)
+            return (status_of(wrong), wrong) if isinstance(wrong, GatewayError) else (INTERNAL_ERROR, None)
         return 200, work.result()
 
     def _note_raised(self, work):
         wrong = None if work.cancelled() else work.exception()
-        if wrong is not None and not isinstance(wrong, Wrong):
+        if wrong is not None and not isinstance(wrong, GatewayError):
             self.raised.append(wrong)
 
     async def _ask_again(self, name, call, of, raw):
--- a/honeywood/lab/emulator/world.py
+++ b/honeywood/lab/emulator/world.py
@@ -86,7 +86,7 @@
 
     def _said(self, event, every=0.0, **more):
         """In place of a program's log: only loops that failed for what nobody foresaw are noted."""
-        if event == "loop failed" and not more["why"].startswith("Wrong("):
+        if event == "loop failed" and not more["foreseen"]:
             self.raised.append(RuntimeError(f"{more['step']}: {more['why']}"))
 
     def _disk(self):
--- a/honeywood/lab/soak/node.py
+++ b/honeywood/lab/soak/node.py
@@ -12,11 +12,11 @@
 
 import httpcore
 
-from honeywood.gateway.configuration.outcome import Failed
 from honeywood.gateway.controller.program import Controller
+from honeywood.gateway.errors import CallFailed
 from honeywood.gateway.metrics import port_of
 from honeywood.gateway.proxy.program import Proxy
-from honeywood.gateway.rpc.client import UNAVAILABLE, Caller
+from honeywood.gateway.rpc.client import Caller
 from honeywood.gateway.rpc.connection import Connection
 
 CUTS_FILE = "SOAK_CUTS"  # the variable that names the file: a JSON list of "ip" and "ip:port"
@@ -50,7 +50,7 @@
         """As Caller.call."""
         if self.cuts.bar(ip, port):
             await asyncio.sleep(within)
-            return Failed(path, "cut off", f"{ip}:{port}", UNAVAILABLE)
+            raise CallFailed(path, "cut off", f"{ip}:{port}")
         return await super().call(ip, port, path, body, within, again)
 
 
--- a/honeywood/lab/soak/operator.py
+++ b/honeywood/lab/soak/operator.py
@@ -3,7 +3,9 @@
 import asyncio
 import random
 
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.rpc.client import Caller
+from honeywood.gateway.rpc.statuses import INTERNAL_ERROR, status_of
 from honeywood.lab.soak.nodes import CTL
 from honeywood.lab.soak.rules import Record
 
@@ -22,15 +24,16 @@
         self.turn = asyncio.Lock()
 
     async def call(self, name: str, body: dict):
-        """The outcome of a call at the first controller that answers it."""
-        found = None
+        """The answer to a call of the first controller that gives one, None where there is none."""
         for _ in range(TRIES):
             ip = self.chance.choice(self.controllers)
-            found = await self.caller.call(ip, CTL, f"/v1/rpc?call={name}", body, 1.0, again=True)
-            if found.ok or found.status < 500:
-                return found
+            try:
+                return await self.caller.call(ip, CTL, f"/v1/rpc?call={name}", body, 1.0, again=True)
+            except GatewayError as error:
+                if status_of(error) < INTERNAL_ERROR:
+                    return None
             await asyncio.sleep(PAUSE_S)
-        return found
+        return None
 
     async def configure(self):
         """Orders the next configuration, and notes it once it is acknowledged."""
@@ -40,7 +43,7 @@
             for key, owner in owners.items():  # in force anywhere from now on
                 self.record.owners[key].add(owner)
             found = await self.call("config.replace", configuration(self.version, owners))
-            if found.ok:
+            if found is not None:
                 self.record.acknowledged = max(self.record.acknowledged, self.version)
                 self.known = sorted(owners)
 
@@ -52,7 +55,7 @@
     async def read_back(self):
         """Reads the newest configuration."""
         found = await self.call("config.read", {})
-        self.record.read_back = int(found.value["ver"], 16) if found.ok else None
+        self.record.read_back = int(found["ver"], 16) if found is not None else None
 
 
 def configuration(version: int, owners: dict[str, str]) -> dict:
--- a/tests/gateway/test_architecture.py
+++ b/tests/gateway/test_architecture.py
@@ -12,6 +12,7 @@
 # The gateway's floors, docs/architecture.md: a package imports lower ones only. A module directly under
 # gateway/ stands under its own name.
 FLOORS = {
+    "errors": 0,
     "configuration": 1,
     "rpc": 1,
     "register": 2,
@@ -48,10 +49,7 @@
 BELOW_THE_GATEWAY = ("honeywood.judge",)  # the statistics, which both fronts share
 # Imports that break the floors, each with its reason.
 EXCEPTIONS = {
-    (
-        "rpc",
-        "configuration",
-    ): "calls end in the outcomes of configuration/outcome.py and read JSON as it does",
+    ("rpc", "configuration"): "calls read JSON as configuration/check.py does",
     ("dissemination", "routing"): "history.py asks for the two states of a machine whose incarnation is over",
     ("rollout", "dissemination"): "the machines that get a trial are ranked as the relays are",
     ("rollout", "routing"): "outcomes are counted by what an answer meant",
--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -12,6 +12,7 @@
 from ward import each, test
 
 from honeywood.gateway.configuration.config import Limits
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.proxy import responses, sender
 from honeywood.gateway.proxy.forwarding import ANSWER_EARLY_S, ClientRequest
 from honeywood.gateway.proxy.program import Proxy
@@ -516,8 +517,8 @@
         self.loop.run_until_complete(work())
         self.loop.close()
         kept = sum(one.reusable for ones in self.caller.idle.values() for one in ones)
-        wrong = [n for n, reply in told.items() if getattr(reply, "ok", False) and reply.value != {"n": n}]
-        wrong += [] if told[3].ok else ["the next got no answer"]
+        wrong = [n for n, reply in told.items() if isinstance(reply, dict) and reply != {"n": n}]
+        wrong += [] if isinstance(told[3], dict) else ["the next got no answer"]
         wrong += [] if again else [f"{n} twice" for n, came in self.came.items() if came > 1]
         open_now = sum(not line.closing for line in self.loop.lines)
         return wrong + ([] if open_now == kept else [f"{open_now} connections, {kept} kept"]), told
@@ -535,7 +536,7 @@
 
             office = Office(script)
             wrong, told = office.play(again)
-            assert not wrong and told[2].ok == (again and how is not None), (n, how, wrong)
+            assert not wrong and isinstance(told[2], dict) == (again and how is not None), (n, how, wrong)
             assert office.came[2] == 1 + (again and how is not None)
 
 
@@ -549,7 +550,8 @@
 
     office = Office(script)
     wrong, told = office.play(True)
-    assert not wrong and not told[2].ok and office.came[2] == 1 and len(office.loop.lines) == 2
+    assert not wrong and isinstance(told[2], GatewayError)
+    assert office.came[2] == 1 and len(office.loop.lines) == 2
 
 
 @test("a call that is given up at any moment leaves no connection on which its answer could meet another")
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -10,15 +10,16 @@
 
 from honeywood.gateway.configuration import config as configs
 from honeywood.gateway.configuration import settings as files
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.controller import machines
+from honeywood.gateway.errors import InvalidInput
+from honeywood.gateway.rpc.statuses import status_of
 from honeywood.lab.emulator.boot import boot
 
 
 def refused(raw):
     try:
         configs.read(raw if isinstance(raw, bytes) else json.dumps(raw).encode(), "op")
-    except Wrong as wrong:
+    except InvalidInput as wrong:
         return str(wrong)
     return None
 
@@ -141,8 +142,8 @@
     for slots in (10**400, 0, 1 << 21):
         try:
             machines.beat("i-1", {**sent, "slots": slots}, "")
-        except Wrong as wrong:
-            assert "slots" in wrong.failed.why
+        except InvalidInput as wrong:
+            assert "slots" in wrong.reason
         else:
             raise AssertionError(f"{slots} slots were taken")
 
@@ -170,8 +171,8 @@
     sent = {"svc": "s", "addr": addr, "seq": 1, "state": "ready"}
     try:
         machines.beat("i-1", sent, "10.0.0.9")
-    except Wrong as wrong:
-        assert wrong.failed.status == 400 and "addr" in str(wrong) and wrong.failed.peer == "10.0.0.9"
+    except InvalidInput as wrong:
+        assert status_of(wrong) == 400 and "addr" in str(wrong) and wrong.peer == "10.0.0.9"
     else:
         raise AssertionError("it was taken")
 
@@ -182,8 +183,8 @@
     for call in (lambda: machines.beat(id, {}, "p"), lambda: machines.named("instances.leave", id, "p")):
         try:
             call()
-        except Wrong as wrong:
-            assert wrong.failed.why.startswith("of ") and wrong.failed.peer == "p"
+        except InvalidInput as wrong:
+            assert wrong.reason.startswith("of ") and wrong.peer == "p"
         else:
             raise AssertionError("it was taken")
 
@@ -200,7 +201,7 @@
 )
 
 
-@test("whatever stands in place of a part, it is refused by Wrong or read; nothing else is raised")
+@test("whatever stands in place of a part, it is refused by an InvalidInput or read; nothing else is raised")
 def _():
     @settings(max_examples=300, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6), JUNK)
@@ -245,7 +246,7 @@
         world.run(2.5)
         found = [task.result() for task in tasks]
         assert all(400 <= status < 500 for status, _ in found), f"{found}"
-        assert all(told.step and told.why for _, told in found), f"{found}"
+        assert all(told.operation and told.reason for _, told in found), f"{found}"
         assert world.version("b") is None and not world.nodes["b"].store.under("machine/")
     finally:
         world.close()
@@ -293,7 +294,7 @@
     assert files.read(GOOD).bear == 1
     try:
         files.read(GOOD.replace(was, made))
-    except Wrong as wrong:
+    except InvalidInput as wrong:
         assert named in str(wrong) and "settings" in str(wrong)
     else:
         raise AssertionError("it was taken")
@@ -340,7 +341,7 @@
     for part in (packed[: len(packed) // 2 & ~3], packed[:-5], packed[4:], "%", ""):
         try:
             configs.unpack(part, "peer")
-        except Wrong as wrong:
+        except InvalidInput as wrong:
             assert "not whole" in str(wrong)
         else:
             raise AssertionError(f"{len(part)} of {len(packed)} were taken")
--- a/tests/gateway/test_dissemination_links.py
+++ b/tests/gateway/test_dissemination_links.py
@@ -8,7 +8,7 @@
 from timeline import World, config
 from ward import each, test
 
-from honeywood.gateway.configuration.outcome import Done, Failed
+from honeywood.gateway.errors import CallFailed
 from honeywood.gateway.dissemination.backoff import FIRST, Backoff
 from honeywood.gateway.dissemination.chunk import ChunkCollector, Progress
 from honeywood.gateway.dissemination.link_pacer import LEAST, MOST, SHARE, LinkPacer, answer_bytes
@@ -191,7 +191,7 @@
         async def counted(ip, port, path, body, within, **more):
             calls.append(world.loop.time())
             if refuse[0]:
-                return Failed(path, "refused", ip, 503)
+                raise CallFailed(path, "refused", ip)
             return await call(ip, port, path, body, within, **more)
 
         world.nodes["f"].caller.call = counted
@@ -368,14 +368,14 @@
 
         class Caller:
             async def call(self, ip, port, path, body, within, again=False):
-                return Done((await told_by.serve(Ask.decode(body, ip))).encode())
+                return (await told_by.serve(Ask.decode(body, ip))).encode()
 
         subscriber = Subscriber(hearer, Caller(), lambda: Asker(proxy=True), Backoff(random.Random(0), 1.0))
         reply = loop.run_until_complete(subscriber.ask("p", 1, 0.0))
-        assert reply.value.records == [] and reply.value.rev == 50
+        assert reply.records == [] and reply.rev == 50
         told_by.store.put("machine/7", [99], {"n": 0})
         reply = loop.run_until_complete(subscriber.ask("p", 1, 0.0))
-        assert [record.key for record in reply.value.records] == ["machine/7"]
+        assert [record.key for record in reply.records] == ["machine/7"]
     finally:
         loop.close()
 
@@ -419,7 +419,7 @@
         async def call(*given, **more):
             await asyncio.sleep(0.01)
             told = {"life": "x", "rev": 0, "notes": [], "joined": True, "fleet": [1, []], "counted": 0}
-            return Done({**told, **answer})
+            return {**told, **answer}
 
         front.caller.call = call
         world.run(104.0)
@@ -443,7 +443,7 @@
 
         async def partly(ip, port, path, body, within, **more):
             reply = await call(ip, port, path, body, within, **more)
-            return Done({**reply.value, "notes": [], **told}) if reply.ok and path == "/news" else reply
+            return {**reply, "notes": [], **told} if path == "/news" else reply
 
         controller.caller.call = partly
         world.run(14.0)
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -10,7 +10,7 @@
 from ward import each, test
 
 from honeywood.gateway.configuration import config
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import GatewayError, VersionConflict
 from honeywood.gateway.controller import machines
 from honeywood.gateway.controller.app import App
 from honeywood.gateway.dissemination.record import Record
@@ -155,7 +155,7 @@
     """A configuration is confirmed by its number, whatever it holds."""
     try:
         return await replace(self, of, body, peer)
-    except Wrong:
+    except GatewayError:
         stamp = self.controller.store.stamp("config")
         if stamp is None or stamp[0] != int(json.loads(body)["ver"], 16):
             raise
@@ -166,7 +166,7 @@
     """An order that is known is refused."""
     svc = json.loads(body)["svc"]
     if self.controller.store.get(f"rollout/{svc}"):
-        raise Wrong("rollouts.start", "there is one", peer, 409)
+        raise VersionConflict("rollouts.start", "there is one", peer)
     return await start(self, of, body, peer)
 
 
--- a/tests/gateway/test_history.py
+++ b/tests/gateway/test_history.py
@@ -5,7 +5,7 @@
 from timeline import World
 from ward import test
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import Unavailable
 from honeywood.gateway.controller.machine_records import MachineRecords
 from honeywood.gateway.controller.machines import DEPARTED_ROW, Machines
 from honeywood.gateway.dissemination.history import KEEP, MOST, History
@@ -160,7 +160,7 @@
             writes.append(changed)
             await gate.wait()
             if len(writes) == 1:
-                raise Wrong("register", "the disk refuses", "a", 503)
+                raise Unavailable("register", "the disk refuses", "a")
 
         notes, found = MachineRecords(write), []
         for n in range(50):
@@ -171,7 +171,8 @@
         assert len(writes) == 1 and len(asyncio.all_tasks()) <= 53
         gate.set()
         done = await asyncio.gather(*found, return_exceptions=True)
-        assert len(writes) == 2 and len(writes[1]) == 50 and isinstance(done[0], Wrong) and done[-1] is None
+        assert len(writes) == 2 and len(writes[1]) == 50
+        assert isinstance(done[0], Unavailable) and done[-1] is None
 
     asyncio.run(play())
 
--- a/tests/gateway/test_invariants.py
+++ b/tests/gateway/test_invariants.py
@@ -7,7 +7,7 @@
 from socket_scene import GET, Scene, ok, play
 from ward import each, test
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.proxy.invariants import ABANDONED_WITHIN_S, Violation
 from honeywood.gateway.proxy.sender import AttemptSender
 from honeywood.gateway.routing.attempts import AttemptPolicy
@@ -71,7 +71,7 @@
 
 
 async def configuration_is_not_taken(scene, patch):
-    with suppress(Wrong):  # it is kept, and can't be read here
+    with suppress(GatewayError):  # it is kept, and can't be read here
         scene.proxy.publisher.store.put("config", [9], "{}")
 
 
--- a/tests/gateway/test_messages.py
+++ b/tests/gateway/test_messages.py
@@ -5,9 +5,9 @@
 import random
 from dataclasses import replace
 
-from ward import each, test
+from ward import each, raises, test
 
-from honeywood.gateway.configuration.outcome import Done, Wrong
+from honeywood.gateway.errors import CallFailed, InvalidInput
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.chunk import Chunk, ChunkCollector
 from honeywood.gateway.dissemination.messages import Answer, Ask, Asker
@@ -68,7 +68,7 @@
     class Caller:
         async def call(self, ip, port, path, body, within, again=False):
             sent.append(written(body))
-            return Done({"life": "l.2", "rev": 9, "notes": [], "more": False})
+            return {"life": "l.2", "rev": 9, "notes": [], "more": False}
 
     counts = {"life": "0018", "rows": [], "votes": {}, "left": {}, "known": {}}
     controller = Asker("core-1", "10.0.0.1", controller=True), []
@@ -144,26 +144,27 @@
     sent = {**json.loads(good), **change} if change else {}
     try:
         kind.decode(sent, "10.0.0.3")
-    except Wrong as wrong:
-        return wrong.failed
+    except InvalidInput as error:
+        return error
     raise AssertionError("it was taken")
 
 
 @test("an ask with a fault in {field} is refused, and the error names field and peer")
 def _(field=each(*ASK_FAULTS)):
     failed = faulty(Ask, PROXY_ASKS, ASK_FAULTS[field])
-    assert field.split(": ")[-1] in str(failed) and failed.peer == "10.0.0.3" and "/news" in failed.step
+    assert field.split(": ")[-1] in str(failed) and failed.peer == "10.0.0.3" and "/news" in failed.operation
 
 
 @test("an answer with a fault in {field} is a failed ask, and the error names field and peer")
 def _(field=each(*ANSWER_FAULTS)):
     failed = faulty(Answer, TO_PROXY, ANSWER_FAULTS[field])
-    assert field.split(": ")[-1] in str(failed) and failed.peer == "10.0.0.3" and "/news" in failed.step
+    assert field.split(": ")[-1] in str(failed) and failed.peer == "10.0.0.3" and "/news" in failed.operation
 
     class Caller:
         async def call(self, ip, port, path, body, within, again=False):
-            return Done({**json.loads(TO_PROXY), **ANSWER_FAULTS[field]})
+            return {**json.loads(TO_PROXY), **ANSWER_FAULTS[field]}
 
     subscriber = Subscriber(told(), Caller(), Asker, Backoff(random.Random(0), 1.0))
-    reply = asyncio.run(subscriber.ask("10.0.0.3", 7001, 0.5))
-    assert not reply.ok and subscriber.known == {} and "10.0.0.3" in subscriber.backoff.failed
+    with raises(CallFailed):
+        asyncio.run(subscriber.ask("10.0.0.3", 7001, 0.5))
+    assert subscriber.known == {} and "10.0.0.3" in subscriber.backoff.failed
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -8,7 +8,6 @@
 from honeywood.gateway.configuration import versions as held
 from honeywood.gateway.configuration.config import unpack
 from honeywood.gateway.dissemination.messages import Answer
-from honeywood.gateway.configuration.outcome import Done
 from honeywood.gateway.controller.orders import Orders
 from honeywood.gateway.rollout import record as rollouts
 from honeywood.gateway.rpc.asgi import CONTEXT, RequestContext
@@ -477,7 +476,7 @@
 
         async def old(ip, port, hold):
             world.loop.now += 20.0  # all stand still while the answer lies there
-            return Done(Answer("", 0, in_quorum=True))
+            return Answer("", 0, in_quorum=True)
 
         controller.peers.subscriber.ask = front.poller.ask = old
         world.loop.run_until_complete(controller.peers.poll("b"))
--- a/tests/gateway/test_register.py
+++ b/tests/gateway/test_register.py
@@ -7,7 +7,7 @@
 from timeline import World, config
 from ward import each, test
 
-from honeywood.gateway.configuration.outcome import Done
+from honeywood.gateway.register.outcome import Done
 from honeywood.gateway.controller.contact import Contacts
 from honeywood.gateway.register import acceptor, values
 from honeywood.gateway.register.membership import DiskState, PeerState, Replacement, replacement
--- a/tests/gateway/test_register_parts.py
+++ b/tests/gateway/test_register_parts.py
@@ -5,9 +5,9 @@
 import random
 
 from timeline import World, config
-from ward import each, test
+from ward import each, raises, test
 
-from honeywood.gateway.configuration.outcome import Done
+from honeywood.gateway.errors import CallFailed, GatewayError
 from honeywood.gateway.register import paging as whole
 from honeywood.gateway.register import parts, transfer, values
 from honeywood.gateway.register.parts import KEPT, OPEN, PART, PartReceiver, PartSender
@@ -62,11 +62,12 @@
 def _():
     class Peer:
         async def call(self, ip, port, path, body, within, again):
-            return Done({"part": "x", "at": "0", "of": 9, "mark": "m", "sum": 0})
+            return {"part": "x", "at": "0", "of": 9, "mark": "m", "sum": 0}
 
     ask = {"step": "survey", "known": {}}
-    found = asyncio.run(whole.PagedCaller(Peer()).call("b", 1, "/register", ask, 1.0))
-    assert not found.ok and "at must be int" in str(found) and "with b" in str(found)
+    with raises(GatewayError) as failed:
+        asyncio.run(whole.PagedCaller(Peer()).call("b", 1, "/register", ask, 1.0))
+    assert "at must be int" in str(failed.raised) and "with b" in str(failed.raised)
 
 
 @test("an answer that changed, or is kept no more, begins anew; no more than so many are kept")
@@ -89,7 +90,7 @@
     async def carry(self, source, target, path, raw, *more):
         await asyncio.sleep(len(raw) / self.rate)
         found = await super().carry(source, target, path, raw, *more)
-        await asyncio.sleep(len(json.dumps(found.value)) / self.rate)
+        await asyncio.sleep(len(json.dumps(found)) / self.rate)
         return found
 
 
@@ -162,18 +163,19 @@
         class Peer:
             async def call(self, ip, port, path, body, within, again):
                 if body["have"] and fails[0]:
-                    return whole.Failed(path, "silence", ip, 503)
-                return Done(await telling(dict(body), "a"))
+                    raise CallFailed(path, "silence", ip)
+                return await telling(dict(body), "a")
 
         async def serve(ask, peer):
             return {"rows": value[0]}
 
         telling, caller = whole.PagedResponder(serve, lambda: 0.0), whole.PagedCaller(Peer())
         fails[0] = True
-        assert not (await caller.call("b", 1, "/register", {"step": "survey", "known": {}}, 1.0)).ok
+        with raises(CallFailed):
+            await caller.call("b", 1, "/register", {"step": "survey", "known": {}}, 1.0)
         fails[0], value[0] = False, "y" * (3 * PART)
         found = await caller.call("b", 1, "/register", {"step": "survey", "known": {}}, 1.0)
-        assert found.value == {"rows": value[0]}
+        assert found == {"rows": value[0]}
 
     asyncio.run(play())
 
--- a/tests/gateway/test_register_values.py
+++ b/tests/gateway/test_register_values.py
@@ -8,7 +8,7 @@
 from timeline import World
 from ward import each, test
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.register import replies, requests, values
 from honeywood.gateway.register.row import Ballot, Row
 from honeywood.gateway.register.transfer import FIRST_CHUNK, SMALLEST_CHUNK, ChunkSize
@@ -124,7 +124,7 @@
 def refused(work):
     try:
         work()
-    except Wrong as wrong:
+    except GatewayError as wrong:
         return str(wrong)
     raise AssertionError("it was taken")
 
@@ -199,7 +199,7 @@
         if found.exception() is not None:
             size = 200
         else:
-            size = len(json.dumps(found.result().value))
+            size = len(json.dumps(found.result()))
         self.longest = max(self.longest, size)
         await asyncio.sleep(max(self.queue((end, end == target), size) for end in ends))
         if answer is not None and not answer.done():
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -8,7 +8,7 @@
 from ward import each, raises, test
 
 from honeywood.gateway.configuration import config as configuration
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidInput
 from honeywood.gateway.configuration.tenants import HASH_BYTES, Tenant, hash_key
 from honeywood.gateway.routing.tenants import TenantTable
 
@@ -238,7 +238,7 @@
 ):
     sent = with_tenants()
     change(sent)
-    with raises(Wrong) as refused:
+    with raises(InvalidInput) as refused:
         configuration.read(json.dumps(sent).encode())
     assert why in str(refused.raised)
     assert not any(key in str(refused.raised) for keys in KEYS.values() for key in keys)
