--- a/tests/gateway/test_pinned_configuration.py
+++ b/tests/gateway/test_pinned_configuration.py
@@ -12,8 +12,9 @@
 from honeywood.gateway.configuration import config as configuration
 from honeywood.gateway.configuration import settings, versions
 from honeywood.gateway.configuration.check import address, read_json
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.configuration.tenants import hash_key
+from honeywood.gateway.errors import GatewayError
+from honeywood.gateway.rpc.statuses import status_of
 
 RECORDED = json.loads((Path(__file__).parent / "recorded" / "configuration.json").read_text())
 
@@ -23,15 +24,14 @@
 
 def error_fields(error):
     """An error as [operation, reason, peer, status, text]."""
-    failed = error.failed
-    return [failed.step, failed.why, failed.peer, failed.status, str(error)]
+    return [error.operation, error.reason, error.peer, status_of(error), str(error)]
 
 
 def result_or_error(function, *given):
     """{"result": value} or {"error": its fields} of a call."""
     try:
         return {"result": function(*given)}
-    except Wrong as error:
+    except GatewayError as error:
         return {"error": error_fields(error)}
 
 
--- a/tests/gateway/test_pinned_dissemination.py
+++ b/tests/gateway/test_pinned_dissemination.py
@@ -12,7 +12,6 @@
 
 from ward import each, test
 
-from honeywood.gateway.configuration.outcome import Done, Failed, Wrong
 from honeywood.gateway.dissemination import departed, epochs, rendezvous
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.chunk import Chunk, ChunkCollector
@@ -23,6 +22,7 @@
 from honeywood.gateway.dissemination.record import PATH, Record
 from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.dissemination.subscriber import Subscriber
+from honeywood.gateway.errors import CallFailed, InvalidInput
 from honeywood.lab.emulator.world import Loop
 
 RECORDED = json.loads((Path(__file__).parent / "recorded" / "dissemination.json").read_text())
@@ -51,8 +51,8 @@
     decode = {"requests": Ask.decode, "responses": Answer.decode}[kind]
     try:
         decode(table, PEER)
-    except Wrong as wrong:
-        return [wrong.failed.step, wrong.failed.why, wrong.failed.peer]
+    except InvalidInput as error:
+        return [error.operation, error.reason, error.peer]
     raise AssertionError("it was taken")
 
 
@@ -143,7 +143,9 @@
     async def call(self, ip, port, path, body, within, again=False):
         self.sent.append([ip, port, path, written(body), within, again])
         answer = self.answers.pop(0)
-        return Failed(PATH, "refused", ip, 503) if answer is None else Done(answer)
+        if answer is None:
+            raise CallFailed(PATH, "refused", ip)
+        return answer
 
 
 def new_subscriber(publisher, caller, who, records, most):
@@ -155,7 +157,11 @@
 
 async def ask(subscriber, ip, port, hold_s):
     """Whether the peer gave an answer that can be used."""
-    return (await subscriber.ask(ip, port, hold_s)).ok
+    try:
+        await subscriber.ask(ip, port, hold_s)
+    except CallFailed:
+        return False
+    return True
 
 
 def known_by(subscriber):
--- a/tests/gateway/test_pinned_register.py
+++ b/tests/gateway/test_pinned_register.py
@@ -15,13 +15,14 @@
 
 from ward import each, test
 
-from honeywood.gateway.configuration.outcome import Done, Failed, Wrong
 from honeywood.gateway.configuration.settings import read as read_settings
+from honeywood.gateway.errors import CallRefused, GatewayError
 from honeywood.gateway.register import requests
 from honeywood.gateway.register.disk import Disk
 from honeywood.gateway.register.paging import PagedCaller, PagedResponder
 from honeywood.gateway.register.replica import Register
 from honeywood.gateway.register.storage import row_from_disk
+from honeywood.gateway.rpc.statuses import status_of
 from honeywood.lab.emulator.boot import boot
 
 RECORDED = Path(__file__).parent / "recorded"
@@ -50,20 +51,20 @@
 
 def answer_of(body):
     """What a caller gives for the JSON of an answer."""
-    return Done(body)
+    return body
 
 
 def failure_of(peer, operation, reason, status):
     """What a caller gives for a call that was answered with another status."""
-    return Failed("/register", f"{operation}: {reason}", peer, status)
+    raise CallRefused("/register", f"{operation}: {reason}", peer, status)
 
 
 def error_of(error):
     """[operation, reason, peer, status] of an error that a served request ended with."""
-    return [error.failed.step, error.failed.why, error.failed.peer, error.failed.status]
+    return [error.operation, error.reason, error.peer, status_of(error)]
 
 
-SERVE_ERRORS = Wrong
+SERVE_ERRORS = GatewayError
 
 
 async def outcome_of(operation):
--- a/tests/gateway/test_pinned_rollout.py
+++ b/tests/gateway/test_pinned_rollout.py
@@ -10,13 +10,14 @@
 from ward import each, test
 
 from honeywood.gateway.configuration.config import Route
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.rollout import record, report, verdict
 from honeywood.gateway.rollout.allowance import Allowance
 from honeywood.gateway.rollout.stage import Stage
 from honeywood.gateway.routing.attempts import PendingRequest
 from honeywood.gateway.routing.endpoints import Endpoints
 from honeywood.gateway.routing.outcomes import AttemptOutcome
+from honeywood.gateway.rpc.statuses import status_of
 
 RECORDED = json.loads((Path(__file__).parent / "recorded" / "rollout.json").read_text())
 
@@ -26,15 +27,14 @@
 
 def error_fields(error):
     """An error as [operation, reason, peer, status, text]."""
-    failed = error.failed
-    return [failed.step, failed.why, failed.peer, failed.status, str(error)]
+    return [error.operation, error.reason, error.peer, status_of(error), str(error)]
 
 
 def result_or_error(function, *given):
     """{"result": value} or {"error": its fields} of a call."""
     try:
         return {"result": function(*given)}
-    except Wrong as error:
+    except GatewayError as error:
         return {"error": error_fields(error)}
 
 
--- a/tests/gateway/test_pinned_rpc.py
+++ b/tests/gateway/test_pinned_rpc.py
@@ -20,8 +20,10 @@
 from honeywood.gateway.configuration.config import Limits
 from honeywood.gateway.configuration.settings import read
 from honeywood.gateway.controller.program import Controller
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.proxy.program import Proxy
 from honeywood.gateway.rpc import asgi, client, connection, server
+from honeywood.gateway.rpc.statuses import status_of
 from honeywood.lab.emulator.boot import boot
 
 RECORDED = Path(__file__).resolve().parent / "recorded"
@@ -72,11 +74,12 @@
 
 async def call(caller: Any, port: int, path: str, body: Any, within_s: float, again: bool) -> dict:
     """What a call came to: a value, or the failure's operation, reason, peer and status."""
-    found = await caller.call(IP, port, path, body, within_s, again)
-    if found.ok:
-        return {"value": found.value}
-    peer = found.peer.replace(str(port), "PORT")
-    return {"operation": found.step, "reason": found.why, "peer": peer, "status": found.status}
+    try:
+        return {"value": await caller.call(IP, port, path, body, within_s, again)}
+    except GatewayError as error:
+        peer = error.peer.replace(str(port), "PORT")
+        found = {"operation": error.operation, "reason": error.reason, "peer": peer}
+        return {**found, "status": status_of(error)}
 
 
 async def open_connection(port: int) -> Any:
