--- a/Makefile
+++ b/Makefile
@@ -2,8 +2,8 @@
 
 .PHONY: test demo emulate
 test: $(VENV)/made
-	$(VENV)/bin/ruff check --no-cache honeywood tests standins benchmarks
-	$(VENV)/bin/ruff format --no-cache --check honeywood tests standins benchmarks
+	$(VENV)/bin/ruff check --no-cache honeywood tests benchmarks
+	$(VENV)/bin/ruff format --no-cache --check honeywood tests benchmarks
 	PYTHONDONTWRITEBYTECODE=1 $(VENV)/bin/python tests/ci/run_tests.py
 
 demo: $(VENV)/made
--- a/honeywood/cli/lab.py
+++ b/honeywood/cli/lab.py
@@ -23,7 +23,7 @@
 
     from honeywood.cli.trace import command as trace
     from honeywood.lab.demo import demo as played
-    from standins.release import tenant
+    from honeywood.standins.release import tenant
 
     folder = folder or tempfile.mkdtemp(prefix="honeywood-")
     paths, _ = played(folder, seconds, failing, click.echo)
--- a/honeywood/lab/demo.py
+++ b/honeywood/lab/demo.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from honeywood.lab.world import World
-from standins.release import Load
+from honeywood.standins.release import Load
 
 SERVERS, NEW, RATE, CLIENTS = 8, 4, 150, 24
 RELEASE_AT = 2.0               # seconds after the start
--- a/honeywood/lab/emulator/loopback.py
+++ b/honeywood/lab/emulator/loopback.py
@@ -14,7 +14,7 @@
 from honeywood.gateway.rpc.client import Caller
 from honeywood.gateway.rpc.connection import ExchangeFailed, Connection
 from honeywood.lab.emulator.boot import boot
-from standins.sorting import Machine
+from honeywood.standins.sorting import Machine
 
 CONTROLLERS, PROXIES = [f"127.0.0.{n}" for n in (11, 12, 13)], [f"127.0.0.{n}" for n in (21, 22)]
 HTTP, READY, CTL, FIRST = 18080, 18081, 18082, 18090
--- a/honeywood/lab/recording.py
+++ b/honeywood/lab/recording.py
@@ -5,7 +5,7 @@
 
 from honeywood.lab.demo import TRACE
 from honeywood.lab.world import World
-from standins.release import Load
+from honeywood.standins.release import Load
 
 SERVERS, CLIENTS, WARM = 8, 60, 2
 SHARES = 50, 95, 99
--- a/honeywood/lab/slow.py
+++ b/honeywood/lab/slow.py
@@ -11,10 +11,10 @@
 
 from honeywood.lab.demo import TRACE
 from honeywood.lab.world import World
+from honeywood.standins.peer import rpc
+from honeywood.standins.release import Load
 from honeywood.trace.reader import Reader
 from honeywood.trace.rules.summing import Summary
-from standins.peer import rpc
-from standins.release import Load
 
 SERVERS, WORK = 4, 0.02        # servers, and seconds that they need
 CLIENTS = 40                   # healthy
--- a/honeywood/lab/soak/peers.py
+++ b/honeywood/lab/soak/peers.py
@@ -6,7 +6,7 @@
 import struct
 
 from honeywood.lab.soak.rules import Record, Run, Try
-from standins.requests import read_request
+from honeywood.standins.requests import read_request
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Try-Id: %s\r\nX-Seal: s\r\nX-Load: %d,0,%d\r\nContent-Length: %d\r\n\r\n%s"
 MISDIRECTED = b"HTTP/1.1 421 No\r\nX-Try-Id: %s\r\nX-Instance: %s\r\nContent-Length: 0\r\n\r\n"
--- a/honeywood/lab/world.py
+++ b/honeywood/lab/world.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 from honeywood.operator.read import read, write_compiled
-from standins.peer import health
-from standins.release import Discovery, Platform, Worker
+from honeywood.standins.peer import health
+from honeywood.standins.release import Discovery, Platform, Worker
 
 CAPS = [0.25, 0.5, 1.0]
 SETTINGS = {
--- a/standins/control.py
+++ b/honeywood/standins/control.py
@@ -1,5 +1,5 @@
 """Stand-ins for discovery and the platform: they say what a scenario tells them to."""
-from standins.peer import Peer, message
+from honeywood.standins.peer import Peer, message
 
 
 class DiscoveryStand(Peer):
--- a/standins/release.py
+++ b/honeywood/standins/release.py
@@ -6,8 +6,8 @@
 import threading
 import time
 
-from standins.control import DiscoveryStand, PlatformStand
-from standins.peer import Peer, message, rpc
+from honeywood.standins.control import DiscoveryStand, PlatformStand
+from honeywood.standins.peer import Peer, message, rpc
 
 
 def tenant(client):
--- a/standins/sorting.py
+++ b/honeywood/standins/sorting.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from standins.requests import read_request
+from honeywood.standins.requests import read_request
 
 WORK_S = 0.03  # mean seconds of work a request
 SLOTS = 6
--- a/tests/fleet/test_real_fronts.py
+++ b/tests/fleet/test_real_fronts.py
@@ -11,9 +11,10 @@
 import time
 
 from play import CONFIG
-from standins.control import DiscoveryStand
-from standins.peer import health, message, rpc
-from standins.release import Platform, Worker
+
+from honeywood.standins.control import DiscoveryStand
+from honeywood.standins.peer import health, message, rpc
+from honeywood.standins.release import Platform, Worker
 
 FRONTS, SERVERS, CONNECTIONS = 4, 6, 3
 WITHIN = 30                    # seconds, until a state that is waited for must have come
--- a/tests/gateway/socket_scene.py
+++ b/tests/gateway/socket_scene.py
@@ -11,7 +11,7 @@
 from honeywood.gateway.proxy.program import Proxy
 from honeywood.gateway.rpc.server import HttpServer
 from honeywood.lab.emulator.boot import boot
-from standins.requests import read_request
+from honeywood.standins.requests import read_request
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Try-Id: %s\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\n"
 GET = b"GET /p0/a%%2Fb?c HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: %s\r\nX-Deadline-Ms: 600\r\n\r\n"
--- a/tests/gateway/test_architecture.py
+++ b/tests/gateway/test_architecture.py
@@ -42,7 +42,6 @@
     "deploy",
     "docs",
     "honeywood",
-    "standins",
     "tests",
 )  # where a shortened path may lead
 BELOW_THE_GATEWAY = ("honeywood.judge",)  # the statistics, which both fronts share
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -9,7 +9,7 @@
 
 from honeywood.gateway.dissemination.messages import Ask, Asker
 from honeywood.gateway.dissemination.publisher import Publisher
-from standins.requests import read_request
+from honeywood.standins.requests import read_request
 
 CUT_WITHIN_S = 0.45  # after a client's leaving in which machines must be rid of what may be repeated
 POST = (
--- a/tests/play.py
+++ b/tests/play.py
@@ -32,8 +32,8 @@
 
 from honeywood import decide
 from honeywood import interface as face
-from standins.control import DiscoveryStand, PlatformStand
-from standins.peer import Peer, health, message
+from honeywood.standins.control import DiscoveryStand, PlatformStand
+from honeywood.standins.peer import Peer, health, message
 
 RESULTS = {"error": 0, "ok": 1, "trickled": 1, "full": 2, "timeout": 3, "unconnected": 4, "reset": 5,
            "moot": 7}
--- a/tests/trace/test_tools.py
+++ b/tests/trace/test_tools.py
@@ -10,6 +10,7 @@
 import pytest
 
 from honeywood.lab.world import World
+from honeywood.standins.release import Load
 from honeywood.trace import sample
 from honeywood.trace.reader import Reader
 from honeywood.trace.recorder import Recorder
@@ -18,7 +19,6 @@
 from honeywood.trace.tape import Tape
 from honeywood.trace.writer import create
 from honeywood.transport.mailbox import Mailbox
-from standins.release import Load
 
 SECOND = 10_000
 
