--- a/honeywood/__main__.py
+++ b/honeywood/__main__.py
@@ -5,9 +5,9 @@
 
 if __name__ == "__main__":
     if len(sys.argv) > 1:
-        from honeywood.cli.main import main as command_line
+        from honeywood.cli.entry import main as command_line
 
-        command_line(prog_name="honeywood")
+        command_line()
     from honeywood.program.life import main
 
     os._exit(main())
--- a/honeywood/cli/lab.py
+++ b/honeywood/cli/lab.py
@@ -5,10 +5,12 @@
 
 import click
 
+from honeywood.cli.extras import require
+
 
 @click.group("lab")
 def command():
-    """Plays fronts among stand-ins on loopback; from the project's folder, where the stand-ins are."""
+    """Runs the programs among stand-ins on loopback, and the emulator."""
 
 
 @command.command()
@@ -21,6 +23,7 @@
     """One front through a release, recorded; then what its trace tells."""
     import sys
 
+    require("operator", "trace-tools")
     from honeywood.cli.trace import command as trace
     from honeywood.lab.demo import demo as played
     from honeywood.standins.release import tenant
@@ -64,6 +67,7 @@
 @click.option("--json", "plain", is_flag=True)
 def recorder(rate, seconds, count, plain):
     """What the recorder costs: a front without it and with it, in turn."""
+    require("operator", "trace-tools")
     from honeywood.lab.recording import pairs, told
 
     with tempfile.TemporaryDirectory(prefix="honeywood-") as folder:
@@ -80,6 +84,7 @@
 @click.option("--json", "plain", is_flag=True)
 def slow(rates, counts, seconds, turns, record, plain):
     """Healthy clients beside slow ones and beside answers that trickle."""
+    require("operator", "trace-tools")
     from honeywood.lab.slow import rows, told
 
     with tempfile.TemporaryDirectory(prefix="honeywood-") as folder:
@@ -101,6 +106,7 @@
 @click.argument("words", nargs=-1, type=click.UNPROCESSED)
 def emulator(words):
     """The whole system in a world of its own: run, hunt, replay, sweep, report, model."""
+    require("system")
     from honeywood.cli.emulator import command as group
 
     group.main(list(words), prog_name="honeywood lab emulator")
@@ -110,6 +116,7 @@
 @click.argument("words", nargs=-1, type=click.UNPROCESSED)
 def soak(words):
     """The system's own processes on this machine, under troubles that overlap."""
+    require("system")
     from honeywood.cli.soak import command as played
 
     played.main(list(words), prog_name="honeywood lab soak")
--- a/honeywood/cli/main.py
+++ b/honeywood/cli/main.py
@@ -4,6 +4,8 @@
 
 import click
 
+from honeywood.cli.extras import MissingExtrasError, require
+
 GROUPS = {
     "serve": "honeywood.cli.serve",
     "check": "honeywood.cli.check",
@@ -11,19 +13,36 @@
     "trace": "honeywood.cli.trace",
     "lab": "honeywood.cli.lab",
 }
+EXTRAS = {"trace": ("trace-tools",)}  # needed to import a group, beside `cli`
 
 
-class Late(click.Group):
-    """Imports a command only when it runs, so that none pays for the libraries of another."""
+class LazyGroup(click.Group):
+    """Imports a command only when it runs, so that none needs or loads the libraries of another."""
 
     def list_commands(self, ctx):
         return list(GROUPS)
 
     def get_command(self, ctx, name):
-        return importlib.import_module(GROUPS[name]).command if name in GROUPS else None
-
-
-@click.command(cls=Late, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
+        if name not in GROUPS:
+            return None
+        require(*EXTRAS.get(name, ()))
+        return importlib.import_module(GROUPS[name]).command
+
+    def format_commands(self, ctx, formatter):
+        """Lists the commands with a line each; also those whose extra isn't installed."""
+        rows = []
+        for name in self.list_commands(ctx):
+            try:
+                rows.append((name, self.get_command(ctx, name).get_short_help_str(limit=90)))
+            except MissingExtrasError as error:
+                rows.append((name, str(error)))
+        with formatter.section("Commands"):
+            formatter.write_dl(rows)
+
+
+@click.command(
+    cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110}
+)
 def main():
     """A gateway with a release guard.
 
