--- a/tests/gateway/test_architecture.py
+++ b/tests/gateway/test_architecture.py
@@ -29,7 +29,8 @@
     for folder in ("docs/design", "docs/operate")
     for page in (ROOT / folder).glob("*.md")
 )
-PAGES += ["README.md", "docs/architecture.md"]
+PAGES += ["README.md", "CONTRIBUTING.md"]
+PAGES += [f"docs/{name}.md" for name in ("architecture", "balancer", "glossary", "on-call")]
 NAMED_PATH = re.compile(r"(?<![\w./*-])[\w./-]+\.(?:py|toml|md|hcl|txt)\b")
 AT_TIMES = {"KNOWN-RED.txt"}  # there only while a test is listed in it
 # Packages and targets that were renamed. `bourse` isn't among them: it is a kind of record on the wire.
@@ -124,7 +125,7 @@
     known = shortened() | {path.name for path in ROOT.iterdir()} | AT_TIMES
     named = set(NAMED_PATH.findall(text_of(page)))
     relative = {name for name in named if not name.startswith("/")}
-    assert not sorted(name for name in relative if name.removeprefix("./") not in known)
+    assert not sorted(name for name in relative if name.removeprefix("./").removeprefix("../") not in known)
 
 
 @test("every module that {page} names exists")
--- /dev/null
+++ b/tests/gateway/test_pages.py
@@ -0,0 +1,108 @@
+"""What the main pages name exists: paths, links, commands with their options, and the glossary's terms."""
+
+import importlib
+import re
+from importlib.util import find_spec
+from pathlib import Path
+
+import click
+from ward import each, test
+
+from honeywood.cli.main import main as honeywood
+
+ROOT = Path(__file__).resolve().parents[2]
+GLOSSARY = "docs/glossary.md"
+PAGES = (
+    "README.md",
+    "CONTRIBUTING.md",
+    "docs/architecture.md",
+    "docs/balancer.md",
+    GLOSSARY,
+    "docs/on-call.md",
+)
+TOP_FOLDERS = ("benchmarks", "deploy", "docs", "honeywood", "journal", "tests")
+QUOTED = re.compile(r"`([^`\n]+)`")
+PATH = re.compile(rf"(?:{'|'.join(TOP_FOLDERS)})/[\w./-]*")
+LINK = re.compile(r"\]\(([^)#:\s]+)(?:#[\w-]*)?\)")
+CODE_LINE = re.compile(r"^ {4}(.+)$", re.MULTILINE)
+COMMAND = re.compile(r"(?:^|; |&& |bin/)(honeywood|make|python -m [\w.]+)((?: [\w./=*-]+)*)")
+TERM_ROW = re.compile(r"^\| (`[^|]+) \| [^|]+ \| ([^|]+) \| [^|]* \|$", re.MULTILINE)
+# Groups that hand their words on to a command of their own, so that none of its libraries is imported before.
+HANDED_ON = {"emulator": "honeywood.cli.emulator", "soak": "honeywood.cli.soak"}
+
+
+def text_of(page):
+    """A page's text."""
+    return (ROOT / page).read_text()
+
+
+def code_of(page):
+    """What a page shows as code: quoted words, and indented lines without their comments."""
+    text = text_of(page)
+    lines = [line.partition("  #")[0] for line in CODE_LINE.findall(text)]
+    return QUOTED.findall(text) + lines
+
+
+def commands_of(page):
+    """(program, its words) of the commands that a page shows."""
+    found = [match for code in code_of(page) for match in COMMAND.findall(code)]
+    return [(program, words.split()) for program, words in found]
+
+
+def command_of(words):
+    """(The click command that the words lead to, the words behind it)."""
+    command, rest = honeywood, list(words)
+    while rest and isinstance(command, click.Group) and not rest[0].startswith("-"):
+        word = rest.pop(0)
+        found = command.get_command(None, word)
+        assert found is not None, f"no command {word!r} of {command.name}"
+        command = importlib.import_module(HANDED_ON[word]).command if word in HANDED_ON else found
+    return command, rest
+
+
+def options_of(command):
+    """The options that a command takes."""
+    names = {name for parameter in command.params for name in (*parameter.opts, *parameter.secondary_opts)}
+    return names | {"--help"}
+
+
+def make_targets():
+    """The targets of the Makefile."""
+    return set(re.findall(r"^(\w+):", text_of("Makefile"), re.MULTILINE))
+
+
+@test("every path that {page} names in full exists")
+def _(page=each(*PAGES)):
+    named = {path for code in code_of(page) for path in PATH.findall(code)}
+    assert not sorted(path for path in named if not (ROOT / path.rstrip(".")).exists())
+
+
+@test("every link of {page} leads to a file")
+def _(page=each(*PAGES)):
+    folder = (ROOT / page).parent
+    assert not [link for link in LINK.findall(text_of(page)) if not (folder / link).exists()]
+
+
+@test("every command that {page} shows exists, with its options")
+def _(page=each(*PAGES)):
+    for program, words in commands_of(page):
+        if program == "honeywood" and words:
+            command, rest = command_of(words)
+            options = {word for word in rest if word.startswith("--")}
+            assert options <= options_of(command), (page, words)
+        elif program == "make" and words:
+            assert words[0] in make_targets(), (page, words)
+        elif program.startswith("python -m "):
+            assert find_spec(program.split()[-1]) is not None, (page, program)
+
+
+@test("every term of the glossary stands in the module beside it")
+def _():
+    rows = TERM_ROW.findall(text_of(GLOSSARY))
+    missing = []
+    for terms, modules in rows:
+        paths = [ROOT / path for path in PATH.findall(modules)]
+        files = [file for path in paths for file in ([path] if path.is_file() else path.rglob("*.py"))]
+        text = "".join(file.read_text() for file in files)
+        missing += [term for term in QUOTED.findall(terms) if not re.search(rf"\b{re.escape(term)}\b", text)]
+    assert not missing
