--- a/honeywood/gateway/rollout/report.py
+++ b/honeywood/gateway/rollout/report.py
@@ -15,7 +15,7 @@
 @dataclass(frozen=True, slots=True)
 class Tally:
     """How requests of one class (a route) ended at one version: `bins` are those that got an answer, by time
-    (honeywood/judge/counts.py)."""
+    (honeywood/release_analysis/outcome_statistics.py)."""
 
     service: str
     route: str
--- a/honeywood/gateway/rollout/stage.py
+++ b/honeywood/gateway/rollout/stage.py
@@ -10,7 +10,7 @@
 from honeywood.gateway.rollout.report import Ballot, Report, Tally
 from honeywood.gateway.rollout.verdict import Voter
 from honeywood.gateway.routing.outcomes import AttemptOutcome
-from honeywood.judge.counts import EDGES, Counts
+from honeywood.release_analysis.outcome_statistics import EDGES, Counts
 
 # of the share and the slack that are told: requests end up elsewhere than they began
 SAFETY = 0.8
--- a/honeywood/gateway/rollout/verdict.py
+++ b/honeywood/gateway/rollout/verdict.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 from honeywood.gateway.rollout.record import DONE, FULL, REVERTED, TRIAL, WIDE
-from honeywood.judge.counts import Counts, summed
-from honeywood.judge.cut import FAIL_MARGIN, LEAST, Q, sorted_cut, trails
+from honeywood.release_analysis.outcome_statistics import Counts, summed
+from honeywood.release_analysis.multiple_testing import FAIL_MARGIN, LEAST, Q, sorted_cut, trails
 
 SLOW_MARGIN = 0.10  # points of slow share (the design's)
 CONFIRM = 1.0  # seconds after which a rejection must still stand (the design's)
--- a/honeywood/judge/judge.py
+++ b/honeywood/judge/judge.py
@@ -5,8 +5,8 @@
 
 from honeywood.interface import (
     ERROR, GO_BACK, GO_ON, GOING_BACK, HOLD, NO_VOTE, OK, ON_TRIAL, RELEASED, SECOND, TIMEOUT, WITHDRAWN)
-from honeywood.judge.counts import EDGES, Counts, summed
-from honeywood.judge.cut import FAIL_MARGIN, FEW, LEAST, Q, sorted_cut, trails
+from honeywood.release_analysis.outcome_statistics import EDGES, Counts, summed
+from honeywood.release_analysis.multiple_testing import FAIL_MARGIN, FEW, LEAST, Q, sorted_cut, trails
 from honeywood.judge.gate import YOUNG
 
 SLOW_MARGIN = 0.20             # the page starts at 0.10; see docs/design.md
--- a/honeywood/judge/counts.py
+++ b/honeywood/release_analysis/outcome_statistics.py
@@ -1,7 +1,8 @@
 """How requests ended of late: what the tests run on."""
-from honeywood.judge.cut import LEAST
 
-SLOW_SHARE = 0.25              # the earlier build's share that counts as slow
+from honeywood.release_analysis.multiple_testing import LEAST
+
+SLOW_SHARE = 0.25  # the earlier build's share that counts as slow
 EDGES = [n / 16 for n in (1, 2, 3, 4, 6, 8, 12, 16)]  # bins of answer times, in soft deadlines
 
 
@@ -11,6 +12,7 @@
 
 class Counts:
     """How RPCs ended of late: failures, and answer times in bins."""
+
     __slots__ = ("failed", "ended", "bins", "total")
 
     def __init__(self, parts=()):
--- a/tests/gateway/test_architecture.py
+++ b/tests/gateway/test_architecture.py
@@ -45,7 +45,7 @@
     "standins",
     "tests",
 )  # where a shortened path may lead
-BELOW_THE_GATEWAY = ("honeywood.judge",)  # the statistics, which both fronts share
+BELOW_THE_GATEWAY = ("honeywood.release_analysis",)  # the statistics, which both fronts share
 # Imports that break the floors, each with its reason.
 EXCEPTIONS = {
     (
--- a/tests/test_all.py
+++ b/tests/test_all.py
@@ -12,7 +12,7 @@
 
 from honeywood import interface as face
 from honeywood.benchlink import adapter, codec
-from honeywood.judge.cut import sorted_cut, trails
+from honeywood.release_analysis.multiple_testing import sorted_cut, trails
 from honeywood.judge.judge import level_each
 from honeywood.protocol import discovery, http, platform
 from honeywood.routing import client, gateway, module, server
--- a/tests/trace/test_recorded_trace.py
+++ b/tests/trace/test_recorded_trace.py
@@ -1,7 +1,7 @@
 """Trace files against one recorded by commit ae67546: read as they were, written with the same bytes.
 
-The accessors below are the only place where this file names the program's parts: a rename edits them and never
-an expectation.
+The accessors below are the only place where this file names the program's parts: a rename edits them and
+never an expectation.
 """
 
 import json
