--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -12,8 +12,8 @@
 
 import click
 
-from honeywood import decide
-from honeywood import interface as face
+from honeywood.balancer.decisions import balancer as decide
+from honeywood.balancer import interface as face
 from honeywood.trace.tape import Tape
 
 KINDS = face.IDEMPOTENT, face.TOKENED, face.NON_IDEMPOTENT
--- a/honeywood/routing/client.py
+++ b/honeywood/balancer/actors/client.py
@@ -1,11 +1,11 @@
 """One connection of a client: reads its requests, one RPC at a time, and writes the one answer of each."""
 import re
 
-from honeywood.interface import IDEMPOTENT, SECOND
-from honeywood.protocol import http
-from honeywood.transport import clock
-from honeywood.transport.connection import Connection
-from honeywood.transport.mailbox import LentMailbox
+from honeywood.balancer.interface import IDEMPOTENT, SECOND
+from honeywood.balancer.protocol import http
+from honeywood.balancer.transport import clock
+from honeywood.balancer.transport.connection import Connection
+from honeywood.balancer.transport.mailbox import LentMailbox
 
 HEALTH = "/_health"
 SLOW = 2 * SECOND              # a request must be whole after this, the first one counted from connecting
--- a/honeywood/routing/gateway.py
+++ b/honeywood/balancer/actors/gateway.py
@@ -2,17 +2,17 @@
 import socket
 from random import Random
 
-from honeywood.interface import SECOND
-from honeywood.protocol import http
-from honeywood.routing.client import Client
-from honeywood.routing.counters import Counters
-from honeywood.routing.module import Module
-from honeywood.routing.platform import Platform
-from honeywood.routing.roster import Roster
-from honeywood.transport import clock
-from honeywood.transport.descriptors import Descriptors
-from honeywood.transport.listener import Listener
-from honeywood.transport.mailbox import Mailbox
+from honeywood.balancer.interface import SECOND
+from honeywood.balancer.protocol import http
+from honeywood.balancer.actors.client import Client
+from honeywood.balancer.actors.counters import Counters
+from honeywood.balancer.actors.module import Module
+from honeywood.balancer.actors.platform import Platform
+from honeywood.balancer.actors.roster import Roster
+from honeywood.balancer.transport import clock
+from honeywood.balancer.transport.descriptors import Descriptors
+from honeywood.balancer.transport.listener import Listener
+from honeywood.balancer.transport.mailbox import Mailbox
 
 OTHERS = 24                    # descriptors of files, the listener and the interpreter
 KEPT = 0.4                     # share of the descriptors that clients leave to servers, list and platform
--- a/honeywood/routing/module.py
+++ b/honeywood/balancer/actors/module.py
@@ -2,13 +2,13 @@
 
 It is their host (interface.Host) and decides nothing: it carries out what they ask and tells them what came.
 """
-from honeywood import decide
-from honeywood.interface import (
+from honeywood.balancer.decisions import balancer as decide
+from honeywood.balancer.interface import (
     CANCELLED, GONE, LATE, NO_SERVER, OK, OUT_OF_TIME, SECOND, SPENT, TIMEOUT, TOO_MANY_OPEN, Rpc)
-from honeywood.protocol import http, platform
-from honeywood.routing.server import Exchange
-from honeywood.transport import clock
-from honeywood.transport.mailbox import Mailbox
+from honeywood.balancer.protocol import http, platform
+from honeywood.balancer.actors.server import Exchange
+from honeywood.balancer.transport import clock
+from honeywood.balancer.transport.mailbox import Mailbox
 
 MOST_CALLS = 20_000
 OWN = ("host", "x-timeout")  # fields that each send words anew
--- a/honeywood/routing/platform.py
+++ b/honeywood/balancer/actors/platform.py
@@ -1,9 +1,9 @@
 """The platform: one subscribed connection that tells its news and answers our votes in their order."""
 from collections import deque
 
-from honeywood.interface import ERROR, OK, SECOND, TIMEOUT
-from honeywood.protocol import platform
-from honeywood.routing.watch import Watch
+from honeywood.balancer.interface import ERROR, OK, SECOND, TIMEOUT
+from honeywood.balancer.protocol import platform
+from honeywood.balancer.actors.watch import Watch
 
 ANSWERED = 3 * SECOND          # so long a connection that was left may still answer what was called on it
 
--- a/honeywood/routing/roster.py
+++ b/honeywood/balancer/actors/roster.py
@@ -1,9 +1,9 @@
 """The list of servers: watches discovery, and knows the peer behind each id."""
-from honeywood.interface import GONE, LONG_AGO, SECOND
-from honeywood.protocol import discovery, http
-from honeywood.routing.server import ServerPeer
-from honeywood.routing.watch import Watch
-from honeywood.transport import clock
+from honeywood.balancer.interface import GONE, LONG_AGO, SECOND
+from honeywood.balancer.protocol import discovery, http
+from honeywood.balancer.actors.server import ServerPeer
+from honeywood.balancer.actors.watch import Watch
+from honeywood.balancer.transport import clock
 
 
 CATCHES_UP = 5 * SECOND        # so long a new address may know less than the one before it told
--- a/honeywood/routing/server.py
+++ b/honeywood/balancer/actors/server.py
@@ -2,11 +2,12 @@
 import re
 from collections import deque
 
-from honeywood.interface import CONNECT_FAILED, ERROR, FULL, MOOT, OK, READY, RESET, SECOND, Server, mark
-from honeywood.protocol import http
-from honeywood.transport import clock
-from honeywood.transport.connection import Connection
-from honeywood.transport.mailbox import LentMailbox
+from honeywood.balancer.interface import (
+    CONNECT_FAILED, ERROR, FULL, MOOT, OK, READY, RESET, SECOND, Server, mark)
+from honeywood.balancer.protocol import http
+from honeywood.balancer.transport import clock
+from honeywood.balancer.transport.connection import Connection
+from honeywood.balancer.transport.mailbox import LentMailbox
 
 MOST_CALLS = 4096
 REPORT = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?\Z", re.ASCII)  # a figure of a load report
--- a/honeywood/routing/watch.py
+++ b/honeywood/balancer/actors/watch.py
@@ -1,8 +1,8 @@
 """An actor that keeps one connection standing, over which a peer tells what is new."""
-from honeywood.interface import SECOND
-from honeywood.transport import clock
-from honeywood.transport.connection import Connection
-from honeywood.transport.mailbox import Mailbox
+from honeywood.balancer.interface import SECOND
+from honeywood.balancer.transport import clock
+from honeywood.balancer.transport.connection import Connection
+from honeywood.balancer.transport.mailbox import Mailbox
 
 SILENT = 10 * SECOND           # without a word or a sign of life for so long it is given up,
 PART = SECOND                  # and so is one on which what was begun goes on no further
--- /dev/null
+++ b/honeywood/balancer/benchlink/__main__.py
@@ -0,0 +1,5 @@
+import sys
+
+from honeywood.balancer.benchlink.adapter import main
+
+sys.exit(main())
--- a/honeywood/benchlink/adapter.py
+++ b/honeywood/balancer/benchlink/adapter.py
@@ -3,10 +3,10 @@
 import sys
 import traceback
 
-from honeywood import decide
-from honeywood.benchlink import codec
-from honeywood.interface import LONG_AGO, Pick, Rpc, Server, mark
-from honeywood.settings import settings
+from honeywood.balancer.decisions import balancer as decide
+from honeywood.balancer.benchlink import codec
+from honeywood.balancer.interface import LONG_AGO, Pick, Rpc, Server, mark
+from honeywood.balancer.settings import settings
 
 
 class Instance:
--- a/honeywood/decide.py
+++ b/honeywood/balancer/decisions/balancer.py
@@ -8,13 +8,13 @@
 from math import inf, sqrt
 from random import Random
 
-from honeywood.interface import (
+from honeywood.balancer.interface import (
     CANCELLED, CONNECT_FAILED, ERROR, GONE, LATE, MOOT, NO_SERVER, OK, OUT_OF_TIME, READY, SECOND, SPENT,
     TOO_MANY_OPEN)
-from honeywood.judge.gate import Gate, Stage, trimmed
-from honeywood.judge.judge import Judge, LOOK, SOON
-from honeywood.judge.routing import COMES_BACK, RATE_OVER, REPEATS, Routing, SILENT
-from honeywood.judge.trial import Trial
+from honeywood.balancer.decisions.send_policy import Gate, Stage, trimmed
+from honeywood.balancer.decisions.release_verdict import Judge, LOOK, SOON
+from honeywood.balancer.decisions.server_selection import COMES_BACK, RATE_OVER, REPEATS, Routing, SILENT
+from honeywood.balancer.decisions.build_selection import Trial
 
 # So many RPCs may be open as the rate answers in SOON of the soft deadline,
 BORNE = 0.8                    # but a small front's last answers were quick within this one,
--- a/honeywood/judge/trial.py
+++ b/honeywood/balancer/decisions/build_selection.py
@@ -1,7 +1,7 @@
 """Which build an RPC goes to first."""
 
-from honeywood.interface import RELEASED
-from honeywood.judge.gate import Stage
+from honeywood.balancer.interface import RELEASED
+from honeywood.balancer.decisions.send_policy import Stage
 
 
 class Trial(Stage):
--- a/honeywood/judge/judge.py
+++ b/honeywood/balancer/decisions/release_verdict.py
@@ -4,7 +4,7 @@
 from math import erfc, inf, sqrt
 from statistics import NormalDist
 
-from honeywood.interface import (
+from honeywood.balancer.interface import (
     ERROR,
     GO_BACK,
     GO_ON,
@@ -27,7 +27,7 @@
     benjamini_hochberg,
     inferiority_p_value,
 )
-from honeywood.judge.gate import YOUNG
+from honeywood.balancer.decisions.send_policy import YOUNG
 
 SLOW_MARGIN = 0.20  # the page starts at 0.10; see docs/design.md
 CONFIRM = 1 * SECOND  # a rejection must still stand after this
--- a/honeywood/judge/gate.py
+++ b/honeywood/balancer/decisions/send_policy.py
@@ -1,7 +1,7 @@
 """The one place that every send passes, where the rules hold; and the chain's links. Times as in decide."""
 from collections import defaultdict, deque
 
-from honeywood.interface import (
+from honeywood.balancer.interface import (
     NEVER_RAN, NON_IDEMPOTENT, OK, ON_TRIAL, READY, RELEASED, SECOND, TOKENED, Bar, Pick)
 
 YOUNG = 3 * SECOND             # servers under this age are no evidence; also the wait with short samples
--- a/honeywood/judge/routing.py
+++ b/honeywood/balancer/decisions/server_selection.py
@@ -2,8 +2,9 @@
 from collections import deque
 from math import isfinite
 
-from honeywood.interface import CANCELLED, CONNECT_FAILED, ERROR, FULL, OK, READY, RESET, SECOND, TIMEOUT, Bar
-from honeywood.judge.gate import Stage
+from honeywood.balancer.interface import (
+    CANCELLED, CONNECT_FAILED, ERROR, FULL, OK, READY, RESET, SECOND, TIMEOUT, Bar)
+from honeywood.balancer.decisions.send_policy import Stage
 
 SILENT = 9 * SECOND // 10      # a server that holds picks and answers none for so long is left alone
 SHUN = 2 * SECOND              # a server that could not be reached, is full or timed out is left alone for
--- a/honeywood/program/config.py
+++ b/honeywood/balancer/program/config.py
@@ -5,8 +5,8 @@
 """
 import json
 
-from honeywood.protocol import discovery, platform
-from honeywood.settings import BadKey, Part, settings
+from honeywood.balancer.protocol import discovery, platform
+from honeywood.balancer.settings import BadKey, Part, settings
 
 LEAST_SOCKETS, LEAST_MEMORY = 64, 32
 FIXED = "name", "listen", "limits", "settings"
--- a/honeywood/program/life.py
+++ b/honeywood/balancer/program/life.py
@@ -7,10 +7,10 @@
 import time
 import traceback
 
-from honeywood.interface import SECOND
-from honeywood.program import config, log, switches
-from honeywood.routing.gateway import Gateway
-from honeywood.settings import BadKey
+from honeywood.balancer.interface import SECOND
+from honeywood.balancer.program import config, log, switches
+from honeywood.balancer.actors.gateway import Gateway
+from honeywood.balancer.settings import BadKey
 
 AGAIN = signal.SIGHUP
 TAKEN = {signal.SIGTERM, signal.SIGINT, AGAIN}
--- a/honeywood/program/log.py
+++ b/honeywood/balancer/program/log.py
@@ -3,7 +3,7 @@
 
 import structlog
 
-from honeywood.transport.mailbox import Mailbox, Overflow
+from honeywood.balancer.transport.mailbox import Mailbox, Overflow
 
 MOST_LINES = 2000
 
--- a/honeywood/program/switches.py
+++ b/honeywood/balancer/program/switches.py
@@ -2,9 +2,9 @@
 is."""
 import threading
 
-from honeywood.settings import BadKey
-from honeywood.transport import clock
-from honeywood.transport.mailbox import Mailbox
+from honeywood.balancer.settings import BadKey
+from honeywood.balancer.transport import clock
+from honeywood.balancer.transport.mailbox import Mailbox
 
 MOST_CALLS = 16                # of a recorder: its own looks and the one stop
 LAST_BLOCKS = 5.0              # seconds in which what was recorded last is written, at a stop
--- a/honeywood/protocol/discovery.py
+++ b/honeywood/balancer/protocol/discovery.py
@@ -1,7 +1,7 @@
 """The list of servers as discovery tells it."""
 import json
 
-from honeywood.interface import DRAINING, GONE, READY
+from honeywood.balancer.interface import DRAINING, GONE, READY
 
 PHASES = {"up": READY, "draining": DRAINING, "removed": GONE}
 ODD = KeyError, TypeError, ValueError, AttributeError, OverflowError  # what values of other kinds lead to
--- a/honeywood/protocol/http.py
+++ b/honeywood/balancer/protocol/http.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 (RFC 9110, RFC 9112), both sides: messages out of a buffer, and into bytes."""
 import re
 
-from honeywood.transport.buffer import Buffer
+from honeywood.balancer.transport.buffer import Buffer
 
 MOST_HEAD, MOST_BODY, MOST_CHUNK_LINE = 16 * 1024, 64 * 1024, 256
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
--- a/honeywood/protocol/platform.py
+++ b/honeywood/balancer/protocol/platform.py
@@ -1,5 +1,5 @@
 """The platform's lines, in words separated by spaces, and what they mean to us."""
-from honeywood.interface import (
+from honeywood.balancer.interface import (
     ERROR, FULL, GO_BACK, GO_ON, GOING_BACK, HOLD, MOOT, NO_VOTE, OK, ON_TRIAL, RELEASED, TIMEOUT,
     WITHDRAWN)
 
--- a/honeywood/settings.py
+++ b/honeywood/balancer/settings.py
@@ -1,7 +1,7 @@
 """The settings object in this project's words, for both hosts. Only here do its own names live."""
 from math import isfinite
 
-from honeywood.interface import IDEMPOTENT, NON_IDEMPOTENT, TOKENED, Method, Settings
+from honeywood.balancer.interface import IDEMPOTENT, NON_IDEMPOTENT, TOKENED, Method, Settings
 
 KINDS = {"safe": IDEMPOTENT, "keyed": TOKENED, "unsafe": NON_IDEMPOTENT}
 GROUPS = {"all": "all", "zone": "zone", "cell": "cell"}
@@ -20,7 +20,7 @@
     1.0
     >>> part.part("limits").whole("sockets", 64)
     Traceback (most recent call last):
-    honeywood.settings.BadKey: limits.sockets: 'many' is not a whole number from 0 on
+    honeywood.balancer.settings.BadKey: limits.sockets: 'many' is not a whole number from 0 on
     """
 
     def __init__(self, raw, path):
--- a/honeywood/transport/connection.py
+++ b/honeywood/balancer/transport/connection.py
@@ -9,9 +9,9 @@
 import socket
 import struct
 
-from honeywood.transport.buffer import Buffer
-from honeywood.transport.mailbox import run
-from honeywood.transport.poller import poller
+from honeywood.balancer.transport.buffer import Buffer
+from honeywood.balancer.transport.mailbox import run
+from honeywood.balancer.transport.poller import poller
 
 PIECE = 64 * 1024              # bytes read at once
 UNREAD = 200 * 1024            # bytes of ours that the kernel keeps for a peer (it counts them twice)
--- a/honeywood/transport/listener.py
+++ b/honeywood/balancer/transport/listener.py
@@ -3,7 +3,7 @@
 import socket
 import time
 
-from honeywood.transport.mailbox import run
+from honeywood.balancer.transport.mailbox import run
 
 PASSING = errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM
 # Connections that wait to be accepted (more would be taken when their clients have left, and cost as much);
--- a/honeywood/transport/mailbox.py
+++ b/honeywood/balancer/transport/mailbox.py
@@ -3,8 +3,8 @@
 from collections import deque
 from queue import Empty, SimpleQueue
 
-from honeywood.transport import clock
-from honeywood.transport.timers import Timers
+from honeywood.balancer.transport import clock
+from honeywood.balancer.transport.timers import Timers
 
 SPARE = 8                      # threads that wait for work
 STACK = 512 * 1024  # little of it is ever touched; JSON nested a thousand deep takes the most of it
--- a/honeywood/transport/poller.py
+++ b/honeywood/balancer/transport/poller.py
@@ -6,7 +6,7 @@
 import _thread
 import select
 
-from honeywood.transport.mailbox import run
+from honeywood.balancer.transport.mailbox import run
 
 AT_ONCE = 64                   # events taken at once
 ONCE = select.EPOLLIN | select.EPOLLONESHOT  # nothing more is told until what had come is read
--- a/honeywood/benchlink/__init__.py
+++ b/honeywood/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: codec.py reads and writes it, adapter.py hosts the decisions behind it."""
+"""`python -m honeywood.benchlink`, as the deploy pages name it; see honeywood/balancer/benchlink."""
--- a/honeywood/benchlink/__main__.py
+++ b/honeywood/benchlink/__main__.py
@@ -1,5 +1,7 @@
+"""Starts the bench's host by the command that the deploy pages name."""
+
 import sys
 
-from honeywood.benchlink.adapter import main
+from honeywood.balancer.benchlink.adapter import main
 
 sys.exit(main())
--- a/honeywood/cli/check.py
+++ b/honeywood/cli/check.py
@@ -20,8 +20,8 @@
     """Says what is wrong with a configuration and an operator file; ends with 2 where anything is."""
     from honeywood.operator.read import read, write_compiled
     from honeywood.operator.rules import BadFile
-    from honeywood.program import config as configuration
-    from honeywood.settings import BadKey
+    from honeywood.balancer.program import config as configuration
+    from honeywood.balancer.settings import BadKey
 
     config = config or os.environ.get("ROUTER_CONFIG")
     operator = operator or os.environ.get("ROUTER_OPERATOR")
--- a/honeywood/trace/replay.py
+++ b/honeywood/trace/replay.py
@@ -1,7 +1,7 @@
 """Replays traces of one front's run into the decisions of today."""
 import json
 
-from honeywood.settings import BadKey, settings
+from honeywood.balancer.settings import BadKey, settings
 from honeywood.trace.rules.replaying import Player
 from honeywood.trace.schema import Unreadable
 from honeywood.trace.sources import name
--- a/honeywood/trace/rules/lives.py
+++ b/honeywood/trace/rules/lives.py
@@ -1,6 +1,6 @@
 """The life of one RPC: what was asked, where it went and why, how it ended. Out of records, into plain
 words."""
-from honeywood.interface import Bar
+from honeywood.balancer.interface import Bar
 from honeywood.trace.schema import (
     ABORTED, ANSWER, ANSWERED_OK, COMING, KINDS, LEFT, PICK, PUSHED_BACK, RESULT, TAKEN)
 
--- a/honeywood/trace/rules/replaying.py
+++ b/honeywood/trace/rules/replaying.py
@@ -3,8 +3,8 @@
 from collections import Counter, deque
 from types import SimpleNamespace
 
-from honeywood import decide
-from honeywood.interface import CANCELLED, GONE, OK, Pick, Rpc, Server, mark
+from honeywood.balancer.decisions import balancer as decide
+from honeywood.balancer.interface import CANCELLED, GONE, OK, Pick, Rpc, Server, mark
 from honeywood.trace.rules.lives import OUTCOMES
 from honeywood.trace.schema import (
     ABORTED, ANSWER, ANSWERED_OK, BEGAN, COMING, DROPPED, KINDS, LEFT, LIST, LIST_FAILED, LOOK, NEWS, PICK,
--- a/honeywood/trace/sample.py
+++ b/honeywood/trace/sample.py
@@ -5,7 +5,7 @@
 
 import numpy
 
-from honeywood.interface import ERROR, ON_TRIAL, RELEASED, SECOND
+from honeywood.balancer.interface import ERROR, ON_TRIAL, RELEASED, SECOND
 from honeywood.trace.rules.keeping import BLOCK_RECORDS
 from honeywood.trace.schema import (
     ABORTED, ANSWER, ANSWERED_OK, LIST, LOOK, NEWS, PICK, PUSHED_BACK, RESULT, TAKEN, TALLY)
--- a/tests/fleet/fleet.py
+++ b/tests/fleet/fleet.py
@@ -2,7 +2,7 @@
 from heapq import heappop, heappush
 from random import Random
 
-from honeywood import interface as face
+from honeywood.balancer import interface as face
 from play import MS, Play
 
 WORK, CORES = 330 * MS, 3      # of a server; an RPC takes longer in proportion where more than CORES are held
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -2,7 +2,7 @@
 import pytest
 from fleet import Fleet
 
-from honeywood import settings
+from honeywood.balancer import settings
 
 PROFILE = {"name": "read", "idempotency": "safe", "aim_us": 900000, "give_up_us": 3600000}
 
--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -24,8 +24,8 @@
 from honeywood.gateway.rpc.server import HttpProtocol, HttpServer
 from honeywood.lab.emulator import world
 from honeywood.lab.emulator.boot import settings
-from honeywood.protocol import http
-from honeywood.transport.buffer import Buffer
+from honeywood.balancer.protocol import http
+from honeywood.balancer.transport.buffer import Buffer
 
 HEAD = b"HTTP/1.1 %s\r\nX-Try-Id: %s\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\n%s"
 FULL = b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Try-Id: %s\r\nContent-Length: 0\r\n\r\n"
--- a/tests/pace/test_pace.py
+++ b/tests/pace/test_pace.py
@@ -3,8 +3,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from honeywood.interface import SECOND
-from honeywood.pace.rules import LOOKED, PARTS, Attendance, Pace, Phase
+from honeywood.balancer.interface import SECOND
+from honeywood.balancer.flow_control.minimum_rates import LOOKED, PARTS, Attendance, Pace, Phase
 
 HEAD = Phase("head", grace=SECOND, window=2 * SECOND, least=1000, most=30 * SECOND)
 # When it is looked at, and (time, bytes) that moved, in ms: what is said, and when first.
--- a/tests/play.py
+++ b/tests/play.py
@@ -30,8 +30,8 @@
 import time
 from heapq import heappop, heappush
 
-from honeywood import decide
-from honeywood import interface as face
+from honeywood.balancer.decisions import balancer as decide
+from honeywood.balancer import interface as face
 from standins.control import DiscoveryStand, PlatformStand
 from standins.peer import Peer, health, message
 
--- a/tests/test_all.py
+++ b/tests/test_all.py
@@ -10,17 +10,17 @@
 
 import pytest
 
-from honeywood import interface as face
-from honeywood.benchlink import adapter, codec
-from honeywood.judge.judge import level_each
-from honeywood.protocol import discovery, http, platform
-from honeywood.routing import client, gateway, module, server
-from honeywood.routing.counters import Counters
-from honeywood.transport import connection, poller
-from honeywood.transport.buffer import Buffer
-from honeywood.transport.descriptors import Descriptors
-from honeywood.transport.mailbox import LentMailbox
-from honeywood.transport.timers import Timers
+from honeywood.balancer import interface as face
+from honeywood.balancer.benchlink import adapter, codec
+from honeywood.balancer.decisions.release_verdict import level_each
+from honeywood.balancer.protocol import discovery, http, platform
+from honeywood.balancer.actors import client, gateway, module, server
+from honeywood.balancer.actors.counters import Counters
+from honeywood.balancer.transport import connection, poller
+from honeywood.balancer.transport.buffer import Buffer
+from honeywood.balancer.transport.descriptors import Descriptors
+from honeywood.balancer.transport.mailbox import LentMailbox
+from honeywood.balancer.transport.timers import Timers
 from play import play, play_sockets
 
 HERE = pathlib.Path(__file__).parent
--- a/tests/test_recorded_outsides.py
+++ b/tests/test_recorded_outsides.py
@@ -12,11 +12,11 @@
 
 import pytest
 
-from honeywood.benchlink import adapter, codec
-from honeywood.program import config
-from honeywood.protocol import discovery, platform
-from honeywood.settings import BadKey
-from honeywood.transport.buffer import Buffer
+from honeywood.balancer.benchlink import adapter, codec
+from honeywood.balancer.program import config
+from honeywood.balancer.protocol import discovery, platform
+from honeywood.balancer.settings import BadKey
+from honeywood.balancer.transport.buffer import Buffer
 
 RECORDED = pathlib.Path(__file__).parent / "recorded"
 
--- a/tests/trace/test_recorded_trace.py
+++ b/tests/trace/test_recorded_trace.py
@@ -8,7 +8,7 @@
 import pathlib
 import types
 
-from honeywood.interface import Bar, Method, Pick, Rpc, Server
+from honeywood.balancer.interface import Bar, Method, Pick, Rpc, Server
 from honeywood.trace import format, schema, writer
 from honeywood.trace.reader import Reader
 from honeywood.trace.tape import Tape
--- a/tests/trace/test_rules.py
+++ b/tests/trace/test_rules.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from honeywood.interface import Bar
+from honeywood.balancer.interface import Bar
 from honeywood.trace.rules import anonymity, keeping
 from honeywood.trace.rules.lives import BARS, Following, lives
 from honeywood.trace.rules.ordering import Union, merged
--- a/tests/trace/test_tools.py
+++ b/tests/trace/test_tools.py
@@ -17,7 +17,7 @@
 from honeywood.trace.schema import DROPPED, KINDS, LOOK, NEWS, PICK, TAKEN
 from honeywood.trace.tape import Tape
 from honeywood.trace.writer import create
-from honeywood.transport.mailbox import Mailbox
+from honeywood.balancer.transport.mailbox import Mailbox
 from standins.release import Load
 
 SECOND = 10_000
