--- a/honeywood/balancer/actors/client.py
+++ b/honeywood/balancer/actors/client.py
@@ -1,4 +1,5 @@
 """One connection of a client: reads its requests, one RPC at a time, and writes the one answer of each."""
+
 import re
 
 from honeywood.balancer.interface import IDEMPOTENT, SECOND
@@ -8,10 +9,10 @@
 from honeywood.balancer.transport.mailbox import LentMailbox
 
 HEALTH = "/_health"
-SLOW = 2 * SECOND              # a request must be whole after this, the first one counted from connecting
+SLOW = 2 * SECOND  # a request must be whole after this, the first one counted from connecting
 # Kept open between requests; longer, and clients that ask once and stay hold the places of all who would ask.
-IDLE, LINGER = 2 * SECOND, SECOND // 2           # the other: for the last answer to be read
-MOST_AHEAD = http.MOST_HEAD + 2 * http.MOST_BODY       # bytes a client may send ahead of its answers
+IDLE, LINGER = 2 * SECOND, SECOND // 2  # the other: for the last answer to be read
+MOST_AHEAD = http.MOST_HEAD + 2 * http.MOST_BODY  # bytes a client may send ahead of its answers
 MOST_CALLS = 64
 RESERVE = 150  # a client's time ran from when it sent, and its answer has to reach it: so much less is used
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -23,8 +24,19 @@
 
 class Call:
     """A request that became an RPC: where its answer goes, and what of it goes on to servers."""
-    __slots__ = ("client", "request", "name", "arrived", "deadline", "method", "work", "repeat", "rpc",
-                 "serial")
+
+    __slots__ = (
+        "client",
+        "request",
+        "name",
+        "arrived",
+        "deadline",
+        "method",
+        "work",
+        "repeat",
+        "rpc",
+        "serial",
+    )
 
     def __init__(self, client, request, timeout, method):
         self.client, self.request, self.name = client, request, request.get("x-request-id")
@@ -42,8 +54,8 @@
         self.call = self.head = None
         # When it connected or got its last answer, whether it had one, and when what is being read began.
         self.active, self.served, self.begun = clock.now(), False, None
-        self.ends = 0              # when the rest of a connection that is ending is closed
-        self.group = None          # of the gateway's, where it waits for no answer
+        self.ends = 0  # when the rest of a connection that is ending is closed
+        self.group = None  # of the gateway's, where it waits for no answer
         self.mailbox = LentMailbox(f"client {peer}", MOST_CALLS, gateway.fail)
         self.connection = Connection(self, self.mailbox, gateway.descriptors, peer)
 
@@ -67,7 +79,7 @@
             return
         self.call = None
         self.write(call.request, status, fields, data)
-        call.request = None        # timers still hold the call for a while
+        call.request = None  # timers still hold the call for a while
         self.go_on()
 
     # What the gateway posts.
@@ -79,7 +91,7 @@
     def make_room(self):
         """Its place is needed: one that waits for no answer gives it up, with a word if it is owed one."""
         if self.call:
-            return                 # it has asked meanwhile
+            return  # it has asked meanwhile
         if self.begun:
             self.turn_away()
         self.connection.close("made_room")
--- a/honeywood/balancer/actors/counters.py
+++ b/honeywood/balancer/actors/counters.py
@@ -1,9 +1,10 @@
 """What a front did, counted: one line of the log every few seconds, so that the lines of a fleet can be added
 up. docs/operate/fleet.md says what each counter tells."""
+
 import threading
 import time
 
-EVERY = 5                      # looks of the keeper at servers, one a second, between two lines
+EVERY = 5  # looks of the keeper at servers, one a second, between two lines
 
 
 class Counters:
--- a/honeywood/balancer/actors/gateway.py
+++ b/honeywood/balancer/actors/gateway.py
@@ -1,4 +1,5 @@
 """The parts of one front, made and joined; what they share is read only, but for the count of descriptors."""
+
 import socket
 from random import Random
 
@@ -14,13 +15,13 @@
 from honeywood.balancer.transport.listener import Listener
 from honeywood.balancer.transport.mailbox import Mailbox
 
-OTHERS = 24                    # descriptors of files, the listener and the interpreter
-KEPT = 0.4                     # share of the descriptors that clients leave to servers, list and platform
-FEW = 0.25                     # share of them that clients may hold while they are kept between requests
-ENDING = 0.1                   # a share of them for clients that have come while others still make room
-LOOKED_AT = 4                  # clients that are looked at, of a kind, to find one that gives way
+OTHERS = 24  # descriptors of files, the listener and the interpreter
+KEPT = 0.4  # share of the descriptors that clients leave to servers, list and platform
+FEW = 0.25  # share of them that clients may hold while they are kept between requests
+ENDING = 0.1  # a share of them for clients that have come while others still make room
+LOOKED_AT = 4  # clients that are looked at, of a kind, to find one that gives way
 BASE_MB, CLIENTS_A_MB = 32, 8  # memory of the program without clients; clients in one more, buffers full
-ANSWER_A_MB = 8 * 1024         # bytes of a server's answer for each MB of memory, at the most
+ANSWER_A_MB = 8 * 1024  # bytes of a server's answer for each MB of memory, at the most
 SWEEP, SERVERS_EVERY = SECOND // 4, 4  # clients that are due are looked for so often; servers more seldom
 
 
@@ -28,7 +29,7 @@
     def __init__(self, config, log, fail, tape=None):
         self.settings, self.log, self.fail, self.tape = config.settings, log, fail, tape
         self.ready = self.draining = False
-        self.closed_until = 0      # as the decisions have it
+        self.closed_until = 0  # as the decisions have it
         self.random, self.counters = Random(config.settings.seed), Counters()
         self.descriptors = Descriptors(config.sockets - OTHERS)
         self.kept = int(config.sockets * KEPT)  # of those counted, so many are not for clients
--- a/honeywood/balancer/actors/module.py
+++ b/honeywood/balancer/actors/module.py
@@ -2,9 +2,21 @@
 
 It is their host (interface.Host) and decides nothing: it carries out what they ask and tells them what came.
 """
+
 from honeywood.balancer.decisions import balancer as decide
 from honeywood.balancer.interface import (
-    CANCELLED, GONE, LATE, NO_SERVER, OK, OUT_OF_TIME, SECOND, SPENT, TIMEOUT, TOO_MANY_OPEN, Rpc)
+    CANCELLED,
+    GONE,
+    LATE,
+    NO_SERVER,
+    OK,
+    OUT_OF_TIME,
+    SECOND,
+    SPENT,
+    TIMEOUT,
+    TOO_MANY_OPEN,
+    Rpc,
+)
 from honeywood.balancer.protocol import http, platform
 from honeywood.balancer.actors.server import Exchange
 from honeywood.balancer.transport import clock
@@ -14,8 +26,13 @@
 OWN = ("host", "x-timeout")  # fields that each send words anew
 # Names of counters: how a pick ended, and why an RPC was given up.
 RESULTS = "error", "ok", "full", "timeout", "unconnected", "reset", "cancelled", "moot"
-WHY = {LATE: "late", TOO_MANY_OPEN: "too_many_open", NO_SERVER: "no_server", OUT_OF_TIME: "out_of_time",
-       SPENT: "spent"}
+WHY = {
+    LATE: "late",
+    TOO_MANY_OPEN: "too_many_open",
+    NO_SERVER: "no_server",
+    OUT_OF_TIME: "out_of_time",
+    SPENT: "spent",
+}
 
 
 class Module:
@@ -25,9 +42,9 @@
         self.post = self.mailbox.post
         self.methods = gateway.methods
         self.tap = self.tape = gateway.tape  # a trace.tape.Tape, or None where nothing is recorded
-        self.count = 0             # of RPCs taken
+        self.count = 0  # of RPCs taken
         self.front = decide.Front(self.settings, self)
-        self.names = set()         # ids of the RPCs that are open
+        self.names = set()  # ids of the RPCs that are open
         self.counted = gateway.counters.add
 
     def start(self, news):
@@ -52,8 +69,11 @@
         if self.tape:
             self.tape.sent(pick, until)
         request = call.request
-        fields = [("host", peer.name), ("x-timeout", f"{max(1, until - now) / SECOND:.4f}"),
-                  *request.passed_on(*OWN)]
+        fields = [
+            ("host", peer.name),
+            ("x-timeout", f"{max(1, until - now) / SECOND:.4f}"),
+            *request.passed_on(*OWN),
+        ]
         data = http.request(request.method, request.target, fields, request.body)
         pick.host = Exchange(pick, None, request.method, data, now)
         peer.mailbox.post(peer.send, pick.host)
@@ -112,8 +132,17 @@
             return call.client.mailbox.post(call.client.answer, call, 409)
         self.names.add(call.name)
         rpc = call.rpc = Rpc(
-            method=call.method, customer=0, key=0, work=call.work, repeat=call.repeat, taken=call.arrived,
-            picks=[], deadline=call.deadline, done=False, host=call)
+            method=call.method,
+            customer=0,
+            key=0,
+            work=call.work,
+            repeat=call.repeat,
+            taken=call.arrived,
+            picks=[],
+            deadline=call.deadline,
+            done=False,
+            host=call,
+        )
         self.count += 1
         self.counted("rpcs")
         call.serial = self.count
@@ -132,7 +161,7 @@
             rpc.picks, rpc.host = (), None
 
     def left(self, call):
-        if call.rpc is None:       # it was refused
+        if call.rpc is None:  # it was refused
             return
         rpc, call.rpc = call.rpc, None
         self.names.discard(call.name)
--- a/honeywood/balancer/actors/platform.py
+++ b/honeywood/balancer/actors/platform.py
@@ -1,11 +1,12 @@
 """The platform: one subscribed connection that tells its news and answers our votes in their order."""
+
 from collections import deque
 
 from honeywood.balancer.interface import ERROR, OK, SECOND, TIMEOUT
 from honeywood.balancer.protocol import platform
 from honeywood.balancer.actors.watch import Watch
 
-ANSWERED = 3 * SECOND          # so long a connection that was left may still answer what was called on it
+ANSWERED = 3 * SECOND  # so long a connection that was left may still answer what was called on it
 
 
 class Platform(Watch):
@@ -14,7 +15,7 @@
     def __init__(self, address, gateway):
         super().__init__("platform", address, gateway)
         self.roster, self.steps = gateway.roster, len(self.settings.waves)
-        self.subscribing = []      # stands for the first call on a connection, which tells of no vote
+        self.subscribing = []  # stands for the first call on a connection, which tells of no vote
         self.start()
         self.mailbox.post(self.dial)
 
--- a/honeywood/balancer/actors/roster.py
+++ b/honeywood/balancer/actors/roster.py
@@ -1,4 +1,5 @@
 """The list of servers: watches discovery, and knows the peer behind each id."""
+
 from honeywood.balancer.interface import GONE, LONG_AGO, SECOND
 from honeywood.balancer.protocol import discovery, http
 from honeywood.balancer.actors.server import ServerPeer
@@ -6,7 +7,7 @@
 from honeywood.balancer.transport import clock
 
 
-CATCHES_UP = 5 * SECOND        # so long a new address may know less than the one before it told
+CATCHES_UP = 5 * SECOND  # so long a new address may know less than the one before it told
 
 
 class Roster(Watch):
@@ -78,6 +79,7 @@
             lines.append((self.peers[name], address, (build, zone, cell, scale, status, start)))
             if status == GONE:
                 del self.peers[name]
-        self.module.post(self.module.listed, lines, whole, [self.peers.pop(name) for name in sorted(gone)],
-                         revision)
+        self.module.post(
+            self.module.listed, lines, whole, [self.peers.pop(name) for name in sorted(gone)], revision
+        )
         self.log.info("list", revision=self.revision, whole=whole, lines=len(lines), servers=len(self.peers))
--- a/honeywood/balancer/actors/server.py
+++ b/honeywood/balancer/actors/server.py
@@ -1,9 +1,20 @@
 """One server: its connections, what is out on them, and how each request to it ended."""
+
 import re
 from collections import deque
 
 from honeywood.balancer.interface import (
-    CONNECT_FAILED, ERROR, FULL, MOOT, OK, READY, RESET, SECOND, Server, mark)
+    CONNECT_FAILED,
+    ERROR,
+    FULL,
+    MOOT,
+    OK,
+    READY,
+    RESET,
+    SECOND,
+    Server,
+    mark,
+)
 from honeywood.balancer.protocol import http
 from honeywood.balancer.transport import clock
 from honeywood.balancer.transport.connection import Connection
@@ -12,13 +23,25 @@
 MOST_CALLS = 4096
 REPORT = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?\Z", re.ASCII)  # a figure of a load report
 MOST_REPORT = 1024
-KEPT = 8                       # descriptors that servers leave to list and platform
+KEPT = 8  # descriptors that servers leave to list and platform
 
 
 class Exchange:
     """One request to a server and its answer: a pick's, or a probe's of `server` where `pick` is None."""
-    __slots__ = ("pick", "server", "method", "data", "sent", "serial", "connection", "written", "head",
-                 "ended", "begun")
+
+    __slots__ = (
+        "pick",
+        "server",
+        "method",
+        "data",
+        "sent",
+        "serial",
+        "connection",
+        "written",
+        "head",
+        "ended",
+        "begun",
+    )
 
     def __init__(self, pick, server, method, data, sent):
         self.pick, self.server, self.method, self.data, self.sent = pick, server, method, data, sent
@@ -98,7 +121,8 @@
             return connection.close("unasked_bytes")
         try:
             exchange.head = exchange.head or http.response_head(
-                connection.buffer, exchange.method, self.most_answer)
+                connection.buffer, exchange.method, self.most_answer
+            )
             data = exchange.head and http.body(connection.buffer, exchange.head)
         except http.Malformed as bad:
             connection.close(f"unreadable_{str(bad).replace(' ', '_')}")
--- a/honeywood/balancer/actors/watch.py
+++ b/honeywood/balancer/actors/watch.py
@@ -1,13 +1,14 @@
 """An actor that keeps one connection standing, over which a peer tells what is new."""
+
 from honeywood.balancer.interface import SECOND
 from honeywood.balancer.transport import clock
 from honeywood.balancer.transport.connection import Connection
 from honeywood.balancer.transport.mailbox import Mailbox
 
-SILENT = 10 * SECOND           # without a word or a sign of life for so long it is given up,
-PART = SECOND                  # and so is one on which what was begun goes on no further
+SILENT = 10 * SECOND  # without a word or a sign of life for so long it is given up,
+PART = SECOND  # and so is one on which what was begun goes on no further
 FIRST_WAIT, LONGEST_WAIT = SECOND // 10, 5 * SECOND
-DIAL_WITHIN = 1.0              # seconds
+DIAL_WITHIN = 1.0  # seconds
 MOST_CALLS = 1024
 
 
--- a/honeywood/balancer/benchlink/adapter.py
+++ b/honeywood/balancer/benchlink/adapter.py
@@ -1,4 +1,5 @@
 """Hosts one set of decisions per instance of the bench's wire. Ids become objects here, and objects ids."""
+
 import json
 import sys
 import traceback
@@ -58,15 +59,37 @@
     def view(self, now, lines, how):
         if how == 3:
             return self.front.list_failed(now)
-        self.front.listed(now, [(self.server(machine), round(build), zone, cell, scale, status,
-                                 codec.units(booted) if booted else LONG_AGO)
-                                for booted, _, build, machine, cell, zone, status, scale in lines], how != 0)
+        self.front.listed(
+            now,
+            [
+                (
+                    self.server(machine),
+                    round(build),
+                    zone,
+                    cell,
+                    scale,
+                    status,
+                    codec.units(booted) if booted else LONG_AGO,
+                )
+                for booted, _, build, machine, cell, zone, status, scale in lines
+            ],
+            how != 0,
+        )
 
     def knock(self, now, corr, place, customer, key, expires, hint, flags):
         method = self.settings.methods[place]
-        rpc = self.rpcs[corr] = Rpc(method=method, customer=customer, key=key, deadline=codec.units(expires),
-                                    work=codec.units(hint) if flags & 1 else 0, repeat=bool(flags & 2),
-                                    taken=now, picks=[], done=False, host=corr)
+        rpc = self.rpcs[corr] = Rpc(
+            method=method,
+            customer=customer,
+            key=key,
+            deadline=codec.units(expires),
+            work=codec.units(hint) if flags & 1 else 0,
+            repeat=bool(flags & 2),
+            taken=now,
+            picks=[],
+            done=False,
+            host=corr,
+        )
         self.front.take(now, rpc)
 
     def forget(self, corr):
@@ -88,11 +111,11 @@
         if code == codec.KNOCK:
             self.knock(now, *got)
         elif code == codec.OUTCOME:
-            self.outcome(now, *got[:6], got[7:7 + got[6]])
+            self.outcome(now, *got[:6], got[7 : 7 + got[6]])
         elif code == codec.ELAPSED:
             front.woken(now)
         elif code == codec.HEALTH and got[0] in self.servers:
-            front.probed(now, self.servers[got[0]], got[1], codec.units(got[2]), got[4:4 + got[3]])
+            front.probed(now, self.servers[got[0]], got[1], codec.units(got[2]), got[4 : 4 + got[3]])
         elif code == codec.STEP_NEWS:
             step, result, cap, build, standing, reply, age = got
             front.news(now, result, bool(reply), build, step, cap, standing, codec.units(age))
@@ -103,8 +126,9 @@
             front.started(now, self.rpcs[got[0]].picks[got[2]])
         elif code == codec.SCORECARD and got[0] < len(self.settings.methods):
             place, failed, age, ended, build, mean = got
-            front.tallied(now, build, self.settings.methods[place], failed, ended, codec.units(mean),
-                          codec.units(age))
+            front.tallied(
+                now, build, self.settings.methods[place], failed, ended, codec.units(mean), codec.units(age)
+            )
         elif code == codec.WRONG and got[0] in self.servers:
             front.found_wrong(now, self.servers[got[0]], self.settings.methods[got[1]])
 
@@ -120,7 +144,7 @@
         for record in records:
             code = int.from_bytes(record[:2], "big")
             if code == codec.CONTEXT:
-                who, = codec.fields(code, record)
+                (who,) = codec.fields(code, record)
                 here = self.instances.get(who)
             elif code == codec.ROSTER:
                 number, start, count = codec.fields(code, record)
--- a/honeywood/balancer/benchlink/codec.py
+++ b/honeywood/balancer/benchlink/codec.py
@@ -1,4 +1,5 @@
 """Binary layout of the bench's wire: frames in, frames out. Only here do the wire's own names live."""
+
 import struct
 
 HEAD = struct.Struct(">IIQ")
@@ -7,15 +8,53 @@
 HELLO, VIEW, KNOCK, ESTABLISHED, OUTCOME, CLIENT_LEFT, ELAPSED, HEALTH = 1, 2, 3, 4, 5, 6, 7, 8
 MAIL, EXIT, STEP_NEWS, SCORECARD, WRONG, ROSTER, CONTEXT = 9, 10, 11, 12, 13, 14, 15
 # The fields of each event after its code.
-EVENTS = {code: struct.Struct(">2x" + form) for code, form in {
-    HELLO: "QII", VIEW: "IQB", KNOCK: "QHIQQIB", ESTABLISHED: "QIBI", OUTCOME: "QHBIIBBffff",
-    CLIENT_LEFT: "Q", ELAPSED: "I", HEALTH: "IHIBffff", STEP_NEWS: "BHfHBBI", SCORECARD: "HIIIHI",
-    WRONG: "IHI", ROSTER: "III", CONTEXT: "I"}.items()}
+EVENTS = {
+    code: struct.Struct(">2x" + form)
+    for code, form in {
+        HELLO: "QII",
+        VIEW: "IQB",
+        KNOCK: "QHIQQIB",
+        ESTABLISHED: "QIBI",
+        OUTCOME: "QHBIIBBffff",
+        CLIENT_LEFT: "Q",
+        ELAPSED: "I",
+        HEALTH: "IHIBffff",
+        STEP_NEWS: "BHfHBBI",
+        SCORECARD: "HIIIHI",
+        WRONG: "IHI",
+        ROSTER: "III",
+        CONTEXT: "I",
+    }.items()
+}
 SOUND_OUT, BAIL_OUT, SOURCE, SHED, RECORD, WAKE, LOSE, TRACK, RETRACT, DELIVER, VOTE = (
-    65, 66, 68, 69, 70, 71, 73, 74, 75, 76, 77)
-ACTIONS = {code: struct.Struct(">H" + form) for code, form in {
-    SOUND_OUT: "I", BAIL_OUT: "II", SOURCE: "I", SHED: "QI", RECORD: "II", WAKE: "II", LOSE: "Q",
-    TRACK: "B", RETRACT: "QB", DELIVER: "QIQ", VOTE: "HBB"}.items()}
+    65,
+    66,
+    68,
+    69,
+    70,
+    71,
+    73,
+    74,
+    75,
+    76,
+    77,
+)
+ACTIONS = {
+    code: struct.Struct(">H" + form)
+    for code, form in {
+        SOUND_OUT: "I",
+        BAIL_OUT: "II",
+        SOURCE: "I",
+        SHED: "QI",
+        RECORD: "II",
+        WAKE: "II",
+        LOSE: "Q",
+        TRACK: "B",
+        RETRACT: "QB",
+        DELIVER: "QIQ",
+        VOTE: "HBB",
+    }.items()
+}
 
 
 class BadFrame(Exception):
@@ -36,7 +75,7 @@
     body = stream.read(size)
     if len(body) < size:
         raise BadFrame("input ends inside a frame")
-    return clock, [body[at:at + EVENT] for at in range(0, count * EVENT, EVENT)], body[count * EVENT:]
+    return clock, [body[at : at + EVENT] for at in range(0, count * EVENT, EVENT)], body[count * EVENT :]
 
 
 def fields(code, record):
@@ -46,7 +85,7 @@
 def cut(tail, start, length):
     if start + length > len(tail):
         raise BadFrame("a record points past the frame's tail")
-    return tail[start:start + length]
+    return tail[start : start + length]
 
 
 def entries(tail, start, count):
--- a/honeywood/balancer/decisions/balancer.py
+++ b/honeywood/balancer/decisions/balancer.py
@@ -4,25 +4,38 @@
 The host calls a Front as interface.Decisions lists. An RPC runs down a chain: Intake, Trial, Routing, Gate;
 what comes back runs up. Judge looks at that and votes. Times are tenths of a millisecond.
 """
+
 from collections import deque
 from math import inf, sqrt
 from random import Random
 
 from honeywood.balancer.interface import (
-    CANCELLED, CONNECT_FAILED, ERROR, GONE, LATE, MOOT, NO_SERVER, OK, OUT_OF_TIME, READY, SECOND, SPENT,
-    TOO_MANY_OPEN)
+    CANCELLED,
+    CONNECT_FAILED,
+    ERROR,
+    GONE,
+    LATE,
+    MOOT,
+    NO_SERVER,
+    OK,
+    OUT_OF_TIME,
+    READY,
+    SECOND,
+    SPENT,
+    TOO_MANY_OPEN,
+)
 from honeywood.balancer.decisions.send_policy import Gate, Stage, trimmed
 from honeywood.balancer.decisions.release_verdict import Judge, LOOK, SOON
 from honeywood.balancer.decisions.server_selection import COMES_BACK, RATE_OVER, REPEATS, Routing, SILENT
 from honeywood.balancer.decisions.build_selection import Trial
 
 # So many RPCs may be open as the rate answers in SOON of the soft deadline,
-BORNE = 0.8                    # but a small front's last answers were quick within this one,
-LAG = 0.25                     # and none is begun that waited for this front for this share of it;
-HELD = 3                       # or so many a server by all fronts together, if that is more
-TAIL = 3                       # mean times of answers after which one is overdue beyond chance (1 in 20)
-COMING = 4                     # and so many times more whose answers have begun: these hold no core
-GAPS = 16                      # gaps between RPCs that their mean goes back
+BORNE = 0.8  # but a small front's last answers were quick within this one,
+LAG = 0.25  # and none is begun that waited for this front for this share of it;
+HELD = 3  # or so many a server by all fronts together, if that is more
+TAIL = 3  # mean times of answers after which one is overdue beyond chance (1 in 20)
+COMING = 4  # and so many times more whose answers have begun: these hold no core
+GAPS = 16  # gaps between RPCs that their mean goes back
 ASK_EVERY = 3 * SECOND
 
 
@@ -109,8 +122,13 @@
             # Against servers that fall silent: one more try elsewhere while it can still be in time.
             # A small front has one pick at a server: its silence tells first that the work is long.
             tail = TAIL * (self.front.routing.mean[rpc.method.place] or 0)
-            if (len(late) == len(out) == 1 and self.spare >= 1 and now < rpc.soft
-                    and now - out[0].sent > tail and now - out[0].server.answered_at > SILENT // 2):
+            if (
+                len(late) == len(out) == 1
+                and self.spare >= 1
+                and now < rpc.soft
+                and now - out[0].sent > tail
+                and now - out[0].server.answered_at > SILENT // 2
+            ):
                 self.spare -= self.below.take(now, rpc)
 
 
--- a/honeywood/balancer/decisions/send_policy.py
+++ b/honeywood/balancer/decisions/send_policy.py
@@ -1,11 +1,22 @@
 """The one place that every send passes, where the rules hold; and the chain's links. Times as in decide."""
+
 from collections import defaultdict, deque
 
 from honeywood.balancer.interface import (
-    NEVER_RAN, NON_IDEMPOTENT, OK, ON_TRIAL, READY, RELEASED, SECOND, TOKENED, Bar, Pick)
-
-YOUNG = 3 * SECOND             # servers under this age are no evidence; also the wait with short samples
-TIP_SAFE = 0.7                 # used part of cold servers' budget
+    NEVER_RAN,
+    NON_IDEMPOTENT,
+    OK,
+    ON_TRIAL,
+    READY,
+    RELEASED,
+    SECOND,
+    TOKENED,
+    Bar,
+    Pick,
+)
+
+YOUNG = 3 * SECOND  # servers under this age are no evidence; also the wait with short samples
+TIP_SAFE = 0.7  # used part of cold servers' budget
 
 
 def trimmed(times, since):
@@ -35,7 +46,7 @@
         self.taken, self.tried, self.oks = [deque() for _ in given.methods], {}, deque()
         self.out, self.fronts = 0, max(1, given.fronts)  # picks out
         self.luck, self.chilled, self.most = {}, defaultdict(deque), (0, 0, 0)  # of builds' cold servers
-        self.keys = {}             # under a one-way rule: the latest build that answered a key
+        self.keys = {}  # under a one-way rule: the latest build that answered a key
 
     def lane(self, method):
         return method.place * self.per_method
@@ -68,8 +79,11 @@
             most = max(part * sum(shares), len(shares) / self.fronts) + self.luck[server.build][0]
             self.most = now, server.build, most
         sent, cold = (len(trimmed(t, since)) + 1 for t in (server.sent, self.chilled[server.build]))
-        return (cold <= self.most[2] and sent <= max(1, part * share)
-                and server.open <= self.out / len(ready) + self.tip * (share - self.cold_share))
+        return (
+            cold <= self.most[2]
+            and sent <= max(1, part * share)
+            and server.open <= self.out / len(ready) + self.tip * (share - self.cold_share)
+        )
 
     def warmth(self, now, server):
         """The part of its capacity that a server has at least, so long after its start."""
@@ -83,14 +97,21 @@
         if len(rpc.picks) >= self.max_picks or now >= rpc.deadline:
             return Bar.PICKS if now < rpc.deadline else Bar.DEADLINE
         risky = [p for p in rpc.picks if p.result not in NEVER_RAN]
-        if (risky and rpc.method.kind == NON_IDEMPOTENT
-                or not self.duplicate and any(p.result is None for p in risky)):
+        if (
+            risky
+            and rpc.method.kind == NON_IDEMPOTENT
+            or not self.duplicate
+            and any(p.result is None for p in risky)
+        ):
             return Bar.MAY_HAVE_RUN
         if rpc.method.kind == TOKENED and not all(self.drops(now, p, server) for p in risky):
             return Bar.TOKEN
         judge = self.front.judge
-        if self.one_way and judge.standing in (ON_TRIAL, RELEASED) and (
-                server.build < judge.build == self.keys.get(rpc.key)):
+        if (
+            self.one_way
+            and judge.standing in (ON_TRIAL, RELEASED)
+            and (server.build < judge.build == self.keys.get(rpc.key))
+        ):
             return Bar.ONE_WAY
         if not self.room(now, server.build, rpc.method):
             return Bar.EXPOSURE
@@ -108,8 +129,15 @@
     def take(self, now, rpc, server):
         if self.bar(now, rpc, server):
             return False
-        pick = Pick(rpc=rpc, server=server, number=len(rpc.picks), build=server.build, sent=now,
-                    young=now - server.booted < YOUNG, timed=False)
+        pick = Pick(
+            rpc=rpc,
+            server=server,
+            number=len(rpc.picks),
+            build=server.build,
+            sent=now,
+            young=now - server.booted < YOUNG,
+            timed=False,
+        )
         rpc.picks.append(pick)
         if not server.open:
             server.answered_at = now
--- a/honeywood/balancer/decisions/server_selection.py
+++ b/honeywood/balancer/decisions/server_selection.py
@@ -1,17 +1,28 @@
 """Which server of a build an RPC goes to. Times as in decide.py."""
+
 from collections import deque
 from math import isfinite
 
 from honeywood.balancer.interface import (
-    CANCELLED, CONNECT_FAILED, ERROR, FULL, OK, READY, RESET, SECOND, TIMEOUT, Bar)
+    CANCELLED,
+    CONNECT_FAILED,
+    ERROR,
+    FULL,
+    OK,
+    READY,
+    RESET,
+    SECOND,
+    TIMEOUT,
+    Bar,
+)
 from honeywood.balancer.decisions.send_policy import Stage
 
-SILENT = 9 * SECOND // 10      # a server that holds picks and answers none for so long is left alone
-SHUN = 2 * SECOND              # a server that could not be reached, is full or timed out is left alone for
-PROBE_WORTH = 0.02             # a probe an RPC is not worth more, in points of utility as prices are told
+SILENT = 9 * SECOND // 10  # a server that holds picks and answers none for so long is left alone
+SHUN = 2 * SECOND  # a server that could not be reached, is full or timed out is left alone for
+PROBE_WORTH = 0.02  # a probe an RPC is not worth more, in points of utility as prices are told
 REPORT_AGE, RATE_OVER = SECOND, 2 * SECOND  # for so long reports of servers count, and answers to a rate
 FAILED_FADES, PACE_FADES = 7 * SECOND // 10, 7 * SECOND  # half is forgotten after this
-REPEATS, DRAWN = 0.1, 6        # further picks earned by an RPC; servers drawn at most to find two fit ones
+REPEATS, DRAWN = 0.1, 6  # further picks earned by an RPC; servers drawn at most to find two fit ones
 COMES_BACK, LEAST_KEPT = 5 * SECOND, 8  # a front keeps to as many servers as it meets again within this
 
 
@@ -50,16 +61,25 @@
         best, near, had = [], 0, [p.server for p in rpc.picks]
         draw, chance = self.front.random.sample, self.front.random.random
         few = servers and len(self.heard) < len(self.front.ready)
-        fresh = dict.fromkeys(s for _, s in self.heard
-                              if few and s.status == READY and s.trial == servers[0].trial)
+        fresh = dict.fromkeys(
+            s for _, s in self.heard if few and s.status == READY and s.trial == servers[0].trial
+        )
         drawn = draw(list(fresh), min(2, len(fresh)))
         for group in self.kept(servers), servers:
             drawn += draw(group, min(DRAWN, len(group)))
         for server in dict.fromkeys(drawn):
             silent = server.open and now - server.answered_at >= SILENT
-            bar = (Bar.WARMING if chance() >= self.below.warmth(now, server) else
-                   Bar.LEFT_ALONE if now < server.shun_until else Bar.SILENT if silent else
-                   Bar.TRIED if server in had else self.below.bar(now, rpc, server))
+            bar = (
+                Bar.WARMING
+                if chance() >= self.below.warmth(now, server)
+                else Bar.LEFT_ALONE
+                if now < server.shun_until
+                else Bar.SILENT
+                if silent
+                else Bar.TRIED
+                if server in had
+                else self.below.bar(now, rpc, server)
+            )
             if self.front.tap:
                 self.front.tap.weighed(rpc, server, bar)
             if not bar:
--- a/honeywood/balancer/interface.py
+++ b/honeywood/balancer/interface.py
@@ -3,11 +3,12 @@
 All times are whole tenths of a millisecond on the host's clock. Objects point to each other; ids stay
 with the host, which keeps what it needs of a server, an RPC or a pick in `host`.
 """
+
 from typing import Protocol
 from zlib import crc32
 
 SECOND = 10_000
-LONG_AGO = -10**12  # a start that nobody remembers
+LONG_AGO = -(10**12)  # a start that nobody remembers
 
 # How a pick ended.
 ERROR, OK, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT = range(8)
@@ -27,6 +28,7 @@
 class Bar:
     """What kept a server from being sent to; NONE where nothing did. The figures stand in traces: they keep
     their meaning for ever, and new ones go behind."""
+
     # Plain figures, not an Enum's members: the decisions look them up for each server of each RPC.
     NONE, DONE, NOT_READY, PICKS, DEADLINE, MAY_HAVE_RUN, TOKEN, ONE_WAY, EXPOSURE, COLD = range(10)
     WARMING, LEFT_ALONE, SILENT, TRIED = range(10, 14)
@@ -39,6 +41,7 @@
 
 class Record:
     """A plain record: named slots, filled by keyword, the rest None."""
+
     __slots__ = ()
 
     def __init__(self, **given):
@@ -49,37 +52,115 @@
 
 
 class Method(Record):
-    __slots__ = ("kind", "soft", "soft_stretch", "deadline", "utility", "late_utility", "group", "window",
-                 "place", "name")
+    __slots__ = (
+        "kind",
+        "soft",
+        "soft_stretch",
+        "deadline",
+        "utility",
+        "late_utility",
+        "group",
+        "window",
+        "place",
+        "name",
+    )
 
 
 class Server(Record):
     """A server: what the list says of it, then what the decisions keep about it. `mark` is mark() of its id,
     so that all fronts have servers in one order."""
-    __slots__ = ("build", "zone", "cell", "scale", "status", "booted",
-                 "open", "sent", "pace", "reported", "reported_at", "failed", "shun_until",
-                 "answered_at", "ill", "trial", "faded_at", "mark", "host")
+
+    __slots__ = (
+        "build",
+        "zone",
+        "cell",
+        "scale",
+        "status",
+        "booted",
+        "open",
+        "sent",
+        "pace",
+        "reported",
+        "reported_at",
+        "failed",
+        "shun_until",
+        "answered_at",
+        "ill",
+        "trial",
+        "faded_at",
+        "mark",
+        "host",
+    )
 
 
 class Rpc(Record):
     """An RPC taken from a client. `deadline` is when this try's client gives up."""
-    __slots__ = ("method", "customer", "key", "deadline", "work", "repeat", "taken", "soft", "picks", "done",
-                 "late", "begun", "why", "host")
+
+    __slots__ = (
+        "method",
+        "customer",
+        "key",
+        "deadline",
+        "work",
+        "repeat",
+        "taken",
+        "soft",
+        "picks",
+        "done",
+        "late",
+        "begun",
+        "why",
+        "host",
+    )
 
 
 class Pick(Record):
     """One send of an RPC to a server. `result` is None while it is out."""
+
     __slots__ = ("rpc", "server", "number", "build", "sent", "result", "latency", "young", "timed", "host")
 
 
 class Settings(Record):
     """What a front is told at start, in this project's words and times."""
+
     __slots__ = (
-        "seed", "tick", "zone", "fronts", "me", "methods", "max_picks", "may_duplicate", "may_cancel",
-        "may_probe", "max_wait", "must_ask", "ask_within", "cold_share", "cold_time", "tip_multiple",
-        "tip_time", "report_fields", "cross_price", "probe_price", "caps", "waves", "free_picks",
-        "exposure_window", "per_method", "guarded_steps", "one_way", "vote_rule", "back_votes", "go_votes",
-        "vote_life", "vote_wait", "tally_period", "zones", "idle_close", "connect_within")
+        "seed",
+        "tick",
+        "zone",
+        "fronts",
+        "me",
+        "methods",
+        "max_picks",
+        "may_duplicate",
+        "may_cancel",
+        "may_probe",
+        "max_wait",
+        "must_ask",
+        "ask_within",
+        "cold_share",
+        "cold_time",
+        "tip_multiple",
+        "tip_time",
+        "report_fields",
+        "cross_price",
+        "probe_price",
+        "caps",
+        "waves",
+        "free_picks",
+        "exposure_window",
+        "per_method",
+        "guarded_steps",
+        "one_way",
+        "vote_rule",
+        "back_votes",
+        "go_votes",
+        "vote_life",
+        "vote_wait",
+        "tally_period",
+        "zones",
+        "idle_close",
+        "connect_within",
+    )
 
 
 class Tap(Protocol):
@@ -115,8 +196,9 @@
     def start(self, now: int) -> None: ...
     def listed(self, now: int, lines: list[tuple], whole: bool) -> None: ...
     def list_failed(self, now: int) -> None: ...
-    def news(self, now: int, result: int, reply: bool, build: int, step: int, cap: float, standing: int,
-             age: int) -> None: ...
+    def news(
+        self, now: int, result: int, reply: bool, build: int, step: int, cap: float, standing: int, age: int
+    ) -> None: ...
     def take(self, now: int, rpc: Rpc) -> None: ...
     def back(self, now: int, pick: Pick, result: int, latency: int, load: tuple, ended: bool) -> None: ...
     def begun(self, now: int, pick: Pick) -> None: ...
@@ -124,6 +206,7 @@
     def left(self, now: int, rpc: Rpc) -> None: ...
     def probed(self, now: int, server: Server, result: int, latency: int, load: tuple) -> None: ...
     def found_wrong(self, now: int, server: Server, method: Method) -> None: ...
-    def tallied(self, now: int, build: int, method: Method, failed: int, ended: int, mean: int,
-                age: int) -> None: ...
+    def tallied(
+        self, now: int, build: int, method: Method, failed: int, ended: int, mean: int, age: int
+    ) -> None: ...
     def woken(self, now: int) -> None: ...
--- a/honeywood/balancer/program/config.py
+++ b/honeywood/balancer/program/config.py
@@ -3,6 +3,7 @@
 It is the JSON object in the file that ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY
 stand in for `name`, `listen` and `discovery` where the object lacks them.
 """
+
 import json
 
 from honeywood.balancer.protocol import discovery, platform
--- a/honeywood/balancer/program/life.py
+++ b/honeywood/balancer/program/life.py
@@ -1,4 +1,5 @@
 """The life of the program: start, a planned stop at SIGTERM, and the sudden end that a fault makes."""
+
 import gc
 import os
 import signal
@@ -14,9 +15,9 @@
 
 AGAIN = signal.SIGHUP
 TAKEN = {signal.SIGTERM, signal.SIGINT, AGAIN}
-COMING, SPARE = 0.6, 2.0       # seconds: so long new connections may come; for the last answers to be read
-SWITCH = 0.05                  # seconds after which a thread that waits for the interpreter asks for it
-FLUSHED = 0.5                  # seconds in which the last lines of the log are written
+COMING, SPARE = 0.6, 2.0  # seconds: so long new connections may come; for the last answers to be read
+SWITCH = 0.05  # seconds after which a thread that waits for the interpreter asks for it
+FLUSHED = 0.5  # seconds in which the last lines of the log are written
 
 
 def fail(where, wrong):
@@ -43,7 +44,7 @@
         print(f"honeywood: listen: {wrong}", file=sys.stderr)
         return 2
     sys.setswitchinterval(SWITCH)
-    gc.freeze()                # what is here now stays: the collector need not go through it
+    gc.freeze()  # what is here now stays: the collector need not go through it
     logger.info("started", listen=log.name(given.listen))
     if recorder:
         recorder.start()
--- a/honeywood/balancer/program/log.py
+++ b/honeywood/balancer/program/log.py
@@ -1,4 +1,5 @@
 """Log lines: one line an event, as key=value, on standard output."""
+
 import sys
 
 import structlog
@@ -34,10 +35,15 @@
 
 def make(name, output):
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso", utc=True),
-                    structlog.processors.format_exc_info,
-                    structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"])],
-        logger_factory=structlog.WriteLoggerFactory(output), cache_logger_on_first_use=True)
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            structlog.processors.format_exc_info,
+            structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"]),
+        ],
+        logger_factory=structlog.WriteLoggerFactory(output),
+        cache_logger_on_first_use=True,
+    )
     return structlog.get_logger().bind(front=name)
 
 
--- a/honeywood/balancer/program/switches.py
+++ b/honeywood/balancer/program/switches.py
@@ -1,13 +1,14 @@
 """What an operator file switches on. Nothing of a subsystem, nor of its libraries, is imported unless it
 is."""
+
 import threading
 
 from honeywood.balancer.settings import BadKey
 from honeywood.balancer.transport import clock
 from honeywood.balancer.transport.mailbox import Mailbox
 
-MOST_CALLS = 16                # of a recorder: its own looks and the one stop
-LAST_BLOCKS = 5.0              # seconds in which what was recorded last is written, at a stop
+MOST_CALLS = 16  # of a recorder: its own looks and the one stop
+LAST_BLOCKS = 5.0  # seconds in which what was recorded last is written, at a stop
 
 
 def read(environ):
@@ -17,6 +18,7 @@
         return None
     from honeywood.operator.rules import BadFile
     from honeywood.operator.read import read as read_file
+
     try:
         return read_file(path)
     except BadFile as bad:
@@ -30,9 +32,14 @@
         return None
     from honeywood.trace.recorder import Recorder
     from honeywood.trace.tape import Tape
+
     tape = Tape(given.queue, clock.UNIX_START, given.customer_fields, given.parcel_fields)
-    about = {"front": config.name, "unix_start": clock.UNIX_START, "settings": config.settings_text,
-             "front_seed": config.seed}
+    about = {
+        "front": config.name,
+        "unix_start": clock.UNIX_START,
+        "settings": config.settings_text,
+        "front_seed": config.seed,
+    }
     return Recorder(given, tape, about, config.name, Mailbox("trace", MOST_CALLS, fail), clock.now, log)
 
 
--- a/honeywood/balancer/protocol/discovery.py
+++ b/honeywood/balancer/protocol/discovery.py
@@ -1,4 +1,5 @@
 """The list of servers as discovery tells it."""
+
 import json
 
 from honeywood.balancer.interface import DRAINING, GONE, READY
@@ -26,9 +27,16 @@
 def entry(raw):
     """(id, address, build, locality, cell, scale, status, start in Unix ms or 0) of one entry."""
     status = PHASES[raw["phase"]]
-    return (str(raw["id"]), None if status == GONE and "host_port" not in raw else address(raw["host_port"]),
-            int(raw.get("release", 0)), str(raw.get("locality", "")), int(raw.get("cell", 0)),
-            float(raw.get("size", 1.0)), status, int(raw.get("up_since_ms", 0)))
+    return (
+        str(raw["id"]),
+        None if status == GONE and "host_port" not in raw else address(raw["host_port"]),
+        int(raw.get("release", 0)),
+        str(raw.get("locality", "")),
+        int(raw.get("cell", 0)),
+        float(raw.get("size", 1.0)),
+        status,
+        int(raw.get("up_since_ms", 0)),
+    )
 
 
 def members(raw):
--- a/honeywood/balancer/protocol/http.py
+++ b/honeywood/balancer/protocol/http.py
@@ -1,4 +1,5 @@
 """HTTP/1.1 (RFC 9110, RFC 9112), both sides: messages out of a buffer, and into bytes."""
+
 import re
 
 from honeywood.balancer.transport.buffer import Buffer
@@ -10,14 +11,34 @@
 STATUS = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: .*)?\Z")
 DIGITS = re.compile(rb"[0-9]+\Z")
 SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;.*)?\Z")
-REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-           409: "Conflict", 413: "Content Too Large",
-           417: "Expectation Failed", 431: "Request Header Fields Too Large", 501: "Not Implemented",
-           502: "Bad Gateway", 503: "Service Unavailable", 505: "HTTP Version Not Supported"}
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    417: "Expectation Failed",
+    431: "Request Header Fields Too Large",
+    501: "Not Implemented",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    505: "HTTP Version Not Supported",
+}
 # What belongs to one connection and is not passed on.
-HOP = {"connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade",
-       "content-length", "expect"}
-UNREAD = (b"x-server-load",)   # what can't be read in it changes nothing else about its message
+HOP = {
+    "connection",
+    "keep-alive",
+    "proxy-connection",
+    "te",
+    "trailer",
+    "transfer-encoding",
+    "upgrade",
+    "content-length",
+    "expect",
+}
+UNREAD = (b"x-server-load",)  # what can't be read in it changes nothing else about its message
 
 
 class Malformed(Exception):
@@ -31,6 +52,7 @@
 class Message:
     """A request or an answer. `fields` keeps names (in small letters) and values in order; the body comes
     with a `length` or is `chunked`."""
+
     __slots__ = ("method", "target", "status", "minor", "fields", "body", "length", "chunked")
 
     def get(self, name):
--- a/honeywood/balancer/protocol/platform.py
+++ b/honeywood/balancer/protocol/platform.py
@@ -1,9 +1,22 @@
 """The platform's lines, in words separated by spaces, and what they mean to us."""
-from honeywood.balancer.interface import (
-    ERROR, FULL, GO_BACK, GO_ON, GOING_BACK, HOLD, MOOT, NO_VOTE, OK, ON_TRIAL, RELEASED, TIMEOUT,
-    WITHDRAWN)
 
-MOST_LINE, MOST_FIGURE = 8 * 1024, 10 ** 12
+from honeywood.balancer.interface import (
+    ERROR,
+    FULL,
+    GO_BACK,
+    GO_ON,
+    GOING_BACK,
+    HOLD,
+    MOOT,
+    NO_VOTE,
+    OK,
+    ON_TRIAL,
+    RELEASED,
+    TIMEOUT,
+    WITHDRAWN,
+)
+
+MOST_LINE, MOST_FIGURE = 8 * 1024, 10**12
 SUBSCRIBE = b"NOTIFY\r\n"
 VERDICTS = {NO_VOTE: "blank", GO_ON: "go", HOLD: "stay", GO_BACK: "stop"}
 STANDINGS = {"canary": ON_TRIAL, "reverting": GOING_BACK, "stable": RELEASED, "reverted": WITHDRAWN}
@@ -60,8 +73,13 @@
     step = part.whole("ring", 0)
     if step >= steps:
         raise part.bad("ring", "a step that settings.family_info.waves has")
-    return (part.whole("image"), step, part.number("ceiling", 1.0, 0, 1),
-            part.choice("progress", "stable", STANDINGS), int(part.number("lag_ms", 0) * 10))
+    return (
+        part.whole("image"),
+        step,
+        part.number("ceiling", 1.0, 0, 1),
+        part.choice("progress", "stable", STANDINGS),
+        int(part.number("lag_ms", 0) * 10),
+    )
 
 
 def reply(words, steps, bare=False):
--- a/honeywood/balancer/transport/buffer.py
+++ b/honeywood/balancer/transport/buffer.py
@@ -1,7 +1,6 @@
 """The one buffer of a connection: bytes come in at its end and leave at its front."""
 
-
-COPIED = 4096                  # what is larger and all there is, is handed over as it is
+COPIED = 4096  # what is larger and all there is, is handed over as it is
 
 
 class Buffer:
@@ -20,19 +19,20 @@
     >>> b.take(99), len(b.data)
     (b'/ HTTPPX', 0)
     """
+
     __slots__ = ("data", "gone", "looked", "passed")
 
     def __init__(self):
         self.data, self.gone = bytearray(), 0
-        self.looked = 0            # so much of what is here was searched by until()
-        self.passed = 0            # bytes passed over since a message began, for those who bound that
+        self.looked = 0  # so much of what is here was searched by until()
+        self.passed = 0  # bytes passed over since a message began, for those who bound that
 
     def __len__(self):
         return len(self.data) - self.gone
 
     def add(self, some):
         if self.gone * 2 >= len(self.data):
-            del self.data[:self.gone]
+            del self.data[: self.gone]
             self.gone = 0
         self.data += some
 
@@ -46,16 +46,16 @@
         return at if at < 0 else at - self.gone
 
     def view(self, start, end):
-        return self.data[self.gone + start:self.gone + end]
+        return self.data[self.gone + start : self.gone + end]
 
     def take(self, size):
         self.looked = 0
-        if size >= len(self):          # nothing is kept for a connection between two messages
+        if size >= len(self):  # nothing is kept for a connection between two messages
             some, self.data = self.data, bytearray()
-            del some[:self.gone]
+            del some[: self.gone]
             self.gone = 0
             return some if len(some) > COPIED else bytes(some)
         with memoryview(self.data) as here:
-            some = bytes(here[self.gone:self.gone + size])
+            some = bytes(here[self.gone : self.gone + size])
         self.gone += size
         return some
--- a/honeywood/balancer/transport/clock.py
+++ b/honeywood/balancer/transport/clock.py
@@ -1,4 +1,5 @@
 """The front's clock, in whole tenths of a millisecond; it never goes back."""
+
 import time
 
 
--- a/honeywood/balancer/transport/connection.py
+++ b/honeywood/balancer/transport/connection.py
@@ -5,6 +5,7 @@
 thread only while it is dialled, or does not take what is to be written.
 The owner is told opened(connection), received(connection) and, once and last, ended(connection).
 """
+
 import errno
 import socket
 import struct
@@ -13,11 +14,11 @@
 from honeywood.balancer.transport.mailbox import run
 from honeywood.balancer.transport.poller import poller
 
-PIECE = 64 * 1024              # bytes read at once
-UNREAD = 200 * 1024            # bytes of ours that the kernel keeps for a peer (it counts them twice)
+PIECE = 64 * 1024  # bytes read at once
+UNREAD = 200 * 1024  # bytes of ours that the kernel keeps for a peer (it counts them twice)
 MOST_UNSENT, UNSENT_FOR = 4, 2  # pieces beyond that, with a thread of their own; seconds without any read
-NO_THREAD = "no_thread"        # the system had none
-MOST_DROPPED = 1024 * 1024     # bytes that are read and dropped, so that a peer still reads our last words
+NO_THREAD = "no_thread"  # the system had none
+MOST_DROPPED = 1024 * 1024  # bytes that are read and dropped, so that a peer still reads our last words
 
 
 def code_of(wrong):
@@ -47,7 +48,7 @@
     def run(self, what, call):
         try:
             run(f"{what} {self.peer}", call, self.mailbox.fail)
-        except RuntimeError:       # the system has none: no reason to end the program and all its RPCs
+        except RuntimeError:  # the system has none: no reason to end the program and all its RPCs
             return False
         return True
 
@@ -99,7 +100,7 @@
         if self.over:
             return
         self.over, self.code = True, self.code or code
-        if not self.flushing:      # else flushed() does: what it writes must not meet another connection
+        if not self.flushing:  # else flushed() does: what it writes must not meet another connection
             self.release()
         self.owner.ended(self)
         # Who still knows of it holds none of its bytes; and it goes with the last of those, at once.
--- a/honeywood/balancer/transport/descriptors.py
+++ b/honeywood/balancer/transport/descriptors.py
@@ -1,4 +1,5 @@
 """The one count of descriptors held, so that the bound of the process is never met by surprise."""
+
 import threading
 
 
--- a/honeywood/balancer/transport/listener.py
+++ b/honeywood/balancer/transport/listener.py
@@ -1,4 +1,5 @@
 """Listens at one address and hands on what it accepts."""
+
 import errno
 import socket
 import time
@@ -38,7 +39,7 @@
             sock, peer = self.sock.accept()
         except (TimeoutError, BlockingIOError):
             return False
-        except OSError as wrong:       # one that is gone again, or no descriptor: not the listener's end
+        except OSError as wrong:  # one that is gone again, or no descriptor: not the listener's end
             if wrong.errno not in PASSING:
                 raise
             time.sleep(LOOK)
--- a/honeywood/balancer/transport/mailbox.py
+++ b/honeywood/balancer/transport/mailbox.py
@@ -1,4 +1,5 @@
 """Mailboxes: bound calls that other threads post and that are made one at a time, in order."""
+
 import _thread
 from collections import deque
 from queue import Empty, SimpleQueue
@@ -6,7 +7,7 @@
 from honeywood.balancer.transport import clock
 from honeywood.balancer.transport.timers import Timers
 
-SPARE = 8                      # threads that wait for work
+SPARE = 8  # threads that wait for work
 STACK = 512 * 1024  # little of it is ever touched; JSON nested a thousand deep takes the most of it
 
 
@@ -89,7 +90,7 @@
                 call()
             except BaseException as wrong:
                 fail(name, wrong)
-            call = None            # what it holds is not kept by a thread that waits
+            call = None  # what it holds is not kept by a thread that waits
             with self.lock:
                 if self.spare >= SPARE:
                     return
--- a/honeywood/balancer/transport/poller.py
+++ b/honeywood/balancer/transport/poller.py
@@ -3,12 +3,13 @@
 A thread for each connection that is kept would do, but hundreds of fronts that keep some to each of a hundred
 servers had more threads than one system has ids for (32768), and a front that gets none can't go on.
 """
+
 import _thread
 import select
 
 from honeywood.balancer.transport.mailbox import run
 
-AT_ONCE = 64                   # events taken at once
+AT_ONCE = 64  # events taken at once
 ONCE = select.EPOLLIN | select.EPOLLONESHOT  # nothing more is told until what had come is read
 
 
--- a/honeywood/balancer/transport/timers.py
+++ b/honeywood/balancer/transport/timers.py
@@ -1,5 +1,6 @@
 """Calls to be made later by one thread. A timer fires once and is never taken back: the call looks whether
 it still matters."""
+
 from heapq import heappop, heappush
 from itertools import count
 
