--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -61,6 +61,7 @@
         tick=10,
         zone=0,
         fronts=3,
+        me=0,
         methods=methods,
         max_picks=4,
         may_duplicate=True,
