--- a/honeywood/trace/columns.py
+++ b/honeywood/trace/columns.py
@@ -4,6 +4,7 @@
 A column of whole numbers is stored as differences to the least of them, or of their steps, whichever needs
 fewer bytes, in planes: all lowest bytes first, which compress well.
 """
+
 import struct
 import sys
 from array import array
@@ -11,13 +12,24 @@
 from operator import sub
 
 from honeywood.trace.schema import (
-    ID, INT, INTS, MOST_LIST, MOST_TEXT, NUMBER, NUMBERS, WORD, WORDS, Unfit, Unreadable)
+    ID,
+    INT,
+    INTS,
+    MOST_LIST,
+    MOST_TEXT,
+    NUMBER,
+    NUMBERS,
+    WORD,
+    WORDS,
+    Unfit,
+    Unreadable,
+)
 
 PLAIN, STEPS = range(2)
 HEAD = struct.Struct("<BBqq")  # form, bytes a value, least (of values or steps), first value
 WIDTHS = (1, "B"), (2, "H"), (4, "I"), (8, "Q")
-LEAST, MOST = -2**63, 2**63 - 1
-MOST_VALUES = 1 << 24          # of one column: what a damaged or hostile file may make a reader hold
+LEAST, MOST = -(2**63), 2**63 - 1
+MOST_VALUES = 1 << 24  # of one column: what a damaged or hostile file may make a reader hold
 
 
 def planes(data, width):
@@ -28,7 +40,7 @@
     whole = bytearray(len(data))
     size = len(data) // width
     for at in range(width):
-        whole[at::width] = data[at * size:(at + 1) * size]
+        whole[at::width] = data[at * size : (at + 1) * size]
     return bytes(whole)
 
 
@@ -93,11 +105,19 @@
         if sizes and max(sizes) > MOST_LIST:
             raise Unfit(f"a list of {max(sizes)}, {MOST_LIST} at the most")
         return ints(sizes) + of(list(chain.from_iterable(values)))
+
     return pack
 
 
-PACK = {INT: ints, NUMBER: numbers, WORD: words, ID: texts, INTS: lists(ints), NUMBERS: lists(numbers),
-        WORDS: lists(words)}
+PACK = {
+    INT: ints,
+    NUMBER: numbers,
+    WORD: words,
+    ID: texts,
+    INTS: lists(ints),
+    NUMBERS: lists(numbers),
+    WORDS: lists(words),
+}
 
 
 def pack(type, values):
@@ -115,7 +135,7 @@
         self.data, self.at = data, 0
 
     def take(self, size):
-        data = self.data[self.at:self.at + size]
+        data = self.data[self.at : self.at + size]
         if len(data) != size:
             raise Unreadable("a column is cut short")
         self.at += size
@@ -158,7 +178,7 @@
         return [data[a:b].decode("utf-8", "surrogateescape") for a, b in zip(ends, ends[1:])]
 
     def words(self, count):
-        size, = struct.unpack("<I", self.take(4))
+        (size,) = struct.unpack("<I", self.take(4))
         if size > MOST_VALUES:
             raise Unreadable(f"a column of {size} words")
         known, places = self.texts(size), self.ints(count)
@@ -178,8 +198,10 @@
 
 
 READ = {INT: Cursor.ints, NUMBER: Cursor.numbers, WORD: Cursor.words, ID: Cursor.texts}
-UNPACK = READ | {number: lambda cursor, count, of=READ[of]: cursor.lists(of, count)
-                 for number, of in ((INTS, INT), (NUMBERS, NUMBER), (WORDS, WORD))}
+UNPACK = READ | {
+    number: lambda cursor, count, of=READ[of]: cursor.lists(of, count)
+    for number, of in ((INTS, INT), (NUMBERS, NUMBER), (WORDS, WORD))
+}
 
 
 def unpack(type, data, count):
--- a/honeywood/trace/cutting.py
+++ b/honeywood/trace/cutting.py
@@ -1,4 +1,5 @@
 """Cuts a part out of traces. Blocks of which all is wanted are handed on as they are packed."""
+
 from itertools import islice
 
 from honeywood.trace.rules.keeping import BLOCK_RECORDS
@@ -16,8 +17,11 @@
             if wanted.whole(entry):
                 writer.copy(entry, *reader.packed(offset))
             elif wanted.may_hold(entry):
-                part = [tuple(record) for record in reader.block(offset, size).records()
-                        if wanted.in_time(record.time)]
+                part = [
+                    tuple(record)
+                    for record in reader.block(offset, size).records()
+                    if wanted.in_time(record.time)
+                ]
                 if part:
                     writer.block(part)
             progress(size)
--- a/honeywood/trace/exporting.py
+++ b/honeywood/trace/exporting.py
@@ -1,4 +1,5 @@
 """Writes one carrier's export of traces; rules/anonymity.py says what may be in it."""
+
 import os
 import secrets
 import stat
@@ -7,7 +8,7 @@
 from honeywood.trace.rules.anonymity import KEY_BYTES, BadKey, Export, hashed
 from honeywood.trace.sources import sources
 
-EXPORT_BLOCK = 4096            # records of a block: by the carrier's own count alone
+EXPORT_BLOCK = 4096  # records of a block: by the carrier's own count alone
 
 
 def make_key(path):
@@ -38,9 +39,19 @@
     rules = Export(key, carrier, reader.kinds)
     given = (found for record in reader.records() if (found := rules.treated(record)))
     # RPCs are numbered anew in each export: its runs are its own, and never taken for another file's.
-    writer = create({"export": True, "sources": [
-        {"front": hashed(rules.key, "front", str(source.get("front"))), "run": secrets.token_hex(8),
-         "export": True} for source in sources(reader.about)]})
+    writer = create(
+        {
+            "export": True,
+            "sources": [
+                {
+                    "front": hashed(rules.key, "front", str(source.get("front"))),
+                    "run": secrets.token_hex(8),
+                    "export": True,
+                }
+                for source in sources(reader.about)
+            ],
+        }
+    )
     count = write_all(writer, given, progress, EXPORT_BLOCK)
     writer.close()
     return count, rules
--- a/honeywood/trace/format.py
+++ b/honeywood/trace/format.py
@@ -1,6 +1,7 @@
 """The trace file's bytes: header, blocks, index and trailer, to objects and back (docs/trace-format.md).
 Pure: what reads and writes files is writer.py and reader.py.
 """
+
 import struct
 from collections import Counter, defaultdict
 
@@ -13,14 +14,14 @@
 from honeywood.trace.schema import INT, KINDS, MAJOR, MINOR, Newer, Record, Unfit, Unreadable
 
 MAGIC, BLOCK, INDEX, END = b"HWTRACE\n", b"HWB1", b"HWX1", b"HWEND1\r\n"
-START = struct.Struct("<8sHHIQ")       # magic, major, minor, size of the body, sum of all of it
-CHUNK = struct.Struct("<4sIIIQQ")      # magic, sizes of head, body, body unpacked, sums of body and head
-TRAILER = struct.Struct("<8sQQQQ")     # magic, where the index begins, its chunks, records, sum
-SECTION = struct.Struct("<BBBII")      # kind, field, type, values, bytes
-COMMON, ORDER, TIMES, SOURCES = 0, 1, 2, 3     # sections that all records have: kind 0 and its fields
+START = struct.Struct("<8sHHIQ")  # magic, major, minor, size of the body, sum of all of it
+CHUNK = struct.Struct("<4sIIIQQ")  # magic, sizes of head, body, body unpacked, sums of body and head
+TRAILER = struct.Struct("<8sQQQQ")  # magic, where the index begins, its chunks, records, sum
+SECTION = struct.Struct("<BBBII")  # kind, field, type, values, bytes
+COMMON, ORDER, TIMES, SOURCES = 0, 1, 2, 3  # sections that all records have: kind 0 and its fields
 MOST_HEAD, MOST_BODY, MOST_RAW = 1 << 22, 1 << 28, 1 << 30
-LEVEL = 3                      # of zstandard: 6 gains 4% and takes twice the time
-IN_CHUNK = 256                 # entries of the index in one of its chunks
+LEVEL = 3  # of zstandard: 6 gains 4% and takes twice the time
+IN_CHUNK = 256  # entries of the index in one of its chunks
 
 
 def summed(seed, *parts):
@@ -43,7 +44,7 @@
     else is looked at: what follows a newer major may be of any form."""
     if len(data) < START.size:
         raise Unreadable("no trace: cut short in its header")
-    magic, major, minor, size, _ = START.unpack(data[:START.size])
+    magic, major, minor, size, _ = START.unpack(data[: START.size])
     if magic != MAGIC:
         raise Unreadable("no trace: it begins otherwise")
     if major > speaks:
@@ -55,9 +56,9 @@
 
 def read_about(data, speaks=MAJOR):
     _, _, size = read_start(data, speaks)
-    *_, check = START.unpack(data[:START.size])
-    body = data[START.size:START.size + size]
-    if len(body) != size or check != summed(0, data[:START.size - 8], body):
+    *_, check = START.unpack(data[: START.size])
+    body = data[START.size : START.size + size]
+    if len(body) != size or check != summed(0, data[: START.size - 8], body):
         raise Unreadable("damaged header")
     about = msgpack.unpackb(body)
     if not isinstance(about, dict) or not isinstance(about.get("seed"), int):
@@ -113,8 +114,11 @@
     """One block of records, in the order given. Raises Unfit where one of them may not stand in a trace.
     `between` is called between columns: a recorder lets other threads go on there."""
     times, sources, order, values = zip(*records)
-    parts = [section(COMMON, ORDER, INT, order), section(COMMON, TIMES, INT, times),
-             section(COMMON, SOURCES, INT, sources)]
+    parts = [
+        section(COMMON, ORDER, INT, order),
+        section(COMMON, TIMES, INT, times),
+        section(COMMON, SOURCES, INT, sources),
+    ]
     rows = defaultdict(list)
     for kind, row in zip(order, values):
         rows[kind].append(row)
@@ -137,16 +141,27 @@
 
 def entry_of(number, times, sources, counts, found, kinds):
     """What the index knows of a block (selection.Entry)."""
+
     def all_of(name):
         values = [found[n][kinds[n].at[name]] for n in found if name in kinds[n].at]
         return set().union(*values)
-    rpcs = [bound(found[n][kinds[n].at["rpc"]])
-            for n in found if "rpc" in kinds[n].at for bound in (min, max)]
-    return Entry(number=number, count=len(times), first=min(times), last=max(times),
-                 sources=sorted(set(sources)), kinds=dict(counts),
-                 methods=sorted(all_of("method") - {""}), servers=sorted(all_of("server")),
-                 builds=sorted(all_of("build")), rpcs=(min(rpcs), max(rpcs)) if rpcs else None,
-                 ids=Filter.of(all_of("id")).packed())
+
+    rpcs = [
+        bound(found[n][kinds[n].at["rpc"]]) for n in found if "rpc" in kinds[n].at for bound in (min, max)
+    ]
+    return Entry(
+        number=number,
+        count=len(times),
+        first=min(times),
+        last=max(times),
+        sources=sorted(set(sources)),
+        kinds=dict(counts),
+        methods=sorted(all_of("method") - {""}),
+        servers=sorted(all_of("server")),
+        builds=sorted(all_of("build")),
+        rpcs=(min(rpcs), max(rpcs)) if rpcs else None,
+        ids=Filter.of(all_of("id")).packed(),
+    )
 
 
 class Columns:
@@ -159,7 +174,7 @@
                 raise Unreadable("a block cut short")
             kind, field, type, count, size = SECTION.unpack_from(raw, at)
             at += SECTION.size
-            self.sections[kind, field] = type, raw[at:at + size], count
+            self.sections[kind, field] = type, raw[at : at + size], count
             at += size
         self.order = self.common(ORDER)
         self.times, self.sources = self.common(TIMES), self.common(SOURCES)
@@ -203,7 +218,7 @@
 def index(seed, entries):
     """Chunks of the index; an entry is (offset, size, Entry)."""
     for at in range(0, len(entries), IN_CHUNK):
-        part = entries[at:at + IN_CHUNK]
+        part = entries[at : at + IN_CHUNK]
         raw = msgpack.packb([[offset, size, entry.packed()] for offset, size, entry in part])
         yield chunk(INDEX, seed, {"first": at, "count": len(part)}, raw)
 
--- a/honeywood/trace/merging.py
+++ b/honeywood/trace/merging.py
@@ -1,4 +1,5 @@
 """Merges traces of several fronts, or of several files of one, into one file in one order of time."""
+
 from honeywood.trace.cutting import write_all
 from honeywood.trace.reader import Reader
 from honeywood.trace.rules.ordering import Union, merged
@@ -87,9 +88,11 @@
                 if run.skew is None:
                     unknown.append(name(run.about))
         if unknown:
-            raise UnknownSkew(f"the clock of {', '.join(unknown)} can't be compared with "
-                              f"{name(runs[0].about)}'s: too little was told to both; "
-                              "name it, --skew FRONT=SECONDS")
+            raise UnknownSkew(
+                f"the clock of {', '.join(unknown)} can't be compared with "
+                f"{name(runs[0].about)}'s: too little was told to both; "
+                "name it, --skew FRONT=SECONDS"
+            )
 
     def about(self):
         return {"sources": [{**run.about, "shift": run.skew.plain()} for run in self.runs.values()]}
--- a/honeywood/trace/plot.py
+++ b/honeywood/trace/plot.py
@@ -1,4 +1,5 @@
 """A chart of a trace: rates, outcomes and latencies by method, the step and the votes over time."""
+
 from collections import defaultdict
 
 import matplotlib
@@ -9,7 +10,7 @@
 from honeywood.trace.rules.lives import OUTCOMES  # noqa: E402
 from honeywood.trace.schema import ANSWER, NEWS, VOTE  # noqa: E402
 
-PLACES = 240                   # points along the time
+PLACES = 240  # points along the time
 VERDICTS = {1: ("on", "tab:green", "^"), 2: ("hold", "tab:orange", "s"), 3: ("back", "tab:red", "v")}
 COLOURS = {"ok": "tab:green", "pushed back": "tab:orange", "aborted": "tab:red"}
 
@@ -36,18 +37,24 @@
                 step, cap = (NEWS.value(record.values, name) for name in ("step", "cap"))
                 steps.append((record.time, step, cap))
             else:
-                votes.append((record.time, VOTE.value(record.values, "step"),
-                              VOTE.value(record.values, "verdict")))
+                votes.append(
+                    (record.time, VOTE.value(record.values, "step"), VOTE.value(record.values, "verdict"))
+                )
     draw(out, title, first, width, answers, spent, sorted(steps), votes, last)
 
 
 def draw(out, title, first, width, answers, spent, steps, votes, last):
-    figure, (rates, times, release) = pyplot.subplots(3, 1, sharex=True, figsize=(10, 8),
-                                                      layout="constrained")
+    figure, (rates, times, release) = pyplot.subplots(
+        3, 1, sharex=True, figsize=(10, 8), layout="constrained"
+    )
     at = [place * width / 10_000 for place in range(PLACES + 1)]
     names = sorted(answers, key=list(OUTCOMES.values()).index)
-    rates.stackplot(at, *([count / width * 10_000 for count in answers[name]] for name in names),
-                    labels=names, colors=[COLOURS[name] for name in names])
+    rates.stackplot(
+        at,
+        *([count / width * 10_000 for count in answers[name]] for name in names),
+        labels=names,
+        colors=[COLOURS[name] for name in names],
+    )
     rates.set(ylabel="answers a second", title=title)
     rates.legend(loc="upper left")
     for method, sums in sorted(spent.items()):
--- a/honeywood/trace/reader.py
+++ b/honeywood/trace/reader.py
@@ -1,4 +1,5 @@
 """Reads one trace file, of any size, a block at a time."""
+
 import os
 
 from honeywood.trace import format
@@ -7,7 +8,7 @@
 from honeywood.trace.rules.selection import Entry, Wanted, may_speak, may_take
 from honeywood.trace.schema import KINDS, MAJOR, TAKEN, Unreadable
 
-STRIDE = 1 << 20               # bytes looked through at a time for the next block behind a damaged one
+STRIDE = 1 << 20  # bytes looked through at a time for the next block behind a damaged one
 
 
 class Reader:
@@ -31,7 +32,7 @@
             self.file.close()
             raise
         self.seed, self.begins = self.about["seed"], START.size + size
-        self.known = None          # entries, where they were read already and are few
+        self.known = None  # entries, where they were read already and are few
 
     def __enter__(self):
         return self
@@ -49,7 +50,7 @@
         if self.known is None:
             try:
                 self.known = self.indexed()
-            except Unreadable:     # it only repeats what the blocks say
+            except Unreadable:  # it only repeats what the blocks say
                 self.known = None
             if self.known is None:
                 self.known = list(self.scan())
@@ -168,7 +169,8 @@
             for record in found.records(wanted.kinds or None):
                 kind = self.kinds[record.kind]
                 if wanted.takes(record, kind) and (
-                        rpcs is None or (record.source, kind.value(record.values, "rpc")) in rpcs):
+                    rpcs is None or (record.source, kind.value(record.values, "rpc")) in rpcs
+                ):
                     yield record
 
     def taken_as(self, ids):
@@ -178,7 +180,10 @@
             if may_take(entry, ids):
                 columns = self.block(offset, size)
                 sources = [s for s, kind in zip(columns.sources, columns.order) if kind == TAKEN.number]
-                rows = zip(sources, columns.column(TAKEN, TAKEN.fields[TAKEN.at["rpc"]]),
-                           columns.column(TAKEN, TAKEN.fields[TAKEN.at["id"]]))
+                rows = zip(
+                    sources,
+                    columns.column(TAKEN, TAKEN.fields[TAKEN.at["rpc"]]),
+                    columns.column(TAKEN, TAKEN.fields[TAKEN.at["id"]]),
+                )
                 found |= {(source, rpc) for source, rpc, name in rows if name in ids}
         return found
--- a/honeywood/trace/rules/keeping.py
+++ b/honeywood/trace/rules/keeping.py
@@ -1,14 +1,15 @@
 """What a recorder keeps: which records are shed when its queue fills, when a block, a file and a folder are
 full, and what becomes of a recorder that cannot write."""
+
 from honeywood.trace.schema import LOOK, PROBE, TAKEN
 
-BLOCK_RECORDS = 8192           # of a block at the most: more pack little better and are read in vain more
+BLOCK_RECORDS = 8192  # of a block at the most: more pack little better and are read in vain more
 # Shares of the queue from which on records are shed: what tells least first. Once an RPC is taken in, the
 # rest of its life has the last quarter to itself, so that few lives are torn; one that is not taken in has no
 # records.
 SHED_ASIDES, SHED_NEW = 0.5, 0.75
 ASIDES = {PROBE.number, LOOK.number}
-AGAIN = 60 * 10_000            # so long after a failed write the next is tried, and so often it is said
+AGAIN = 60 * 10_000  # so long after a failed write the next is tried, and so often it is said
 FULL = "queue"
 
 
@@ -30,8 +31,11 @@
         """`recorded`: whether the record's RPC, if it is of one, was taken in itself."""
         if held < self.from_asides and recorded:
             return True
-        if recorded and held < self.places and not (
-                kind in ASIDES or (kind == TAKEN.number and held >= self.from_new)):
+        if (
+            recorded
+            and held < self.places
+            and not (kind in ASIDES or (kind == TAKEN.number and held >= self.from_new))
+        ):
             return True
         self.lost += 1
         self.lost_rpcs += kind == TAKEN.number
--- a/honeywood/trace/rules/ordering.py
+++ b/honeywood/trace/rules/ordering.py
@@ -1,5 +1,6 @@
 """The order of merged traces: by mended time between fronts, as each front wrote it within one; and what
 stands in two files of one run is taken once."""
+
 from heapq import heapify, heapreplace, heappop
 from itertools import groupby
 
--- a/honeywood/trace/rules/selection.py
+++ b/honeywood/trace/rules/selection.py
@@ -1,7 +1,8 @@
 """Which records are wanted, and which blocks can hold some: the index, asked before anything is read."""
+
 import xxhash
 
-BITS_AN_ID = 10                # about 1 of 60 blocks is read in vain for an id that is not there
+BITS_AN_ID = 10  # about 1 of 60 blocks is read in vain for an id that is not there
 LEAST_BITS = 64
 # A text sets three bits, at three parts of one hash of 64 bits, each taken modulo the filter's size.
 PART = 21
@@ -50,8 +51,19 @@
     """What the index knows of a block: its number, count of records, first and last time, sources, records by
     kind, methods, servers, builds, least and greatest RPC, and a filter of the ids taken in it."""
 
-    FIELDS = ("number", "count", "first", "last", "sources", "kinds", "methods", "servers", "builds", "rpcs",
-              "ids")
+    FIELDS = (
+        "number",
+        "count",
+        "first",
+        "last",
+        "sources",
+        "kinds",
+        "methods",
+        "servers",
+        "builds",
+        "rpcs",
+        "ids",
+    )
     __slots__ = FIELDS
 
     def __init__(self, **given):
@@ -59,8 +71,10 @@
             setattr(self, name, given[name])
 
     def packed(self):
-        return [list(map(list, self.kinds.items())) if name == "kinds" else getattr(self, name)
-                for name in self.FIELDS]
+        return [
+            list(map(list, self.kinds.items())) if name == "kinds" else getattr(self, name)
+            for name in self.FIELDS
+        ]
 
     @classmethod
     def unpacked(cls, values):
@@ -85,28 +99,39 @@
     def may_hold(self, entry):
         """Whether a block may hold a wanted record, ids left aside (an id stands in one record of its
         RPC)."""
-        return ((self.since is None or entry.last >= self.since)
-                and (self.until is None or entry.first < self.until)
-                and (not self.methods or not self.methods.isdisjoint(entry.methods))
-                and (not self.servers or not self.servers.isdisjoint(entry.servers))
-                and (not self.builds or not self.builds.isdisjoint(entry.builds))
-                and (not self.kinds or not self.kinds.isdisjoint(entry.kinds)))
+        return (
+            (self.since is None or entry.last >= self.since)
+            and (self.until is None or entry.first < self.until)
+            and (not self.methods or not self.methods.isdisjoint(entry.methods))
+            and (not self.servers or not self.servers.isdisjoint(entry.servers))
+            and (not self.builds or not self.builds.isdisjoint(entry.builds))
+            and (not self.kinds or not self.kinds.isdisjoint(entry.kinds))
+        )
 
     def whole(self, entry):
         """Whether all of a block's records are wanted: it need not be unpacked."""
-        return (self.only_times() and (self.since is None or entry.first >= self.since)
-                and (self.until is None or entry.last < self.until))
+        return (
+            self.only_times()
+            and (self.since is None or entry.first >= self.since)
+            and (self.until is None or entry.last < self.until)
+        )
 
     def in_time(self, time):
         return (self.since is None or time >= self.since) and (self.until is None or time < self.until)
 
     def takes(self, record, kind):
         """Whether one record, of this Kind, is wanted, ids left aside."""
+
         def fits(wanted, name):
             return not wanted or (name in kind.at and record.values[kind.at[name]] in wanted)
-        return (self.in_time(record.time) and (not self.kinds or record.kind in self.kinds)
-                and fits(self.methods, "method") and fits(self.servers, "server")
-                and fits(self.builds, "build"))
+
+        return (
+            self.in_time(record.time)
+            and (not self.kinds or record.kind in self.kinds)
+            and fits(self.methods, "method")
+            and fits(self.servers, "server")
+            and fits(self.builds, "build")
+        )
 
 
 def may_take(entry, ids):
@@ -118,4 +143,5 @@
 def may_speak(entry, rpcs):
     """Whether a block may hold a record of one of these RPCs, given by (source, number)."""
     return entry.rpcs is not None and any(
-        source in entry.sources and entry.rpcs[0] <= rpc <= entry.rpcs[1] for source, rpc in rpcs)
+        source in entry.sources and entry.rpcs[0] <= rpc <= entry.rpcs[1] for source, rpc in rpcs
+    )
--- a/honeywood/trace/rules/skew.py
+++ b/honeywood/trace/rules/skew.py
@@ -1,6 +1,7 @@
 """How far two fronts' clocks differ, out of what both were told: news, list changes and tallies come to all
 fronts of a platform at nearly the same moment. Where that can't be known it is said, never guessed.
 """
+
 from bisect import bisect_left
 from collections import defaultdict
 from itertools import product
@@ -8,18 +9,22 @@
 
 from honeywood.trace.schema import KINDS, LIST, NEWS, TALLY, WRONG
 
-MOST_DRIFT = 500e-6            # of a clock that works at all: 200 ppm is a poor crystal
-TOLD_APART = 1000              # tenths of a ms within which one event reaches two fronts
-MOST_PAIRS = 40_000            # of events that look alike
-MOST_EVENTS = 20_000           # that are kept of a source
-MANY = 400                     # pairs between which slopes are taken
-ENOUGH = 3                     # pairs that must agree before a drift is told; two may by chance
-AGREE = 0.5                    # share of what both saw that must agree with the answer
-FINEST = 10                    # tenths of a ms: nothing is told more exactly
-WIDE = 2.0                     # uncertainties are given as so many standard errors
+MOST_DRIFT = 500e-6  # of a clock that works at all: 200 ppm is a poor crystal
+TOLD_APART = 1000  # tenths of a ms within which one event reaches two fronts
+MOST_PAIRS = 40_000  # of events that look alike
+MOST_EVENTS = 20_000  # that are kept of a source
+MANY = 400  # pairs between which slopes are taken
+ENOUGH = 3  # pairs that must agree before a drift is told; two may by chance
+AGREE = 0.5  # share of what both saw that must agree with the answer
+FINEST = 10  # tenths of a ms: nothing is told more exactly
+WIDE = 2.0  # uncertainties are given as so many standard errors
 
-SHARED = {NEWS.number: ("build", "step", "cap", "standing"), LIST.number: ("revision", "whole", "servers"),
-          TALLY.number: ("build", "method", "failed", "ended", "mean"), WRONG.number: ("server", "method")}
+SHARED = {
+    NEWS.number: ("build", "step", "cap", "standing"),
+    LIST.number: ("revision", "whole", "servers"),
+    TALLY.number: ("build", "method", "failed", "ended", "mean"),
+    WRONG.number: ("server", "method"),
+}
 
 
 def key_of(record):
@@ -28,7 +33,7 @@
         return None
     kind = KINDS[record.kind]
     if kind is NEWS and kind.value(record.values, "reply"):
-        return None                # an answer to this front's own vote
+        return None  # an answer to this front's own vote
     if kind is LIST and not kind.value(record.values, "revision"):
         return None
     return (record.kind, *(kind.value(record.values, name) for name in SHARED[record.kind]))
@@ -61,8 +66,13 @@
         return round(time + self.offset + self.rate * (time - self.at))
 
     def plain(self):
-        return {"offset": self.offset, "rate": self.rate, "at": self.at, "unsure": self.unsure,
-                "pairs": self.pairs}
+        return {
+            "offset": self.offset,
+            "rate": self.rate,
+            "at": self.at,
+            "unsure": self.unsure,
+            "pairs": self.pairs,
+        }
 
 
 def densest(differences, width):
@@ -79,8 +89,10 @@
 def candidates(reference, other):
     """([(time on the other's clock, difference)], how many events they can be at the most): all ways to pair
     events that look alike, those that occur once first, and others only as far as those are too few."""
-    keys = sorted((len(reference.times[key]) * len(other.times[key]), key)
-                  for key in reference.times.keys() & other.times.keys())
+    keys = sorted(
+        (len(reference.times[key]) * len(other.times[key]), key)
+        for key in reference.times.keys() & other.times.keys()
+    )
     pairs, shared = [], 0
     for product_, key in keys:
         if product_ > 1 and (shared >= ENOUGH or len(pairs) + product_ > MOST_PAIRS):
@@ -112,7 +124,9 @@
         ours = reference.times.get(key, ())
         for b in theirs:
             at = bisect_left(ours, rough.mended(b))
-            near = min(ours[max(0, at - 1):at + 1], key=lambda a, b=b: abs(a - rough.mended(b)), default=None)
+            near = min(
+                ours[max(0, at - 1) : at + 1], key=lambda a, b=b: abs(a - rough.mended(b)), default=None
+            )
             if near is not None and abs(near - rough.mended(b)) <= TOLD_APART:
                 yield b, near - b
 
@@ -133,10 +147,14 @@
 def slope(pairs):
     """Theil and Sen's: the median of slopes between pairs far enough apart; None where no drift can be
     seen."""
-    chosen = pairs[::max(1, len(pairs) // MANY)]
+    chosen = pairs[:: max(1, len(pairs) // MANY)]
     half = (chosen[-1][0] - chosen[0][0]) / 3
-    slopes = [(d1 - d0) / (b1 - b0) for at, (b0, d0) in enumerate(chosen) for b1, d1 in chosen[at + 1:]
-              if b1 - b0 > max(half, 1)]
+    slopes = [
+        (d1 - d0) / (b1 - b0)
+        for at, (b0, d0) in enumerate(chosen)
+        for b1, d1 in chosen[at + 1 :]
+        if b1 - b0 > max(half, 1)
+    ]
     if len(chosen) < ENOUGH or not slopes:
         return None
     found = median(slopes)
@@ -148,7 +166,7 @@
     or, where no drift could be seen, the most that a clock may drift meanwhile."""
     count = len(kept)
     spread = (sum((r - offset) ** 2 for _, r in kept) / max(1, count - 1)) ** 0.5 if count > 1 else TOLD_APART
-    error = WIDE * max(spread, FINEST / 2) / count ** 0.5
+    error = WIDE * max(spread, FINEST / 2) / count**0.5
     if seen is None:
         return error + MOST_DRIFT * max(abs(b - at) for b, _ in kept)
     square = sum((b - at) ** 2 for b, _ in kept) ** 0.5
--- a/honeywood/trace/rules/summing.py
+++ b/honeywood/trace/rules/summing.py
@@ -1,18 +1,18 @@
 """A summary of a trace, gathered block by block; its memory grows with methods, servers and builds alone."""
+
 from collections import Counter
 
 import numpy
 
 from honeywood.trace.rules.lives import OUTCOMES, RESULTS, WHY, bar
-from honeywood.trace.schema import (
-    ANSWER, ANSWERED_OK, DROPPED, KINDS, NEWS, PICK, RESULT, TAKEN, VOTE)
+from honeywood.trace.schema import ANSWER, ANSWERED_OK, DROPPED, KINDS, NEWS, PICK, RESULT, TAKEN, VOTE
 
 # Latencies are counted in bins that grow by 2%, from a tenth of a ms to an hour: a percentile is told within
 # 1%.
 GROWTH = 1.02
 BINS = 900
 QUANTILES = (0.5, 0.95, 0.99, 0.999)
-MOST_VOTES = 200               # that a summary lists
+MOST_VOTES = 200  # that a summary lists
 VERDICTS, STANDINGS = ("none", "on", "hold", "back"), ("on trial", "going back", "released", "withdrawn")
 
 
@@ -34,6 +34,7 @@
         def of(kind, *names):
             found = [columns.column(kind, kind.fields[kind.at[name]]) for name in names]
             return found if kind.number in entry.kinds and None not in found else [()] * len(names)
+
         self.taken.update(of(TAKEN, "method")[0])
         methods, outcomes, latencies, why = of(ANSWER, "method", "outcome", "latency", "why")
         self.answers.update(zip(methods, outcomes))
@@ -87,9 +88,14 @@
         methods = {}
         for method in sorted({*self.taken, *(method for method, _ in self.answers)}):
             ended = {word: self.answers[method, number] for number, word in OUTCOMES.items()}
-            methods[method] = {"taken": self.taken[method], **ended, "latency_ms": {
-                f"p{100 * share:g}": round(value / 10, 2)
-                for share, value in (self.quantiles(method) or {}).items()}}
+            methods[method] = {
+                "taken": self.taken[method],
+                **ended,
+                "latency_ms": {
+                    f"p{100 * share:g}": round(value / 10, 2)
+                    for share, value in (self.quantiles(method) or {}).items()
+                },
+            }
         builds, servers = Counter(), Counter()
         for (server, build), count in self.picks.items():
             builds[build] += count
@@ -99,12 +105,18 @@
             word = RESULTS[result] if result < len(RESULTS) else str(result)
             results.setdefault(str(build), {})[word] = count
         return {
-            "records": self.records, "first": self.first, "last": self.last, "kinds": kinds,
+            "records": self.records,
+            "first": self.first,
+            "last": self.last,
+            "kinds": kinds,
             "methods": methods,
             "given_up_since": {WHY.get(n, str(n)): c for n, c in sorted(self.why.items()) if n},
             "servers_passed_over": {bar(n): c for n, c in sorted(self.bars.items()) if n},
             "picks_by_build": {str(build): count for build, count in sorted(builds.items())},
-            "picks_by_server": dict(sorted(servers.items())), "results_by_build": results,
-            "news": [list(one) for one in self.news], "votes": [list(one) for one in self.votes],
+            "picks_by_server": dict(sorted(servers.items())),
+            "results_by_build": results,
+            "news": [list(one) for one in self.news],
+            "votes": [list(one) for one in self.votes],
             "votes_in_all": self.votes_in_all,
-            "dropped": {"records": self.dropped[0], "rpcs": self.dropped[1]}}
+            "dropped": {"records": self.dropped[0], "rpcs": self.dropped[1]},
+        }
--- a/honeywood/trace/sources.py
+++ b/honeywood/trace/sources.py
@@ -1,9 +1,20 @@
 """Whose records a file holds: a file that a front wrote has one source, a merged one several."""
+
 from honeywood.trace.schema import Unreadable
 
 # What a header says of one front's run, and is handed on when its records are.
-OF_A_RUN = ("front", "run", "sequence", "unix_start", "settings", "front_seed", "sample", "shift", "cut",
-            "export")
+OF_A_RUN = (
+    "front",
+    "run",
+    "sequence",
+    "unix_start",
+    "settings",
+    "front_seed",
+    "sample",
+    "shift",
+    "cut",
+    "export",
+)
 
 
 def sources(about):
--- a/honeywood/trace/verifying.py
+++ b/honeywood/trace/verifying.py
@@ -1,4 +1,5 @@
 """Looks at the whole of a trace, and gives it a new index."""
+
 import fcntl
 import os
 
@@ -29,8 +30,13 @@
         progress(size)
     if index is not None and index != blocks and not reader.damage:
         wrong.append(f"the index names {index} blocks")
-    return {"records": records, "blocks": blocks, "index": "missing" if index is None else "there",
-            "torn": reader.torn, "wrong": (reader.damage + wrong)[:MOST_TOLD]}
+    return {
+        "records": records,
+        "blocks": blocks,
+        "index": "missing" if index is None else "there",
+        "torn": reader.torn,
+        "wrong": (reader.damage + wrong)[:MOST_TOLD],
+    }
 
 
 def index_of(reader):
--- a/honeywood/trace/writer.py
+++ b/honeywood/trace/writer.py
@@ -1,4 +1,5 @@
 """Writes one trace file: blocks as they come, index and trailer at the end."""
+
 import os
 import secrets
 
@@ -11,7 +12,7 @@
     """Writes all of it to an unbuffered file: the kernel may take less at a time."""
     rest = memoryview(data)
     while rest:
-        rest = rest[file.write(rest):]
+        rest = rest[file.write(rest) :]
 
 
 class Writer:
