--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,4 +1,4 @@
-"""RPCs a second that the decisions bear by themselves, without I/O: with nobody at the tap, and with a tape.
+"""RPCs a second that the decisions bear by themselves, without I/O, with a recorder and without one.
 
     python benchmarks/decisions.py [--rpcs 60000]
 
@@ -12,123 +12,130 @@
 
 import click
 
-from honeywood.balancer.decisions import balancer as decide
-from honeywood.balancer import interface as face
-from honeywood.trace.tape import Tape
-
-KINDS = face.IDEMPOTENT, face.TOKENED, face.NON_IDEMPOTENT
+from honeywood.balancer.decisions.balancer import Balancer
+from honeywood.balancer.model import (
+    UNKNOWN_START,
+    AttemptResult,
+    Idempotency,
+    Method,
+    ReleaseState,
+    ReleaseUpdate,
+    Rpc,
+    Server,
+    ServerEntry,
+    ServerStatus,
+)
+from honeywood.balancer.settings import Settings
+from honeywood.trace.call_recorder import CallRecorder
+
+IDEMPOTENCIES = tuple(Idempotency)
 SERVERS, EVERY = 30, 20  # servers; tenths of a ms between RPCs
 
 
 class Host:
     """Answers each pick after 20 to 30 ms; counts what is asked of it."""
 
-    def __init__(self, tape):
-        self.tap = self.tape = tape
+    def __init__(self, recorder):
+        self.observer = self.recorder = recorder
         self.queue, self.order, self.sends, self.now = [], 0, 0, 0
 
-    def send(self, pick, until):
+    def send(self, attempt, until):
         self.order += 1
-        self.sends = (self.sends * 31 + pick.server.host.number * 7 + pick.rpc.host.serial) % (1 << 61)
-        if self.tape:
-            self.tape.sent(pick, until)
-        heappush(self.queue, (self.now + 200 + pick.rpc.host.serial % 97, self.order, pick))
+        self.sends = (self.sends * 31 + attempt.server.host.number * 7 + attempt.rpc.host.serial) % (1 << 61)
+        if self.recorder:
+            self.recorder.on_send(attempt, until)
+        heappush(self.queue, (self.now + 200 + attempt.rpc.host.serial % 97, self.order, attempt))
 
     def ignored(self, *_):
         pass
 
-    push_back = abort = cancel = probe = wake = vote = watch = log = ignored
+    reject = abort = cancel = probe = wake_after = vote = watch_servers = log = ignored
 
 
 def settings():
     methods = [
-        face.Method(
-            kind=kind,
-            soft=2500,
-            soft_stretch=0,
-            deadline=10000,
+        Method(
+            idempotency=kind,
+            latency_target=2500,
+            target_per_work=0,
+            timeout=10000,
             utility=1,
             late_utility=0,
-            group="all",
-            window=80000,
-            place=place,
+            dedup_scope="all",
+            dedup_window=80000,
+            index=place,
             name=kind,
         )
-        for place, kind in enumerate(KINDS)
+        for place, kind in enumerate(IDEMPOTENCIES)
     ]
-    return face.Settings(
+    return Settings(
         seed=7,
-        tick=10,
+        clock_resolution=10,
         zone=0,
-        fronts=3,
-        me=0,
+        balancers=3,
+        balancer_index=0,
         methods=methods,
-        max_picks=4,
+        max_attempts=4,
         may_duplicate=True,
         may_cancel=True,
         may_probe=False,
-        max_wait=10000,
-        must_ask=False,
+        max_retry_after=10000,
+        list_on_request=False,
         ask_within=100000,
-        cold_share=0.4,
-        cold_time=40000,
-        tip_multiple=2.5,
-        tip_time=20000,
-        report_fields=("active",),
-        cross_price=0.0,
+        cold_capacity_share=0.4,
+        warm_up_time=40000,
+        overload_multiple=2.5,
+        overload_window=20000,
+        load_report_fields=("active",),
+        cross_zone_price=0.0,
         caps=[0.1, 0.5, 1.0],
         waves=[0.1, 0.4, 1.0],
-        free_picks=2,
+        exposure_allowance=2,
         exposure_window=30000,
-        per_method=True,
+        exposure_per_method=True,
         guarded_steps=0,
         one_way=False,
         vote_rule="any",
-        back_votes=1,
-        go_votes=1,
-        vote_life=60000,
-        vote_wait=12000,
-        tally_period=0,
+        rollback_votes=1,
+        proceed_votes=1,
+        vote_ttl=60000,
+        vote_timeout=12000,
+        platform_counts_period=0,
     )
 
 
-def run(rpcs, tape):
-    host = Host(tape)
-    front = decide.Front(settings(), host)
-    front.start(0)
-    servers = [face.Server(host=SimpleNamespace(number=n, name=f"s{n}")) for n in range(SERVERS)]
-    front.listed(
-        0,
-        [(server, 1 + (n >= 20), 0, 0, 1.0, face.READY, face.LONG_AGO) for n, server in enumerate(servers)],
-        True,
-    )
-    front.news(0, face.OK, False, 2, 1, 0.5, face.ON_TRIAL, 0)
+def run(rpcs, recorder):
+    host, given = Host(recorder), settings()
+    balancer = Balancer(given, host)
+    balancer.on_start(0)
+    servers = [Server(host=SimpleNamespace(number=n, name=f"s{n}")) for n in range(SERVERS)]
+    entries = [
+        ServerEntry(server, 1 + (n >= 20), 0, 0, 1.0, ServerStatus.READY, UNKNOWN_START)
+        for n, server in enumerate(servers)
+    ]
+    balancer.on_server_list(0, entries, True)
+    balancer.on_release_update(0, ReleaseUpdate(2, 1, 0.5, ReleaseState.ON_TRIAL, 0))
     began, looked = time.process_time(), 0
     for number in range(rpcs):
         host.now = now = number * EVERY
         while host.queue and host.queue[0][0] <= now:
-            at, _, pick = heappop(host.queue)
-            if tape:
-                tape.ended(at, pick, face.OK, (1.0,), True)
-            front.back(at, pick, face.OK, at - pick.sent, (1.0,), True)
+            at, _, attempt = heappop(host.queue)
+            if recorder:
+                recorder.on_result(at, attempt, AttemptResult.OK, (1.0,), True)
+            balancer.on_result(at, attempt, AttemptResult.OK, at - attempt.sent_at, (1.0,), True)
         if now - looked >= 1000:
             looked = now
-            front.woken(now)
-        if tape and len(tape.queue) > 8000:
-            tape.queue.clear()
+            balancer.on_timer(now)
+        if recorder and len(recorder.queue) > 8000:
+            recorder.queue.clear()
         call = SimpleNamespace(serial=number + 1)
-        front.take(
+        balancer.on_request(
             now,
-            face.Rpc(
-                method=front.judge.methods[number % 3],
-                customer=0,
+            Rpc(
+                method=given.methods[number % 3],
                 key=number,
                 deadline=now + 10000,
-                work=0,
-                repeat=False,
-                taken=now,
-                picks=[],
-                done=False,
+                arrived_at=now,
                 host=call,
             ),
         )
@@ -139,11 +146,11 @@
 @click.option("--rpcs", default=60_000, show_default=True)
 @click.option("--runs", default=3, show_default=True)
 def main(rpcs, runs):
-    click.echo("| run | RPCs/s, tap off | with a tape | sends |\n| --- | --- | --- | --- |")
+    click.echo("| run | RPCs/s, no recorder | with a recorder | sends |\n| --- | --- | --- | --- |")
     for number in range(runs):
         off, sends = run(rpcs, None)
-        on, same = run(rpcs, Tape(20_000, 0, (), ()))
-        assert sends == same, "the tap changed the decisions"
+        on, same = run(rpcs, CallRecorder(20_000, 0, (), ()))
+        assert sends == same, "the recorder changed the decisions"
         click.echo(f"| {number + 1} | {off:.0f} | {on:.0f} | {sends} |")
 
 
--- a/honeywood/balancer/actors/client.py
+++ b/honeywood/balancer/actors/client.py
@@ -2,7 +2,7 @@
 
 import re
 
-from honeywood.balancer.interface import IDEMPOTENT, SECOND
+from honeywood.balancer.model import SECOND, Idempotency
 from honeywood.balancer.protocol import http
 from honeywood.balancer.transport import clock
 from honeywood.balancer.transport.connection import Connection
@@ -32,8 +32,8 @@
         "arrived",
         "deadline",
         "method",
-        "work",
-        "repeat",
+        "expected_work",
+        "is_retry",
         "rpc",
         "serial",
     )
@@ -41,16 +41,16 @@
     def __init__(self, client, request, timeout, method):
         self.client, self.request, self.name = client, request, request.get("x-request-id")
         self.arrived = clock.now()
-        self.deadline = self.arrived + int(min(method.deadline, timeout * SECOND)) - RESERVE
+        self.deadline = self.arrived + int(min(method.timeout, timeout * SECOND)) - RESERVE
         self.method, self.rpc = method, None
         cost = request.get("x-cost") or ""
-        self.work = int(cost) // 100 if cost.isdecimal() and len(cost) < 16 else 0
-        self.repeat = request.get("x-retried") == "1"
+        self.expected_work = int(cost) // 100 if cost.isdecimal() and len(cost) < 16 else 0
+        self.is_retry = request.get("x-retried") == "1"
 
 
 class Client:
     def __init__(self, gateway, peer):
-        self.gateway, self.module, self.log = gateway, gateway.module, gateway.log
+        self.gateway, self.decisions, self.log = gateway, gateway.decisions, gateway.log
         self.call = self.head = None
         # When it connected or got its last answer, whether it had one, and when what is being read began.
         self.active, self.served, self.begun = clock.now(), False, None
@@ -68,7 +68,7 @@
 
     def ended(self, connection):
         if self.call:
-            self.module.post(self.module.left, self.call)
+            self.decisions.post(self.decisions.on_client_gone, self.call)
         self.stand(None)
         self.gateway.clients.discard(self)
         self.log.info("connection_ended", peer="client", id=connection.peer, code=connection.code)
@@ -159,7 +159,7 @@
         method = self.gateway.methods.get(request.get("x-priority-class"))
         if method is None:
             raise http.Malformed(400, "x-priority-class missing or unusable")
-        if request.method not in (SAFE if method.kind == IDEMPOTENT else UNSAFE):
+        if request.method not in (SAFE if method.idempotency == Idempotency.IDEMPOTENT else UNSAFE):
             raise http.Malformed(405, "method of another class")
         timeout = request.get("x-timeout") or ""
         if not TIME.match(timeout) or not float(timeout):
@@ -168,7 +168,7 @@
             raise http.Malformed(400, "x-request-id missing or unusable")
         self.call = Call(self, request, float(timeout), method)
         self.stand(None)
-        self.module.post(self.module.take, self.call)
+        self.decisions.post(self.decisions.on_request, self.call)
 
     def write(self, request, status, fields, data):
         keep = request.keep and not self.gateway.draining and not self.gateway.crowded()
--- a/honeywood/balancer/actors/decision_host.py
+++ b/honeywood/balancer/actors/decision_host.py
@@ -1,270 +1,281 @@
-"""The module's actor: its thread alone calls the decisions, and owns RPCs, picks and timers.
+"""The decisions' actor: its thread alone calls them, and owns RPCs, attempts and timers.
 
 It is their host (interface.Host) and decides nothing: it carries out what they ask and tells them what came.
 """
 
-from honeywood.balancer.decisions import balancer as decide
-from honeywood.balancer.interface import (
-    CANCELLED,
-    GONE,
-    LATE,
-    NO_SERVER,
-    OK,
-    OUT_OF_TIME,
+from __future__ import annotations
+
+from honeywood.balancer.actors.server import Exchange
+from honeywood.balancer.decisions.balancer import Balancer
+from honeywood.balancer.model import (
     SECOND,
-    SPENT,
-    TIMEOUT,
-    TOO_MANY_OPEN,
+    AttemptResult,
+    GiveUpReason,
+    PlatformCounts,
     Rpc,
+    ServerStatus,
 )
 from honeywood.balancer.protocol import http, platform
-from honeywood.balancer.actors.server import Exchange
 from honeywood.balancer.transport import clock
 from honeywood.balancer.transport.mailbox import Mailbox
 
-MOST_CALLS = 20_000
-OWN = ("host", "x-timeout")  # fields that each send words anew
-# Names of counters: how a pick ended, and why an RPC was given up.
-RESULTS = "error", "ok", "full", "timeout", "unconnected", "reset", "cancelled", "moot"
-WHY = {
-    LATE: "late",
-    TOO_MANY_OPEN: "too_many_open",
-    NO_SERVER: "no_server",
-    OUT_OF_TIME: "out_of_time",
-    SPENT: "spent",
+MAX_CALLS = 20_000
+REPLACED_FIELDS = ("host", "x-timeout")  # that each request to a server gets anew
+# Names in counters: how an attempt ended, and why an RPC was given up.
+RESULT_NAMES = {
+    AttemptResult.ERROR: "error",
+    AttemptResult.OK: "ok",
+    AttemptResult.FULL: "full",
+    AttemptResult.TIMEOUT: "timeout",
+    AttemptResult.CONNECT_FAILED: "unconnected",
+    AttemptResult.RESET: "reset",
+    AttemptResult.CANCELLED: "cancelled",
+    AttemptResult.EXPIRED: "moot",
 }
+REASON_NAMES = {
+    GiveUpReason.QUEUED_TOO_LONG: "late",
+    GiveUpReason.OVERLOADED: "too_many_open",
+    GiveUpReason.NO_SERVER: "no_server",
+    GiveUpReason.TARGET_MISSED: "out_of_time",
+    GiveUpReason.RETRY_BUDGET_EXHAUSTED: "spent",
+}
+
 
+class DecisionHost:
+    """Other actors post its on_... methods to its mailbox."""
 
-class Module:
     def __init__(self, gateway):
         self.gateway, self.settings = gateway, gateway.settings
-        self.mailbox = Mailbox("module", MOST_CALLS, gateway.fail)
+        self.mailbox = Mailbox("module", MAX_CALLS, gateway.fail)
         self.post = self.mailbox.post
         self.methods = gateway.methods
-        self.tap = self.tape = gateway.tape  # a trace.tape.Tape, or None where nothing is recorded
-        self.count = 0  # of RPCs taken
-        self.front = decide.Front(self.settings, self)
-        self.names = set()  # ids of the RPCs that are open
-        self.counted = gateway.counters.add
+        self.observer = self.recorder = gateway.recorder  # None where nothing is recorded
+        self.rpcs_taken = 0
+        self.balancer = Balancer(self.settings, self)
+        self.open_ids = set()  # ids of the RPCs that are open
+        self.count = gateway.counters.add
 
-    def start(self, news):
+    def start(self, release):
         """The list known at start is posted already: it comes first."""
-        self.post(self.front_start)
-        self.post(self.news, news)
-        self.post(self.set_ready)
+        self.post(self._start_decisions)
+        self.post(self.on_release_update, release)
+        self.post(self._set_ready)
         self.mailbox.start()
 
-    def front_start(self):
+    def _start_decisions(self):
         now = clock.now()
-        if self.tape:
-            self.tape.began(now)
-        self.front.start(now)
+        if self.recorder:
+            self.recorder.on_start(now)
+        self.balancer.on_start(now)
 
-    def set_ready(self):
+    def _set_ready(self):
         self.gateway.ready = True
 
     # What the decisions ask (interface.Host).
-    def send(self, pick, until):
-        now, call, peer = clock.now(), pick.rpc.host, pick.server.host
-        if self.tape:
-            self.tape.sent(pick, until)
+    def send(self, attempt, until):
+        now, call, peer = clock.now(), attempt.rpc.host, attempt.server.host
+        if self.recorder:
+            self.recorder.on_send(attempt, until)
         request = call.request
         fields = [
             ("host", peer.name),
             ("x-timeout", f"{max(1, until - now) / SECOND:.4f}"),
-            *request.passed_on(*OWN),
+            *request.passed_on(*REPLACED_FIELDS),
         ]
         data = http.request(request.method, request.target, fields, request.body)
-        pick.host = Exchange(pick, None, request.method, data, now)
-        peer.mailbox.post(peer.send, pick.host)
-        self.counted("picks" if pick.number == 0 else "further_picks")
-        if now - pick.server.booted < self.settings.cold_time:
-            self.counted("picks_cold")
-        self.mailbox.timers.at(min(until, pick.rpc.deadline), self.give_up, pick, TIMEOUT)
-
-    def push_back(self, rpc, wait):
-        fields = [("retry-after", f"{wait / SECOND:.3f}")] if wait else []
-        self.answer(rpc, 503, fields)
-        self.counted(f"pushed_back_{WHY[rpc.why]}")
-        if self.tape:
-            self.tape.pushed_back(clock.now(), rpc, wait)
+        attempt.host = Exchange(attempt, None, request.method, data, now)
+        peer.mailbox.post(peer.send, attempt.host)
+        self.count("picks" if attempt.number == 0 else "further_picks")
+        if now - attempt.server.started_at < self.settings.warm_up_time:
+            self.count("picks_cold")
+        timeout_at = min(until, attempt.rpc.deadline)
+        self.mailbox.timers.at(timeout_at, self.give_up, attempt, AttemptResult.TIMEOUT)
+
+    def reject(self, rpc, retry_after):
+        fields = [("retry-after", f"{retry_after / SECOND:.3f}")] if retry_after else []
+        self._answer(rpc, 503, fields)
+        self.count(f"pushed_back_{REASON_NAMES[rpc.give_up_reason]}")
+        if self.recorder:
+            self.recorder.on_reject(clock.now(), rpc, retry_after)
 
     def abort(self, rpc):
-        self.answer(rpc, 502)
-        self.counted(f"aborted_{WHY[rpc.why]}")
-        if self.tape:
-            self.tape.aborted(clock.now(), rpc)
+        self._answer(rpc, 502)
+        self.count(f"aborted_{REASON_NAMES[rpc.give_up_reason]}")
+        if self.recorder:
+            self.recorder.on_abort(clock.now(), rpc)
 
-    def cancel(self, pick):
-        self.post(self.give_up, pick, CANCELLED)
+    def cancel(self, attempt):
+        self.post(self.give_up, attempt, AttemptResult.CANCELLED)
 
     def probe(self, server):
         peer, now = server.host, clock.now()
-        target = "/_load" if self.settings.report_fields else "/ping"
+        target = "/_load" if self.settings.load_report_fields else "/ping"
         exchange = Exchange(None, server, "GET", http.request("GET", target, [("host", peer.name)]), now)
         peer.mailbox.post(peer.send, exchange)
-        self.counted("probes")
-        self.mailbox.timers.at(now + self.settings.connect_within, self.probe_over, exchange)
+        self.count("probes")
+        self.mailbox.timers.at(now + self.settings.connect_timeout, self._give_up_probe, exchange)
 
-    def wake(self, after):
-        self.mailbox.after(after, self.woken)
+    def wake_after(self, delay):
+        self.mailbox.after(delay, self._on_timer)
 
-    def vote(self, build, step, verdict):
-        if self.tape:
-            self.tape.voted(clock.now(), build, step, verdict)
+    def vote(self, build, step, vote):
+        if self.recorder:
+            self.recorder.on_vote(clock.now(), build, step, vote)
         actor = self.gateway.platform
-        actor.mailbox.post(actor.vote, build, step, verdict)
-        self.counted("votes")
+        actor.mailbox.post(actor.vote, build, step, vote)
+        self.count("votes")
 
-    def watch(self):
+    def watch_servers(self):
         roster = self.gateway.roster
         roster.mailbox.post(roster.dial)
 
     def log(self, text):
-        if self.tape:
-            self.tape.said(clock.now(), text)
+        if self.recorder:
+            self.recorder.on_log(clock.now(), text)
         self.gateway.log.info("decision", what=text)
 
     # What the actors post.
-    def take(self, call):
+    def on_request(self, call):
         now = clock.now()
-        if call.name in self.names:  # else two of one id would be out, and its servers could not tell them
+        if call.name in self.open_ids:  # else two of one id would be out, and servers could not tell them
             return call.client.mailbox.post(call.client.answer, call, 409)
-        self.names.add(call.name)
+        self.open_ids.add(call.name)
         rpc = call.rpc = Rpc(
             method=call.method,
-            customer=0,
-            key=0,
-            work=call.work,
-            repeat=call.repeat,
-            taken=call.arrived,
-            picks=[],
             deadline=call.deadline,
-            done=False,
+            arrived_at=call.arrived,
+            expected_work=call.expected_work,
+            is_retry=call.is_retry,
             host=call,
         )
-        self.count += 1
-        self.counted("rpcs")
-        call.serial = self.count
-        if self.tape:
-            self.tape.taken(now, rpc)
-        self.front.take(now, rpc)
-        self.gateway.closed_until = self.front.closed_until
-        self.let_go(rpc)
-
-    def let_go(self, rpc):
-        """Of an RPC whose last pick has ended nothing points back to it: it goes at once, with all it holds,
-        and is not left to the collector."""
-        if rpc.done and all(pick.result is not None for pick in rpc.picks):
-            for pick in rpc.picks:
-                pick.host = None
-            rpc.picks, rpc.host = (), None
-
-    def left(self, call):
+        self.rpcs_taken += 1
+        self.count("rpcs")
+        call.serial = self.rpcs_taken
+        if self.recorder:
+            self.recorder.on_request(now, rpc)
+        self.balancer.on_request(now, rpc)
+        self.gateway.reject_connections_until = self.balancer.reject_connections_until
+        self._release(rpc)
+
+    def on_client_gone(self, call):
         if call.rpc is None:  # it was refused
             return
         rpc, call.rpc = call.rpc, None
-        self.names.discard(call.name)
+        self.open_ids.discard(call.name)
         now = clock.now()
-        if self.tape and not rpc.done:
-            self.tape.left(now, rpc)
-        self.front.left(now, rpc)
-        self.let_go(rpc)
-
-    def ended(self, pick, result, load, answer=None):
-        """Each pick ends once; the first ok is the client's answer and ends the RPC."""
-        if pick.result is not None:
+        if self.recorder and not rpc.done:
+            self.recorder.on_client_gone(now, rpc)
+        self.balancer.on_client_gone(now, rpc)
+        self._release(rpc)
+
+    def on_result(self, attempt, result, load, answer=None):
+        """Each attempt ends once; the first ok is the client's answer and ends the RPC."""
+        if attempt.result is not None:
             return
-        rpc, now = pick.rpc, clock.now()
-        over = result == OK or rpc.done
-        if self.tape:
-            self.tape.ended(now, pick, result, load, over)
-        if result == OK and not rpc.done:
-            self.counted("ok")
-            self.answer(rpc, 200, answer.passed_on("x-server-load"), answer.body)
-        self.counted(f"ended_{RESULTS[result]}")
-        self.front.back(now, pick, result, now - pick.sent, load, over)
-        self.let_go(rpc)
-
-    def begun(self, pick):
+        rpc, now = attempt.rpc, clock.now()
+        final = result == AttemptResult.OK or rpc.done
+        if self.recorder:
+            self.recorder.on_result(now, attempt, result, load, final)
+        if result == AttemptResult.OK and not rpc.done:
+            self.count("ok")
+            self._answer(rpc, 200, answer.passed_on("x-server-load"), answer.body)
+        self.count(f"ended_{RESULT_NAMES[result]}")
+        self.balancer.on_result(now, attempt, result, now - attempt.sent_at, load, final)
+        self._release(rpc)
+
+    def on_response_started(self, attempt):
         """The first of an answer has come, and not yet all of it."""
-        if pick.result is None:
+        if attempt.result is None:
             now = clock.now()
-            if self.tape:
-                self.tape.begun(now, pick)
-            self.front.begun(now, pick)
+            if self.recorder:
+                self.recorder.on_response_started(now, attempt)
+            self.balancer.on_response_started(now, attempt)
 
-    def give_up(self, pick, result):
-        if pick.result is None:
-            peer = pick.server.host
-            peer.mailbox.post(peer.give_up, pick.host)
-            self.ended(pick, result, ())
-
-    def probed(self, exchange, result, load):
+    def on_probe_result(self, exchange, result, load):
         if exchange.server:
             server, exchange.server = exchange.server, None
             now = clock.now()
-            if self.tape:
-                self.tape.probed(now, server, result, now - exchange.sent, load)
-            self.front.probed(now, server, result, now - exchange.sent, load)
+            if self.recorder:
+                self.recorder.on_probe_result(now, server, result, now - exchange.sent, load)
+            self.balancer.on_probe_result(now, server, result, now - exchange.sent, load)
+
+    def on_server_list(self, members, complete, gone, revision):
+        """Members as (peer, address, its entry); `gone` are those that a complete list does not name."""
+        for peer, address, entry in members:
+            peer.mailbox.post(peer.listed, entry.status, (address, entry.build, entry.started_at))
+        for peer in gone:
+            peer.mailbox.post(peer.listed, ServerStatus.GONE, None)
+        now, entries = clock.now(), [entry for _, _, entry in members]
+        if self.recorder:
+            self.recorder.on_server_list(now, revision, entries, complete)
+        self.balancer.on_server_list(now, entries, complete)
+
+    def on_server_list_failed(self):
+        now = clock.now()
+        if self.recorder:
+            self.recorder.on_server_list_failed(now)
+        self.balancer.on_server_list_failed(now)
+
+    def on_release_update(self, update):
+        now = clock.now()
+        if self.recorder:
+            self.recorder.on_release_update(now, update)
+        self.balancer.on_release_update(now, update)
 
-    def probe_over(self, exchange):
+    def on_vote_answered(self, result, update):
+        self.count(f"vote_{platform.RESULTS[result]}")
+        now = clock.now()
+        if self.recorder:
+            self.recorder.on_vote_answered(now, result, update)
+        self.balancer.on_vote_answered(now, update if result == AttemptResult.OK else None)
+
+    def on_platform_counts(self, counts):
+        if counts.method in self.methods:
+            now, method = clock.now(), self.methods[counts.method]
+            told = PlatformCounts(
+                counts.build, method, counts.failed, counts.ended, counts.mean_latency, counts.age
+            )
+            if self.recorder:
+                self.recorder.on_platform_counts(now, told)
+            self.balancer.on_platform_counts(now, told)
+
+    def on_wrong_answer(self, server, method_name):
+        if method_name in self.methods:
+            now, method = clock.now(), self.methods[method_name]
+            if self.recorder:
+                self.recorder.on_wrong_answer(now, server, method)
+            self.balancer.on_wrong_answer(now, server, method)
+
+    # Its own.
+    def give_up(self, attempt, result):
+        if attempt.result is None:
+            peer = attempt.server.host
+            peer.mailbox.post(peer.give_up, attempt.host)
+            self.on_result(attempt, result, ())
+
+    def _give_up_probe(self, exchange):
         if exchange.server:
             peer = exchange.server.host
             peer.mailbox.post(peer.give_up, exchange)
-            self.probed(exchange, TIMEOUT, ())
-
-    def listed(self, lines, whole, gone, revision):
-        for peer, address, (build, _, _, _, status, start) in lines:
-            peer.mailbox.post(peer.listed, status, (address, build, start))
-        for peer in gone:  # a whole list does not name them
-            peer.mailbox.post(peer.listed, GONE, None)
-        now, lines = clock.now(), [(peer.server, *entry) for peer, _, entry in lines]
-        if self.tape:
-            self.tape.listed(now, revision, lines, whole)
-        self.front.listed(now, lines, whole)
-
-    def list_failed(self):
-        now = clock.now()
-        if self.tape:
-            self.tape.list_failed(now)
-        self.front.list_failed(now)
+            self.on_probe_result(exchange, AttemptResult.TIMEOUT, ())
 
-    def news(self, state):
-        self.told(OK, False, state)
+    def _on_timer(self):
+        now = clock.now()
+        if self.recorder:
+            self.recorder.on_timer(now)
+        self.balancer.on_timer(now)
 
-    def voted(self, result, state):
-        self.counted(f"vote_{platform.RESULTS[result]}")
-        self.told(result, True, state or (0, 0, 0.0, 0, 0))
+    def _release(self, rpc):
+        """Of an RPC whose last attempt has ended nothing points back to it.
 
-    def told(self, result, reply, state):
-        now = clock.now()
-        if self.tape:
-            self.tape.news(now, result, reply, *state)
-        self.front.news(now, result, reply, *state)
-
-    def tallied(self, build, name, failed, ended, mean, age):
-        if name in self.methods:
-            now, method = clock.now(), self.methods[name]
-            if self.tape:
-                self.tape.tallied(now, build, method, failed, ended, mean, age)
-            self.front.tallied(now, build, method, failed, ended, mean, age)
-
-    def found_wrong(self, server, method):
-        if method in self.methods:
-            now, method = clock.now(), self.methods[method]
-            if self.tape:
-                self.tape.found_wrong(now, server, method)
-            self.front.found_wrong(now, server, method)
-
-    def woken(self):
-        now = clock.now()
-        if self.tape:
-            self.tape.looked(now)
-        self.front.woken(now)
+        So it goes at once, with all it holds, and is not left to the garbage collector.
+        """
+        if rpc.done and all(attempt.result is not None for attempt in rpc.attempts):
+            for attempt in rpc.attempts:
+                attempt.host = None
+            rpc.attempts, rpc.host = (), None
 
-    # Its own.
-    def answer(self, rpc, status, fields=(), data=b""):
+    def _answer(self, rpc, status, fields=(), data=b""):
         client = rpc.host.client
-        self.names.discard(rpc.host.name)
+        self.open_ids.discard(rpc.host.name)
         client.mailbox.post(client.answer, rpc.host, status, fields, data)
--- a/honeywood/balancer/actors/gateway.py
+++ b/honeywood/balancer/actors/gateway.py
@@ -3,11 +3,11 @@
 import socket
 from random import Random
 
-from honeywood.balancer.interface import SECOND
+from honeywood.balancer.model import SECOND
 from honeywood.balancer.protocol import http
 from honeywood.balancer.actors.client import Client
 from honeywood.balancer.actors.counters import Counters
-from honeywood.balancer.actors.module import Module
+from honeywood.balancer.actors.decision_host import DecisionHost
 from honeywood.balancer.actors.platform import Platform
 from honeywood.balancer.actors.roster import Roster
 from honeywood.balancer.transport import clock
@@ -26,10 +26,10 @@
 
 
 class Gateway:
-    def __init__(self, config, log, fail, tape=None):
-        self.settings, self.log, self.fail, self.tape = config.settings, log, fail, tape
+    def __init__(self, config, log, fail, recorder=None):
+        self.settings, self.log, self.fail, self.recorder = config.settings, log, fail, recorder
         self.ready = self.draining = False
-        self.closed_until = 0  # as the decisions have it
+        self.reject_connections_until = 0  # as the decisions have it
         self.random, self.counters = Random(config.settings.seed), Counters()
         self.descriptors = Descriptors(config.sockets - OTHERS)
         self.kept = int(config.sockets * KEPT)  # of those counted, so many are not for clients
@@ -43,10 +43,10 @@
         self.sweeps = 0
         self.methods = {method.name: method for method in config.settings.methods}
         self.listener = Listener(config.listen, self.accept, fail)
-        self.module = Module(self)
+        self.decisions = DecisionHost(self)
         self.roster = Roster(config.discovery, config.known, self)
         self.platform = Platform(config.platform, self)
-        self.module.start(config.news)
+        self.decisions.start(config.release)
         self.keeper = Mailbox("keeper", 16, fail)
         self.keeper.post(self.sweep)
         self.keeper.start()
@@ -56,7 +56,7 @@
         """On the listener's thread, which waits for nothing: a crowd that connects must not hold up the rest.
         At the bound the newcomer is taken all the same, while there is room for the one that gives way to it
         to end."""
-        code = "overloaded" if clock.now() < self.closed_until else "no_descriptor"
+        code = "overloaded" if clock.now() < self.reject_connections_until else "no_descriptor"
         if code == "overloaded" or not self.descriptors.take(self.kept - self.reserve):
             refuse(sock)
             return self.log.warning("connection_ended", peer="client", id=peer, code=code)
--- a/honeywood/balancer/actors/platform.py
+++ b/honeywood/balancer/actors/platform.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from honeywood.balancer.interface import ERROR, OK, SECOND, TIMEOUT
+from honeywood.balancer.model import SECOND, AttemptResult
 from honeywood.balancer.protocol import platform
 from honeywood.balancer.actors.watch import Watch
 
@@ -10,7 +10,7 @@
 
 
 class Platform(Watch):
-    unreadable = platform.BadLine
+    unreadable = platform.InvalidLine
 
     def __init__(self, address, gateway):
         super().__init__("platform", address, gateway)
@@ -22,20 +22,20 @@
     # What the module posts.
     def vote(self, build, step, verdict):
         """A vote that can't be written was not carried out; one without an answer in time may have been."""
-        call, connection = [(build, step, platform.VERDICTS[verdict])], self.connection
+        call, connection = [(build, step, platform.VOTES[verdict])], self.connection
         if not connection or not connection.write(platform.ballot(build, step, verdict)):
-            return self.reply(call, ERROR, None)
+            return self.reply(call, AttemptResult.ERROR, None)
         connection.calls.append(call)
-        self.mailbox.after(self.settings.vote_wait, self.reply, call, TIMEOUT, None)
+        self.mailbox.after(self.settings.vote_timeout, self.reply, call, AttemptResult.TIMEOUT, None)
 
     def reply(self, call, result, state):
         """The first that is known of a call goes to the module; a late answer is news like any other."""
         if call:
             build, step, verdict = call.pop()
             self.log.info("vote", build=build, step=step, verdict=verdict, result=platform.RESULTS[result])
-            self.module.post(self.module.voted, result, state)
+            self.decisions.post(self.decisions.on_vote_answered, result, state)
         elif state:
-            self.module.post(self.module.news, state)
+            self.decisions.post(self.decisions.on_release_update, state)
 
     # What its connections tell.
     def begin(self, connection):
@@ -48,7 +48,7 @@
         self.mailbox.after(ANSWERED, old.close, "moved")
 
     def read(self, connection):
-        while not connection.code and (words := platform.line(connection.buffer)) is not None:
+        while not connection.code and (words := platform.read_line(connection.buffer)) is not None:
             if words[0] == "*":
                 self.told(connection, *words[1:])
             else:
@@ -56,13 +56,13 @@
 
     def answered(self, connection, words):
         if not connection.calls:
-            raise platform.BadLine(f"an answer to nothing: {words}")
+            raise platform.InvalidLine(f"an answer to nothing: {words}")
         call = connection.calls[0]
-        result, state = platform.reply(words, self.steps, call is self.subscribing)
+        result, state = platform.parse_reply(words, self.steps, call is self.subscribing)
         connection.calls.popleft()
         if call is not self.subscribing:
             return self.reply(call, result, state)
-        if result != OK:
+        if result != AttemptResult.OK:
             return connection.close("not_subscribed")
         connection.telling = True
 
@@ -72,15 +72,15 @@
         elif self.connection and self.connection.telling:
             return
         if kind == "stage":
-            self.module.post(self.module.news, platform.state(words, self.steps))
+            self.decisions.post(self.decisions.on_release_update, platform.parse_update(words, self.steps))
         elif kind == "tally":
-            self.module.post(self.module.tallied, *platform.tally(words))
+            self.decisions.post(self.decisions.on_platform_counts, platform.parse_counts(words))
         elif kind == "flag":
-            self.roster.mailbox.post(self.roster.flagged, *platform.flag(words))
+            self.roster.mailbox.post(self.roster.flagged, *platform.parse_wrong_answer(words))
         elif kind is not None:
-            raise platform.BadLine(f"news {kind}")
+            raise platform.InvalidLine(f"news {kind}")
 
     def ended(self, connection):
         while connection.calls:
-            self.reply(connection.calls.popleft(), TIMEOUT, None)
+            self.reply(connection.calls.popleft(), AttemptResult.TIMEOUT, None)
         super().ended(connection)
--- a/honeywood/balancer/actors/roster.py
+++ b/honeywood/balancer/actors/roster.py
@@ -1,6 +1,6 @@
 """The list of servers: watches discovery, and knows the peer behind each id."""
 
-from honeywood.balancer.interface import GONE, LONG_AGO, SECOND
+from honeywood.balancer.model import SECOND, UNKNOWN_START, ServerEntry, ServerStatus
 from honeywood.balancer.protocol import discovery, http
 from honeywood.balancer.actors.server import ServerPeer
 from honeywood.balancer.actors.watch import Watch
@@ -11,7 +11,7 @@
 
 
 class Roster(Watch):
-    unreadable = http.Malformed, discovery.BadList
+    unreadable = http.Malformed, discovery.InvalidList
 
     def __init__(self, address, known, gateway):
         super().__init__("discovery", address, gateway)
@@ -19,7 +19,7 @@
         self.moved_at = -CATCHES_UP
         self.take(known)
         self.start()
-        if not self.settings.must_ask:
+        if not self.settings.list_on_request:
             self.mailbox.post(self.dial)
 
     # What others post. The module posts dial() as well, where the list must be asked for.
@@ -31,31 +31,31 @@
     def flagged(self, name, method):
         """The platform tells of a wrong answer of the server with this id."""
         if name in self.peers:
-            self.module.post(self.module.found_wrong, self.peers[name].server, method)
+            self.decisions.post(self.decisions.on_wrong_answer, self.peers[name].server, method)
 
     # What its connection tells.
     def begin(self, connection):
         self.head = None
         fields = [("host", "discovery"), ("accept", "application/json")]
-        connection.write(http.request("GET", discovery.target(self.revision), fields))
+        connection.write(http.request("GET", discovery.watch_target(self.revision), fields))
 
     def read(self, connection):
         if self.head is None:
-            self.head = http.response_head(connection.buffer, most=discovery.MOST_LINE)
+            self.head = http.response_head(connection.buffer, most=discovery.MAX_LINE)
         if self.head is None:
             return
         if self.head.status != 200 or not self.head.chunked:
             return connection.close(f"status_{self.head.status}")
         for text in http.lines(connection.buffer, self.head):
-            if (told := discovery.line(text)) is not None:
+            if (told := discovery.parse_line(text)) is not None:
                 self.take(told)
                 self.good()
         if self.head.chunked.over:
             connection.close("watch_over")
 
     def lost(self):
-        if self.settings.must_ask:
-            self.module.post(self.module.list_failed)
+        if self.settings.list_on_request:
+            self.decisions.post(self.decisions.on_server_list_failed)
         else:
             super().lost()
 
@@ -63,7 +63,7 @@
     def take(self, told):
         revision, whole, entries, odd = told
         if revision < self.revision and clock.now() - self.moved_at < CATCHES_UP:
-            raise discovery.BadList(f"revision {revision} after {self.revision}: no change is undone")
+            raise discovery.InvalidList(f"revision {revision} after {self.revision}: no change is undone")
         self.revision = revision
         for what in odd:
             self.log.warning("odd_entry", peer="discovery", what=what)
@@ -71,15 +71,21 @@
         for name, address, build, locality, cell, scale, status, booted in entries:
             gone.discard(name)
             if name not in self.peers:
-                if status == GONE:
+                if status == ServerStatus.GONE:
                     continue
                 self.peers[name] = ServerPeer(name, self.gateway)
             zone = zones.index(locality) if locality in zones else len(zones)
-            start = clock.from_unix(booted) if booted else LONG_AGO
-            lines.append((self.peers[name], address, (build, zone, cell, scale, status, start)))
-            if status == GONE:
+            start = clock.from_unix(booted) if booted else UNKNOWN_START
+            peer = self.peers[name]
+            entry = ServerEntry(peer.server, build, zone, cell, scale, status, start)
+            lines.append((peer, address, entry))
+            if status == ServerStatus.GONE:
                 del self.peers[name]
-        self.module.post(
-            self.module.listed, lines, whole, [self.peers.pop(name) for name in sorted(gone)], revision
+        self.decisions.post(
+            self.decisions.on_server_list,
+            lines,
+            whole,
+            [self.peers.pop(name) for name in sorted(gone)],
+            revision,
         )
         self.log.info("list", revision=self.revision, whole=whole, lines=len(lines), servers=len(self.peers))
--- a/honeywood/balancer/actors/server.py
+++ b/honeywood/balancer/actors/server.py
@@ -3,18 +3,7 @@
 import re
 from collections import deque
 
-from honeywood.balancer.interface import (
-    CONNECT_FAILED,
-    ERROR,
-    FULL,
-    MOOT,
-    OK,
-    READY,
-    RESET,
-    SECOND,
-    Server,
-    mark,
-)
+from honeywood.balancer.model import SECOND, AttemptResult, Server, ServerStatus, digest
 from honeywood.balancer.protocol import http
 from honeywood.balancer.transport import clock
 from honeywood.balancer.transport.connection import Connection
@@ -27,10 +16,10 @@
 
 
 class Exchange:
-    """One request to a server and its answer: a pick's, or a probe's of `server` where `pick` is None."""
+    """One request to a server and its answer: an attempt's, or without one a probe's of `server`."""
 
     __slots__ = (
-        "pick",
+        "attempt",
         "server",
         "method",
         "data",
@@ -43,8 +32,8 @@
         "begun",
     )
 
-    def __init__(self, pick, server, method, data, sent):
-        self.pick, self.server, self.method, self.data, self.sent = pick, server, method, data, sent
+    def __init__(self, attempt, server, method, data, sent):
+        self.attempt, self.server, self.method, self.data, self.sent = attempt, server, method, data, sent
         self.serial = self.connection = self.head = None
         self.written = self.ended = self.begun = False
 
@@ -64,12 +53,12 @@
     """Module and gateway post calls to `mailbox`, and so do its connections."""
 
     def __init__(self, name, gateway):
-        self.name, self.module, self.settings = name, gateway.module, gateway.settings
+        self.name, self.decisions, self.settings = name, gateway.decisions, gateway.settings
         self.log, self.descriptors, self.counted = gateway.log, gateway.descriptors, gateway.counters.add
-        self.server = Server(host=self, mark=mark(name))
+        self.server = Server(host=self, digest=digest(name))
         self.process = self.status = None  # (address, build, start) and status, as listed
         self.serial, self.most_answer = 0, gateway.most_answer
-        self.idle, self.keep = deque(), self.settings.idle_close * 2 // 3  # dropped before the server does
+        self.idle, self.keep = deque(), self.settings.idle_timeout * 2 // 3  # dropped before the server does
         self.mailbox = LentMailbox(f"server {name}", MOST_CALLS, gateway.fail)
 
     # What the module posts.
@@ -90,11 +79,11 @@
                 connection.exchange, exchange.connection = exchange, connection
                 return self.write(exchange)
         if not self.descriptors.take(KEPT):
-            return self.end(exchange, CONNECT_FAILED)
+            return self.end(exchange, AttemptResult.CONNECT_FAILED)
         connection = exchange.connection = ServerConnection(self)
         connection.exchange = exchange
         self.counted("server_dials")
-        connection.dial(self.process[0], self.settings.connect_within / SECOND)
+        connection.dial(self.process[0], self.settings.connect_timeout / SECOND)
 
     def give_up(self, exchange):
         """To give up an exchange its connection is closed."""
@@ -109,10 +98,10 @@
     def write(self, exchange):
         """The one place that writes to a server. What waited for its connection and is no longer as it was
         decided never goes out: a drain's grace or a lowered cap may have passed."""
-        late = clock.now() - exchange.sent > self.settings.connect_within
+        late = clock.now() - exchange.sent > self.settings.connect_timeout
         if late or exchange.serial != self.serial or exchange.ended:
             self.rest(exchange.connection)
-            return self.end(exchange, CONNECT_FAILED)
+            return self.end(exchange, AttemptResult.CONNECT_FAILED)
         exchange.written = exchange.connection.write(exchange.data)
 
     def received(self, connection):
@@ -126,11 +115,11 @@
             data = exchange.head and http.body(connection.buffer, exchange.head)
         except http.Malformed as bad:
             connection.close(f"unreadable_{str(bad).replace(' ', '_')}")
-            return self.end(exchange, ERROR)
+            return self.end(exchange, AttemptResult.ERROR)
         if exchange.head is None or data is None:
-            if exchange.pick and not exchange.begun:
+            if exchange.attempt and not exchange.begun:
                 exchange.begun = True
-                self.module.post(self.module.begun, exchange.pick)
+                self.decisions.post(self.decisions.on_response_started, exchange.attempt)
             return
         exchange.head.body = data
         if exchange.head.keep and not len(connection.buffer):
@@ -141,45 +130,51 @@
 
     @staticmethod
     def result(answer):
-        turned_away = {503: FULL, 504: MOOT} if answer.get("x-not-processed") == "1" else {}
-        return OK if answer.status == 200 else turned_away.get(answer.status, ERROR)
+        turned_away = (
+            {503: AttemptResult.FULL, 504: AttemptResult.EXPIRED}
+            if answer.get("x-not-processed") == "1"
+            else {}
+        )
+        return (
+            AttemptResult.OK if answer.status == 200 else turned_away.get(answer.status, AttemptResult.ERROR)
+        )
 
     def ended(self, connection):
         exchange, connection.exchange = connection.exchange, None
         if exchange:
-            self.end(exchange, RESET if exchange.written else CONNECT_FAILED)
+            self.end(exchange, AttemptResult.RESET if exchange.written else AttemptResult.CONNECT_FAILED)
         self.log.info("connection_ended", peer="server", id=self.name, code=connection.code)
 
     # Its own.
     def rest(self, connection):
         """Keeps it open for the next exchange, if it leads to where that goes."""
         connection.exchange = None
-        if self.status != READY or connection.process != self.process:
+        if self.status != ServerStatus.READY or connection.process != self.process:
             connection.close(self.unfit())
         elif not connection.code:
             connection.rested = clock.now()
             self.idle.append(connection)
 
     def unfit(self):
-        return "moved" if self.status == READY else "not_listed"
+        return "moved" if self.status == ServerStatus.READY else "not_listed"
 
     def end(self, exchange, result, answer=None):
         if exchange.ended:
             return
         exchange.finish()
         told = answer.get("x-server-load") or "" if answer else ""
-        if exchange.pick is None:
-            told = told or (answer.body.decode("latin-1") if result == OK else "")
-            self.module.post(self.module.probed, exchange, result, self.load(told))
+        if exchange.attempt is None:
+            told = told or (answer.body.decode("latin-1") if result == AttemptResult.OK else "")
+            self.decisions.post(self.decisions.on_probe_result, exchange, result, self.load(told))
         else:
-            self.module.post(self.module.ended, exchange.pick, result, self.load(told), answer)
+            self.decisions.post(self.decisions.on_result, exchange.attempt, result, self.load(told), answer)
 
     def load(self, text):
         """A load report in the order of the settings' fields; () where it is not whole."""
         if not text:
             return ()
         told = dict(word.strip().partition("=")[::2] for word in text[:MOST_REPORT].split(","))
-        figures = [told.get(name, "") for name in self.settings.report_fields]
+        figures = [told.get(name, "") for name in self.settings.load_report_fields]
         return tuple(map(float, figures)) if all(map(REPORT.match, figures)) else ()
 
     def look(self):
--- a/honeywood/balancer/actors/watch.py
+++ b/honeywood/balancer/actors/watch.py
@@ -1,6 +1,6 @@
 """An actor that keeps one connection standing, over which a peer tells what is new."""
 
-from honeywood.balancer.interface import SECOND
+from honeywood.balancer.model import SECOND
 from honeywood.balancer.transport import clock
 from honeywood.balancer.transport.connection import Connection
 from honeywood.balancer.transport.mailbox import Mailbox
@@ -24,7 +24,7 @@
         self.name, self.address, self.settings = name, address, gateway.settings
         self.log, self.descriptors, self.random = gateway.log, gateway.descriptors, gateway.random
         self.counted = gateway.counters.add
-        self.module, self.mailbox = gateway.module, Mailbox(name, MOST_CALLS, gateway.fail)
+        self.decisions, self.mailbox = gateway.decisions, Mailbox(name, MOST_CALLS, gateway.fail)
         # The one in use, and the one that is being dialled; a third may stand until it is left.
         self.connection = self.coming = None
         self.wait, self.heard = FIRST_WAIT, clock.now()
--- /dev/null
+++ b/honeywood/balancer/decisions/admission.py
@@ -0,0 +1,170 @@
+"""Admits RPCs, retries and hedges them, and gives each its one final answer."""
+
+from __future__ import annotations
+
+from math import inf
+
+from honeywood.balancer.decisions.limits import OVERDUE_SHARE, SILENCE, TIMER_PERIOD
+from honeywood.balancer.decisions.retry_budget import RetryBudget
+from honeywood.balancer.model import AttemptResult, GiveUpReason
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from honeywood.balancer.decisions.arrivals import Arrivals
+    from honeywood.balancer.decisions.build_selection import BuildSelection
+    from honeywood.balancer.decisions.concurrency_limit import ConcurrencyLimit
+    from honeywood.balancer.decisions.release_verdict import ReleaseVerdict
+    from honeywood.balancer.decisions.send_policy import SendPolicy
+    from honeywood.balancer.decisions.server_selection import ServerSelection
+    from honeywood.balancer.interface import Host
+    from honeywood.balancer.model import Attempt, Duration, Rpc, Time
+    from honeywood.balancer.settings import Settings
+
+MAX_WAIT_SHARE = 0.25  # of its latency target that an RPC may have waited for this balancer
+TAIL_FACTOR = 3  # times the mean latency after which an attempt is overdue beyond chance (1 in 20)
+RETRY_AFTER_SHARE = 0.25  # of the latency target, after which a rejected client may retry
+POOR_SHARE = 0.5  # of the latency target, after which an answer counts as a poor one
+
+
+class Admission:
+    """Every RPC is open from on_request until its final answer."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        host: Host,
+        arrivals: Arrivals,
+        limit: ConcurrencyLimit,
+        policy: SendPolicy,
+        selection: ServerSelection,
+        builds: BuildSelection,
+        release: ReleaseVerdict,
+    ) -> None:
+        """No RPC is open."""
+        self._host, self._arrivals, self._limit, self._policy = host, arrivals, limit, policy
+        self._selection, self._builds, self._release = selection, builds, release
+        self._max_retry_after, self._may_cancel = settings.max_retry_after, settings.may_cancel
+        self._budget = RetryBudget()
+        self._open: list[Rpc] = []
+        self._responding = 0  # open RPCs whose answers have begun
+        self.reject_connections_until = -inf
+
+    def on_request(self, now: Time, rpc: Rpc) -> None:
+        """Send an RPC, or give it up where it came late, too many are open or no server may be sent to."""
+        method = rpc.method
+        self._arrivals.on_request(now)
+        target_at = rpc.arrived_at + method.latency_target + int(method.target_per_work * rpc.expected_work)
+        rpc.target_at = min(rpc.deadline, target_at)
+        self._policy.on_request(now, rpc)
+        self._budget.on_request()
+        self._open.append(rpc)
+        if now - rpc.arrived_at > MAX_WAIT_SHARE * method.latency_target:
+            self.reject_connections_until = now + TIMER_PERIOD  # those that wait behind it come late as well
+            self._give_up(now, rpc, GiveUpReason.QUEUED_TOO_LONG)
+        elif self._limit.exceeded(now, rpc, len(self._open), self._responding):
+            self._give_up(now, rpc, GiveUpReason.OVERLOADED)
+        elif not self._builds.send(now, rpc):
+            self._give_up(now, rpc, GiveUpReason.NO_SERVER)
+
+    def on_result(self, now: Time, attempt: Attempt, load: Sequence[float], final: bool) -> None:
+        """End the RPC with its client's answer, or retry it, or give it up once nothing is in flight."""
+        rpc = attempt.rpc
+        self._builds.on_result(now, attempt, load)
+        self._limit.on_result(now, attempt)
+        if rpc.done:
+            return
+        if final or attempt.result == AttemptResult.OK:
+            self._close(now, rpc, attempt.result != AttemptResult.OK)
+        elif not any(other.result is None for other in rpc.attempts):
+            self._retry(now, rpc, attempt)
+
+    def on_stream_established(self, rpc: Rpc) -> None:
+        """No answer is owed from here on."""
+        rpc.done = True
+        self._open = [other for other in self._open if other is not rpc]
+
+    def on_client_gone(self, now: Time, rpc: Rpc) -> None:
+        """An RPC whose client left before its answer counts as one that fared poorly."""
+        if not rpc.done:
+            self._close(now, rpc, True)
+
+    def on_timer(self, now: Time) -> None:
+        """Look for overdue attempts: count them as slow, and hedge."""
+        # An answer that began just now tells nothing: its server may still be at work on the rest.
+        self._responding = sum(
+            rpc.response_began_at is not None and now - rpc.response_began_at >= TIMER_PERIOD
+            for rpc in self._open
+        )
+        for rpc in list(self._open):
+            in_flight = [attempt for attempt in rpc.attempts if attempt.result is None]
+            overdue_after = OVERDUE_SHARE * rpc.method.latency_target
+            overdue = [attempt for attempt in in_flight if now - attempt.sent_at >= overdue_after]
+            if not rpc.late:
+                self._count_late(now, rpc, overdue)
+            alone = len(overdue) == len(in_flight) == 1
+            if alone and self._may_hedge(now, overdue[0]) and self._builds.send(now, rpc):
+                self._budget.spend()
+
+    def _count_late(self, now: Time, rpc: Rpc, overdue: Sequence[Attempt]) -> None:
+        for attempt in overdue:
+            attempt.latency, rpc.late = now - attempt.sent_at, True
+            self._release.on_rpc_fared(now, poorly=True)
+            self._release.on_result(attempt)
+
+    def _may_hedge(self, now: Time, attempt: Attempt) -> bool:
+        """Whether a second attempt beside one that is overdue is earned and can be in time.
+
+        It is for servers that fall silent. A small balancer has one attempt at a server: its silence tells
+        first that the work is long.
+        """
+        rpc = attempt.rpc
+        tail = TAIL_FACTOR * (self._selection.mean_latencies[rpc.method.index] or 0)
+        return (
+            self._budget.available
+            and now < rpc.target_at
+            and now - attempt.sent_at > tail
+            and now - attempt.server.answered_at > SILENCE // 2
+        )
+
+    def _retry(self, now: Time, rpc: Rpc, attempt: Attempt) -> None:
+        """Send again after a failed attempt, or give up.
+
+        Attempts that cost no server anything need no budget, but a full server's do: overload feeds itself.
+        """
+        free = attempt.result in (AttemptResult.CONNECT_FAILED, AttemptResult.EXPIRED)
+        if now >= rpc.target_at:
+            self._give_up(now, rpc, GiveUpReason.TARGET_MISSED)
+        elif not free and not self._budget.available:
+            self._give_up(now, rpc, GiveUpReason.RETRY_BUDGET_EXHAUSTED)
+        elif not self._builds.send(now, rpc):
+            self._give_up(now, rpc, GiveUpReason.NO_SERVER)
+        elif not free:
+            self._budget.spend()
+
+    def _give_up(self, now: Time, rpc: Rpc, reason: GiveUpReason) -> None:
+        """Reject the RPC while its client may still gain by a retry, else abort it."""
+        rpc.give_up_reason = reason
+        self._close(now, rpc, True)
+        if self._policy.may_reject(rpc) and now < rpc.target_at:
+            self._host.reject(rpc, self._retry_after(now, rpc))
+        else:
+            self._host.abort(rpc)
+
+    def _retry_after(self, now: Time, rpc: Rpc) -> Duration:
+        if now < self.reject_connections_until:
+            return self._max_retry_after
+        return min(self._max_retry_after, int(rpc.method.latency_target * RETRY_AFTER_SHARE))
+
+    def _close(self, now: Time, rpc: Rpc, failed: bool) -> None:
+        """The RPC is over; what is in flight for it is called back."""
+        if not rpc.late:
+            poorly_from = rpc.arrived_at + int(rpc.method.latency_target * POOR_SHARE)
+            self._release.on_rpc_fared(now, poorly=failed or now > poorly_from)
+        rpc.done = True
+        self._open = [other for other in self._open if other is not rpc]
+        if self._may_cancel:
+            for attempt in rpc.attempts:
+                if attempt.result is None:
+                    self._host.cancel(attempt)
--- /dev/null
+++ b/honeywood/balancer/decisions/cold_servers.py
@@ -0,0 +1,111 @@
+"""How much may be sent to servers that have just started: one sent too much while cold falls over."""
+
+from __future__ import annotations
+
+from collections import defaultdict, deque
+from typing import NamedTuple
+
+from honeywood.balancer.decisions.time_window import trimmed
+from honeywood.balancer.model import AttemptResult
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from random import Random
+
+    from honeywood.balancer.decisions.server_groups import ServerGroups
+    from honeywood.balancer.model import Attempt, Duration, Server, Time
+    from honeywood.balancer.settings import Settings
+
+SAFE_SHARE = 0.7  # used part of the overload threshold
+
+
+class Rounding(NamedTuple):
+    """The fraction of an attempt by which a build's allowance is rounded up, until a time."""
+
+    fraction: float
+    until: Time
+
+
+class Allowance(NamedTuple):
+    """The attempts that a build's cold servers may get within the overload window, worked out at `now`."""
+
+    now: Time
+    build: int
+    attempts: float
+
+
+class ColdServers:
+    """Each cold server gets its part of what this balancer's servers bear.
+
+    So all balancers together keep its overload threshold. Small ones have less than an attempt for all cold
+    servers of a build, and chance rounds it.
+    """
+
+    def __init__(self, settings: Settings, servers: ServerGroups, random: Random) -> None:
+        """Nothing was sent yet."""
+        self._servers, self._random = servers, random
+        self._balancers = max(1, settings.balancers)
+        self._cold_share, self._warm_up_time = settings.cold_capacity_share, settings.warm_up_time
+        self._window, self._resolution = settings.overload_window, settings.clock_resolution
+        self._multiple = settings.overload_multiple * SAFE_SHARE
+        self._successes: deque[Time] = deque()
+        self._in_flight = 0  # attempts at all servers
+        self._sends: defaultdict[int, deque[Time]] = defaultdict(deque)  # to cold servers, by build
+        self._rounding: dict[int, Rounding] = {}  # by build
+        self._allowance = Allowance(0, 0, 0.0)
+
+    def capacity_share(self, now: Time, server: Server) -> float:
+        """The part of its capacity that a server has at least, so long after its start."""
+        age, warm_up_time = max(0, now - server.started_at), self._warm_up_time
+        if age >= warm_up_time:
+            return 1.0
+        return self._cold_share + (1 - self._cold_share) * age / warm_up_time
+
+    def may_send(self, now: Time, server: Server) -> bool:
+        """Whether a server, if it is cold, bears one more attempt."""
+        if not self._is_cold(now, server):
+            return True
+        since: Duration = now - self._window - self._resolution
+        ready = len(self._servers.ready)
+        per_server = self._multiple * len(trimmed(self._successes, since)) / ready
+        share = self.capacity_share(now, server)
+        if self._allowance[:2] != (now, server.build):  # once for all servers that an RPC looks at
+            attempts = self._build_allowance(now, server.build, per_server)
+            self._allowance = Allowance(now, server.build, attempts)
+        to_server = len(trimmed(server.cold_sends, since)) + 1
+        to_build = len(trimmed(self._sends[server.build], since)) + 1
+        in_flight = self._in_flight / ready + self._multiple * (share - self._cold_share)
+        return (
+            to_build <= self._allowance.attempts
+            and to_server <= max(1, per_server * share)
+            and server.in_flight <= in_flight
+        )
+
+    def on_send(self, now: Time, server: Server) -> None:
+        """An attempt goes to a server."""
+        self._in_flight += 1
+        if self._is_cold(now, server):
+            server.cold_sends.append(now)
+            self._sends[server.build].append(now)
+
+    def on_result(self, now: Time, attempt: Attempt) -> None:
+        """An attempt has ended."""
+        self._in_flight -= 1
+        if attempt.result == AttemptResult.OK:
+            trimmed(self._successes, now - self._window).append(now)
+
+    def _is_cold(self, now: Time, server: Server) -> bool:
+        return now - server.started_at < self._warm_up_time + self._window
+
+    def _build_allowance(self, now: Time, build: int, per_server: float) -> float:
+        """What the cold servers of a build may get together."""
+        random = self._random.random
+        if build not in self._rounding or now >= self._rounding[build].until:
+            fraction = random()
+            self._rounding[build] = Rounding(fraction, now + int(self._window * (0.5 + random())))
+        shares = [
+            self.capacity_share(now, server)
+            for server in self._servers.ready
+            if server.build == build and self._is_cold(now, server)
+        ]
+        return max(per_server * sum(shares), len(shares) / self._balancers) + self._rounding[build].fraction
--- /dev/null
+++ b/honeywood/balancer/decisions/list_watch.py
@@ -0,0 +1,52 @@
+"""When the server list is asked for, where discovery does not push it."""
+
+from __future__ import annotations
+
+from math import inf
+
+from honeywood.balancer.model import SECOND
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from random import Random
+
+    from honeywood.balancer.interface import Host
+    from honeywood.balancer.model import Time
+    from honeywood.balancer.settings import Settings
+
+MAX_ASK_INTERVAL = 3 * SECOND
+
+
+class ListWatch:
+    """Asks again only while the watch is not known to stand, so that discovery is not flooded."""
+
+    def __init__(self, settings: Settings, host: Host, random: Random) -> None:
+        """The list is asked for at the first on_timer."""
+        self._host, self._random = host, random
+        self._on_request = settings.list_on_request
+        self._ask_interval = min(MAX_ASK_INTERVAL, settings.ask_within // 3 or MAX_ASK_INTERVAL)
+        self._ask_at = -inf
+        self.asked = self.established = False
+
+    @property
+    def is_stale(self) -> bool:
+        """Whether the list is one that must be asked for, and does not come."""
+        return self._on_request and not self.established
+
+    def on_server_list(self) -> None:
+        """What came answers a request, if there was one."""
+        self.established = self.asked
+
+    def on_failure(self, now: Time) -> None:
+        """Ask again after a random wait.
+
+        Balancers that were refused together must not come together again: the same few would be served.
+        """
+        self.established = False
+        self._ask_at = now + int(self._ask_interval * self._random.random())
+
+    def on_timer(self, now: Time) -> None:
+        """Ask where it is due."""
+        if self._on_request and not self.established and now >= self._ask_at:
+            self.asked, self._ask_at = True, now + self._ask_interval
+            self._host.watch_servers()
--- a/honeywood/balancer/decisions/send_policy.py
+++ b/honeywood/balancer/decisions/send_policy.py
@@ -1,160 +1,142 @@
-"""The one place that every send passes, where the rules hold; and the chain's links. Times as in decide."""
+"""The rules that every attempt keeps, and the one place that every attempt passes."""
 
-from collections import defaultdict, deque
+from __future__ import annotations
 
-from honeywood.balancer.interface import (
+from collections import deque
+
+from honeywood.balancer.decisions.limits import MIN_SERVER_AGE
+from honeywood.balancer.decisions.time_window import trimmed
+from honeywood.balancer.model import (
     NEVER_RAN,
-    NON_IDEMPOTENT,
-    OK,
-    ON_TRIAL,
-    READY,
-    RELEASED,
-    SECOND,
-    TOKENED,
-    Bar,
-    Pick,
+    Attempt,
+    AttemptResult,
+    Exclusion,
+    Idempotency,
+    ReleaseState,
+    ServerStatus,
 )
 
-YOUNG = 3 * SECOND  # servers under this age are no evidence; also the wait with short samples
-TIP_SAFE = 0.7  # used part of cold servers' budget
-
-
-def trimmed(times, since):
-    """A deque of times without those before `since`."""
-    while times and times[0] < since:
-        times.popleft()
-    return times
-
-
-class Stage:
-    """A link of the chain: take() passes an RPC down and tells whether it went out; back() runs up."""
-
-    def __init__(self, front, below):
-        self.front, self.below = front, below
-
-
-class Gate(Stage):
-    """The one place that every send passes; here the five rules hold."""
-
-    def __init__(self, front, given):
-        super().__init__(front, None)
-        self.tick, self.window, self.free = given.tick, given.exposure_window, given.free_picks
-        self.max_picks, self.duplicate, self.one_way = given.max_picks, given.may_duplicate, given.one_way
-        self.guarded, self.per_method, self.tip_time = given.guarded_steps, given.per_method, given.tip_time
-        self.cold_share, self.cold_time = given.cold_share, given.cold_time
-        self.tip = given.tip_multiple * TIP_SAFE
-        self.taken, self.tried, self.oks = [deque() for _ in given.methods], {}, deque()
-        self.out, self.fronts = 0, max(1, given.fronts)  # picks out
-        self.luck, self.chilled, self.most = {}, defaultdict(deque), (0, 0, 0)  # of builds' cold servers
-        self.keys = {}  # under a one-way rule: the latest build that answered a key
-
-    def lane(self, method):
-        return method.place * self.per_method
-
-    def room(self, now, build, method):
-        on_trial = self.front.judge.cap_of(build)
-        if on_trial is None:
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from honeywood.balancer.decisions.cold_servers import ColdServers
+    from honeywood.balancer.decisions.release_verdict import ReleaseVerdict
+    from honeywood.balancer.interface import Host
+    from honeywood.balancer.model import Method, Rpc, Server, Time
+    from honeywood.balancer.settings import Settings
+
+
+class SendPolicy:
+    """Says what keeps an RPC from a server, and sends where nothing does."""
+
+    def __init__(
+        self, settings: Settings, host: Host, release: ReleaseVerdict, cold_servers: ColdServers
+    ) -> None:
+        """Nothing was sent yet."""
+        self._host, self._release, self._cold_servers = host, release, cold_servers
+        self._resolution, self._window = settings.clock_resolution, settings.exposure_window
+        self._allowance, self._per_method = settings.exposure_allowance, settings.exposure_per_method
+        self._max_attempts, self._may_duplicate = settings.max_attempts, settings.may_duplicate
+        self._guarded_steps, self._one_way = settings.guarded_steps, settings.one_way
+        self._arrivals: list[deque[Time]] = [deque() for _ in settings.methods]  # by exposure class
+        self._sends: dict[tuple[int, int], deque[Time]] = {}  # by build and exposure class
+        self._answered_builds: dict[int, int] = {}  # one way: the latest build that answered a key
+
+    def on_request(self, now: Time, rpc: Rpc) -> None:
+        """Count an RPC that has come: exposure is a share of these."""
+        arrivals = self._arrivals[self._exposure_class(rpc.method)]
+        trimmed(arrivals, now - self._window).append(rpc.arrived_at)
+
+    def exclusion(self, now: Time, rpc: Rpc, server: Server) -> int:
+        """The rule that keeps the RPC from the server, Exclusion.NONE where it may be sent."""
+        if rpc.done or server.status != ServerStatus.READY:
+            return Exclusion.DONE if rpc.done else Exclusion.NOT_READY
+        if len(rpc.attempts) >= self._max_attempts or now >= rpc.deadline:
+            return Exclusion.MAX_ATTEMPTS if now < rpc.deadline else Exclusion.DEADLINE
+        may_have_run = [attempt for attempt in rpc.attempts if attempt.result not in NEVER_RAN]
+        if may_have_run and self._repeat_is_barred(rpc, may_have_run):
+            return Exclusion.MAY_HAVE_RUN
+        if rpc.method.idempotency == Idempotency.KEYED and not all(
+            self._drops_repeat(now, attempt, server) for attempt in may_have_run
+        ):
+            return Exclusion.DEDUPLICATION
+        if self._one_way and self._goes_back(rpc, server):
+            return Exclusion.ONE_WAY
+        if not self._within_exposure(now, server.build, rpc.method):
+            return Exclusion.EXPOSURE
+        return Exclusion.NONE if self._cold_servers.may_send(now, server) else Exclusion.COLD_BUDGET
+
+    def may_reject(self, rpc: Rpc) -> bool:
+        """Whether the client may be told to retry: its RPC did not run, or may run twice."""
+        method = rpc.method
+        if method.idempotency == Idempotency.IDEMPOTENT:
             return True
-        cap, step = on_trial
-        if step < self.guarded and method.kind in (NON_IDEMPOTENT, TOKENED):
-            return False
-        taken = trimmed(self.taken[self.lane(method)], now - self.window + self.tick + 1)
-        tried = trimmed(self.tried.get((build, self.lane(method)), ()), now - self.window - self.tick)
-        return cap > 0 and len(tried) + 1 <= self.free + cap * len(taken)
-
-    def cold(self, now, server):
-        return now - server.booted < self.cold_time + self.tip_time
-
-    def cold_room(self, now, server):
-        """A cold server gets its part of what this front's servers bear, so that all fronts together keep its
-        budget; small fronts have less than a pick for all of a build, and chance rounds it."""
-        if not self.cold(now, server):
+        if method.idempotency == Idempotency.KEYED and method.dedup_scope == "all":
             return True
-        ready, random, since = self.front.ready, self.front.random.random, now - self.tip_time - self.tick
-        part, share = self.tip * len(trimmed(self.oks, since)) / len(ready), self.warmth(now, server)
-        if self.most[:2] != (now, server.build):  # once for all servers that an RPC looks at
-            if now >= self.luck.get(server.build, (0, now))[1]:
-                self.luck[server.build] = random(), now + int(self.tip_time * (0.5 + random()))
-            shares = [self.warmth(now, s) for s in ready if s.build == server.build and self.cold(now, s)]
-            most = max(part * sum(shares), len(shares) / self.fronts) + self.luck[server.build][0]
-            self.most = now, server.build, most
-        sent, cold = (len(trimmed(t, since)) + 1 for t in (server.sent, self.chilled[server.build]))
-        return (
-            cold <= self.most[2]
-            and sent <= max(1, part * share)
-            and server.open <= self.out / len(ready) + self.tip * (share - self.cold_share)
-        )
+        return all(attempt.result in NEVER_RAN for attempt in rpc.attempts)
 
-    def warmth(self, now, server):
-        """The part of its capacity that a server has at least, so long after its start."""
-        age, cold = max(0, now - server.booted), self.cold_time
-        return 1.0 if age >= cold else self.cold_share + (1 - self.cold_share) * age / cold
-
-    def bar(self, now, rpc, server):
-        """The rule that keeps the RPC from the server, Bar.NONE where it may be sent."""
-        if rpc.done or server.status != READY:
-            return Bar.DONE if rpc.done else Bar.NOT_READY
-        if len(rpc.picks) >= self.max_picks or now >= rpc.deadline:
-            return Bar.PICKS if now < rpc.deadline else Bar.DEADLINE
-        risky = [p for p in rpc.picks if p.result not in NEVER_RAN]
-        if (
-            risky
-            and rpc.method.kind == NON_IDEMPOTENT
-            or not self.duplicate
-            and any(p.result is None for p in risky)
-        ):
-            return Bar.MAY_HAVE_RUN
-        if rpc.method.kind == TOKENED and not all(self.drops(now, p, server) for p in risky):
-            return Bar.TOKEN
-        judge = self.front.judge
-        if (
-            self.one_way
-            and judge.standing in (ON_TRIAL, RELEASED)
-            and (server.build < judge.build == self.keys.get(rpc.key))
-        ):
-            return Bar.ONE_WAY
-        if not self.room(now, server.build, rpc.method):
-            return Bar.EXPOSURE
-        return Bar.NONE if self.cold_room(now, server) else Bar.COLD
-
-    def drops(self, now, pick, server):
-        group, method = pick.rpc.method.group, pick.rpc.method
-        same = group == "all" or getattr(pick.server, group) == getattr(server, group)
-        return same and now + self.tick < pick.sent + method.window
-
-    def may_push_back(self, rpc):
-        repeats = {NON_IDEMPOTENT: False, TOKENED: rpc.method.group == "all"}.get(rpc.method.kind, True)
-        return repeats or all(p.result in NEVER_RAN for p in rpc.picks)
-
-    def take(self, now, rpc, server):
-        if self.bar(now, rpc, server):
+    def send(self, now: Time, rpc: Rpc, server: Server) -> bool:
+        """Send an attempt unless a rule keeps the RPC from the server; whether it was sent."""
+        if self.exclusion(now, rpc, server):
             return False
-        pick = Pick(
+        attempt = Attempt(
             rpc=rpc,
             server=server,
-            number=len(rpc.picks),
+            number=len(rpc.attempts),
             build=server.build,
-            sent=now,
-            young=now - server.booted < YOUNG,
-            timed=False,
+            sent_at=now,
+            on_young_server=now - server.started_at < MIN_SERVER_AGE,
         )
-        rpc.picks.append(pick)
-        if not server.open:
+        rpc.attempts.append(attempt)
+        if not server.in_flight:
             server.answered_at = now
-        server.open += 1
-        self.out += 1
-        if self.cold(now, server):
-            server.sent.append(now)
-            self.chilled[server.build].append(now)
-        tried = self.tried.setdefault((server.build, self.lane(rpc.method)), deque())
-        trimmed(tried, now - self.window - self.tick).append(now)
-        self.front.host.send(pick, rpc.deadline)
+        server.in_flight += 1
+        self._cold_servers.on_send(now, server)
+        sends = self._sends.setdefault((server.build, self._exposure_class(rpc.method)), deque())
+        trimmed(sends, now - self._window - self._resolution).append(now)
+        self._host.send(attempt, rpc.deadline)
         return True
 
-    def back(self, now, pick):
-        pick.server.open -= 1
-        self.out -= 1
-        if pick.result == OK:
-            trimmed(self.oks, now - self.tip_time).append(now)
-            if self.one_way and pick.rpc.key:
-                self.keys[pick.rpc.key] = max(pick.build, self.keys.get(pick.rpc.key, 0))
+    def on_result(self, now: Time, attempt: Attempt) -> None:
+        """An attempt has ended."""
+        attempt.server.in_flight -= 1
+        self._cold_servers.on_result(now, attempt)
+        if attempt.result == AttemptResult.OK and self._one_way and attempt.rpc.key:
+            latest = self._answered_builds.get(attempt.rpc.key, 0)
+            self._answered_builds[attempt.rpc.key] = max(attempt.build, latest)
+
+    def _exposure_class(self, method: Method) -> int:
+        """Methods whose exposure is counted together: each by itself, or all."""
+        return method.index * self._per_method
+
+    def _within_exposure(self, now: Time, build: int, method: Method) -> bool:
+        """Whether one more attempt at a build on trial keeps its cap over the exposure window."""
+        trial = self._release.trial_of(build)
+        if trial is None:
+            return True
+        if trial.step < self._guarded_steps and method.idempotency != Idempotency.IDEMPOTENT:
+            return False
+        exposure_class = self._exposure_class(method)
+        # The window is taken a little too short for arrivals and too long for sends: clocks are coarse.
+        arrivals = trimmed(self._arrivals[exposure_class], now - self._window + self._resolution + 1)
+        sends = self._sends.get((build, exposure_class))
+        sent = len(trimmed(sends, now - self._window - self._resolution)) if sends is not None else 0
+        return trial.cap > 0 and sent + 1 <= self._allowance + trial.cap * len(arrivals)
+
+    def _repeat_is_barred(self, rpc: Rpc, may_have_run: list[Attempt]) -> bool:
+        if rpc.method.idempotency == Idempotency.NON_IDEMPOTENT:
+            return True
+        return not self._may_duplicate and any(attempt.result is None for attempt in may_have_run)
+
+    def _drops_repeat(self, now: Time, attempt: Attempt, server: Server) -> bool:
+        """Whether a server would drop the repeat of an attempt by its idempotency key."""
+        method = attempt.rpc.method
+        scope = method.dedup_scope
+        same = scope == "all" or getattr(attempt.server, scope) == getattr(server, scope)
+        return same and now + self._resolution < attempt.sent_at + method.dedup_window
+
+    def _goes_back(self, rpc: Rpc, server: Server) -> bool:
+        """Whether the server has an older build than one that answered the RPC's key."""
+        release = self._release
+        if release.build is None or release.state not in (ReleaseState.ON_TRIAL, ReleaseState.RELEASED):
+            return False
+        return server.build < release.build == self._answered_builds.get(rpc.key)
--- /dev/null
+++ b/honeywood/balancer/decisions/server_groups.py
@@ -0,0 +1,83 @@
+"""The servers of the list, in the groups that decisions choose from."""
+
+from __future__ import annotations
+
+from collections import deque
+from math import inf
+
+from honeywood.balancer.model import ServerStatus
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+    from typing import Protocol
+
+    from honeywood.balancer.model import Server, ServerEntry, Time
+
+    class Release(Protocol):
+        """What the groups need to know of the newest release."""
+
+        build: int | None
+        rejected_builds: list[int]
+
+        def trial_of(self, build: int) -> object | None:
+            """None for a build that is not on trial."""
+
+
+class ServerGroups:
+    """Groups are made anew where the list or the release changes, not for each RPC: fleets are large."""
+
+    def __init__(self) -> None:
+        """No server is known."""
+        self.listed: list[Server] = []
+        self.ready: list[Server] = []  # in the order of their digests, which all balancers share
+        self.on_trial: list[Server] = []  # ready ones whose build is on trial or rejected
+        self.established: list[Server] = []  # all other ready ones
+        self.newest: list[Server] = []  # ready ones of the newest release
+        self.newest_by_start: list[Server] = []
+
+    def update(self, now: Time, entries: Sequence[ServerEntry], complete: bool) -> None:
+        """Take over changes of the list; servers that a complete list does not name are gone."""
+        for entry in entries:
+            self._update_server(now, entry)
+        if complete:
+            named = {entry[0] for entry in entries}
+            for server in self.listed:
+                server.status = server.status if server in named else ServerStatus.GONE
+        self.listed = [server for server in self.listed if server.status != ServerStatus.GONE]
+
+    def _update_server(self, now: Time, entry: ServerEntry) -> None:
+        server, build, zone, cell, scale, status, started_at = entry
+        was_gone = server.status == ServerStatus.GONE
+        if was_gone:
+            self.listed.append(server)
+        if was_gone or started_at != server.started_at or build != server.build:
+            forget_process(server, now)
+        server.build, server.zone, server.cell, server.scale = build, zone, cell, scale
+        server.status, server.started_at = status, started_at
+
+    def regroup(self, release: Release) -> None:
+        """Make the groups anew."""
+        ready = (server for server in self.listed if server.status == ServerStatus.READY)
+        self.ready = sorted(ready, key=lambda server: server.digest)
+        builds = dict.fromkeys(server.build for server in self.ready)
+        on_trial = {
+            build: build in release.rejected_builds or release.trial_of(build) is not None for build in builds
+        }
+        for server in self.ready:
+            server.on_trial = on_trial[server.build]
+        self.on_trial = [server for server in self.ready if server.on_trial]
+        self.established = [server for server in self.ready if not server.on_trial]
+        self.newest = [server for server in self.ready if server.build == release.build]
+        self.newest_by_start = sorted(self.newest, key=lambda server: server.started_at)
+
+
+def forget_process(server: Server, now: Time) -> None:
+    """Forget what was seen of an earlier process under the same identifier: it says nothing of this one.
+
+    Attempts that are still in flight stay counted.
+    """
+    server.latency_factor, server.recent_failures, server.decayed_at = 1.0, 0.0, now
+    server.reported_load, server.reported_at = 0.0, -inf
+    server.cold_sends, server.answered_at = deque(), now
+    server.ejected_until, server.suspect = now, False
--- a/honeywood/balancer/decisions/server_selection.py
+++ b/honeywood/balancer/decisions/server_selection.py
@@ -1,130 +1,198 @@
-"""Which server of a build an RPC goes to. Times as in decide.py."""
+"""Which server of a group an RPC goes to: the less busy of two drawn by chance.
+
+M. Mitzenmacher, "The power of two choices in randomized load balancing", IEEE Transactions on Parallel and
+Distributed Systems 12 (2001). Servers that are slow, failing or far count as busier; cold ones are drawn more
+seldom; ejected and silent ones are left out while others may be chosen.
+"""
+
+from __future__ import annotations
 
 from collections import deque
 from math import isfinite
 
-from honeywood.balancer.interface import (
-    CANCELLED,
-    CONNECT_FAILED,
-    ERROR,
-    FULL,
-    OK,
-    READY,
-    RESET,
-    SECOND,
-    TIMEOUT,
-    Bar,
-)
-from honeywood.balancer.decisions.send_policy import Stage
-
-SILENT = 9 * SECOND // 10  # a server that holds picks and answers none for so long is left alone
-SHUN = 2 * SECOND  # a server that could not be reached, is full or timed out is left alone for
-PROBE_WORTH = 0.02  # a probe an RPC is not worth more, in points of utility as prices are told
-REPORT_AGE, RATE_OVER = SECOND, 2 * SECOND  # for so long reports of servers count, and answers to a rate
-FAILED_FADES, PACE_FADES = 7 * SECOND // 10, 7 * SECOND  # half is forgotten after this
-REPEATS, DRAWN = 0.1, 6  # further picks earned by an RPC; servers drawn at most to find two fit ones
-COMES_BACK, LEAST_KEPT = 5 * SECOND, 8  # a front keeps to as many servers as it meets again within this
-
-
-class Routing(Stage):
-    """Inside a build, the less busy of two random servers wins; sick ones are left out while others stand."""
-
-    def __init__(self, front, below, settings):
-        super().__init__(front, below)
-        self.zone = settings.zone if settings.cross_price else None
-        fields = settings.report_fields
-        self.load_at = fields.index("active") if "active" in fields else None
-        cheap = settings.may_probe and settings.probe_price <= PROBE_WORTH  # else all fronts pay for all
-        self.probes, self.heard = cheap and self.load_at is not None, deque()
-        self.turn = front.random.randrange(1 << 16)  # else all fronts probe the same server
-        self.mean = [None] * len(settings.methods)
-        inside = settings.me < settings.fronts
-        self.start = settings.me / settings.fronts if inside else front.random.random()
-
-    def held(self, now, server):
-        past, server.faded_at = now - server.faded_at, now
-        server.failed *= 0.5 ** (past / FAILED_FADES)
-        server.pace += (1 - server.pace) * (1 - 0.5 ** (past / PACE_FADES))
-        others = server.reported * (now - server.reported_at < REPORT_AGE)
-        return server.open + others + server.failed + 1
-
-    def kept(self, servers):
-        """Those of them that a small front keeps to, as many as it meets again within COMES_BACK, since each
-        pick would else need a new connection; where none is fit, the others follow. The parts of all fronts
-        begin evenly spread over an order that is common to them, so that each server is in as many."""
-        most = len(servers) / max(1, len(self.front.ready)) * COMES_BACK / max(1, self.front.intake.gap)
-        most, start = max(LEAST_KEPT, int(most)), int(self.start * len(servers))
-        return (servers[start:] + servers[:start])[:most] if most < len(servers) else ()
-
-    def two(self, now, rpc, servers):
-        """The less busy of two fit ones drawn, cold ones more seldom; all are asked where none is fit."""
-        best, near, had = [], 0, [p.server for p in rpc.picks]
-        draw, chance = self.front.random.sample, self.front.random.random
-        few = servers and len(self.heard) < len(self.front.ready)
-        fresh = dict.fromkeys(
-            s for _, s in self.heard if few and s.status == READY and s.trial == servers[0].trial
-        )
-        drawn = draw(list(fresh), min(2, len(fresh)))
-        for group in self.kept(servers), servers:
-            drawn += draw(group, min(DRAWN, len(group)))
-        for server in dict.fromkeys(drawn):
-            silent = server.open and now - server.answered_at >= SILENT
-            bar = (
-                Bar.WARMING
-                if chance() >= self.below.warmth(now, server)
-                else Bar.LEFT_ALONE
-                if now < server.shun_until
-                else Bar.SILENT
-                if silent
-                else Bar.TRIED
-                if server in had
-                else self.below.bar(now, rpc, server)
-            )
-            if self.front.tap:
-                self.front.tap.weighed(rpc, server, bar)
-            if not bar:
-                crossing = self.zone not in (None, server.zone)  # which costs: less busy by two then
-                best.append((self.held(now, server) * server.pace + 2 * crossing, len(best), server))
-                near += not crossing
-            if near == 2:
+from honeywood.balancer.decisions.limits import RETURN_TIME, SILENCE
+from honeywood.balancer.model import SECOND, AttemptResult, Exclusion, ServerStatus
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+    from random import Random
+
+    from honeywood.balancer.decisions.arrivals import Arrivals
+    from honeywood.balancer.decisions.cold_servers import ColdServers
+    from honeywood.balancer.decisions.send_policy import SendPolicy
+    from honeywood.balancer.decisions.server_groups import ServerGroups
+    from honeywood.balancer.interface import Host
+    from honeywood.balancer.model import Attempt, Rpc, Server, Time
+    from honeywood.balancer.settings import Settings
+
+EJECTION_TIME = 2 * SECOND  # of a server that is full, or twice in a row gave no answer
+MAX_PROBE_PRICE = 0.02  # utility; a probe for each RPC is not worth more
+REPORT_TTL = SECOND  # load reports count for so long
+FAILURE_HALF_LIFE = 7 * SECOND // 10
+LATENCY_HALF_LIFE = 7 * SECOND
+LATENCY_WEIGHT = 0.1  # of the last answer in a server's latency factor
+MEAN_WEIGHT = 0.02  # of the last answer in a method's mean latency
+MAX_LATENCY_FACTOR = 10.0
+MAX_DRAWN = 6  # servers drawn of a group to find two that may be chosen
+MIN_SUBSET = 8  # servers that a balancer keeps to at least
+CROSS_ZONE_LOAD = 2  # RPCs by which a server in another zone counts as busier, where crossing costs
+
+
+class ServerSelection:
+    """Chooses a server of a group and hands the RPC to the send policy."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        host: Host,
+        random: Random,
+        servers: ServerGroups,
+        arrivals: Arrivals,
+        cold_servers: ColdServers,
+        policy: SendPolicy,
+    ) -> None:
+        """No answer was seen yet."""
+        self._host, self._observer, self._random = host, host.observer, random
+        self._servers, self._arrivals = servers, arrivals
+        self._cold_servers, self._policy = cold_servers, policy
+        self._zone = settings.zone if settings.cross_zone_price else None
+        fields = settings.load_report_fields
+        self._load_field = fields.index("active") if "active" in fields else None
+        # Dear probes are left to nobody: else all balancers pay for all servers.
+        cheap = settings.may_probe and settings.probe_price <= MAX_PROBE_PRICE
+        self._probes = cheap and self._load_field is not None
+        self._reports: deque[tuple[Time, Server]] = deque()
+        self._next_probe = random.randrange(1 << 16)  # by chance: else all balancers probe the same server
+        # Where this balancer's subset begins: those of all balancers are spread evenly.
+        known = settings.balancer_index < settings.balancers
+        self._subset_start = settings.balancer_index / settings.balancers if known else random.random()
+        self.mean_latencies: list[float | None] = [None] * len(settings.methods)
+
+    def send(self, now: Time, rpc: Rpc, first: Sequence[Server], second: Sequence[Server]) -> bool:
+        """Send to the first group, or where none of it may be chosen to the second; whether it was sent."""
+        while self._reports and self._reports[0][0] < now - REPORT_TTL:
+            self._reports.popleft()
+        # A probe for each RPC at most: many small balancers that probe all would cost more than their RPCs.
+        if self._probes and len(self._reports) < len(self._servers.ready) and not rpc.attempts:
+            self._next_probe = (self._next_probe + 1) % len(self._servers.ready)
+            self._host.probe(self._servers.ready[self._next_probe])
+        server = self._choose(now, rpc, first) or self._choose(now, rpc, second)
+        return server is not None and self._policy.send(now, rpc, server)
+
+    def on_load_report(self, now: Time, server: Server, load: Sequence[float]) -> None:
+        """A server reported its load, with an answer or when it was probed."""
+        index = self._load_field
+        if index is not None and len(load) > index and isfinite(load[index]):
+            server.reported_load, server.reported_at = max(0.0, load[index] - server.in_flight), now
+            self._reports.append((now, server))
+
+    def on_result(self, now: Time, attempt: Attempt, load: Sequence[float]) -> None:
+        """An attempt has ended."""
+        self._policy.on_result(now, attempt)
+        self.on_load_report(now, attempt.server, load)
+        self._update_health(now, attempt)
+        if attempt.result == AttemptResult.OK:
+            self._update_latency(attempt)
+
+    def _choose(self, now: Time, rpc: Rpc, group: Sequence[Server]) -> Server | None:
+        """The least busy of two drawn that may be chosen; of the whole group where there is none."""
+        candidates: list[tuple[float, int, Server]] = []
+        tried, in_zone = [attempt.server for attempt in rpc.attempts], 0
+        for server in self._draw(group):
+            exclusion = self._exclusion(now, rpc, server, tried)
+            if self._observer:
+                self._observer.considered(rpc, server, exclusion)
+            if not exclusion:
+                crosses = self._zone not in (None, server.zone)
+                load = self._load(now, server) * server.latency_factor + CROSS_ZONE_LOAD * crosses
+                candidates.append((load, len(candidates), server))
+                in_zone += not crosses
+            if in_zone == 2:
                 break
-        if not best:
-            bars = [self.below.bar(now, rpc, s) for s in servers]
-            best = [(self.held(now, s), at, s) for at, (s, bar) in enumerate(zip(servers, bars)) if not bar]
-            if self.front.tap:
-                self.front.tap.asked_all(rpc, servers, bars)
-        return min(best)[2] if best else None
-
-    def take(self, now, rpc, first, second):
-        """Sends to the first group, and to the second only if none of the first may be sent to."""
-        while self.heard and self.heard[0][0] < now - REPORT_AGE:
-            self.heard.popleft()
-        # A probe an RPC at most: many small fronts that probe all would cost more than their RPCs.
-        if self.probes and len(self.heard) < len(self.front.ready) and not rpc.picks:
-            self.turn = (self.turn + 1) % len(self.front.ready)
-            self.front.host.probe(self.front.ready[self.turn])
-        one = self.two(now, rpc, first) or self.two(now, rpc, second)
-        return one is not None and self.below.take(now, rpc, one)
-
-    def probed(self, now, server, result, latency, load):
-        if self.load_at is not None and len(load) > self.load_at and isfinite(load[self.load_at]):
-            server.reported, server.reported_at = max(0.0, load[self.load_at] - server.open), now
-            self.heard.append((now, server))
-
-    def back(self, now, pick, load):
-        self.below.back(now, pick)
-        server, place = pick.server, pick.rpc.method.place
-        self.probed(now, server, pick.result, pick.latency, load)
-        # One alone says nothing of its server: the connection, the answer or the RPC may have been ill.
-        ill = pick.result in (CONNECT_FAILED, RESET, TIMEOUT)
-        if pick.result == FULL or (ill and server.ill):
-            server.shun_until = now + SHUN
-        if pick.result in (OK, ERROR):
+        if not candidates:
+            candidates = self._consider_all(now, rpc, group)
+        return min(candidates)[2] if candidates else None
+
+    def _draw(self, group: Sequence[Server]) -> dict[Server, None]:
+        """Servers in the order in which they are looked at: lately reported ones, the subset, the group."""
+        sample = self._random.sample
+        reported = list(self._lately_reported(group))
+        drawn = sample(reported, min(2, len(reported)))
+        for part in (self._subset(group), group):
+            drawn += sample(part, min(MAX_DRAWN, len(part)))
+        return dict.fromkeys(drawn)
+
+    def _lately_reported(self, group: Sequence[Server]) -> dict[Server, None]:
+        """Those of the group whose load is known, where it is not known of all."""
+        if not group or len(self._reports) >= len(self._servers.ready):
+            return {}
+        on_trial = group[0].on_trial
+        return dict.fromkeys(
+            server
+            for _, server in self._reports
+            if server.status == ServerStatus.READY and server.on_trial == on_trial
+        )
+
+    def _subset(self, group: Sequence[Server]) -> Sequence[Server]:
+        """Those of a group that a small balancer keeps to; empty where it keeps to all.
+
+        They are as many as it meets again within RETURN_TIME, since each attempt would else need a new
+        connection. Where none of them may be chosen, the others follow.
+        """
+        share = len(group) / max(1, len(self._servers.ready))
+        most = max(MIN_SUBSET, int(share * RETURN_TIME / max(1, self._arrivals.mean_gap)))
+        if most >= len(group):
+            return ()
+        start = int(self._subset_start * len(group))
+        return [*group[start:], *group[:start]][:most]
+
+    def _exclusion(self, now: Time, rpc: Rpc, server: Server, tried: Sequence[Server]) -> int:
+        """What keeps the RPC from a server that was drawn."""
+        if self._random.random() >= self._cold_servers.capacity_share(now, server):
+            return Exclusion.WARMING_UP
+        if now < server.ejected_until:
+            return Exclusion.EJECTED
+        if server.in_flight and now - server.answered_at >= SILENCE:
+            return Exclusion.SILENT
+        return Exclusion.TRIED if server in tried else self._policy.exclusion(now, rpc, server)
+
+    def _consider_all(self, now: Time, rpc: Rpc, group: Sequence[Server]) -> list[tuple[float, int, Server]]:
+        """All of the group that the policy lets through, whatever their health."""
+        exclusions = [self._policy.exclusion(now, rpc, server) for server in group]
+        found = [
+            (self._load(now, server), place, server)
+            for place, (server, exclusion) in enumerate(zip(group, exclusions))
+            if not exclusion
+        ]
+        if self._observer:
+            self._observer.considered_all(rpc, group, exclusions)
+        return found
+
+    def _load(self, now: Time, server: Server) -> float:
+        """RPCs at a server, this one among them; recent failures count as such."""
+        elapsed, server.decayed_at = now - server.decayed_at, now
+        server.recent_failures *= 0.5 ** (elapsed / FAILURE_HALF_LIFE)
+        server.latency_factor += (1 - server.latency_factor) * (1 - 0.5 ** (elapsed / LATENCY_HALF_LIFE))
+        others = server.reported_load * (now - server.reported_at < REPORT_TTL)
+        return server.in_flight + others + server.recent_failures + 1
+
+    @staticmethod
+    def _update_health(now: Time, attempt: Attempt) -> None:
+        server, result = attempt.server, attempt.result
+        unanswered = result in (AttemptResult.CONNECT_FAILED, AttemptResult.RESET, AttemptResult.TIMEOUT)
+        # One alone says nothing of its server: the connection, the answer or the RPC may be at fault.
+        if result == AttemptResult.FULL or (unanswered and server.suspect):
+            server.ejected_until = now + EJECTION_TIME
+        if result in (AttemptResult.OK, AttemptResult.ERROR):
             server.answered_at = now
-        server.ill = ill or (server.ill and pick.result == CANCELLED)
-        # A server that fails at once holds nothing and would draw all traffic: its failures count as held.
-        server.failed += pick.result not in (OK, CANCELLED)
-        if pick.result == OK:
-            mean = self.mean[place] or max(1, pick.latency)
-            self.mean[place] = mean + (pick.latency - mean) * 0.02
-            server.pace += (min(10.0, pick.latency / mean) - server.pace) * 0.1
+        server.suspect = unanswered or (server.suspect and result == AttemptResult.CANCELLED)
+        # A server that fails at once has nothing in flight and would draw all RPCs: failures count as load.
+        server.recent_failures += result not in (AttemptResult.OK, AttemptResult.CANCELLED)
+
+    def _update_latency(self, attempt: Attempt) -> None:
+        server, index = attempt.server, attempt.rpc.method.index
+        mean = self.mean_latencies[index] or max(1, attempt.latency)
+        self.mean_latencies[index] = mean + (attempt.latency - mean) * MEAN_WEIGHT
+        factor = min(MAX_LATENCY_FACTOR, attempt.latency / mean)
+        server.latency_factor += (factor - server.latency_factor) * LATENCY_WEIGHT
--- a/honeywood/balancer/flow_control/minimum_rates.py
+++ b/honeywood/balancer/flow_control/minimum_rates.py
@@ -5,7 +5,7 @@
 sent, as far as the system tells: what only stands in the kernel's buffers has not moved.
 """
 
-from honeywood.balancer.interface import SECOND
+from honeywood.balancer.model import SECOND
 
 PARTS = 8  # of a window: bytes are counted by parts, so a peer costs the same for ever
 LOOKED = SECOND // 4  # peers are looked at so often; what is longer than two of these was an absence
--- a/honeywood/balancer/program/configuration.py
+++ b/honeywood/balancer/program/configuration.py
@@ -4,62 +4,109 @@
 stand in for `name`, `listen` and `discovery` where the object lacks them.
 """
 
+from __future__ import annotations
+
 import json
+from dataclasses import dataclass
 
 from honeywood.balancer.protocol import discovery, platform
-from honeywood.balancer.settings import BadKey, Part, settings
+from honeywood.balancer.sections import InvalidConfiguration, Section
+from honeywood.balancer.settings_codec import read_settings
 
-LEAST_SOCKETS, LEAST_MEMORY = 64, 32
-FIXED = "name", "listen", "limits", "settings"
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+    from typing import Any
 
+    from honeywood.balancer.model import ReleaseUpdate
+    from honeywood.balancer.protocol.discovery import Address, ServerList
+    from honeywood.balancer.settings import Settings
 
-class Config:
-    """name, listen, discovery, platform (addresses), news, known, settings, sockets, memory_mb;
-    `settings_text` and `seed`, as a trace keeps them; and `fixed`, the text of what is taken at start
-    only."""
+MIN_SOCKETS, MIN_MEMORY_MB = 64, 32
+DEFAULT_SOCKETS, DEFAULT_MEMORY_MB = 1024, 192
+FIXED_KEYS = "name", "listen", "limits", "settings"  # are taken at start only
+NO_LIST = {"revision": 0, "complete": True, "members": []}
 
 
-def address(part, key, otherwise=None):
-    text = part.text(key, otherwise)
-    try:
-        return discovery.address(text)
-    except ValueError:
-        raise part.bad(key, "host:port") from None
+@dataclass(frozen=True, slots=True)
+class Configuration:
+    """The configuration of one balancer."""
+
+    name: str
+    listen: Address
+    discovery: Address
+    platform: Address
+    sockets: int  # descriptors that the process may have
+    memory_mb: int
+    known: ServerList
+    seed: int
+    settings: Settings
+    settings_text: str  # as a trace keeps them
+    release: ReleaseUpdate
+    fixed: str  # the text of FIXED_KEYS
 
 
-def read(environ):
+def read(environ: Mapping[str, str]) -> Configuration:
+    """The configuration that the environment names. Raises InvalidConfiguration."""
     path = environ.get("ROUTER_CONFIG")
     if not path:
-        raise BadKey("ROUTER_CONFIG: missing")
+        raise InvalidConfiguration("ROUTER_CONFIG: missing")
     try:
         with open(path, encoding="utf-8") as file:
             raw = json.load(file)
-    except (OSError, ValueError, RecursionError) as wrong:
-        raise BadKey(f"ROUTER_CONFIG: {path}: {wrong}") from None
-    return checked(raw, environ)
-
-
-def checked(raw, environ):
-    top, config = Part(raw, ""), Config()
-    config.name = top.text("name", environ.get("ROUTER_NAME", "front"))
-    config.listen = address(top, "listen", environ.get("ROUTER_LISTEN"))
-    config.discovery = address(top, "discovery", environ.get("ROUTER_DISCOVERY"))
-    config.sockets = top.part("limits").whole("sockets", 1024, least=LEAST_SOCKETS)
-    config.memory_mb = top.part("limits").whole("memory_mb", 192, least=LEAST_MEMORY)
-    config.platform = address(top.part("pipeline"), "address")
-    known = top.raw.get("known", {"revision": 0, "complete": True, "members": []})
+    except (OSError, ValueError, RecursionError) as error:
+        raise InvalidConfiguration(f"ROUTER_CONFIG: {path}: {error}") from None
+    return parse(raw, environ)
+
+
+def parse(raw: Any, environ: Mapping[str, str]) -> Configuration:
+    """The configuration out of JSON. Raises InvalidConfiguration, for the first key that cannot be used."""
+    top = Section(raw, "")
+    name = top.string("name", environ.get("ROUTER_NAME", "front"))
+    listen = _address(top, "listen", environ.get("ROUTER_LISTEN"))
+    discovery_address = _address(top, "discovery", environ.get("ROUTER_DISCOVERY"))
+    sockets = top.section("limits").integer("sockets", DEFAULT_SOCKETS, least=MIN_SOCKETS)
+    memory_mb = top.section("limits").integer("memory_mb", DEFAULT_MEMORY_MB, least=MIN_MEMORY_MB)
+    platform_address = _address(top.section("pipeline"), "address")
+    known = _known(top)
+    seed = _seed(top)
+    settings = read_settings(top.raw.get("settings"), seed, "settings")
+    if not settings.methods:
+        raise InvalidConfiguration("settings.profiles: no method")
+    return Configuration(
+        name=name,
+        listen=listen,
+        discovery=discovery_address,
+        platform=platform_address,
+        sockets=sockets,
+        memory_mb=memory_mb,
+        known=known,
+        seed=seed,
+        settings=settings,
+        settings_text=json.dumps(raw.get("settings"), sort_keys=True),
+        release=platform.read_update(top.section("pipeline").section("news"), len(settings.waves)),
+        fixed=json.dumps([raw.get(key) for key in FIXED_KEYS], sort_keys=True),
+    )
+
+
+def _address(section: Section, key: str, default: str | None = None) -> Address:
+    text = section.string(key, default)
     try:
-        config.known = discovery.members(known)
-    except discovery.BadList as wrong:
-        raise BadKey(f"known: {wrong}") from None
+        return discovery.parse_address(text)
+    except ValueError:
+        raise section.invalid(key, "host:port") from None
+
+
+def _known(top: Section) -> ServerList:
+    """The server list as it was known last."""
+    try:
+        return discovery.parse_list(top.raw.get("known", NO_LIST))
+    except discovery.InvalidList as error:
+        raise InvalidConfiguration(f"known: {error}") from None
+
+
+def _seed(top: Section) -> int:
     try:
-        seed = int(top.text("seed", "0"), 16)
+        return int(top.string("seed", "0"), 16)
     except ValueError:
-        raise top.bad("seed", "a hexadecimal number") from None
-    config.settings = settings(top.raw.get("settings"), seed, "settings")
-    if not config.settings.methods:
-        raise BadKey("settings.profiles: no method")
-    config.settings_text, config.seed = json.dumps(raw.get("settings"), sort_keys=True), seed
-    config.fixed = json.dumps([raw.get(key) for key in FIXED], sort_keys=True)
-    config.news = platform.news(top.part("pipeline").part("news"), len(config.settings.waves))
-    return config
+        raise top.invalid("seed", "a hexadecimal number") from None
--- a/honeywood/balancer/program/life.py
+++ b/honeywood/balancer/program/life.py
@@ -8,10 +8,10 @@
 import time
 import traceback
 
-from honeywood.balancer.interface import SECOND
-from honeywood.balancer.program import config, log, switches
+from honeywood.balancer.model import SECOND
+from honeywood.balancer.program import configuration, log, switches
 from honeywood.balancer.actors.gateway import Gateway
-from honeywood.balancer.settings import BadKey
+from honeywood.balancer.sections import InvalidConfiguration
 
 AGAIN = signal.SIGHUP
 TAKEN = {signal.SIGTERM, signal.SIGINT, AGAIN}
@@ -31,15 +31,15 @@
     # Before any thread: only the wait below takes them.
     signal.pthread_sigmask(signal.SIG_BLOCK, TAKEN)
     try:
-        given, operator = config.read(os.environ), switches.read(os.environ)
-    except BadKey as bad:
+        given, operator = configuration.read(os.environ), switches.read(os.environ)
+    except InvalidConfiguration as bad:
         print(f"honeywood: {bad}", file=sys.stderr)
         return 2
     output = log.Output(fail)
     logger = log.make(given.name, output)
     recorder = switches.recorder(operator, given, logger, fail)
     try:
-        gateway = Gateway(given, logger, fail, recorder and recorder.tape)
+        gateway = Gateway(given, logger, fail, recorder and recorder.calls)
     except OSError as wrong:
         print(f"honeywood: listen: {wrong}", file=sys.stderr)
         return 2
@@ -64,13 +64,13 @@
 def read_again(gateway, given, logger):
     """What can't be used leaves all as it was; addresses of list and platform are taken over."""
     try:
-        new = config.read(os.environ)
-    except BadKey as bad:
+        new = configuration.read(os.environ)
+    except InvalidConfiguration as bad:
         return logger.error("configuration_unusable", what=str(bad))
     gateway.move(new)
     logger.info("configuration", discovery=log.name(new.discovery), platform=log.name(new.platform))
     if new.fixed != given.fixed:
-        logger.warning("configuration_kept", until="restart", what=", ".join(config.FIXED))
+        logger.warning("configuration_kept", until="restart", what=", ".join(configuration.FIXED_KEYS))
 
 
 def stop(gateway):
@@ -78,7 +78,7 @@
     gateway.ready = False
     time.sleep(COMING)
     gateway.drain()
-    longest = max(method.deadline for method in gateway.settings.methods) / SECOND
+    longest = max(method.timeout for method in gateway.settings.methods) / SECOND
     until = time.monotonic() + longest + SPARE
     while (gateway.clients or not gateway.listener.ended) and time.monotonic() < until:
         time.sleep(0.01)
--- a/honeywood/balancer/program/switches.py
+++ b/honeywood/balancer/program/switches.py
@@ -3,7 +3,7 @@
 
 import threading
 
-from honeywood.balancer.settings import BadKey
+from honeywood.balancer.sections import InvalidConfiguration
 from honeywood.balancer.transport import clock
 from honeywood.balancer.transport.mailbox import Mailbox
 
@@ -12,7 +12,7 @@
 
 
 def read(environ):
-    """The operator file that ROUTER_OPERATOR names, or None; raises BadKey."""
+    """The operator file that ROUTER_OPERATOR names, or None; raises InvalidConfiguration."""
     path = environ.get("ROUTER_OPERATOR")
     if not path:
         return None
@@ -22,7 +22,7 @@
     try:
         return read_file(path)
     except BadFile as bad:
-        raise BadKey(str(bad)) from None
+        raise InvalidConfiguration(str(bad)) from None
 
 
 def recorder(operator, config, log, fail):
@@ -31,16 +31,16 @@
     if not given:
         return None
     from honeywood.trace.recorder import Recorder
-    from honeywood.trace.tape import Tape
+    from honeywood.trace.call_recorder import CallRecorder
 
-    tape = Tape(given.queue, clock.UNIX_START, given.customer_fields, given.parcel_fields)
+    calls = CallRecorder(given.queue, clock.UNIX_START, given.customer_fields, given.parcel_fields)
     about = {
         "front": config.name,
         "unix_start": clock.UNIX_START,
         "settings": config.settings_text,
         "front_seed": config.seed,
     }
-    return Recorder(given, tape, about, config.name, Mailbox("trace", MOST_CALLS, fail), clock.now, log)
+    return Recorder(given, calls, about, config.name, Mailbox("trace", MOST_CALLS, fail), clock.now, log)
 
 
 def stop(recorder):
--- a/honeywood/balancer/protocol/discovery.py
+++ b/honeywood/balancer/protocol/discovery.py
@@ -1,64 +1,103 @@
-"""The list of servers as discovery tells it."""
+"""Discovery's server list: JSON lines of a watch that the client keeps open. Only here do its keys live."""
+
+from __future__ import annotations
 
 import json
+from typing import NamedTuple
+
+from honeywood.balancer.model import ServerStatus
 
-from honeywood.balancer.interface import DRAINING, GONE, READY
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from typing import Any
 
-PHASES = {"up": READY, "draining": DRAINING, "removed": GONE}
-ODD = KeyError, TypeError, ValueError, AttributeError, OverflowError  # what values of other kinds lead to
-MOST_LINE = 4 * 1024 * 1024
+PHASES = {"up": ServerStatus.READY, "draining": ServerStatus.DRAINING, "removed": ServerStatus.GONE}
+# What values of other kinds lead to.
+UNUSABLE = KeyError, TypeError, ValueError, AttributeError, OverflowError
+MAX_LINE = 4 * 1024 * 1024
 
 
-class BadList(Exception):
+class InvalidList(Exception):  # noqa: N818 - named for what went wrong
     """What came is no list."""
 
 
-def target(since):
-    return f"/catalog/members?follow=1&since={since}"
+class Address(NamedTuple):
+    """Where to connect to."""
+
+    host: str
+    port: int
+
+
+class Member(NamedTuple):
+    """A server as discovery knows it; a server that is gone may have no address."""
+
+    identifier: str
+    address: Address | None
+    build: int
+    locality: str
+    cell: int
+    scale: float
+    status: ServerStatus
+    started_ms: int  # since 1970; 0 where it is not known
+
+
+class ServerList(NamedTuple):
+    """All servers where it is complete, else those that changed; `faults` are of entries left out."""
+
+    revision: int
+    complete: bool
+    members: list[Member]
+    faults: list[str]
+
 
+def watch_target(revision: int) -> str:
+    """The request target that watches the list from a revision on."""
+    return f"/catalog/members?follow=1&since={revision}"
 
-def address(text):
+
+def parse_address(text: str) -> Address:
+    """`host:port`; an IPv6 address may stand in brackets. Raises ValueError."""
     host, colon, port = text.rpartition(":")
     if not host or not colon or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"address {text!r}")
-    return host.strip("[]"), int(port)
-
-
-def entry(raw):
-    """(id, address, build, locality, cell, scale, status, start in Unix ms or 0) of one entry."""
-    status = PHASES[raw["phase"]]
-    return (
-        str(raw["id"]),
-        None if status == GONE and "host_port" not in raw else address(raw["host_port"]),
-        int(raw.get("release", 0)),
-        str(raw.get("locality", "")),
-        int(raw.get("cell", 0)),
-        float(raw.get("size", 1.0)),
-        status,
-        int(raw.get("up_since_ms", 0)),
-    )
+    return Address(host.strip("[]"), int(port))
 
 
-def members(raw):
-    """(revision, whether whole, entries, what was wrong with entries left out)."""
+def parse_list(raw: Any) -> ServerList:
+    """A list out of JSON. Raises InvalidList; an entry that cannot be used is left out."""
     try:
-        revision, whole, listed = int(raw["revision"]), bool(raw["complete"]), list(raw["members"])
-    except ODD as wrong:
-        raise BadList(f"no list: {wrong!r}") from None
-    good, odd = [], []
-    for one in listed:
+        revision, complete, listed = int(raw["revision"]), bool(raw["complete"]), list(raw["members"])
+    except UNUSABLE as error:
+        raise InvalidList(f"no list: {error!r}") from None
+    members, faults = [], []
+    for entry in listed:
         try:
-            good.append(entry(one))
-        except ODD as wrong:
-            odd.append(repr(wrong))
-    return revision, whole, good, odd
+            members.append(_parse_member(entry))
+        except UNUSABLE as error:
+            faults.append(repr(error))
+    return ServerList(revision, complete, members, faults)
 
 
-def line(text):
-    """One line of a watch, or None for a sign of life."""
+def parse_line(text: bytes) -> ServerList | None:
+    """One line of a watch, None for a heartbeat. Raises InvalidList."""
     if not text.strip():
         return None
     try:
-        return members(json.loads(text))
-    except (ValueError, RecursionError) as wrong:
-        raise BadList(f"not JSON: {wrong}") from None
+        return parse_list(json.loads(text))
+    except (ValueError, RecursionError) as error:
+        raise InvalidList(f"not JSON: {error}") from None
+
+
+def _parse_member(raw: Any) -> Member:
+    status = PHASES[raw["phase"]]
+    no_address = status == ServerStatus.GONE and "host_port" not in raw
+    return Member(
+        identifier=str(raw["id"]),
+        address=None if no_address else parse_address(raw["host_port"]),
+        build=int(raw.get("release", 0)),
+        locality=str(raw.get("locality", "")),
+        cell=int(raw.get("cell", 0)),
+        scale=float(raw.get("size", 1.0)),
+        status=status,
+        started_ms=int(raw.get("up_since_ms", 0)),
+    )
--- a/honeywood/balancer/protocol/platform.py
+++ b/honeywood/balancer/protocol/platform.py
@@ -1,109 +1,161 @@
-"""The platform's lines, in words separated by spaces, and what they mean to us."""
-
-from honeywood.balancer.interface import (
-    ERROR,
-    FULL,
-    GO_BACK,
-    GO_ON,
-    GOING_BACK,
-    HOLD,
-    MOOT,
-    NO_VOTE,
-    OK,
-    ON_TRIAL,
-    RELEASED,
-    TIMEOUT,
-    WITHDRAWN,
-)
-
-MOST_LINE, MOST_FIGURE = 8 * 1024, 10**12
+"""The platform's lines: words separated by spaces, ended by CR LF. Only here do its words live.
+
+We send `NOTIFY` and `BALLOT image ring vote`. It answers each in turn: `OK`, for a ballot with the state of
+the release, or `ERR reason`. Between them come news: `* stage ...`, `* tally ...` and `* flag ...`.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from honeywood.balancer.model import AttemptResult, ReleaseState, ReleaseUpdate, Vote
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from honeywood.balancer.model import Duration
+    from honeywood.balancer.sections import Section
+    from honeywood.balancer.transport.buffer import Buffer
+
+MAX_LINE = 8 * 1024
+MAX_NUMBER = 10**12
 SUBSCRIBE = b"NOTIFY\r\n"
-VERDICTS = {NO_VOTE: "blank", GO_ON: "go", HOLD: "stay", GO_BACK: "stop"}
-STANDINGS = {"canary": ON_TRIAL, "reverting": GOING_BACK, "stable": RELEASED, "reverted": WITHDRAWN}
-REFUSALS = {"BUSY": FULL, "STALE": MOOT, "FAILED": ERROR, "SYNTAX": MOOT}
-RESULTS = {OK: "counts", FULL: "busy", MOOT: "stale", ERROR: "failed", TIMEOUT: "no_answer"}
+VOTES = {Vote.NONE: "blank", Vote.PROCEED: "go", Vote.HOLD: "stay", Vote.ROLL_BACK: "stop"}
+STATES = {
+    "canary": ReleaseState.ON_TRIAL,
+    "reverting": ReleaseState.ROLLING_BACK,
+    "stable": ReleaseState.RELEASED,
+    "reverted": ReleaseState.WITHDRAWN,
+}
+REFUSALS = {
+    "BUSY": AttemptResult.FULL,
+    "STALE": AttemptResult.EXPIRED,
+    "FAILED": AttemptResult.ERROR,
+    "SYNTAX": AttemptResult.EXPIRED,
+}
+# How votes end, in logs and counters.
+RESULTS = {
+    AttemptResult.OK: "counts",
+    AttemptResult.FULL: "busy",
+    AttemptResult.EXPIRED: "stale",
+    AttemptResult.ERROR: "failed",
+    AttemptResult.TIMEOUT: "no_answer",
+}
+
+
+class InvalidLine(Exception):  # noqa: N818 - named for what went wrong
+    """A line that cannot be read."""
+
 
+class Reply(NamedTuple):
+    """The answer to a call; a ballot that counts is told the state of the release."""
 
-class BadLine(Exception):
-    """A line that can't be read."""
+    result: AttemptResult
+    update: ReleaseUpdate | None
 
 
-def ballot(build, step, verdict):
-    return f"BALLOT {build} {step} {VERDICTS[verdict]}\r\n".encode()
+class Counts(NamedTuple):
+    """What the platform counted of a build and a method, by its name."""
 
+    build: int
+    method: str
+    failed: int
+    ended: int
+    mean_latency: Duration
+    age: Duration
 
-def line(buffer):
-    """The next line's words, or None while it is not whole."""
+
+class WrongAnswer(NamedTuple):
+    """A server whose answer to an RPC of this method was wrong."""
+
+    server: str
+    method: str
+
+
+def ballot(build: int, step: int, vote: Vote) -> bytes:
+    """A vote on a step of a release."""
+    return f"BALLOT {build} {step} {VOTES[vote]}\r\n".encode()
+
+
+def read_line(buffer: Buffer) -> list[str] | None:
+    """The next line's words, None while it is not complete. Raises InvalidLine."""
     end = buffer.find(b"\r\n")
-    if end > MOST_LINE or (end < 0 and len(buffer) > MOST_LINE):
-        raise BadLine("line too long")
+    if end > MAX_LINE or (end < 0 and len(buffer) > MAX_LINE):
+        raise InvalidLine("line too long")
     if end < 0:
         return None
     try:
         return buffer.take(end + 2)[:-2].decode("ascii").split(" ")
     except UnicodeDecodeError:
-        raise BadLine("not text") from None
-
-
-def figure(word):
-    value = float(word)
-    if not 0 <= value <= MOST_FIGURE:
-        raise ValueError(word)
-    return value
-
-
-def whole(word, most=MOST_FIGURE):
-    if not word.isdecimal() or int(word) > most:
-        raise ValueError(word)
-    return int(word)
+        raise InvalidLine("not text") from None
 
 
-def state(words, steps):
-    """(build, step, cap, standing, age) from `image ring progress ceiling lag_ms`, with so many steps."""
+def parse_update(words: Sequence[str], steps: int) -> ReleaseUpdate:
+    """`image ring progress ceiling lag_ms` of a release with so many steps. Raises InvalidLine."""
     try:
         image, ring, progress, ceiling, lag = words
-        age = int(figure(lag) * 10)
-        return whole(image), whole(ring, steps - 1), figure(ceiling), STANDINGS[progress], age
+        age = _tenths_of_ms(lag)
+        build, step = _integer(image), _integer(ring, steps - 1)
+        return ReleaseUpdate(build, step, _number(ceiling), STATES[progress], age)
     except (ValueError, KeyError, TypeError):
-        raise BadLine(f"state {words}") from None
+        raise InvalidLine(f"state {words}") from None
 
 
-def news(part, steps):
-    """The same out of the configuration, where it is an object."""
-    step = part.whole("ring", 0)
+def read_update(section: Section, steps: int) -> ReleaseUpdate:
+    """The same out of the configuration, where it is an object. Raises InvalidConfiguration."""
+    step = section.integer("ring", 0)
     if step >= steps:
-        raise part.bad("ring", "a step that settings.family_info.waves has")
-    return (
-        part.whole("image"),
-        step,
-        part.number("ceiling", 1.0, 0, 1),
-        part.choice("progress", "stable", STANDINGS),
-        int(part.number("lag_ms", 0) * 10),
+        raise section.invalid("ring", "a step that settings.family_info.waves has")
+    return ReleaseUpdate(
+        build=section.integer("image"),
+        step=step,
+        cap=section.number("ceiling", 1.0, 0, 1),
+        state=section.choice("progress", "stable", STATES),
+        age=int(section.number("lag_ms", 0) * 10),
     )
 
 
-def reply(words, steps, bare=False):
-    """(result, state or None) of the answer to a call; only a subscription is answered by a bare OK."""
+def parse_reply(words: Sequence[str], steps: int, bare: bool = False) -> Reply:
+    """The answer to a call; only a subscription is answered by a bare OK. Raises InvalidLine."""
     if words[0] == "OK" and bare == (len(words) == 1):
-        return OK, None if bare else state(words[1:], steps)
+        return Reply(AttemptResult.OK, None if bare else parse_update(words[1:], steps))
     if words[0] == "ERR" and len(words) == 2 and words[1] in REFUSALS:
-        return REFUSALS[words[1]], None
-    raise BadLine(f"answer {words}")
+        return Reply(REFUSALS[words[1]], None)
+    raise InvalidLine(f"answer {words}")
 
 
-def tally(words):
-    """(build, method's name, failed, ended, mean, age) from `image type n bad latency_ms lag_ms`."""
+def parse_counts(words: Sequence[str]) -> Counts:
+    """`image type n bad latency_ms lag_ms`. Raises InvalidLine."""
     try:
         image, name, count, bad, latency, lag = words
-        ended = whole(count)
-        mean, age = int(figure(latency) * 10), int(figure(lag) * 10)
-        return whole(image), name, whole(bad, ended), ended, mean, age
+        ended = _integer(count)
+        mean, age = _tenths_of_ms(latency), _tenths_of_ms(lag)
+        return Counts(_integer(image), name, _integer(bad, ended), ended, mean, age)
     except ValueError:
-        raise BadLine(f"tally {words}") from None
+        raise InvalidLine(f"tally {words}") from None
 
 
-def flag(words):
-    """(server's id, method's name) from `host type lag_ms`."""
+def parse_wrong_answer(words: Sequence[str]) -> WrongAnswer:
+    """`host type lag_ms`. Raises InvalidLine."""
     if len(words) != 3:
-        raise BadLine(f"flag {words}")
-    return words[0], words[1]
+        raise InvalidLine(f"flag {words}")
+    return WrongAnswer(words[0], words[1])
+
+
+def _number(word: str) -> float:
+    value = float(word)
+    if not 0 <= value <= MAX_NUMBER:
+        raise ValueError(word)
+    return value
+
+
+def _tenths_of_ms(word: str) -> Duration:
+    """Milliseconds as tenths of them."""
+    return int(_number(word) * 10)
+
+
+def _integer(word: str, most: int = MAX_NUMBER) -> int:
+    if not word.isdecimal() or int(word) > most:
+        raise ValueError(word)
+    return int(word)
--- a/honeywood/cli/check.py
+++ b/honeywood/cli/check.py
@@ -20,8 +20,8 @@
     """Says what is wrong with a configuration and an operator file; ends with 2 where anything is."""
     from honeywood.operator.read import read, write_compiled
     from honeywood.operator.rules import BadFile
-    from honeywood.balancer.program import config as configuration
-    from honeywood.balancer.settings import BadKey
+    from honeywood.balancer.program import configuration
+    from honeywood.balancer.sections import InvalidConfiguration
 
     config = config or os.environ.get("ROUTER_CONFIG")
     operator = operator or os.environ.get("ROUTER_OPERATOR")
@@ -31,7 +31,7 @@
     if config:
         try:
             configuration.read({**os.environ, "ROUTER_CONFIG": config})
-        except BadKey as bad:
+        except InvalidConfiguration as bad:
             wrong.append(str(bad))
     if operator:
         try:
--- a/honeywood/trace/recorder.py
+++ b/honeywood/trace/recorder.py
@@ -1,5 +1,6 @@
-"""Writes what a front's tape holds to files in a folder, on a thread of its own; the front never waits for
+"""Writes what a front's calls holds to files in a folder, on a thread of its own; the front never waits for
 it."""
+
 import fcntl
 import os
 import secrets
@@ -9,8 +10,8 @@
 from honeywood.trace.rules.keeping import BLOCK_RECORDS, Recording, to_delete
 from honeywood.trace.schema import Unfit
 
-LOOKS = 1000                   # tenths of a ms: the queue is looked at so often, at a block's age if sooner
-COLUMNS = 4                    # are packed, at some 0.2 ms each, before other threads go on
+LOOKS = 1000  # tenths of a ms: the queue is looked at so often, at a block's age if sooner
+COLUMNS = 4  # are packed, at some 0.2 ms each, before other threads go on
 ENDING = ".trace"
 
 
@@ -18,8 +19,8 @@
     """`given`: the trace block of the operator file. `mailbox` is one with a thread, made by the caller, as
     are `clock` (now in tenths of a ms) and `log`. `about` describes the front in each file's header."""
 
-    def __init__(self, given, tape, about, name, mailbox, clock, log):
-        self.given, self.tape, self.log, self.clock, self.mailbox = given, tape, log, clock, mailbox
+    def __init__(self, given, calls, about, name, mailbox, clock, log):
+        self.given, self.calls, self.log, self.clock, self.mailbox = given, calls, log, clock, mailbox
         self.run = secrets.token_hex(8)
         self.about, self.name = {**about, "run": self.run}, "".join(c if c.isalnum() else "_" for c in name)
         self.recording = Recording(given.block_age, given.file_bytes, given.file_age)
@@ -37,13 +38,13 @@
             self.go_on(self.clock())
 
     def go_on(self, now, all=False):
-        queue, start = self.tape.queue, self.tape.unix_start
+        queue, start = self.calls.queue, self.calls.unix_start
         while queue and (all or self.recording.block_due(len(queue), queue[0][0] + start, now)):
             waiting = [queue.popleft() for _ in range(min(len(queue), BLOCK_RECORDS))]
             if self.recording.may_write(now):
                 self.write(now, waiting)
             else:
-                self.tape.intake.lost += len(waiting)
+                self.calls.intake.lost += len(waiting)
 
     def write(self, now, waiting):
         try:
@@ -51,16 +52,16 @@
                 self.close()
             if not self.writer:
                 self.open(now)
-            self.pack([*self.tape.drop_note(now, "queue, disk or unfit"), *waiting])
+            self.pack([*self.calls.drop_note(now, "queue, disk or unfit"), *waiting])
             if self.given.sync == "block":
                 self.writer.sync()
             if self.recording.wrote():
                 self.log.info("trace_goes_on", file=self.file.name)
         except OSError as wrong:
-            self.tape.intake.lost += len(waiting)
+            self.calls.intake.lost += len(waiting)
             self.give_up()
             if self.recording.failed(now):
-                self.log.error("trace_stopped", what=str(wrong), lost=self.tape.intake.lost)
+                self.log.error("trace_stopped", what=str(wrong), lost=self.calls.intake.lost)
 
     def pack(self, waiting):
         """Writes a block; a record that no trace may hold (a server's name of a megabyte) is left out and
@@ -70,7 +71,7 @@
         except Unfit:
             half = len(waiting) // 2
             if not half:
-                self.tape.intake.lost += 1
+                self.calls.intake.lost += 1
                 return
             self.pack(waiting[:half])
             self.pack(waiting[half:])
@@ -94,15 +95,20 @@
                 if entry.name.startswith(f"{self.name}-") and entry.name.endswith(ENDING):
                     stat = entry.stat()
                     files.append((entry.name, stat.st_size, stat.st_mtime_ns // 100_000))
-        for name in to_delete(files, time.time_ns() // 100_000, self.given.most_bytes, self.given.longest_age,
-                              self.given.file_bytes):
+        for name in to_delete(
+            files,
+            time.time_ns() // 100_000,
+            self.given.most_bytes,
+            self.given.longest_age,
+            self.given.file_bytes,
+        ):
             path = os.path.join(self.given.folder, name)
             try:
                 with open(path, "rb") as file:
                     fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
                     os.remove(path)
             except (BlockingIOError, FileNotFoundError):
-                pass               # another process writes it, or has just deleted it
+                pass  # another process writes it, or has just deleted it
 
     def close(self):
         self.writer.close()
@@ -117,7 +123,7 @@
             try:
                 self.file.close()
             except OSError:
-                pass               # what the failed write left is given back all the same
+                pass  # what the failed write left is given back all the same
         self.writer = self.file = None
 
     def stop(self):
--- a/honeywood/trace/replay.py
+++ b/honeywood/trace/replay.py
@@ -1,7 +1,9 @@
 """Replays traces of one front's run into the decisions of today."""
+
 import json
 
-from honeywood.balancer.settings import BadKey, settings
+from honeywood.balancer.sections import InvalidConfiguration
+from honeywood.balancer.settings_codec import read_settings
 from honeywood.trace.rules.replaying import Player
 from honeywood.trace.schema import Unreadable
 from honeywood.trace.sources import name
@@ -12,8 +14,8 @@
     if about.get("sample") or not about.get("settings"):
         raise Unreadable(f"{name(about)}: holds no settings of a front: it can't be replayed")
     try:
-        given = settings(json.loads(about["settings"]), int(about["front_seed"]), "settings")
-    except (BadKey, ValueError, KeyError, TypeError) as wrong:
+        given = read_settings(json.loads(about["settings"]), int(about["front_seed"]), "settings")
+    except (InvalidConfiguration, ValueError, KeyError, TypeError) as wrong:
         raise Unreadable(f"{name(about)}: its settings can't be read: {wrong}") from None
     return Player(given, int(about["unix_start"]))
 
--- a/honeywood/trace/rules/lives.py
+++ b/honeywood/trace/rules/lives.py
@@ -1,22 +1,47 @@
 """The life of one RPC: what was asked, where it went and why, how it ended. Out of records, into plain
 words."""
-from honeywood.balancer.interface import Bar
-from honeywood.trace.schema import (
-    ABORTED, ANSWER, ANSWERED_OK, COMING, KINDS, LEFT, PICK, PUSHED_BACK, RESULT, TAKEN)
 
-MOST_OPEN = 100_000            # RPCs that may be open at once, to be followed
+from honeywood.balancer.model import Exclusion
+from honeywood.trace.schema import (
+    ABORTED,
+    ANSWER,
+    ANSWERED_OK,
+    COMING,
+    KINDS,
+    LEFT,
+    PICK,
+    PUSHED_BACK,
+    RESULT,
+    TAKEN,
+)
+
+MOST_OPEN = 100_000  # RPCs that may be open at once, to be followed
 RESULTS = ("error", "ok", "full", "timeout", "connect failed", "reset", "cancelled", "moot")
 OUTCOMES = {ANSWERED_OK: "ok", PUSHED_BACK: "pushed back", ABORTED: "aborted"}
-WHY = {0: "", 1: "it had waited too long for the front", 2: "too many RPCs were open",
-       3: "no server might be sent to", 4: "its soft deadline had passed", 5: "no further pick was earned"}
+WHY = {
+    0: "",
+    1: "it had waited too long for the front",
+    2: "too many RPCs were open",
+    3: "no server might be sent to",
+    4: "its soft deadline had passed",
+    5: "no further pick was earned",
+}
 BARS = {
-    Bar.NONE: "might be sent to", Bar.DONE: "the RPC was over", Bar.NOT_READY: "draining or gone",
-    Bar.PICKS: "the RPC had all its picks", Bar.DEADLINE: "past the deadline",
-    Bar.MAY_HAVE_RUN: "an earlier pick may have run", Bar.TOKEN: "outside the token's group or window",
-    Bar.ONE_WAY: "an older build than answered the key", Bar.EXPOSURE: "over the cap of the build on trial",
-    Bar.COLD: "a cold server's budget was used", Bar.WARMING: "warming up: left out by chance",
-    Bar.LEFT_ALONE: "left alone after failures", Bar.SILENT: "silent with picks out",
-    Bar.TRIED: "tried before"}
+    Exclusion.NONE: "might be sent to",
+    Exclusion.DONE: "the RPC was over",
+    Exclusion.NOT_READY: "draining or gone",
+    Exclusion.MAX_ATTEMPTS: "the RPC had all its picks",
+    Exclusion.DEADLINE: "past the deadline",
+    Exclusion.MAY_HAVE_RUN: "an earlier pick may have run",
+    Exclusion.DEDUPLICATION: "outside the token's group or window",
+    Exclusion.ONE_WAY: "an older build than answered the key",
+    Exclusion.EXPOSURE: "over the cap of the build on trial",
+    Exclusion.COLD_BUDGET: "a cold server's budget was used",
+    Exclusion.WARMING_UP: "warming up: left out by chance",
+    Exclusion.EJECTED: "left alone after failures",
+    Exclusion.SILENT: "silent with picks out",
+    Exclusion.TRIED: "tried before",
+}
 
 
 def bar(number):
@@ -102,32 +127,40 @@
     lines = []
     if life.taken:
         got = dict(zip(TAKEN.at, life.taken[1]))
-        lines.append(f"{clock(start)}  taken: {got['method']} {got['id']}"
-                     + (f", parcel {got['parcel']}" if got["parcel"] else "")
-                     + (f", customer {got['customer']}" if got["customer"] else "")
-                     + (f", from {got['client']}" if got["client"] else "")
-                     + f"; {seconds(got['deadline'])} left, waited {seconds(got['waited'])}"
-                     + ("; a repeat by its client" if got["repeat"] else ""))
+        lines.append(
+            f"{clock(start)}  taken: {got['method']} {got['id']}"
+            + (f", parcel {got['parcel']}" if got["parcel"] else "")
+            + (f", customer {got['customer']}" if got["customer"] else "")
+            + (f", from {got['client']}" if got["client"] else "")
+            + f"; {seconds(got['deadline'])} left, waited {seconds(got['waited'])}"
+            + ("; a repeat by its client" if got["repeat"] else "")
+        )
     else:
         lines.append(f"{clock(start)}  its taking is not in this trace")
     for record in life.records:
         kind, at = KINDS[record.kind], f"+{seconds(record.time - start):>10}"
         got = dict(zip(kind.at, record.values))
         if kind is PICK:
-            lines.append(f"{at}  pick {got['number']}: {got['server']} of build {got['build']}, "
-                         f"to be answered within {seconds(got['until'])}")
+            lines.append(
+                f"{at}  pick {got['number']}: {got['server']} of build {got['build']}, "
+                f"to be answered within {seconds(got['until'])}"
+            )
             lines += weighed(got)
         elif kind is RESULT:
             load = f", load {got['load']}" if got["load"] else ""
-            lines.append(f"{at}  pick {got['number']} ended: {RESULTS[got['result']]} by {got['server']} "
-                         f"after {seconds(got['latency'])}{load}")
+            lines.append(
+                f"{at}  pick {got['number']} ended: {RESULTS[got['result']]} by {got['server']} "
+                f"after {seconds(got['latency'])}{load}"
+            )
         elif kind is COMING:
             lines.append(f"{at}  pick {got['number']}: the first of its answer came from {got['server']}")
         elif kind is ANSWER:
             why = WHY.get(got["why"], f"reason {got['why']}")
-            lines.append(f"{at}  answered: {OUTCOMES.get(got['outcome'], got['outcome'])}"
-                         + (f", since {why}" if why else "")
-                         + (f"; may come back in {seconds(got['wait'])}" if got["wait"] else ""))
+            lines.append(
+                f"{at}  answered: {OUTCOMES.get(got['outcome'], got['outcome'])}"
+                + (f", since {why}" if why else "")
+                + (f"; may come back in {seconds(got['wait'])}" if got["wait"] else "")
+            )
             lines += weighed(got)
         elif kind is LEFT:
             lines.append(f"{at}  its client left before the answer")
--- a/tests/balancer/test_architecture.py
+++ b/tests/balancer/test_architecture.py
@@ -1,6 +1,7 @@
 """Which package of the balancer imports which, and what of the rest of the tree."""
 
 import ast
+import tomllib
 from pathlib import Path
 
 import pytest
@@ -9,15 +10,18 @@
 PACKAGE = "honeywood.balancer"
 # A package, or a module directly under honeywood/balancer, imports only what stands on lower floors.
 FLOORS = {
-    "interface": 1,
+    "model": 1,
+    "sections": 1,
     "transport": 1,
     "settings": 2,
-    "decisions": 2,
+    "interface": 2,
     "flow_control": 2,
-    "protocol": 2,
-    "actors": 3,
-    "benchlink": 3,
-    "program": 4,
+    "settings_codec": 3,
+    "decisions": 3,
+    "protocol": 3,
+    "actors": 4,
+    "benchlink": 4,
+    "program": 5,
 }
 SHARED = {"decisions": ("honeywood.release_analysis",)}
 # What an operator file switches on is imported inside functions, only where it is switched on.
@@ -70,3 +74,11 @@
     files = (ROOT / "honeywood" / "release_analysis").rglob("*.py")
     names = {name for path in files for name in imported(path) if name.startswith("honeywood.")}
     assert not [name for name in names if not name.startswith("honeywood.release_analysis.")]
+
+
+def test_the_deploy_file_names_every_file_of_the_decisions_and_only_what_exists():
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    decisions = (ROOT / "honeywood" / "balancer" / "decisions").glob("*.py")
+    names = {path.relative_to(ROOT).as_posix() for path in decisions if path.stem != "__init__"}
+    assert names <= set(deploy["policy"])
+    assert not [path for path in deploy["policy"] + deploy["node"] if not (ROOT / path).exists()]
--- a/tests/fleet/fleet.py
+++ b/tests/fleet/fleet.py
@@ -1,11 +1,12 @@
 """Many fronts' decisions on one clock, before servers that all of them share: what is asked are sums."""
+
 from heapq import heappop, heappush
 from random import Random
 
-from honeywood.balancer import interface as face
+from honeywood.balancer.model import SECOND, AttemptResult, Idempotency, Method
 from play import MS, Play
 
-WORK, CORES = 330 * MS, 3      # of a server; an RPC takes longer in proportion where more than CORES are held
+WORK, CORES = 330 * MS, 3  # of a server; an RPC takes longer in proportion where more than CORES are held
 
 
 class Member(Play):
@@ -14,7 +15,7 @@
     def __init__(self, fleet, number):
         self.fleet, self.number = fleet, number
         super().__init__()
-        self.given.update({"seed": number, "fronts": fleet.size, "me": number, **fleet.given})
+        self.given.update({"seed": number, "balancers": fleet.size, "balancer_index": number, **fleet.given})
         self.methods = fleet.methods
 
     now = property(lambda self: self.fleet.now, lambda self, value: None)
@@ -22,23 +23,28 @@
     def at(self, after, call, *values):
         self.fleet.at(after, call, *values)
 
-    def send(self, pick, until):
-        self.sends.append(pick)
+    def send(self, attempt, until):
+        self.sends.append(attempt)
         held = self.fleet.held
-        name = pick.host = self.name(pick.server)
+        name = attempt.host = self.name(attempt.server)
         held[name] = held.get(name, 0) + 1
         slower = max(1.0, held[name] / CORES)
         took = int(WORK * slower * (0.5 + self.fleet.random.random()))
         over = self.now + took > until
-        self.at(min(took, until - self.now), self.over, pick, face.TIMEOUT if over else face.OK)
+        self.at(
+            min(took, until - self.now),
+            self.over,
+            attempt,
+            AttemptResult.TIMEOUT if over else AttemptResult.OK,
+        )
 
-    def over(self, pick, result):
-        if pick.result is None:
-            self.fleet.held[pick.host] -= 1
-            self.end(pick, result, self.now - pick.sent)
+    def over(self, attempt, result):
+        if attempt.result is None:
+            self.fleet.held[attempt.host] -= 1
+            self.end(attempt, result, self.now - attempt.sent_at)
 
-    def cancel(self, pick):
-        self.at(1, self.over, pick, face.CANCELLED)
+    def cancel(self, attempt):
+        self.at(1, self.over, attempt, AttemptResult.CANCELLED)
 
 
 class Fleet:
@@ -46,9 +52,18 @@
 
     def __init__(self, size, servers, rate, seed=1, **given):
         self.size, self.given, self.random = size, given, Random(seed)
-        self.methods = {"read": face.Method(
-            kind=face.IDEMPOTENT, soft=900 * MS, soft_stretch=0, deadline=3600 * MS, place=0, utility=2.0,
-            late_utility=0, group="all", window=80000)}
+        self.methods = {
+            "read": Method(
+                idempotency=Idempotency.IDEMPOTENT,
+                latency_target=900 * MS,
+                timeout=3600 * MS,
+                index=0,
+                utility=2.0,
+                late_utility=0,
+                dedup_scope="all",
+                dedup_window=80000,
+            )
+        }
         self.queue, self.order, self.now, self.held, self.taken = [], 0, 0, {}, 0
         self.members = [Member(self, n) for n in range(size)]
         for member in self.members:
@@ -66,7 +81,7 @@
         """RPCs come by chance until then (ms)."""
         for member, rate in zip(self.members, self.shares):
             due = self.now
-            while (due := due + int(self.random.expovariate(rate) * face.SECOND) + 1) < until * MS:
+            while (due := due + int(self.random.expovariate(rate) * SECOND) + 1) < until * MS:
                 self.taken += 1
                 self.at(due - self.now, member.do_rpc, f"r{self.taken}", "read")
 
@@ -80,4 +95,6 @@
         return sum(what(member) for member in self.members)
 
     def sent(self, name, since, until):
-        return self.sum(lambda m: sum(p.host == name and since * MS <= p.sent < until * MS for p in m.sends))
+        return self.sum(
+            lambda m: sum(p.host == name and since * MS <= p.sent_at < until * MS for p in m.sends)
+        )
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -1,4 +1,5 @@
 """What is fine for one front and hurts once every front of a fleet does it."""
+
 import pytest
 from fleet import Fleet
 
@@ -24,7 +25,9 @@
 @pytest.mark.parametrize("size", SIZES)
 def test_dear_probes_are_not_multiplied_by_the_fleet(size):
     for price, probes in ((0.01, True), (0.08, False)):
-        fleet = Fleet(size, servers(40), 240, may_probe=True, report_fields=("active",), probe_price=price)
+        fleet = Fleet(
+            size, servers(40), 240, may_probe=True, load_report_fields=("active",), probe_price=price
+        )
         fleet.flow(2000)
         fleet.run(3000)
         assert (fleet.sum(lambda m: m.probes) > 100) == probes
@@ -35,7 +38,7 @@
 def test_cold_servers_get_no_more_than_their_multiple_from_all_fronts(size):
     """Ten of 40 servers start at 10 s. In any window of the told length a cold one may get the multiple (2.5)
     of what a warm one gets, times the share of its capacity that it has."""
-    fleet = Fleet(size, servers(40), 240, cold_share=0.33, cold_time=26400, tip_time=30000)
+    fleet = Fleet(size, servers(40), 240, cold_capacity_share=0.33, warm_up_time=26400, overload_window=30000)
     fleet.flow(20000)
     fleet.run(10000)
     for member in fleet.members:
@@ -52,7 +55,7 @@
 def test_all_fronts_get_their_list_from_a_discovery_that_refuses_most_calls(size):
     """All start at once and ask; discovery takes one call of each in 6 s and turns away what comes faster.
     Where those refused come again together, only a few of them are taken each time."""
-    fleet = Fleet(size, servers(4), 10, must_ask=True, ask_within=100000)
+    fleet = Fleet(size, servers(4), 10, list_on_request=True, ask_within=100000)
     spare, told = [1.0, 0], {}
 
     def asked(member):
@@ -62,10 +65,12 @@
             told.setdefault(member.number, fleet.now)
             fleet.at(10, member.do_list, *servers(4))
         else:
-            fleet.at(10, member.front.list_failed, fleet.now + 10)
+            fleet.at(10, member.balancer.on_server_list_failed, fleet.now + 10)
+
     for member in fleet.members:
-        member.front.watching = member.front.asked = False  # the list at start was the configuration's
-        member.watch = lambda member=member: asked(member)
+        watch = member.balancer.list_watch
+        watch.established = watch.asked = False  # the list at start was the configuration's
+        member.watch_servers = lambda member=member: asked(member)
     fleet.run(20000)
     assert len(told) == size and max(told.values()) < 150000
 
@@ -92,5 +97,5 @@
     assert len(kept) < 30
     first.do_list(*(name if name.partition("/")[0] not in kept else name + "-" for name in servers(100)))
     fleet.run(22000)
-    late = [p for p in first.sends if p.sent > 100000]
+    late = [p for p in first.sends if p.sent_at > 100000]
     assert len(late) > 10 and not kept & {p.host for p in late} and not first.pushed
--- a/tests/fleet/test_real_fronts.py
+++ b/tests/fleet/test_real_fronts.py
@@ -1,5 +1,6 @@
 """A few real fronts before the same servers: killed and restarted at once, moved at once, before a discovery
 that refuses most calls and servers that hold few connections. The servers' own records say what ran."""
+
 import json
 import os
 import random
@@ -16,7 +17,7 @@
 from standins.release import Platform, Worker
 
 FRONTS, SERVERS, CONNECTIONS = 4, 6, 3
-WITHIN = 30                    # seconds, until a state that is waited for must have come
+WITHIN = 30  # seconds, until a state that is waited for must have come
 
 
 class FewConnections(Worker):
@@ -40,8 +41,10 @@
                 if self.silent.is_set():
                     return self.silent_until_end(sock)
                 if full:
-                    return sock.sendall(b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n"
-                                        b"Connection: close\r\n\r\n")
+                    return sock.sendall(
+                        b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n"
+                        b"Connection: close\r\n\r\n"
+                    )
                 with self.lock:
                     self.ids.append(got[1]["x-request-id"])
                 time.sleep(self.chance.expovariate(1 / self.work))
@@ -80,8 +83,9 @@
             with socket.create_server(("127.0.0.1", 0)) as free:
                 self.listens.append(free.getsockname())
         self.answers, self.killed, self.over = {}, set(), threading.Event()
-        self.threads = [threading.Thread(target=self.ask, args=(n, random.Random(n)))
-                        for n in range(FRONTS * 3)]
+        self.threads = [
+            threading.Thread(target=self.ask, args=(n, random.Random(n))) for n in range(FRONTS * 3)
+        ]
 
     def entries(self):
         return [{**worker.entry(), "up_since_ms": 0} for worker in self.workers]
@@ -89,9 +93,12 @@
     def configure(self, number):
         config = json.loads(json.dumps(CONFIG))
         config.update(
-            name=f"n{number}", seed=f"{number:x}", listen="{}:{}".format(*self.listens[number]),
+            name=f"n{number}",
+            seed=f"{number:x}",
+            listen="{}:{}".format(*self.listens[number]),
             discovery=self.discovery.address,
-            known={"revision": 1, "complete": True, "members": self.entries()})
+            known={"revision": 1, "complete": True, "members": self.entries()},
+        )
         config["pipeline"]["address"] = self.platform.address
         config["settings"].update(balancers=FRONTS, me=number, registry_mode="ask")
         (self.folder / f"{number}.json").write_text(json.dumps(config))
@@ -101,8 +108,11 @@
             self.configure(number)
             with open(self.folder / f"{number}.log", "ab") as log:
                 self.fronts[number] = subprocess.Popen(
-                    [sys.executable, "-m", "honeywood"], stdout=log, stderr=log,
-                    env={**os.environ, "ROUTER_CONFIG": str(self.folder / f"{number}.json")})
+                    [sys.executable, "-m", "honeywood"],
+                    stdout=log,
+                    stderr=log,
+                    env={**os.environ, "ROUTER_CONFIG": str(self.folder / f"{number}.json")},
+                )
         self.until(lambda: all(health(listen) == 200 for listen in self.listens))
 
     def until(self, what):
@@ -131,7 +141,7 @@
             try:
                 sock = socket.create_connection(self.listens[front], 10)
             except OSError:
-                time.sleep(0.02)   # it is being started
+                time.sleep(0.02)  # it is being started
                 continue
             with sock:
                 try:
@@ -139,7 +149,7 @@
                     while some := sock.recv(65536):
                         data += some
                 except OSError:
-                    pass           # a connection that breaks is no answer
+                    pass  # a connection that breaks is no answer
             if data or process not in self.killed:
                 self.answers[name] = book, data
 
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -1,36 +1,49 @@
 """What the settings tell of the fleet, and what they may lack."""
+
 import pytest
 from fleet import Fleet
 
-from honeywood.balancer import settings
+from honeywood.balancer.sections import InvalidConfiguration
+from honeywood.balancer.settings_codec import read_settings
 
 PROFILE = {"name": "read", "idempotency": "safe", "aim_us": 900000, "give_up_us": 3600000}
 
 
 def read(**given):
-    return settings.settings({"profiles": [PROFILE], **given}, 1, "settings")
+    return read_settings({"profiles": [PROFILE], **given}, 1, "settings")
 
 
 def test_what_is_not_told_has_its_default():
     given = read()
-    assert (given.fronts, given.me, given.probe_price, given.cold_time) == (1, 0, 0.0, 0)
-
-
-@pytest.mark.parametrize("key, part, text", [
-    ("balancers", {"balancers": -1}, "settings.balancers: -1 is not a whole number from 0 on"),
-    ("balancers", {"balancers": "many"}, "settings.balancers: 'many' is not a whole number from 0 on"),
-    ("me", {"me": 1.5}, "settings.me: 1.5 is not a whole number from 0 on"),
-    ("probe", {"prices": {"probe": -0.1}}, "settings.prices.probe: -0.1 is not a number from 0 to 1e+15"),
-])
+    assert (given.balancers, given.balancer_index, given.probe_price, given.warm_up_time) == (1, 0, 0.0, 0)
+
+
+@pytest.mark.parametrize(
+    "key, part, text",
+    [
+        ("balancers", {"balancers": -1}, "settings.balancers: -1 is not a whole number from 0 on"),
+        ("balancers", {"balancers": "many"}, "settings.balancers: 'many' is not a whole number from 0 on"),
+        ("me", {"me": 1.5}, "settings.me: 1.5 is not a whole number from 0 on"),
+        ("probe", {"prices": {"probe": -0.1}}, "settings.prices.probe: -0.1 is not a number from 0 to 1e+15"),
+    ],
+)
 def test_what_cannot_be_used_names_its_key(key, part, text):
-    with pytest.raises(settings.BadKey, match=key) as bad:
+    with pytest.raises(InvalidConfiguration, match=key) as bad:
         read(**part)
     assert str(bad.value) == text
 
 
-@pytest.mark.parametrize("given", [
-    {"fronts": 1}, {"fronts": 0}, {"fronts": 200, "me": 200}, {"fronts": 3, "me": 10 ** 9},
-    {"zone": 3, "cross_price": 0.02}, {"fronts": 200, "me": 199}])
+@pytest.mark.parametrize(
+    "given",
+    [
+        {"balancers": 1},
+        {"balancers": 0},
+        {"balancers": 200, "balancer_index": 200},
+        {"balancers": 3, "balancer_index": 10**9},
+        {"zone": 3, "cross_zone_price": 0.02},
+        {"balancers": 200, "balancer_index": 199},
+    ],
+)
 @pytest.mark.parametrize("count", [1, 3, 40])
 def test_a_front_serves_whatever_it_is_told_of_its_fleet(given, count):
     """Alone, of an unknown number, with an index beyond it, with fewer servers than fronts, with all servers
--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -206,7 +206,6 @@
     """An answer cut at every byte by an end, a reset or silence; the same on a kept connection."""
     for n in range(len(whole) + 1):
         for how in ("eof", "reset", None):
-
             scenario = CallScenario(kind)
 
             def script(line, id, n=n, how=how, scenario=scenario):
--- a/tests/gateway/test_disk.py
+++ b/tests/gateway/test_disk.py
@@ -223,5 +223,3 @@
     finally:
         power.Calls = guarded
     assert lost
-
-
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -98,7 +98,8 @@
 
 @test("cut off in one direction alone, {way}, a controller answers by 503; the others go on")
 def _(way=each("deaf", "mute bc")):
-    played("""
+    played(
+        """
       at   | a              | b       | c
       0    | start          | start   | start
       1    | send 5x        |         |
@@ -108,7 +109,8 @@
       4    | send 4x, read  |         |
       5.5  | says 5x 503, says state 503, says v3 503 | says 6x 200 | says state 200 active v2
       5.6  | says 4x 503, says read 503 |  |
-    """.replace("WAY", way))
+    """.replace("WAY", way)
+    )
 
 
 @test("a service brought in by a version that this controller has not heard of is known all the same")
--- a/tests/gateway/test_register_values.py
+++ b/tests/gateway/test_register_values.py
@@ -104,20 +104,24 @@
 CONFIGURATION = {"epoch": 2, "members": ["a", "b"], "next": {"epoch": 3, "members": ["a", "c"]}}
 SHOWN = replies.Shown(BALLOT, Inline({"n": 1}), True)
 MESSAGES = [
-    (requests.Prepare("k", BALLOT, 2), [
-        replies.Promise(BALLOT, REFERENCE, REPLY_LIVES),
-        replies.Refusal(BALLOT, REPLY_LIVES),
-        replies.Fenced(CONFIGURATION),
-    ]),
+    (
+        requests.Prepare("k", BALLOT, 2),
+        [
+            replies.Promise(BALLOT, REFERENCE, REPLY_LIVES),
+            replies.Refusal(BALLOT, REPLY_LIVES),
+            replies.Fenced(CONFIGURATION),
+        ],
+    ),
     (requests.Accept("k", BALLOT, 2, REFERENCE), [replies.Accepted(REPLY_LIVES), replies.ValueWanted(7)]),
     (requests.StoreChunk(cut(5)), [replies.ChunkHeld(9)]),
     (requests.FetchChunk(REFERENCE, 0, 9), [replies.ChunkTold(cut(9)), replies.ChunkTold(None)]),
     (requests.Read("k", BALLOT, 2), [replies.ReadReply(SHOWN, REPLY_LIVES)]),
     (requests.Told({"epoch": 3, "members": ["a"]}), [replies.Noted()]),
     (requests.Survey({"k": BALLOT}, 2), [replies.SurveyReply({"k": SHOWN}, REPLY_LIVES)]),
-    (requests.Pull("a", 1, {"k": BALLOT}, True, {"epoch": 3, "members": ["a"]}), [
-        replies.PullReply({"k": Row(BALLOT, BALLOT, REFERENCE)}, REPLY_LIVES, CONFIGURATION)
-    ]),
+    (
+        requests.Pull("a", 1, {"k": BALLOT}, True, {"epoch": 3, "members": ["a"]}),
+        [replies.PullReply({"k": Row(BALLOT, BALLOT, REFERENCE)}, REPLY_LIVES, CONFIGURATION)],
+    ),
 ]
 
 
--- a/tests/gateway/test_sockets.py
+++ b/tests/gateway/test_sockets.py
@@ -28,6 +28,7 @@
 )
 from ward import each, test
 
+
 @test("method, path with its escapes, query, id and body go on unchanged; the machine's answer comes back")
 def _():
     async def work():
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -114,7 +114,7 @@
         (b"X-Tenant: seje681, other",),
         (b"Connection: x-tenant", b"X-Tenant: seje681"),
         (b"Connection: x-api-key",),
-    )
+    ),
 ):
     async def work():
         async with TenantScene([ok]) as scene:
--- a/tests/operator/test_operator.py
+++ b/tests/operator/test_operator.py
@@ -1,4 +1,5 @@
 """The operator file: what stands in it is read, checked and defaulted; messages name file, block and key."""
+
 import json
 import os
 import subprocess
@@ -25,21 +26,29 @@
     assert read(given(tmp_path, "# nothing is switched on\n")).block("trace") is None
 
 
-@pytest.mark.parametrize("text, said", [
-    ('trace {\n foldr = "/x"\n}', "trace: foldr: unknown key; the nearest known is 'folder'"),
-    ('trcae {\n}', "trcae: unknown block; the nearest known is 'trace'"),
-    ("trace {\n}", "trace: folder: missing"),
-    ('trace {\n folder = "x"\n most_bytes = "1"\n}', "trace: most_bytes: is no size"),
-    ('trace {\n folder = "x"\n most_bytes = "1KB"\n}', "trace: most_bytes: is '1KB', under the least of 1MB"),
-    ('trace {\n folder = "x"\n block_age = "5 fortnights"\n}', "trace: block_age: is no time"),
-    ('trace {\n folder = "x"\n sync = "always"\n}', "trace: sync: is 'always', not one of never, file"),
-    ('trace {\n folder = 3\n}', "trace: folder: is 3, not a text"),
-    ('trace {\n folder = "x"\n queue = true\n}', "trace: queue: is True, not a whole number"),
-    ('trace {\n folder = "x"\n parcel_fields = ["A b"]\n}', "trace: parcel_fields: is"),
-    ('trace = 3', "trace: is a value, not a block"),
-    ('trace {\n folder = "a"\n}\ntrace {\n folder = "b"\n}', "trace: stands there 2 times"),
-    ('trace {\n folder = \n}', "line 2, column 11: not HCL"),
-    ("{}", "not compiled by this version: compile it anew"), ("{", "operator.hcl: Expecting")])
+@pytest.mark.parametrize(
+    "text, said",
+    [
+        ('trace {\n foldr = "/x"\n}', "trace: foldr: unknown key; the nearest known is 'folder'"),
+        ("trcae {\n}", "trcae: unknown block; the nearest known is 'trace'"),
+        ("trace {\n}", "trace: folder: missing"),
+        ('trace {\n folder = "x"\n most_bytes = "1"\n}', "trace: most_bytes: is no size"),
+        (
+            'trace {\n folder = "x"\n most_bytes = "1KB"\n}',
+            "trace: most_bytes: is '1KB', under the least of 1MB",
+        ),
+        ('trace {\n folder = "x"\n block_age = "5 fortnights"\n}', "trace: block_age: is no time"),
+        ('trace {\n folder = "x"\n sync = "always"\n}', "trace: sync: is 'always', not one of never, file"),
+        ("trace {\n folder = 3\n}", "trace: folder: is 3, not a text"),
+        ('trace {\n folder = "x"\n queue = true\n}', "trace: queue: is True, not a whole number"),
+        ('trace {\n folder = "x"\n parcel_fields = ["A b"]\n}', "trace: parcel_fields: is"),
+        ("trace = 3", "trace: is a value, not a block"),
+        ('trace {\n folder = "a"\n}\ntrace {\n folder = "b"\n}', "trace: stands there 2 times"),
+        ("trace {\n folder = \n}", "line 2, column 11: not HCL"),
+        ("{}", "not compiled by this version: compile it anew"),
+        ("{", "operator.hcl: Expecting"),
+    ],
+)
 def test_what_is_wrong_is_named(tmp_path, text, said):
     """A misspelt bound that is silently passed over is found on the day it is needed."""
     with pytest.raises(BadFile) as wrong:
@@ -51,8 +60,10 @@
 def test_compiled_form_needs_no_hcl(tmp_path):
     out = str(tmp_path / "compiled.json")
     write_compiled(read(given(tmp_path, GOOD)), out)
-    code = ("import sys; sys.modules['hcl2'] = None; from honeywood.operator.read import read; "
-            f"print(read({out!r}).block('trace').block_age)")
+    code = (
+        "import sys; sys.modules['hcl2'] = None; from honeywood.operator.read import read; "
+        f"print(read({out!r}).block('trace').block_age)"
+    )
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "2500\n"
     raw = json.loads((tmp_path / "compiled.json").read_text())
     raw["blocks"]["trace"]["later"] = 1
@@ -61,8 +72,13 @@
 
 
 def run(*words, **environ):
-    return subprocess.run([sys.executable, "-m", "honeywood", *words], capture_output=True, text=True,
-                          env={**os.environ, **environ}, timeout=60)
+    return subprocess.run(
+        [sys.executable, "-m", "honeywood", *words],
+        capture_output=True,
+        text=True,
+        env={**os.environ, **environ},
+        timeout=60,
+    )
 
 
 def test_operator_files_under_deploy_start_as_they_stand(pytestconfig):
@@ -82,12 +98,16 @@
 
 def test_a_front_imports_nothing_that_is_not_switched_on(tmp_path):
     """It lives in 32 MB: of subsystems and their libraries it loads only what the operator file names."""
-    code = ("import sys, honeywood.balancer.program.life; print([name for name in sys.modules if "
-            "name.startswith(("
-            "'honeywood.trace', 'honeywood.operator', 'honeywood.cli', 'honeywood.lab', 'click', 'hcl2',"
-            " 'numpy', 'msgpack', 'xxhash', 'zstandard', 'matplotlib', 'standins'))])")
+    code = (
+        "import sys, honeywood.balancer.program.life; print([name for name in sys.modules if "
+        "name.startswith(("
+        "'honeywood.trace', 'honeywood.operator', 'honeywood.cli', 'honeywood.lab', 'click', 'hcl2',"
+        " 'numpy', 'msgpack', 'xxhash', 'zstandard', 'matplotlib', 'standins'))])"
+    )
 
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "[]\n"
-    code = ("import sys; from honeywood.trace import recorder, tape; print([name for name in sys.modules if "
-            "name.startswith(('numpy', 'click', 'matplotlib', 'hcl2'))])")
+    code = (
+        "import sys; from honeywood.trace import call_recorder, recorder; print([name for name in "
+        "sys.modules if name.startswith(('numpy', 'click', 'matplotlib', 'hcl2'))])"
+    )
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "[]\n"
--- a/tests/pace/test_pace.py
+++ b/tests/pace/test_pace.py
@@ -1,9 +1,10 @@
 """Who is cut off, by bytes and times alone."""
+
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from honeywood.balancer.interface import SECOND
+from honeywood.balancer.model import SECOND
 from honeywood.balancer.flow_control.minimum_rates import LOOKED, PARTS, Attendance, Pace, Phase
 
 HEAD = Phase("head", grace=SECOND, window=2 * SECOND, least=1000, most=30 * SECOND)
@@ -11,11 +12,15 @@
 SCENARIOS = {
     "nothing moves": ([], ("too_slow_head", 3000)),
     "a healthy peer is done before it is judged": ([(10, 400)], ("too_slow_head", 3000)),
-    "just above the least rate, for ever": ([(at, 260) for at in range(0, 40_000, 250)],
-                                            ("too_long_head", 30_000)),
+    "just above the least rate, for ever": (
+        [(at, 260) for at in range(0, 40_000, 250)],
+        ("too_long_head", 30_000),
+    ),
     "just below it": ([(at, 210) for at in range(0, 40_000, 250)], ("too_slow_head", 3000)),
-    "in bursts of two seconds' worth": ([(at, 2100) for at in range(0, 40_000, 2000)],
-                                        ("too_long_head", 30_000)),
+    "in bursts of two seconds' worth": (
+        [(at, 2100) for at in range(0, 40_000, 2000)],
+        ("too_long_head", 30_000),
+    ),
     "stops after ten seconds": ([(at, 260) for at in range(0, 10_000, 250)], ("too_slow_head", 10_000)),
     "much at once buys no time later": ([(0, 10**6)], ("too_slow_head", 3000)),
 }
--- a/tests/play.py
+++ b/tests/play.py
@@ -17,6 +17,7 @@
     MS restart                      a new front with the last list
     MS expect WHAT                  a Python expression over the names bound in Play.expect
 """
+
 import copy
 import json
 import os
@@ -30,50 +31,101 @@
 import time
 from heapq import heappop, heappush
 
-from honeywood.balancer.decisions import balancer as decide
-from honeywood.balancer import interface as face
+from honeywood.balancer.decisions.balancer import Balancer
+from honeywood.balancer.model import (
+    UNKNOWN_START,
+    AttemptResult,
+    Exclusion,
+    GiveUpReason,
+    Idempotency,
+    Method,
+    PlatformCounts,
+    ReleaseState,
+    ReleaseUpdate,
+    Rpc,
+    Server,
+    ServerEntry,
+    ServerStatus,
+    Vote,
+)
+from honeywood.balancer.settings import Settings
 from standins.control import DiscoveryStand, PlatformStand
 from standins.peer import Peer, health, message
 
-RESULTS = {"error": 0, "ok": 1, "trickled": 1, "full": 2, "timeout": 3, "unconnected": 4, "reset": 5,
-           "moot": 7}
+RESULTS = {
+    "error": AttemptResult.ERROR,
+    "ok": AttemptResult.OK,
+    "trickled": AttemptResult.OK,
+    "full": AttemptResult.FULL,
+    "timeout": AttemptResult.TIMEOUT,
+    "unconnected": AttemptResult.CONNECT_FAILED,
+    "reset": AttemptResult.RESET,
+    "moot": AttemptResult.EXPIRED,
+}
 MS = 10
 
 
 class Play:
     def __init__(self):
         self.given = dict(
-            seed=7, tick=50, zone=0, fronts=2, me=0,
-            max_picks=4, may_duplicate=True, may_cancel=True, may_probe=False, max_wait=10000, must_ask=False,
-            ask_within=100000, cold_share=0.4, cold_time=40000, tip_multiple=2.5,
-            tip_time=20000, report_fields=(), cross_price=0.0, probe_price=0.0,
-            caps=[0.1, 0.5, 1.0], waves=[0.1, 0.4, 1.0], free_picks=2,
-            exposure_window=30000, per_method=False, guarded_steps=0, one_way=False, vote_rule="any",
-            back_votes=1, go_votes=1, vote_life=60000, vote_wait=12000,
-            tally_period=0)
+            seed=7,
+            clock_resolution=50,
+            zone=0,
+            balancers=2,
+            balancer_index=0,
+            max_attempts=4,
+            may_duplicate=True,
+            may_cancel=True,
+            may_probe=False,
+            max_retry_after=10000,
+            list_on_request=False,
+            ask_within=100000,
+            cold_capacity_share=0.4,
+            warm_up_time=40000,
+            overload_multiple=2.5,
+            overload_window=20000,
+            load_report_fields=(),
+            cross_zone_price=0.0,
+            probe_price=0.0,
+            caps=[0.1, 0.5, 1.0],
+            waves=[0.1, 0.4, 1.0],
+            exposure_allowance=2,
+            exposure_window=30000,
+            exposure_per_method=False,
+            guarded_steps=0,
+            one_way=False,
+            vote_rule="any",
+            rollback_votes=1,
+            proceed_votes=1,
+            vote_ttl=60000,
+            vote_timeout=12000,
+            platform_counts_period=0,
+        )
         self.methods, self.servers, self.rpcs, self.answers = {}, {}, {}, []
         self.queue, self.order, self.now = [], 0, 0
         self.sends, self.votes, self.pushed, self.aborted, self.watches = [], [], [], [], 0
-        self.front, self.reply, self.lines, self.probes = None, "ok", [], 0
-        self.tap, self.bars, self.found = self, {}, []
+        self.balancer, self.reply, self.lines, self.probes = None, "ok", [], 0
+        self.observer, self.excluded, self.found = self, {}, []
 
     # What the front asks of its host.
-    def send(self, pick, until):
-        self.sends.append(pick)
-        assert sum(p.result is None for p in pick.rpc.picks) == 1 or self.given["may_duplicate"]
+    def send(self, attempt, until):
+        self.sends.append(attempt)
+        assert sum(a.result is None for a in attempt.rpc.attempts) == 1 or self.given["may_duplicate"]
         for pattern, result, after in reversed(self.answers):
-            names = (self.name(pick.server), f"/{pick.server.build}", self.method(pick.rpc), "*")
+            names = (self.name(attempt.server), f"/{attempt.server.build}", self.method(attempt.rpc), "*")
             if pattern in names:
                 kind, _, every = result.partition(":")
-                picked = sum(p.server.build == pick.server.build for p in self.sends) % int(every or 1) == 0
+                picked = (
+                    sum(a.server.build == attempt.server.build for a in self.sends) % int(every or 1) == 0
+                )
                 if kind == "trickled":
-                    self.at(1, lambda p: self.front.begun(self.now, p), pick)
+                    self.at(1, lambda a: self.balancer.on_response_started(self.now, a), attempt)
                 if kind != "never" or not picked:
-                    return self.at(after, self.end, pick, RESULTS[kind if picked else "ok"], after)
+                    return self.at(after, self.end, attempt, RESULTS[kind if picked else "ok"], after)
                 break
-        self.at(until - self.now, self.end, pick, face.TIMEOUT, until - self.now)
+        self.at(until - self.now, self.end, attempt, AttemptResult.TIMEOUT, until - self.now)
 
-    def push_back(self, rpc, wait):
+    def reject(self, rpc, retry_after):
         assert rpc not in self.pushed + self.aborted, "two final answers"
         self.pushed.append(rpc)
 
@@ -81,37 +133,42 @@
         assert rpc not in self.pushed + self.aborted, "two final answers"
         self.aborted.append(rpc)
 
-    def cancel(self, pick):
-        self.at(1, self.end, pick, face.CANCELLED, 1)
+    def cancel(self, attempt):
+        self.at(1, self.end, attempt, AttemptResult.CANCELLED, 1)
 
     def probe(self, server):
         self.probes += 1
 
-    def wake(self, after):
-        front = self.front
-        self.at(after, lambda: front.woken(self.now) if front is self.front else None)
+    def wake_after(self, delay):
+        balancer = self.balancer
+        self.at(delay, lambda: balancer.on_timer(self.now) if balancer is self.balancer else None)
 
-    def vote(self, build, step, verdict):
-        self.votes.append((build, step, verdict))
+    def vote(self, build, step, vote):
+        self.votes.append((build, step, vote))
         if self.reply != "never":
-            self.at(500, lambda: self.front.news(self.now, RESULTS[self.reply], True, build, *self.stands))
-
-    def watch(self):
+            self.at(
+                500,
+                lambda: self.balancer.on_vote_answered(
+                    self.now, ReleaseUpdate(build, *self.stands) if self.reply == "ok" else None
+                ),
+            )
+
+    def watch_servers(self):
         self.watches += 1
 
     def log(self, text):
         self.lines.append(text)
 
-    # What the decisions tell of their reasons (interface.Tap).
-    def weighed(self, rpc, server, bar):
-        self.bars.setdefault(id(rpc), []).append((self.name(server), bar))
+    # What the decisions tell of their reasons (interface.Observer).
+    def considered(self, rpc, server, exclusion):
+        self.excluded.setdefault(id(rpc), []).append((self.name(server), exclusion))
 
-    def asked_all(self, rpc, servers, bars):
-        for server, bar in zip(servers, bars):
-            self.weighed(rpc, server, bar)
+    def considered_all(self, rpc, servers, exclusions):
+        for server, exclusion in zip(servers, exclusions):
+            self.considered(rpc, server, exclusion)
 
-    def tested(self, now, found):
-        self.found = found
+    def tested(self, now, results):
+        self.found = results
 
     # The script's side.
     def at(self, after, call, *values):
@@ -124,10 +181,10 @@
             call(*values)
         self.now = until
 
-    def end(self, pick, result, latency):
-        if pick.result is None:
-            ended = result == face.OK or pick.rpc.done
-            self.front.back(self.now, pick, result, latency, (), ended)
+    def end(self, attempt, result, latency):
+        if attempt.result is None:
+            final = result == AttemptResult.OK or attempt.rpc.done
+            self.balancer.on_result(self.now, attempt, result, latency, (), final)
 
     def name(self, server):
         return next(n for n, s in self.servers.items() if s is server)
@@ -140,20 +197,28 @@
             self.do_given(*words)
         elif verb == "methods":
             for place, (name, kind, soft, deadline, utility) in enumerate(w.split("/") for w in words):
-                self.methods[name] = face.Method(
-                    kind=kind, soft=int(soft) * MS, soft_stretch=0, deadline=int(deadline) * MS, place=place,
-                    utility=float(utility), late_utility=0, group="all", window=80000)
+                self.methods[name] = Method(
+                    idempotency=Idempotency(kind),
+                    latency_target=int(soft) * MS,
+                    target_per_work=0,
+                    timeout=int(deadline) * MS,
+                    index=place,
+                    utility=float(utility),
+                    late_utility=0,
+                    dedup_scope="all",
+                    dedup_window=80000,
+                )
         else:
             until = int(verb) * MS
-            if self.front is None:
+            if self.balancer is None:
                 self.start()
             self.run(until)
             getattr(self, "do_" + words[0])(*words[1:])
 
     def start(self):
-        settings = face.Settings(methods=list(self.methods.values()), **self.given)
-        self.front = decide.Front(settings, self)
-        self.front.start(self.now)
+        settings = Settings(methods=list(self.methods.values()), **self.given)
+        self.balancer = Balancer(settings, self)
+        self.balancer.on_start(self.now)
 
     def do_given(self, *words):
         for name, value in zip(words[::2], words[1::2]):
@@ -164,20 +229,22 @@
         for word in words:
             name, _, rest = word.partition("/")
             build, _, boot = rest.rstrip("-").partition("@")
-            server = self.servers.setdefault(name, face.Server())
-            booted = int(boot) * MS if boot else face.LONG_AGO
-            lines.append((server, int(build), 0, 0, 1.0, 1 if "-" in rest else 2, booted))
-        self.front.listed(self.now, lines, whole)
+            server = self.servers.setdefault(name, Server())
+            booted = int(boot) * MS if boot else UNKNOWN_START
+            status = ServerStatus.DRAINING if "-" in rest else ServerStatus.READY
+            lines.append(ServerEntry(server, int(build), 0, 0, 1.0, status, booted))
+        self.balancer.on_server_list(self.now, lines, whole)
 
     def do_change(self, *words):
         self.do_list(*words, whole=False)
 
     def do_failed(self):
-        self.front.list_failed(self.now)
+        self.balancer.on_server_list_failed(self.now)
 
     def do_news(self, build, step, cap, standing="0", result="ok"):
-        self.stands = (int(step), float(cap), int(standing), 0)
-        self.front.news(self.now, RESULTS[result], False, int(build), *self.stands)
+        self.stands = (int(step), float(cap), ReleaseState(int(standing)), 0)
+        if result == "ok":
+            self.balancer.on_release_update(self.now, ReleaseUpdate(int(build), *self.stands))
 
     def do_replies(self, result):
         self.reply = result
@@ -187,19 +254,23 @@
 
     def do_wrong(self, server, method, times):
         for _ in range(int(times)):
-            self.front.found_wrong(self.now, self.servers[server], self.methods[method])
+            self.balancer.on_wrong_answer(self.now, self.servers[server], self.methods[method])
 
     def do_tally(self, build, method, failed, ended, mean):
         counts = int(failed), int(ended), int(mean) * MS
-        self.front.tallied(self.now, int(build), self.methods[method], *counts, 1500 * MS)
+        told = PlatformCounts(int(build), self.methods[method], *counts, 1500 * MS)
+        self.balancer.on_platform_counts(self.now, told)
 
     def do_rpc(self, name, method, deadline=None, key=None, customer=0, waited=0):
         kind, taken = self.methods[method], self.now - int(waited) * MS
-        rpc = self.rpcs[name] = face.Rpc(
-            method=kind, customer=customer, key=int(key or len(self.rpcs) + 1000), work=0, repeat=False,
-            taken=taken, picks=[], done=False,
-            deadline=taken + (int(deadline) * MS if deadline else kind.deadline))
-        self.front.take(self.now, rpc)
+        rpc = self.rpcs[name] = Rpc(
+            method=kind,
+            tenant=customer,
+            key=int(key or len(self.rpcs) + 1000),
+            arrived_at=taken,
+            deadline=taken + (int(deadline) * MS if deadline else kind.timeout),
+        )
+        self.balancer.on_request(self.now, rpc)
 
     def do_waited(self, name, method, waited):
         self.do_rpc(name, method, waited=waited)
@@ -211,33 +282,49 @@
 
     def do_restart(self):
         for server in self.servers.values():
-            server.status, server.open = None, 0
+            server.status, server.in_flight = ServerStatus.GONE, 0
         self.rpcs, self.queue = {}, []
         self.start()
 
     def do_expect(self, *words):
         names = dict(
-            pushes=len(self.pushed), votes=self.votes, judge=self.front.judge, watches=self.watches,
-            log=self.lines, probes=self.probes,
-            pushes_of=[sum(r.customer == c for r in self.pushed) for c in (0, 1)],
-            on=lambda n: [self.name(p.server) for p in self.rpcs[n].picks],
-            closed=lambda: self.front.closed_until > self.now,
-            pushed=lambda n: self.rpcs[n] in self.pushed, aborted=lambda n: self.rpcs[n] in self.aborted,
-            bars=lambda n: dict(self.bars.get(id(self.rpcs[n]), ())), Bar=face.Bar, face=face,
-            why=lambda n: self.rpcs[n].why, found=self.found,
-            ended=lambda n: self.rpcs[n].done, sent=self.sent, most=self.most,
-            unended=[n for n, r in self.rpcs.items() if not r.done])
+            pushes=len(self.pushed),
+            votes=self.votes,
+            release=self.balancer.release,
+            watches=self.watches,
+            log=self.lines,
+            probes=self.probes,
+            pushes_of=[sum(r.tenant == c for r in self.pushed) for c in (0, 1)],
+            on=lambda n: [self.name(p.server) for p in self.rpcs[n].attempts],
+            closed=lambda: self.balancer.reject_connections_until > self.now,
+            pushed=lambda n: self.rpcs[n] in self.pushed,
+            aborted=lambda n: self.rpcs[n] in self.aborted,
+            exclusions=lambda n: dict(self.excluded.get(id(self.rpcs[n]), ())),
+            Exclusion=Exclusion,
+            GiveUpReason=GiveUpReason,
+            Vote=Vote,
+            why=lambda n: self.rpcs[n].give_up_reason,
+            found=self.found,
+            ended=lambda n: self.rpcs[n].done,
+            sent=self.sent,
+            most=self.most,
+            unended=[n for n, r in self.rpcs.items() if not r.done],
+        )
         text = " ".join(words)
         assert eval(text, names), f"at {self.now // MS} ms: {text}; votes {self.votes[-4:]}, log {self.lines}"
 
     def sent(self, who, since=0, method=None):
         """How many picks a server or a /build got since a time in ms."""
-        return sum(p.sent >= since * MS and who in (self.name(p.server), f"/{p.build}")
-                   and method in (None, self.method(p.rpc)) for p in self.sends)
+        return sum(
+            p.sent_at >= since * MS
+            and who in (self.name(p.server), f"/{p.build}")
+            and method in (None, self.method(p.rpc))
+            for p in self.sends
+        )
 
     def most(self, who, window):
         """The most picks that a server or a /build got in any window of so many ms."""
-        times = [p.sent for p in self.sends if who in (self.name(p.server), f"/{p.build}")]
+        times = [p.sent_at for p in self.sends if who in (self.name(p.server), f"/{p.build}")]
         return max((sum(t <= u <= t + window * MS for u in times) for t in times), default=0)
 
 
@@ -257,16 +344,20 @@
         "ok": "200 OK\r\nX-Server-Load: active=1\r\nContent-Length: 2\r\n\r\nhi",
         "chunked": "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nh\r\n1;x\r\ni\r\n0\r\nA: b\r\n\r\n",
         "last": "200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhi",
-        "error": "500 Oh\r\nContent-Length: 0\r\n\r\n", "busy": "503 Oh\r\nContent-Length: 0\r\n\r\n",
+        "error": "500 Oh\r\nContent-Length: 0\r\n\r\n",
+        "busy": "503 Oh\r\nContent-Length: 0\r\n\r\n",
         "full": "503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
         "moot": "504 Late\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
-        "short": "200 OK\r\nContent-Length: 9\r\n\r\nhi", "endless": "200 OK\r\n\r\nhi",
-        "garbage": "what?\r\n\r\n", "huge": "200 OK\r\nContent-Length: 3000000000\r\n\r\n" + "x" * 99,
+        "short": "200 OK\r\nContent-Length: 9\r\n\r\nhi",
+        "endless": "200 OK\r\n\r\nhi",
+        "garbage": "what?\r\n\r\n",
+        "huge": "200 OK\r\nContent-Length: 3000000000\r\n\r\n" + "x" * 99,
         "more": "200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nho",
         "big": f"200 OK\r\nContent-Length: 400000\r\n\r\n{'x' * 400000}",
         "ahead": "100 Go on\r\n\r\nHTTP/1.1 103 Hint\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\n"
-                 "X-Server-Load: active=nan\r\nContent-Length: 2\r\n\r\nhi",
-        "waits": "100 Go on\r\n\r\n" * 2000}
+        "X-Server-Load: active=nan\r\nContent-Length: 2\r\n\r\nhi",
+        "waits": "100 Go on\r\n\r\n" * 2000,
+    }
 
     def __init__(self, build, how):
         super().__init__()
@@ -306,37 +397,63 @@
 
 
 CONFIG = {
-    "name": "n0", "seed": "8c1f30d27a5be964", "limits": {"sockets": 256},
+    "name": "n0",
+    "seed": "8c1f30d27a5be964",
+    "limits": {"sockets": 256},
     "pipeline": {"news": {"image": 1, "ring": 0, "progress": "stable", "ceiling": 1.0, "lag_ms": 9}},
     "settings": {
-        "balancers": 1, "profiles": [
+        "balancers": 1,
+        "profiles": [
             {"name": "read", "idempotency": "safe", "aim_us": 1000000, "give_up_us": 4000000},
-            {"name": "book", "idempotency": "unsafe", "aim_us": 1000000, "give_up_us": 4000000}],
-        "limits": {"max_attempts": 4, "cancel": True, "retry_after": True, "max_retry_after_us": 500000,
-                   "idle_close_us": 3000000, "may_duplicate": True, "probes": True},
-        "rules": {"cold_share": 0.4, "cold_us": 1000000, "tip_multiple": 2.5, "overload_for_us": 1000000,
-                  "drain_grace_us": 1000000},
-        "report": {"fields": ["active"], "source": "pull"}, "zones": ["a"],
-        "family_info": {"caps": [0.5, 1.0], "waves": [0.5, 1.0], "allowance": 2, "vote_wait_us": 300000,
-                        "exposure_window_us": 3000000, "ballot_ttl_us": 10000000}}}
+            {"name": "book", "idempotency": "unsafe", "aim_us": 1000000, "give_up_us": 4000000},
+        ],
+        "limits": {
+            "max_attempts": 4,
+            "cancel": True,
+            "retry_after": True,
+            "max_retry_after_us": 500000,
+            "idle_close_us": 3000000,
+            "may_duplicate": True,
+            "probes": True,
+        },
+        "rules": {
+            "cold_share": 0.4,
+            "cold_us": 1000000,
+            "tip_multiple": 2.5,
+            "overload_for_us": 1000000,
+            "drain_grace_us": 1000000,
+        },
+        "report": {"fields": ["active"], "source": "pull"},
+        "zones": ["a"],
+        "family_info": {
+            "caps": [0.5, 1.0],
+            "waves": [0.5, 1.0],
+            "allowance": 2,
+            "vote_wait_us": 300000,
+            "exposure_window_us": 3000000,
+            "ballot_ttl_us": 10000000,
+        },
+    },
+}
 
 
 class Sockets:
     """Plays a scenario against the program itself, with stand-ins for all whom it speaks to. Lines are
-        server NAME BUILD HOW [...]     a stand-in that answers so (ServerStand); `how NAME HOW` changes it
-        set KEY.KEY JSON                a value of the configuration; `refused TEXT`: with it no start
-        list NAME[-!] ...               the whole list, - draining; `change` tells changes only, ! removed
-        start | stop SIGNAL             the program, until its health is 200; a signal to it
-        ask NAME METHOD [TIMEOUT]       an RPC on a connection of its own; METHOD read is a GET, book a POST
-        raw NAME TEXT                   bytes on a connection of their own, with Python's escapes
-        tell TEXT | lists TEXT          what the platform says, and discovery, as it stands
-        reply TEXT | welcome TEXT       how the platform answers votes, and those who subscribe
-        crowd N                         connections that say nothing; crowded() of them are still open
-        let NAME                        a server that held its answers lets them go
-        moved | hup                     list and platform at new addresses, told by SIGHUP; SIGHUP alone
-        drop WHO | back WHO             platform, discovery, server, or a client by its name; listens again
-        until WHAT | expect WHAT        a Python expression, that becomes true within 15 s, or is true
+    server NAME BUILD HOW [...]     a stand-in that answers so (ServerStand); `how NAME HOW` changes it
+    set KEY.KEY JSON                a value of the configuration; `refused TEXT`: with it no start
+    list NAME[-!] ...               the whole list, - draining; `change` tells changes only, ! removed
+    start | stop SIGNAL             the program, until its health is 200; a signal to it
+    ask NAME METHOD [TIMEOUT]       an RPC on a connection of its own; METHOD read is a GET, book a POST
+    raw NAME TEXT                   bytes on a connection of their own, with Python's escapes
+    tell TEXT | lists TEXT          what the platform says, and discovery, as it stands
+    reply TEXT | welcome TEXT       how the platform answers votes, and those who subscribe
+    crowd N                         connections that say nothing; crowded() of them are still open
+    let NAME                        a server that held its answers lets them go
+    moved | hup                     list and platform at new addresses, told by SIGHUP; SIGHUP alone
+    drop WHO | back WHO             platform, discovery, server, or a client by its name; listens again
+    until WHAT | expect WHAT        a Python expression, that becomes true within 15 s, or is true
     """
+
     count = 0
 
     def __init__(self, folder):
@@ -346,7 +463,7 @@
         self.folder, self.config, self.process = folder, copy.deepcopy(CONFIG), None
         self.servers, self.answers, self.clients, self.files = {}, {}, {}, []
         self.discovery, self.platform, self.known = DiscoveryStand(), PlatformStand(), []
-        self.left = ()             # where list and platform were before they moved
+        self.left = ()  # where list and platform were before they moved
 
     def line(self, verb, rest):
         whole = verb in ("until", "expect", "tell", "lists", "refused")
@@ -370,17 +487,28 @@
 
     def entries(self, words):
         phases = {"-": "draining", "!": "removed"}
-        return [{"id": w.rstrip("-!"), "host_port": self.servers[w.rstrip("-!")].address, "locality": "a",
-                 "cell": 1, "phase": phases.get(w[-1], "up"), "size": 1.0, "up_since_ms": 0,
-                 "release": self.servers[w.rstrip("-!")].build} for w in words]
+        return [
+            {
+                "id": w.rstrip("-!"),
+                "host_port": self.servers[w.rstrip("-!")].address,
+                "locality": "a",
+                "cell": 1,
+                "phase": phases.get(w[-1], "up"),
+                "size": 1.0,
+                "up_since_ms": 0,
+                "release": self.servers[w.rstrip("-!")].build,
+            }
+            for w in words
+        ]
 
     def do_list(self, *words, whole=True):
         self.known = self.entries(words)
         self.discovery.revision += 1
         if self.process:
             self.do_until("discovery.watching")
-            self.do_lists(json.dumps({"revision": self.discovery.revision, "complete": whole,
-                                      "members": self.known}))
+            self.do_lists(
+                json.dumps({"revision": self.discovery.revision, "complete": whole, "members": self.known})
+            )
             self.do_until(f'"revision={self.discovery.revision} " in log()')  # so the next RPC comes after
 
     def do_change(self, *words):
@@ -409,8 +537,12 @@
         self.write()
         path, log = self.folder / "config.json", open(self.folder / "log", "ab")
         self.files.append(log)
-        return subprocess.Popen([sys.executable, "-m", "honeywood"], stdout=log, stderr=log,
-                                env={**os.environ, "ROUTER_CONFIG": str(path)})
+        return subprocess.Popen(
+            [sys.executable, "-m", "honeywood"],
+            stdout=log,
+            stderr=log,
+            env={**os.environ, "ROUTER_CONFIG": str(path)},
+        )
 
     def do_start(self):
         self.process = self.spawn()
@@ -457,14 +589,18 @@
             except OSError:
                 pass
             self.answers[f"{name}.end"] = None
+
         sock.sendall(data)
         threading.Thread(target=read, daemon=True).start()
 
     def do_ask(self, name, method, timeout="4"):
         first = "GET /api?x=1" if method == "read" else "POST /api"
         body = "" if method == "read" else "text"
-        self.talk(name, f"{first} HTTP/1.1\r\nHOST: x\r\nX-Request-ID: id-{name}\r\nX-Timeout: {timeout}\r\n"
-                  f"x-priority-class: {method}\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
+        self.talk(
+            name,
+            f"{first} HTTP/1.1\r\nHOST: x\r\nX-Request-ID: id-{name}\r\nX-Timeout: {timeout}\r\n"
+            f"x-priority-class: {method}\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode(),
+        )
 
     def do_raw(self, name, text=""):
         self.talk(name, text.encode().decode("unicode_escape").encode("latin-1"))
@@ -494,13 +630,23 @@
         return health(self.listen)
 
     def true(self, what):
-        names = dict(status=self.status, health=self.health, discovery=self.discovery, log=self.log,
-                     platform=self.platform, left=self.left, answers=self.answers, process=self.process,
-                     ended=lambda n: f"{n}.end" in self.answers, picks=lambda n: len(self.servers[n].seen),
-                     seen=lambda n: self.servers[n].seen, crowded=self.crowded,
-                     probes=lambda n: self.servers[n].probes,
-                     held=lambda: len(os.listdir(f"/proc/{self.process.pid}/fd")),
-                     threads=lambda: len(os.listdir(f"/proc/{self.process.pid}/task")))
+        names = dict(
+            status=self.status,
+            health=self.health,
+            discovery=self.discovery,
+            log=self.log,
+            platform=self.platform,
+            left=self.left,
+            answers=self.answers,
+            process=self.process,
+            ended=lambda n: f"{n}.end" in self.answers,
+            picks=lambda n: len(self.servers[n].seen),
+            seen=lambda n: self.servers[n].seen,
+            crowded=self.crowded,
+            probes=lambda n: self.servers[n].probes,
+            held=lambda: len(os.listdir(f"/proc/{self.process.pid}/fd")),
+            threads=lambda: len(os.listdir(f"/proc/{self.process.pid}/task")),
+        )
         return eval(what, names)
 
     def state(self):
--- a/tests/release_analysis/test_multiple_testing.py
+++ b/tests/release_analysis/test_multiple_testing.py
@@ -5,13 +5,28 @@
 
 def test_benjamini_hochberg():
     # The paper's section 3.2: 15 endpoints at 0.05, the four smallest are rejected.
-    paper = [0.0001, 0.0004, 0.0019, 0.0095, 0.0201, 0.0278, 0.0298, 0.0344, 0.0459, 0.3240, 0.4262, 0.5719,
-             0.6528, 0.7590, 1.0]
+    paper = [
+        0.0001,
+        0.0004,
+        0.0019,
+        0.0095,
+        0.0201,
+        0.0278,
+        0.0298,
+        0.0344,
+        0.0459,
+        0.3240,
+        0.4262,
+        0.5719,
+        0.6528,
+        0.7590,
+        1.0,
+    ]
     assert benjamini_hochberg(paper, 0.05) == [0, 1, 2, 3]
     assert benjamini_hochberg(paper[::-1], 0.05) == [11, 12, 13, 14]
-    assert benjamini_hochberg([0.05], 0.05) == [0] and benjamini_hochberg([0.051], 0.05) == []       # m = 1
-    assert benjamini_hochberg([0.03, 0.03, 0.9], 0.05) == [0, 1]                             # ties
-    assert benjamini_hochberg([0.2, 0.9], 0.05) == [] and benjamini_hochberg([], 0.05) == []         # none
+    assert benjamini_hochberg([0.05], 0.05) == [0] and benjamini_hochberg([0.051], 0.05) == []  # m = 1
+    assert benjamini_hochberg([0.03, 0.03, 0.9], 0.05) == [0, 1]  # ties
+    assert benjamini_hochberg([0.2, 0.9], 0.05) == [] and benjamini_hochberg([], 0.05) == []  # none
     # The largest i decides: 0.03 fails its own 1/3 of q, and is rejected all the same.
     assert benjamini_hochberg([0.03, 0.033, 0.9], 0.05) == [0, 1]
 
