--- a/tests/test_all.py
+++ b/tests/test_all.py
@@ -1,4 +1,5 @@
 """Every scenario file, the parsers, the wire's round trips and the actors."""
+
 import io
 import pathlib
 import random
@@ -10,11 +11,12 @@
 
 import pytest
 
-from honeywood.balancer import interface as face
+from honeywood.balancer.model import AttemptResult, Attempt, Server, ServerStatus
 from honeywood.balancer.benchlink import adapter, codec
-from honeywood.balancer.decisions.release_verdict import level_each
+from honeywood.balancer.decisions import admission
+from honeywood.balancer.decisions.vote_levels import level_per_balancer
 from honeywood.balancer.protocol import discovery, http, platform
-from honeywood.balancer.actors import client, gateway, module, server
+from honeywood.balancer.actors import client, decision_host, gateway, server
 from honeywood.balancer.actors.counters import Counters
 from honeywood.balancer.transport import connection, poller
 from honeywood.balancer.transport.buffer import Buffer
@@ -41,26 +43,43 @@
 def test_what_waited_for_its_connection(change, monkeypatch):
     """A pick decided before a drain, another address or too long ago is not written when it could be."""
     told, at = [], [1000]
-    monkeypatch.setattr(server, "ServerConnection", lambda peer: types.SimpleNamespace(
-        process=peer.process, dial=lambda *_: None, close=lambda *_: None, code=None,
-        write=lambda data: told.append(data) or True))
+    monkeypatch.setattr(
+        server,
+        "ServerConnection",
+        lambda peer: types.SimpleNamespace(
+            process=peer.process,
+            dial=lambda *_: None,
+            close=lambda *_: None,
+            code=None,
+            write=lambda data: told.append(data) or True,
+        ),
+    )
     monkeypatch.setattr(server, "LentMailbox", lambda *_: None)
     monkeypatch.setattr(server.clock, "now", lambda: at[0])
-    module = types.SimpleNamespace(ended="ended", post=lambda call, pick, result, *_: told.append(result))
-    peer = server.ServerPeer("a", types.SimpleNamespace(
-        module=module, log=None, fail=None, descriptors=Descriptors(20), most_answer=9, counters=Counters(),
-        settings=types.SimpleNamespace(idle_close=1, connect_within=2500, report_fields=())))
-    peer.listed(face.READY, (("127.0.0.1", 1), 1, 0))
+    module = types.SimpleNamespace(on_result="ended", post=lambda call, pick, result, *_: told.append(result))
+    peer = server.ServerPeer(
+        "a",
+        types.SimpleNamespace(
+            decisions=module,
+            log=None,
+            fail=None,
+            descriptors=Descriptors(20),
+            most_answer=9,
+            counters=Counters(),
+            settings=types.SimpleNamespace(idle_timeout=1, connect_timeout=2500, load_report_fields=()),
+        ),
+    )
+    peer.listed(ServerStatus.READY, (("127.0.0.1", 1), 1, 0))
     exchange = server.Exchange("pick", None, "GET", b"data", at[0])
     peer.send(exchange)
     if change == "drains":
-        peer.listed(face.DRAINING, (("127.0.0.1", 1), 1, 0))
+        peer.listed(ServerStatus.DRAINING, (("127.0.0.1", 1), 1, 0))
     if change == "moved":
-        peer.listed(face.READY, (("127.0.0.1", 2), 1, 0))
+        peer.listed(ServerStatus.READY, (("127.0.0.1", 2), 1, 0))
     at[0] += 2501 if change == "late" else 2500
     peer.opened(exchange.connection)
-    assert told == ([face.CONNECT_FAILED] if change else [b"data"])
-    peer.listed(face.READY, (("127.0.0.1", 3), 1, 0))
+    assert told == ([AttemptResult.CONNECT_FAILED] if change else [b"data"])
+    peer.listed(ServerStatus.READY, (("127.0.0.1", 3), 1, 0))
     peer.rest(exchange.connection)  # what led to another address is not kept for this one
     assert not peer.idle
 
@@ -69,14 +88,26 @@
     """The decisions must know a trickling answer from a server that is at work."""
     told = []
     monkeypatch.setattr(server, "LentMailbox", lambda *_: None)
-    module = types.SimpleNamespace(begun="begun", ended="ended", post=lambda call, *_: told.append(call))
-    peer = server.ServerPeer("a", types.SimpleNamespace(
-        module=module, log=None, fail=None, descriptors=None, most_answer=999, counters=Counters(),
-        settings=types.SimpleNamespace(idle_close=1, connect_within=2500, report_fields=())))
+    module = types.SimpleNamespace(
+        on_response_started="begun", on_result="ended", post=lambda call, *_: told.append(call)
+    )
+    peer = server.ServerPeer(
+        "a",
+        types.SimpleNamespace(
+            decisions=module,
+            log=None,
+            fail=None,
+            descriptors=None,
+            most_answer=999,
+            counters=Counters(),
+            settings=types.SimpleNamespace(idle_timeout=1, connect_timeout=2500, load_report_fields=()),
+        ),
+    )
     exchange = server.Exchange("pick", None, "GET", b"", 0)
     exchange.written, buffer = True, Buffer()
-    one = types.SimpleNamespace(exchange=exchange, buffer=buffer, code=None, process=None,
-                                close=lambda *_: None)
+    one = types.SimpleNamespace(
+        exchange=exchange, buffer=buffer, code=None, process=None, close=lambda *_: None
+    )
     for part in (b"HTTP/1.1 200 OK\r\n", b"Content-Length: 2\r\n\r\n", b"h", b"i"):
         buffer.add(part)
         peer.received(one)
@@ -84,18 +115,41 @@
 
 
 SAMPLES = [
-    (http.Malformed, lambda b: (m := http.request_head(b)) and http.body(b, m), [
-        b"GET /a HTTP/1.1\r\nHost: x\r\nX-Timeout: 0.4\r\n\r\n",
-        b"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nA: b\r\n\r\n",
-        b"POST /a HTTP/1.0\r\nContent-Length: 3\r\n\r\nabc"]),
-    (http.Malformed, lambda b: (m := http.response_head(b)) and http.body(b, m), [
-        b"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"]),
-    (platform.BadLine, lambda b: platform.reply(platform.line(b) or [""], 4), [
-        b"OK 42 1 canary 0.28 310\r\n", b"ERR BUSY\r\n"]),
-    (platform.BadLine, lambda b: platform.tally(platform.line(b) or []), [b"42 lookup 57 2 18.5 900\r\n"]),
-    (discovery.BadList, lambda b: discovery.line(b.take(len(b))), [
-        b'{"revision":4,"complete":true,"members":[{"id":"s","host_port":"a:1","phase":"up","size":1.0,'
-        b'"up_since_ms":0,"release":41}]}', b"[" * 5000, b'{"revision":1e999,"complete":1,"members":[]}'])]
+    (
+        http.Malformed,
+        lambda b: (m := http.request_head(b)) and http.body(b, m),
+        [
+            b"GET /a HTTP/1.1\r\nHost: x\r\nX-Timeout: 0.4\r\n\r\n",
+            b"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nA: b\r\n\r\n",
+            b"POST /a HTTP/1.0\r\nContent-Length: 3\r\n\r\nabc",
+        ],
+    ),
+    (
+        http.Malformed,
+        lambda b: (m := http.response_head(b)) and http.body(b, m),
+        [b"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"],
+    ),
+    (
+        platform.InvalidLine,
+        lambda b: platform.parse_reply(platform.read_line(b) or [""], 4),
+        [b"OK 42 1 canary 0.28 310\r\n", b"ERR BUSY\r\n"],
+    ),
+    (
+        platform.InvalidLine,
+        lambda b: platform.parse_counts(platform.read_line(b) or []),
+        [b"42 lookup 57 2 18.5 900\r\n"],
+    ),
+    (
+        discovery.InvalidList,
+        lambda b: discovery.parse_line(b.take(len(b))),
+        [
+            b'{"revision":4,"complete":true,"members":[{"id":"s","host_port":"a:1","phase":"up","size":1.0,'
+            b'"up_since_ms":0,"release":41}]}',
+            b"[" * 5000,
+            b'{"revision":1e999,"complete":1,"members":[]}',
+        ],
+    ),
+]
 
 
 @pytest.mark.parametrize("error, parse, samples", SAMPLES)
@@ -107,7 +161,7 @@
         text = bytearray(chance.choice(samples))
         for _ in range(turn % 4):
             at = chance.randrange(len(text) + 1)
-            text[at:at + chance.randrange(3)] = chance.choice([*bits, bytes([chance.randrange(256)])])
+            text[at : at + chance.randrange(3)] = chance.choice([*bits, bytes([chance.randrange(256)])])
         try:
             parse(filled(text))
         except error:
@@ -115,7 +169,7 @@
 
 
 def test_level_of_many_fronts():
-    levels = level_each(1, 1), level_each(130, 1), level_each(470, 24)
+    levels = level_per_balancer(1, 1), level_per_balancer(130, 1), level_per_balancer(470, 24)
     assert levels[0] == 0.05 and abs(levels[1] - 0.00038) < 5e-6 and abs(levels[2] - 0.035) < 5e-4
 
 
@@ -128,11 +182,17 @@
     return struct.pack(">H", code) + codec.EVENTS[code].pack(*values)[2:]
 
 
-SETTINGS = (b'{"new_key": 1, "limits": {"max_attempts": 2},'
-            b'"profiles": [{"idempotency": "unsafe", "aim_us": 1000000, "give_up_us": 4000000}]}')
-ENTRY = codec.ENTRY.pack(0, 0, 3.0, 77, 1, 0, 2, 1.0)
-HELLO = (pack(codec.CONTEXT, 5), pack(codec.HELLO, 9, 0, len(SETTINGS)), pack(codec.ROSTER, 2,
-         len(SETTINGS), 1), pack(codec.VIEW, 2, 1, 2))
+SETTINGS = (
+    b'{"new_key": 1, "limits": {"max_attempts": 2},'
+    b'"profiles": [{"idempotency": "unsafe", "aim_us": 1000000, "give_up_us": 4000000}]}'
+)
+ENTRY = codec.LIST_ENTRY.pack(0, 0, 3.0, 77, 1, 0, 2, 1.0)
+HELLO = (
+    pack(codec.CONTEXT, 5),
+    pack(codec.HELLO, 9, 0, len(SETTINGS)),
+    pack(codec.ROSTER, 2, len(SETTINGS), 1),
+    pack(codec.VIEW, 2, 1, 2),
+)
 
 
 def test_wire_round_trip():
@@ -142,7 +202,7 @@
     process = adapter.Process()
     reply = process.answer(*read).frame()
     count, size = struct.unpack_from(">II", reply)
-    records = [reply[8 + 24 * i:32 + 24 * i] for i in range(count)]
+    records = [reply[8 + 24 * i : 32 + 24 * i] for i in range(count)]
     assert size == len(reply) - 8
     assert records[0] == struct.pack(">HI", 68, 5).ljust(24, b"\0")
     assert struct.pack(">HQIQ", 76, 1 << 50, 77, 5_000_000).ljust(24, b"\0") in records
@@ -160,7 +220,7 @@
 
 
 def test_fault_is_reported(monkeypatch):
-    monkeypatch.setattr(adapter.decide.Intake, "take", lambda *_: 1 / 0)
+    monkeypatch.setattr(admission.Admission, "on_request", lambda *_: 1 / 0)
     knock = pack(codec.KNOCK, 8, 0, 0, 0, 5_000_000, 0, 0)
     read = codec.read_frame(io.BytesIO(frame(*HELLO, knock, tail=SETTINGS + ENTRY)))
     assert b"ZeroDivisionError" in adapter.Process().answer(*read).frame()
@@ -169,8 +229,10 @@
 def test_an_overloaded_front_refuses_new_clients_unread():
     """It costs no thread, and tells when to come back; one that has come before is not concerned."""
     front, told = gateway.Gateway.__new__(gateway.Gateway), []
-    front.closed_until, front.log = gateway.clock.now() + 1000, types.SimpleNamespace(
-        warning=lambda event, **said: told.append(said["code"]))
+    front.reject_connections_until, front.log = (
+        gateway.clock.now() + 1000,
+        types.SimpleNamespace(warning=lambda event, **said: told.append(said["code"])),
+    )
     theirs, ours = socket.socketpair()
     front.accept(ours, "peer")
     assert told == ["overloaded"] and ours.fileno() < 0
@@ -207,8 +269,10 @@
 
 def test_a_connection_without_a_thread_ends_and_not_the_program(monkeypatch):
     """A system has so many threads: hundreds of fronts on it must not end when there is none left."""
+
     def none_left(*_):
         raise RuntimeError("can't start new thread")
+
     monkeypatch.setattr(connection, "run", none_left)
     told = []
     owner = types.SimpleNamespace(ended=lambda one: told.append(one.code), opened=None)
@@ -237,7 +301,7 @@
 
         def register(self, fd, what):
             thread = threading.Thread(target=looped, daemon=True)
-            thread.start()         # it has the stale event, and looks whose it is
+            thread.start()  # it has the stale event, and looks whose it is
             events.wait(5)
             thread.join(0.1)
             real.register(fd, what)
@@ -250,6 +314,7 @@
             made.loop()
         except OSError as wrong:
             told.append(wrong)
+
     made.epoll = Slow()
     with socket.create_server(("127.0.0.1", 0)) as server, socket.create_connection(server.getsockname()):
         ours, _ = server.accept()
@@ -264,31 +329,47 @@
 
 def test_nothing_of_an_rpc_is_left_to_the_collector():
     """Long days: what has ended goes at once, or memory grows until the collector finds it."""
-    settings = types.SimpleNamespace(report_fields=(), connect_within=2500, cold_time=0)
-    made = module.Module.__new__(module.Module)
-    made.tape, made.count = None, 0
-    made.counted = Counters().add
-    made.names, made.mailbox = set(), types.SimpleNamespace(timers=Timers())
+    settings = types.SimpleNamespace(load_report_fields=(), connect_timeout=2500, warm_up_time=0)
+    made = decision_host.DecisionHost.__new__(decision_host.DecisionHost)
+    made.recorder, made.rpcs_taken = None, 0
+    made.count = Counters().add
+    made.open_ids, made.mailbox = set(), types.SimpleNamespace(timers=Timers())
     made.gateway, made.settings = types.SimpleNamespace(), settings
     peer = types.SimpleNamespace(name="a", send=None, mailbox=types.SimpleNamespace(post=lambda *_: None))
-    sent = face.Server(host=peer, booted=0)
+    sent = Server(host=peer, started_at=0)
 
     def take(now, rpc):
-        rpc.picks.append(face.Pick(rpc=rpc, server=sent, sent=now))
-        made.send(rpc.picks[0], now + 100)
-    made.front = types.SimpleNamespace(
-        take=take, closed_until=0, back=lambda now, pick, result, *_: [
-            setattr(pick, "result", result), setattr(pick.rpc, "done", True)])
+        rpc.attempts.append(Attempt(rpc=rpc, server=sent, number=0, build=1, sent_at=now))
+        made.send(rpc.attempts[0], now + 100)
+
+    made.balancer = types.SimpleNamespace(
+        on_request=take,
+        reject_connections_until=0,
+        on_result=lambda now, attempt, result, *_: [
+            setattr(attempt, "result", result),
+            setattr(attempt.rpc, "done", True),
+        ],
+    )
     asker = types.SimpleNamespace(answer=None, mailbox=types.SimpleNamespace(post=lambda *_: None))
     request = http.request_head(filled(b"GET /a HTTP/1.0\r\n\r\n"))
     request.body = b""
-    call = types.SimpleNamespace(name="1", client=asker, request=request, method=None, work=0, repeat=False,
-                                 arrived=1, deadline=9, rpc=None)
-    made.take(call)
-    pick = call.rpc.picks[0]
-    made.ended(pick, face.OK, (), types.SimpleNamespace(passed_on=lambda *_: [], body=b""))
-    assert pick.result == face.OK and pick.host is None and pick.rpc.host is None and not pick.rpc.picks
-    assert not made.names
+    call = types.SimpleNamespace(
+        name="1",
+        client=asker,
+        request=request,
+        method=None,
+        expected_work=0,
+        is_retry=False,
+        arrived=1,
+        deadline=9,
+        rpc=None,
+    )
+    made.on_request(call)
+    attempt = call.rpc.attempts[0]
+    made.on_result(attempt, AttemptResult.OK, (), types.SimpleNamespace(passed_on=lambda *_: [], body=b""))
+    assert attempt.result == AttemptResult.OK and attempt.host is None
+    assert attempt.rpc.host is None and not attempt.rpc.attempts
+    assert not made.open_ids
 
 
 def filled(data):
@@ -300,8 +381,9 @@
 @pytest.mark.parametrize("quiet, closed", [(19_000, []), (20_500, ["idle"])])
 def test_a_client_that_asked_once_leaves_its_place(quiet, closed):
     """Clients that ask once and stay would hold all the connections there may be."""
-    one = client.Client(types.SimpleNamespace(
-        module=None, log=None, fail=None, descriptors=None, draining=False), "peer")
+    one = client.Client(
+        types.SimpleNamespace(decisions=None, log=None, fail=None, descriptors=None, draining=False), "peer"
+    )
     told = []
     one.connection.close, one.served, one.active = told.append, True, client.clock.now() - quiet
     one.look()
@@ -310,9 +392,19 @@
 
 @pytest.mark.parametrize("crowded, kept", [(False, True), (True, False)])
 def test_no_client_is_kept_after_its_answer_while_there_are_many(crowded, kept):
-    one = client.Client(types.SimpleNamespace(
-        module=None, log=None, fail=None, descriptors=None, draining=False, crowded=lambda: crowded, idle={},
-        ending={}), "peer")
+    one = client.Client(
+        types.SimpleNamespace(
+            decisions=None,
+            log=None,
+            fail=None,
+            descriptors=None,
+            draining=False,
+            crowded=lambda: crowded,
+            idle={},
+            ending={},
+        ),
+        "peer",
+    )
     ours, theirs = socket.socketpair()
     one.connection.sock = ours
     one.write(http.request_head(filled(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")), 200, (), b"hi")
--- a/tests/test_recorded_outsides.py
+++ b/tests/test_recorded_outsides.py
@@ -13,84 +13,75 @@
 import pytest
 
 from honeywood.balancer.benchlink import adapter, codec
-from honeywood.balancer.program import config
+from honeywood.balancer.program import configuration as program_configuration
 from honeywood.balancer.protocol import discovery, platform
-from honeywood.balancer.settings import BadKey
+from honeywood.balancer.sections import InvalidConfiguration
 from honeywood.balancer.transport.buffer import Buffer
 
 RECORDED = pathlib.Path(__file__).parent / "recorded"
 
 # Accessors: the recorded name of each field, and the program's.
 METHOD_FIELDS = {
-    name: name
-    for name in (
-        "kind",
-        "soft",
-        "soft_stretch",
-        "deadline",
-        "utility",
-        "late_utility",
-        "group",
-        "window",
-        "place",
-        "name",
-    )
+    "kind": "idempotency",
+    "soft": "latency_target",
+    "soft_stretch": "target_per_work",
+    "deadline": "timeout",
+    "utility": "utility",
+    "late_utility": "late_utility",
+    "group": "dedup_scope",
+    "window": "dedup_window",
+    "place": "index",
+    "name": "name",
 }
 SETTINGS_FIELDS = {
-    name: name
-    for name in (
-        "seed",
-        "tick",
-        "zone",
-        "fronts",
-        "me",
-        "max_picks",
-        "may_duplicate",
-        "may_cancel",
-        "may_probe",
-        "max_wait",
-        "must_ask",
-        "ask_within",
-        "cold_share",
-        "cold_time",
-        "tip_multiple",
-        "tip_time",
-        "report_fields",
-        "cross_price",
-        "probe_price",
-        "caps",
-        "waves",
-        "free_picks",
-        "exposure_window",
-        "per_method",
-        "guarded_steps",
-        "one_way",
-        "vote_rule",
-        "back_votes",
-        "go_votes",
-        "vote_life",
-        "vote_wait",
-        "tally_period",
-        "zones",
-        "idle_close",
-        "connect_within",
-    )
+    "seed": "seed",
+    "tick": "clock_resolution",
+    "zone": "zone",
+    "fronts": "balancers",
+    "me": "balancer_index",
+    "max_picks": "max_attempts",
+    "may_duplicate": "may_duplicate",
+    "may_cancel": "may_cancel",
+    "may_probe": "may_probe",
+    "max_wait": "max_retry_after",
+    "must_ask": "list_on_request",
+    "ask_within": "ask_within",
+    "cold_share": "cold_capacity_share",
+    "cold_time": "warm_up_time",
+    "tip_multiple": "overload_multiple",
+    "tip_time": "overload_window",
+    "report_fields": "load_report_fields",
+    "cross_price": "cross_zone_price",
+    "probe_price": "probe_price",
+    "caps": "caps",
+    "waves": "waves",
+    "free_picks": "exposure_allowance",
+    "exposure_window": "exposure_window",
+    "per_method": "exposure_per_method",
+    "guarded_steps": "guarded_steps",
+    "one_way": "one_way",
+    "vote_rule": "vote_rule",
+    "back_votes": "rollback_votes",
+    "go_votes": "proceed_votes",
+    "vote_life": "vote_ttl",
+    "vote_wait": "vote_timeout",
+    "tally_period": "platform_counts_period",
+    "zones": "zones",
+    "idle_close": "idle_timeout",
+    "connect_within": "connect_timeout",
 }
 CONFIGURATION_FIELDS = {
-    name: name
-    for name in (
-        "name",
-        "listen",
-        "discovery",
-        "platform",
-        "news",
-        "known",
-        "sockets",
-        "memory_mb",
-        "settings_text",
-        "seed",
-        "fixed",
-    )
+    "name": "name",
+    "listen": "listen",
+    "discovery": "discovery",
+    "platform": "platform",
+    "news": "release",
+    "known": "known",
+    "sockets": "sockets",
+    "memory_mb": "memory_mb",
+    "settings_text": "settings_text",
+    "seed": "seed",
+    "fixed": "fixed",
 }
 EVENT_FORMATS, ACTION_FORMATS = codec.EVENTS, codec.ACTIONS
 
@@ -98,8 +89,8 @@
 def configuration(text, environ):
     """What the program makes of a configuration file's text, as plain values, or its refusal."""
     try:
-        read = config.checked(json.loads(text), environ)
-    except BadKey as refused:
+        read = program_configuration.parse(json.loads(text), environ)
+    except InvalidConfiguration as refused:
         return {"refused": str(refused)}
     settings = {name: getattr(read.settings, ours) for name, ours in SETTINGS_FIELDS.items()}
     settings["methods"] = [
@@ -119,15 +110,15 @@
 
 
 def parse_platform(form, data, steps):
-    words = platform.line(buffered(data))
+    words = platform.read_line(buffered(data))
     if words is None:
         return None
     return {
-        "state": lambda: platform.state(words, steps),
-        "reply": lambda: platform.reply(words, steps),
-        "bare": lambda: platform.reply(words, steps, bare=True),
-        "tally": lambda: platform.tally(words),
-        "flag": lambda: platform.flag(words),
+        "state": lambda: platform.parse_update(words, steps),
+        "reply": lambda: platform.parse_reply(words, steps),
+        "bare": lambda: platform.parse_reply(words, steps, bare=True),
+        "tally": lambda: platform.parse_counts(words),
+        "flag": lambda: platform.parse_wrong_answer(words),
         "words": lambda: words,
     }[form]()
 
@@ -135,25 +126,22 @@
 def platform_line(form, data, steps):
     try:
         return parse_platform(form, data, steps)
-    except platform.BadLine as refused:
+    except platform.InvalidLine as refused:
         return {"refused": str(refused)}
 
 
 def discovery_line(data):
     try:
-        return discovery.line(data)
-    except discovery.BadList as refused:
+        return discovery.parse_line(data)
+    except discovery.InvalidList as refused:
         return {"refused": str(refused)}
 
 
 def written_lines():
     return [
         platform.SUBSCRIBE.decode(),
-        *(
-            platform.ballot(41, step, verdict).decode()
-            for step, verdict in enumerate(sorted(platform.VERDICTS))
-        ),
-        discovery.target(41),
+        *(platform.ballot(41, step, verdict).decode() for step, verdict in enumerate(sorted(platform.VOTES))),
+        discovery.watch_target(41),
     ]
 
 
--- a/tests/trace/test_format.py
+++ b/tests/trace/test_format.py
@@ -1,4 +1,5 @@
 """The file: what goes in comes out; crashes, full disks, damage and other versions."""
+
 import io
 import os
 import random
@@ -14,13 +15,35 @@
 from honeywood.trace.reader import Reader
 from honeywood.trace.rules.selection import Wanted
 from honeywood.trace.schema import (
-    ANSWER, ID, INT, INTS, KINDS, LOOK, NUMBER, NUMBERS, RESULT, TAKEN, WORD, WORDS, Newer, Unfit, Unreadable)
+    ANSWER,
+    ID,
+    INT,
+    INTS,
+    KINDS,
+    LOOK,
+    NUMBER,
+    NUMBERS,
+    RESULT,
+    TAKEN,
+    WORD,
+    WORDS,
+    Newer,
+    Unfit,
+    Unreadable,
+)
 from honeywood.trace.writer import Writer, create
 
-WHOLE, TEXT = st.integers(-2**63, 2**63 - 1), st.text(max_size=9)
+WHOLE, TEXT = st.integers(-(2**63), 2**63 - 1), st.text(max_size=9)
 REAL = st.floats(allow_nan=False)
-VALUES = {INT: WHOLE, NUMBER: REAL, WORD: TEXT, ID: TEXT, INTS: st.lists(WHOLE, max_size=4).map(tuple),
-          NUMBERS: st.lists(REAL, max_size=4).map(tuple), WORDS: st.lists(TEXT, max_size=4).map(tuple)}
+VALUES = {
+    INT: WHOLE,
+    NUMBER: REAL,
+    WORD: TEXT,
+    ID: TEXT,
+    INTS: st.lists(WHOLE, max_size=4).map(tuple),
+    NUMBERS: st.lists(REAL, max_size=4).map(tuple),
+    WORDS: st.lists(TEXT, max_size=4).map(tuple),
+}
 
 
 def rows(count, seed=1, since=10**13):
@@ -54,6 +77,7 @@
     @given(st.lists(VALUES[type], max_size=20))
     def same(values):
         assert columns.unpack(type, columns.pack(type, values), len(values)) == values
+
     same()
 
 
@@ -79,8 +103,9 @@
 def test_records_of_all_kinds_in_any_order_of_time(tmp_path):
     """A front's clock may be stepped back between files, and a foreign writer's within one."""
     chance = random.Random(3)
-    empty = [(chance.randrange(10**6), n % 3, kind.number, kind.empty)
-             for kind in KINDS.values() for n in range(9)]
+    empty = [
+        (chance.randrange(10**6), n % 3, kind.number, kind.empty) for kind in KINDS.values() for n in range(9)
+    ]
     chance.shuffle(empty)
     written(tmp_path / "t", [empty[:50], empty[50:]])
     assert read(tmp_path / "t") == empty
@@ -91,7 +116,7 @@
 
 def test_a_torn_tail_is_cut_off_at_every_byte(tmp_path):
     records = list(rows(60))
-    blocks = [records[at:at + 20] for at in range(0, 60, 20)]
+    blocks = [records[at : at + 20] for at in range(0, 60, 20)]
     ends = written(tmp_path / "whole", blocks)
     data = (tmp_path / "whole").read_bytes()
     for size in range(len(data)):
@@ -114,7 +139,7 @@
             data[bit >> 3] ^= 1 << (bit & 7)
             try:
                 got = read(io_path(tmp_path, data))
-                assert got == records[:len(got)]
+                assert got == records[: len(got)]
                 told.add(len(got))
             except Unreadable:
                 told.add("refused")
@@ -125,7 +150,7 @@
 def test_ten_thousand_corruptions(tmp_path):
     """Never an exception of another kind, and no record that was not written."""
     chance, records = random.Random(5), list(rows(320))
-    written(tmp_path / "whole", [records[at:at + 40] for at in range(0, 320, 40)])
+    written(tmp_path / "whole", [records[at : at + 40] for at in range(0, 320, 40)])
     whole, known = (tmp_path / "whole").read_bytes(), set(records)
     kept = refused = 0
     for _ in range(10_000):
@@ -135,12 +160,12 @@
         if how == 0:
             data[at] = chance.randrange(256)
         elif how == 1:
-            data[at:at + chance.randrange(400)] = bytes(chance.randrange(400))
+            data[at : at + chance.randrange(400)] = bytes(chance.randrange(400))
         elif how == 2:
             other = chance.randrange(len(data))
-            data[at:at + 200] = data[other:other + 200]
+            data[at : at + 200] = data[other : other + 200]
         else:
-            del data[at:at + chance.randrange(1, 400)]
+            del data[at : at + chance.randrange(1, 400)]
         try:
             # Blocks are read for one in ten: their heads and the index are what others rest on.
             with Reader(io_path(tmp_path, data), skip=True) as reader:
@@ -179,7 +204,9 @@
     ends = written(tmp_path / "old", [records[:100]])
     written(tmp_path / "new", [records[100:]])
     old, new = ((tmp_path / name).read_bytes() for name in ("old", "new"))
-    block = old[format.START.size:][old[format.START.size:].index(format.BLOCK):ends[0] - format.START.size]
+    block = old[format.START.size :][
+        old[format.START.size :].index(format.BLOCK) : ends[0] - format.START.size
+    ]
     trailer = new.index(format.INDEX)
     (tmp_path / "both").write_bytes(new[:trailer] + block)
     assert read(tmp_path / "both") == records[100:]
@@ -192,7 +219,7 @@
         self.data, self.most = b"", most
 
     def write(self, data):
-        some = bytes(data[:min(len(data), 700, self.most - len(self.data))])
+        some = bytes(data[: min(len(data), 700, self.most - len(self.data))])
         if not some:
             raise OSError(28, "no space left")
         self.data += some
@@ -201,7 +228,7 @@
 
 def test_a_disk_full_at_every_write(tmp_path):
     records = list(rows(200))
-    blocks = [records[at:at + 50] for at in range(0, 200, 50)]
+    blocks = [records[at : at + 50] for at in range(0, 200, 50)]
     counts = set()
     for most in range(0, 9000, 37):
         disk = Failing(most)
@@ -214,7 +241,7 @@
             pass
         try:
             got = read(io_path(tmp_path, disk.data))
-            assert got == records[:len(got)] and len(got) % 50 == 0
+            assert got == records[: len(got)] and len(got) % 50 == 0
             counts.add(len(got))
         except Unreadable:
             counts.add(None)
@@ -252,9 +279,18 @@
 
 
 NEXT = dict(KINDS)
-NEXT[RESULT.number] = schema.Kind(3, "result", True, *(
-    f"{field.name}:{name}" for field in RESULT.fields for name, type in schema.TYPES.items()
-    if type == field.type), "shard:word")
+NEXT[RESULT.number] = schema.Kind(
+    3,
+    "result",
+    True,
+    *(
+        f"{field.name}:{name}"
+        for field in RESULT.fields
+        for name, type in schema.TYPES.items()
+        if type == field.type
+    ),
+    "shard:word",
+)
 NEXT[99] = schema.Kind(99, "parcel_moved", False, "where:word", "far:number")
 
 
@@ -274,7 +310,10 @@
     written(tmp_path / "t", [list(rows(10))], version=(schema.MAJOR + 1, 3))
     with pytest.raises(Newer, match=r"version 2\.3; this program reads 1\.x"):
         Reader(tmp_path / "t")
-    done = subprocess.run([sys.executable, "-m", "honeywood", "trace", "summary", str(tmp_path / "t")],
-                          capture_output=True, text=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "honeywood", "trace", "summary", str(tmp_path / "t")],
+        capture_output=True,
+        text=True,
+    )
     assert done.returncode == 2 and done.stderr.count("\n") == 1 and "version 2.3" in done.stderr
     assert Reader(tmp_path / "t", speaks=2).major == 2  # the reader that comes with it
--- a/tests/trace/test_recorded_trace.py
+++ b/tests/trace/test_recorded_trace.py
@@ -8,10 +8,25 @@
 import pathlib
 import types
 
-from honeywood.balancer.interface import Bar, Method, Pick, Rpc, Server
+from honeywood.balancer.model import (
+    Attempt,
+    AttemptResult,
+    Exclusion,
+    GiveUpReason,
+    Method,
+    PlatformCounts,
+    ReleaseState,
+    ReleaseUpdate,
+    Rpc,
+    Server,
+    ServerEntry,
+    ServerStatus,
+    ReleaseTestResult,
+    Vote,
+)
 from honeywood.trace import format, schema, writer
 from honeywood.trace.reader import Reader
-from honeywood.trace.tape import Tape
+from honeywood.trace.call_recorder import CallRecorder
 
 RECORDED = pathlib.Path(__file__).parent / "recorded"
 ALL_KINDS = RECORDED / "all_kinds.trace"
@@ -56,41 +71,45 @@
 
 def recorded_calls():
     """What a front's recorder holds after one call of each kind."""
-    tape = Tape(1000, -500_000, ("x-customer",), ("x-parcel", "x-other"))
+    calls = CallRecorder(1000, -500_000, ("x-customer",), ("x-parcel", "x-other"))
     fields = {"x-customer": "c" * 5000, "x-other": "p1"}
     request = types.SimpleNamespace(get=fields.get)
     client = types.SimpleNamespace(connection=types.SimpleNamespace(peer="10.0.0.7:4000"))
     call = types.SimpleNamespace(serial=1, name="id-1", request=request, client=client, arrived=970)
     method = Method(name="read")
     servers = [Server(host=types.SimpleNamespace(name=name)) for name in ("s1", "s2", "s3")]
-    rpc = Rpc(method=method, host=call, taken=970, deadline=40_000, work=12, repeat=True, done=False, why=4)
-    pick = Pick(rpc=rpc, server=servers[0], number=0, build=7, sent=1010)
-    tape.began(1000)
-    tape.listed(1001, 9, [(servers[0], 7, 0, 1, 3.0, 2, -(10**12)), (servers[1], 8, 1, 2, 0.5, 1, 900)], True)
-    tape.listed(1001, 10, [], False)
-    tape.news(1002, 1, False, 8, 0, 0.25, 0, 400)
-    tape.taken(1003, rpc)
-    tape.weighed(rpc, servers[0], Bar.COLD)
-    tape.weighed(rpc, servers[1], Bar.NONE)
-    tape.asked_all(rpc, servers, [Bar.SILENT, Bar.TRIED, Bar.NONE])
-    tape.sent(pick, 40_000)
-    tape.begun(1100, pick)
-    tape.ended(1200, pick, 0, (2.0, 0.5), False)
-    tape.weighed(rpc, servers[2], Bar.EXPOSURE)
-    tape.pushed_back(1201, rpc, 250)
-    tape.aborted(1202, rpc)
-    tape.ended(1203, pick, 1, (), True)
-    tape.left(1204, rpc)
-    tape.probed(1300, servers[2], 1, 20, (4.0,))
-    tape.tallied(1301, 8, method, 2, 57, 185, 900)
-    tape.found_wrong(1302, servers[1], method)
-    tape.tested(1303, [(0.25, "failures of method 0", 3, 20, 1.5), (1.0, "tallied times", 4.5, 21, 2)])
-    tape.voted(1303, 8, 0, 3)
-    tape.looked(1400)
-    tape.list_failed(1401)
-    tape.said(1402, "s" * 5000)
-    tape.intake.lost, tape.intake.lost_rpcs = 3, 1
-    return [list(record) for record in [*tape.queue, *tape.drop_note(1403, "queue")]]
+    rpc = Rpc(method=method, host=call, arrived_at=970, deadline=40_000, expected_work=12, is_retry=True)
+    rpc.give_up_reason = GiveUpReason.TARGET_MISSED
+    attempt = Attempt(rpc=rpc, server=servers[0], number=0, build=7, sent_at=1010)
+    calls.on_start(1000)
+    first = ServerEntry(servers[0], 7, 0, 1, 3.0, ServerStatus.READY, -(10**12))
+    second = ServerEntry(servers[1], 8, 1, 2, 0.5, ServerStatus.DRAINING, 900)
+    calls.on_server_list(1001, 9, [first, second], True)
+    calls.on_server_list(1001, 10, [], False)
+    calls.on_release_update(1002, ReleaseUpdate(8, 0, 0.25, ReleaseState.ON_TRIAL, 400))
+    calls.on_request(1003, rpc)
+    calls.considered(rpc, servers[0], Exclusion.COLD_BUDGET)
+    calls.considered(rpc, servers[1], Exclusion.NONE)
+    calls.considered_all(rpc, servers, [Exclusion.SILENT, Exclusion.TRIED, Exclusion.NONE])
+    calls.on_send(attempt, 40_000)
+    calls.on_response_started(1100, attempt)
+    calls.on_result(1200, attempt, AttemptResult.ERROR, (2.0, 0.5), False)
+    calls.considered(rpc, servers[2], Exclusion.EXPOSURE)
+    calls.on_reject(1201, rpc, 250)
+    calls.on_abort(1202, rpc)
+    calls.on_result(1203, attempt, AttemptResult.OK, (), True)
+    calls.on_client_gone(1204, rpc)
+    calls.on_probe_result(1300, servers[2], AttemptResult.OK, 20, (4.0,))
+    calls.on_platform_counts(1301, PlatformCounts(8, method, 2, 57, 185, 900))
+    calls.on_wrong_answer(1302, servers[1], method)
+    failures = ReleaseTestResult(0.25, "failures of method 0", 3, 20, 1.5)
+    calls.tested(1303, [failures, ReleaseTestResult(1.0, "tallied times", 4.5, 21, 2)])
+    calls.on_vote(1303, 8, 0, Vote.ROLL_BACK)
+    calls.on_timer(1400)
+    calls.on_server_list_failed(1401)
+    calls.on_log(1402, "s" * 5000)
+    calls.intake.lost, calls.intake.lost_rpcs = 3, 1
+    return [list(record) for record in [*calls.queue, *calls.drop_note(1403, "queue")]]
 
 
 # The recorded cases.
--- a/tests/trace/test_rules.py
+++ b/tests/trace/test_rules.py
@@ -1,17 +1,30 @@
 """What the trace decides, without a file or a clock."""
+
 import random
 import types
 
 import pytest
 
-from honeywood.balancer.interface import Bar
+from honeywood.balancer.model import Exclusion
 from honeywood.trace.rules import anonymity, keeping
 from honeywood.trace.rules.lives import BARS, Following, lives
 from honeywood.trace.rules.ordering import Union, merged
 from honeywood.trace.rules.recovery import Walk
 from honeywood.trace.rules.skew import Events, estimate
 from honeywood.trace.schema import (
-    ANSWER, KINDS, LIST, LOOK, NEWS, PICK, PROBE, RESULT, TAKEN, TALLY, VOTE, Record)
+    ANSWER,
+    KINDS,
+    LIST,
+    LOOK,
+    NEWS,
+    PICK,
+    PROBE,
+    RESULT,
+    TAKEN,
+    TALLY,
+    VOTE,
+    Record,
+)
 
 SECOND = 10_000
 
@@ -20,8 +33,12 @@
     """Asides first, then RPCs that are not taken in yet; the lives of those that are stay whole the
     longest."""
     intake = keeping.Intake(100)
-    takes = {held: [kind.name for kind in (LOOK, PROBE, TAKEN, PICK, ANSWER) if
-                    intake.takes(kind.number, held, True)] for held in (0, 49, 50, 74, 75, 99, 100)}
+    takes = {
+        held: [
+            kind.name for kind in (LOOK, PROBE, TAKEN, PICK, ANSWER) if intake.takes(kind.number, held, True)
+        ]
+        for held in (0, 49, 50, 74, 75, 99, 100)
+    }
     assert takes[0] == takes[49] == ["look", "probe", "taken", "pick", "answer"]
     assert takes[50] == takes[74] == ["taken", "pick", "answer"]
     assert takes[75] == takes[99] == ["pick", "answer"] and takes[100] == []
@@ -83,7 +100,7 @@
     nothing, ours, theirs = Events(), Events(), Events()
     assert estimate(nothing, nothing) is None
     chance = random.Random(1)
-    for at in range(60):           # both were told as much, but never the same at one time
+    for at in range(60):  # both were told as much, but never the same at one time
         ours.add(news(at * SECOND, at))
         theirs.add(news(chance.randrange(10**9), at))
     assert estimate(ours, theirs) is None
@@ -96,8 +113,10 @@
 
 def test_order_within_a_front_is_never_changed():
     chance = random.Random(4)
-    streams = [[(at + chance.randrange(-50, 50), (place, number))
-                for number, at in enumerate(range(0, 2000, 7))] for place in range(10)]
+    streams = [
+        [(at + chance.randrange(-50, 50), (place, number)) for number, at in enumerate(range(0, 2000, 7))]
+        for place in range(10)
+    ]
     got = list(merged(streams))
     assert len(got) == sum(map(len, streams))
     for place in range(10):
@@ -119,7 +138,8 @@
     """A trace of one front: carrier a's RPCs are the same whatever `others` do, who share its servers."""
     mine, chance = random.Random(1), random.Random(seed)
     plan = [(mine.randrange(10**6), "a") for _ in range(200)] + [
-        (chance.randrange(10**6), f"b{n % 4}") for n in range(others)]
+        (chance.randrange(10**6), f"b{n % 4}") for n in range(others)
+    ]
     records, tallies = [], 0
     for rpc, (at, carrier) in enumerate(sorted(plan), 1):
         asked, load = (carrier, f"parcel-{at}", "10.0.0.9", others, 9, 0, 0), (float(others),)
@@ -127,7 +147,8 @@
             Record(at, 0, TAKEN.number, (rpc, f"id-{at}", "bag", *asked)),
             Record(at, 0, PICK.number, (rpc, 0, "s1", 1, "bag", 9, ("s1", f"s{others}"), (0, 9), others)),
             Record(at, 0, RESULT.number, (rpc, 0, "s1", 1, "bag", 1, 5, 1, load)),
-            Record(at, 0, ANSWER.number, (rpc, "bag", 1, 1 + (others > 9), 0, 5, ("s1",), (9,)))]
+            Record(at, 0, ANSWER.number, (rpc, "bag", 1, 1 + (others > 9), 0, 5, ("s1",), (9,))),
+        ]
         if rpc % 50 == 0:
             tallies += 1
             records.append(Record(at, 0, TALLY.number, (1, "bag", 0, 50, 5, 0)))
@@ -153,15 +174,27 @@
         assert sum(record.kind == NEWS.number for record in got) == 1
     text = repr(alone)
     assert not any(word in text for word in ("parcel-", "id-", "s1", "10.0.0.9", "'a'"))
-    assert {KINDS[record.kind].value(record.values, "why") for record in alone if
-            record.kind == ANSWER.number} == {anonymity.WITHHELD}
+    assert {
+        KINDS[record.kind].value(record.values, "why") for record in alone if record.kind == ANSWER.number
+    } == {anonymity.WITHHELD}
 
 
 def test_parcels_match_within_a_carrier_and_never_between():
     def parcels(carrier, key=b"k" * 32, count=40):
-        return {KINDS[r.kind].value(r.values, "parcel") for r in exported(
-            [r._replace(values=(*r.values[:3], carrier, *r.values[4:])) if r.kind == TAKEN.number else r
-             for r in carriers(1, 0)[:count]], carrier, key)} - {None}
+        return {
+            KINDS[r.kind].value(r.values, "parcel")
+            for r in exported(
+                [
+                    r._replace(values=(*r.values[:3], carrier, *r.values[4:]))
+                    if r.kind == TAKEN.number
+                    else r
+                    for r in carriers(1, 0)[:count]
+                ],
+                carrier,
+                key,
+            )
+        } - {None}
+
     assert parcels("a", count=80) > parcels("a") and len(parcels("a")) == 10
     assert not parcels("a") & parcels("b") and not parcels("a") & parcels("a", b"z" * 32)
     with pytest.raises(anonymity.BadKey):
@@ -179,8 +212,10 @@
 
 def test_what_of_a_damaged_file_is_data():
     """A torn tail is no damage; a hole is, and so is a block that stands there twice or not at all."""
+
     def block(number):
         return types.SimpleNamespace(number=number)
+
     walk = Walk(10, 100)
     assert walk.whole(block(0), 20) == (True, None) and walk.at == 30
     assert walk.broken("damaged", 50) == "damaged at byte 30" and walk.at == 50
@@ -192,9 +227,11 @@
 
 
 def test_lives_tell_what_must_not_be():
-    records = [Record(1, 0, TAKEN.number, (1, "x", "m", "", "", "", 0, 9, 0, 0)),
-               Record(2, 0, PICK.number, (1, 0, "s", 1, "m", 9, (), (), 0)),
-               Record(3, 0, ANSWER.number, (1, "m", 0, 0, 0, 2, (), ()))]
+    records = [
+        Record(1, 0, TAKEN.number, (1, "x", "m", "", "", "", 0, 9, 0, 0)),
+        Record(2, 0, PICK.number, (1, 0, "s", 1, "m", 9, (), (), 0)),
+        Record(3, 0, ANSWER.number, (1, "m", 0, 0, 0, 2, (), ())),
+    ]
     life = lives(records)[0, 1]
     assert life.whole() and not life.faults()
     assert lives([*records, records[-1]])[0, 1].faults() == ["more than one final answer"]
@@ -205,4 +242,4 @@
     assert following.add(result) == [] and not following.open
     late = [following.add(record) for record in (records[1], result, records[0], records[2])]
     assert late == [[], [], [], ["RPC 1: something came before it was taken"]]
-    assert set(BARS) == {value for name, value in vars(Bar).items() if name.isupper()}
+    assert set(BARS) == {value for name, value in vars(Exclusion).items() if name.isupper()}
--- a/tests/trace/test_tools.py
+++ b/tests/trace/test_tools.py
@@ -1,4 +1,5 @@
 """The tools on files: what a front recorded is cut, merged, shown and replayed."""
+
 import json
 import os
 import random
@@ -15,7 +16,7 @@
 from honeywood.trace.recorder import Recorder
 from honeywood.trace.rules.selection import Wanted
 from honeywood.trace.schema import DROPPED, KINDS, LOOK, NEWS, PICK, TAKEN
-from honeywood.trace.tape import Tape
+from honeywood.trace.call_recorder import CallRecorder
 from honeywood.trace.writer import create
 from honeywood.balancer.transport.mailbox import Mailbox
 from standins.release import Load
@@ -24,8 +25,12 @@
 
 
 def trace(*words, code=0, **more):
-    done = subprocess.run([sys.executable, "-m", "honeywood", "trace", *map(str, words)], capture_output=True,
-                          timeout=120, **more)
+    done = subprocess.run(
+        [sys.executable, "-m", "honeywood", "trace", *map(str, words)],
+        capture_output=True,
+        timeout=120,
+        **more,
+    )
     assert done.returncode == code, (words, done.stdout, done.stderr)
     return done.stdout, done.stderr.decode()
 
@@ -69,8 +74,12 @@
     """Retries keep their id: staff must see all of them, not the first."""
     writer = create(tmp_path / "t", {"front": "f", "run": "r"})
     for number in range(1, 4):
-        writer.block([(number, 0, TAKEN.number, (number, "again", "m", "", "", "", 0, 9, 0, number > 1)),
-                      (number, 0, 4, (number, "m", 1, 2, 100, 0, (), ()))])
+        writer.block(
+            [
+                (number, 0, TAKEN.number, (number, "again", "m", "", "", "", 0, 9, 0, number > 1)),
+                (number, 0, 4, (number, "m", 1, 2, 100, 0, (), ())),
+            ]
+        )
     writer.close()
     shown = trace("show", "--rpc", "again", tmp_path / "t")[0].decode()
     assert shown.count("taken: m again") == 3 == shown.count("too many RPCs were open")
@@ -80,9 +89,11 @@
 
 def test_a_life_that_spans_two_files_is_shown_whole(tmp_path):
     """A file may end while RPCs are open; their number is the run's: another run's is not taken for them."""
-    for name, run, rows in (("1", "r", [(1, 0, TAKEN.number, (7, "x", "m", "", "", "", 0, 9, 0, 0))]),
-                            ("2", "r", [(5, 0, 4, (7, "m", 0, 0, 0, 4, (), ()))]),
-                            ("3", "other", [(6, 0, 4, (7, "m", 2, 3, 0, 4, (), ()))])):
+    for name, run, rows in (
+        ("1", "r", [(1, 0, TAKEN.number, (7, "x", "m", "", "", "", 0, 9, 0, 0))]),
+        ("2", "r", [(5, 0, 4, (7, "m", 0, 0, 0, 4, (), ()))]),
+        ("3", "other", [(6, 0, 4, (7, "m", 2, 3, 0, 4, (), ()))]),
+    ):
         writer = create(tmp_path / name, {"front": "f", "run": run})
         writer.block(rows)
         writer.close()
@@ -106,11 +117,11 @@
     with Reader(hour) as reader:
         ends = [at + size for at, size, _ in reader.entries()]
     torn = tmp_path / "torn"
-    torn.write_bytes(whole[:ends[-1] - 100])
+    torn.write_bytes(whole[: ends[-1] - 100])
     assert "index missing, torn tail" in trace("verify", torn)[0].decode()
     kept = records(torn)
     assert b"bytes of a torn tail cut off" in trace("index", torn)[0]
-    assert records(torn) == kept == records(hour)[:len(kept)]
+    assert records(torn) == kept == records(hour)[: len(kept)]
     assert "index there" in trace("verify", torn)[0].decode()
     bent = bytearray(whole)
     bent[ends[0] + 500] ^= 4
@@ -134,12 +145,14 @@
             own.append((at + chance.randrange(SECOND), TAKEN, taken))
         rows = sorted(own + told, key=lambda row: row[0])
         true[f"f{number}"] = [at for at, *_ in rows]
-        made = [(round((at - 10**13) * (1 + rate) + 10**13 + offset), 0, kind.number, values)
-                for at, kind, values in rows]
+        made = [
+            (round((at - 10**13) * (1 + rate) + 10**13 + offset), 0, kind.number, values)
+            for at, kind, values in rows
+        ]
         for part in range(3):
             path = folder / f"f{number}-{part}"
             writer = create(path, {"front": f"f{number}", "run": f"run{number}"})
-            writer.block(made[part * 240:(part + 1) * 240])
+            writer.block(made[part * 240 : (part + 1) * 240])
             writer.close()
             paths.append(path)
     return paths, true
@@ -230,12 +243,25 @@
 
 
 def recorder(folder, log, **more):
-    given = types.SimpleNamespace(**{
-        "folder": str(folder), "most_bytes": 10**9, "longest_age": 10**12, "file_bytes": 10**6,
-        "file_age": 10**9, "block_age": 10, "sync": "never", **more})
-    told = types.SimpleNamespace(info=lambda event, **said: log.append(("info", event)),
-                                 error=lambda event, **said: log.append(("error", event)))
-    return Recorder(given, Tape(1000, 0, (), ()), {"front": "f"}, "f", Mailbox("t", 9, None), lambda: 0, told)
+    given = types.SimpleNamespace(
+        **{
+            "folder": str(folder),
+            "most_bytes": 10**9,
+            "longest_age": 10**12,
+            "file_bytes": 10**6,
+            "file_age": 10**9,
+            "block_age": 10,
+            "sync": "never",
+            **more,
+        }
+    )
+    told = types.SimpleNamespace(
+        info=lambda event, **said: log.append(("info", event)),
+        error=lambda event, **said: log.append(("error", event)),
+    )
+    return Recorder(
+        given, CallRecorder(1000, 0, (), ()), {"front": "f"}, "f", Mailbox("t", 9, None), lambda: 0, told
+    )
 
 
 def test_a_full_disk_stops_the_recorder_once_a_minute_and_it_goes_on(tmp_path, monkeypatch):
@@ -260,12 +286,14 @@
 
         def close(self):
             os.close(self.file)
+
     monkeypatch.setattr("honeywood.trace.writer.open", Disk, raising=False)
 
     def looked(at, count=5):
         for _ in range(count):
-            made.tape.looked(at)
+            made.calls.on_timer(at)
         made.go_on(at + 10)
+
     looked(0)
     full[0] = True
     for at in range(SECOND, 130 * SECOND, SECOND):
@@ -286,12 +314,12 @@
     log = []
     made = recorder(tmp_path / "t", log)
     for number in range(50):
-        made.tape.put(0, PICK, (number, 0, "s" * (5000 if number == 17 else 1), 1, "m", 0, (), (), 0))
+        made.calls.put(0, PICK, (number, 0, "s" * (5000 if number == 17 else 1), 1, "m", 0, (), (), 0))
     made.go_on(10)
-    made.tape.looked(20)
+    made.calls.on_timer(20)
     made.go_on(30)
     made.stop()
-    path, = (tmp_path / "t").iterdir()
+    (path,) = (tmp_path / "t").iterdir()
     got = records(path)
     assert [r[3][0] for r in got if r[2] == PICK.number] == [n for n in range(50) if n != 17] and not log
     assert [r[3][0] for r in got if r[2] == DROPPED.number] == [1]
@@ -303,7 +331,7 @@
     for at in range(0, 400, 20):
         for made in (one, two):
             for n in range(100):
-                made.tape.put(at, TAKEN, (n, f"{random.random()}", "m", "", "", "", 0, 0, 0, 0))
+                made.calls.put(at, TAKEN, (n, f"{random.random()}", "m", "", "", "", 0, 0, 0, 0))
             made.go_on(at + 10)
     held = {made.file.name for made in (one, two)}
     left = list(tmp_path.iterdir())
@@ -319,10 +347,10 @@
     log = []
     made = recorder(tmp_path, log)
     monkeypatch.setattr("honeywood.trace.recorder.to_delete", lambda *_: ["f-gone.trace"])
-    made.tape.looked(0)
+    made.calls.on_timer(0)
     made.go_on(10)
     made.stop()
-    path, = tmp_path.iterdir()
+    (path,) = tmp_path.iterdir()
     assert len(records(path)) == 1 and not log
 
 
