--- a/honeywood/__main__.py
+++ b/honeywood/__main__.py
@@ -8,6 +8,6 @@
         from honeywood.cli.main import main as command_line
 
         command_line(prog_name="honeywood")
-    from honeywood.balancer.program.life import main
+    from honeywood.balancer.program.main import main
 
     os._exit(main())
--- a/honeywood/balancer/actors/counters.py
+++ b/honeywood/balancer/actors/counters.py
@@ -1,30 +1,42 @@
-"""What a front did, counted: one line of the log every few seconds, so that the lines of a fleet can be added
-up. docs/operate/fleet.md says what each counter tells."""
+"""What a balancer did, counted: a line of the log every few seconds; those of a fleet can be added up.
+
+docs/operate/fleet.md says what each counter tells.
+"""
+
+from __future__ import annotations
 
 import threading
 import time
 
-EVERY = 5  # looks of the keeper at servers, one a second, between two lines
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from typing import Any
+
+REPORT_EVERY = 5  # calls of report(), one a second, between two lines
 
 
 class Counters:
     """Each name counts from the start of the program; any actor may count."""
 
-    def __init__(self):
-        self.counts, self.told, self.lock, self.looks = {}, {}, threading.Lock(), 0
+    def __init__(self) -> None:
+        """Nothing is counted yet."""
+        self._counts: dict[str, int] = {}
+        self._reported: dict[str, int] = {}
+        self._lock, self._calls = threading.Lock(), 0
 
-    def add(self, name, by=1):
-        with self.lock:
-            self.counts[name] = self.counts.get(name, 0) + by
+    def add(self, name: str, count: int = 1) -> None:
+        """Count something."""
+        with self._lock:
+            self._counts[name] = self._counts.get(name, 0) + count
 
-    def look(self, log, **gauges):
-        """Once in EVERY calls a line with what came since the last one; CPU in milliseconds."""
-        self.looks += 1
-        if self.looks % EVERY:
+    def report(self, log: Any, **gauges: int) -> None:
+        """Once in REPORT_EVERY calls a line with what came since the last one; CPU in milliseconds."""
+        self._calls += 1
+        if self._calls % REPORT_EVERY:
             return
-        with self.lock:
-            now = dict(self.counts)
-        now["cpu_ms"] = int(time.process_time() * 1000)
-        since = {name: count - self.told.get(name, 0) for name, count in now.items()}
-        self.told = now
-        log.info("counts", **{name: count for name, count in since.items() if count}, **gauges)
+        with self._lock:
+            counts = dict(self._counts)
+        counts["cpu_ms"] = int(time.process_time() * 1000)
+        new = {name: count - self._reported.get(name, 0) for name, count in counts.items()}
+        self._reported = counts
+        log.info("counts", **{name: count for name, count in new.items() if count}, **gauges)
--- a/honeywood/balancer/actors/decision_host.py
+++ b/honeywood/balancer/actors/decision_host.py
@@ -5,7 +5,8 @@
 
 from __future__ import annotations
 
-from honeywood.balancer.actors.server import Exchange
+from honeywood.balancer.actors.exchange import Exchange
+from honeywood.balancer.actors.server_peer import Process
 from honeywood.balancer.decisions.balancer import Balancer
 from honeywood.balancer.model import (
     SECOND,
@@ -19,6 +20,25 @@
 from honeywood.balancer.transport import clock
 from honeywood.balancer.transport.mailbox import Mailbox
 
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from honeywood.balancer.actors.application import Application
+    from honeywood.balancer.actors.call import Call
+    from honeywood.balancer.actors.server_peer import ServerPeer
+    from honeywood.balancer.interface import Observer
+    from honeywood.balancer.model import (
+        Attempt,
+        Duration,
+        ReleaseUpdate,
+        Server,
+        ServerEntry,
+        Time,
+        Vote,
+    )
+    from honeywood.balancer.protocol.discovery import Address
+
 MAX_CALLS = 20_000
 REPLACED_FIELDS = ("host", "x-timeout")  # that each request to a server gets anew
 # Names in counters: how an attempt ended, and why an RPC was given up.
@@ -44,238 +64,277 @@
 class DecisionHost:
     """Other actors post its on_... methods to its mailbox."""
 
-    def __init__(self, gateway):
-        self.gateway, self.settings = gateway, gateway.settings
-        self.mailbox = Mailbox("module", MAX_CALLS, gateway.fail)
-        self.post = self.mailbox.post
-        self.methods = gateway.methods
-        self.observer = self.recorder = gateway.recorder  # None where nothing is recorded
-        self.rpcs_taken = 0
-        self.balancer = Balancer(self.settings, self)
-        self.open_ids = set()  # ids of the RPCs that are open
-        self.count = gateway.counters.add
-
-    def start(self, release):
-        """The list known at start is posted already: it comes first."""
+    def __init__(self, application: Application) -> None:
+        """The decisions begin with start()."""
+        self._application, self._settings = application, application.settings
+        self._mailbox = Mailbox("module", MAX_CALLS, application.fail)
+        self.post = self._mailbox.post
+        self._methods = application.methods
+        self._recorder = application.recorder  # None where nothing is recorded
+        self.observer: Observer | None = application.recorder
+        self._rpcs_taken = 0
+        self._open_identifiers: set[str] = set()  # of the RPCs that are open
+        self._count = application.counters.add
+        self._balancer = Balancer(self._settings, self)
+
+    def start(self, release: ReleaseUpdate) -> None:
+        """Begin; the list known at start is posted already: it comes first."""
         self.post(self._start_decisions)
         self.post(self.on_release_update, release)
         self.post(self._set_ready)
-        self.mailbox.start()
+        self._mailbox.start()
 
-    def _start_decisions(self):
+    def _start_decisions(self) -> None:
         now = clock.now()
-        if self.recorder:
-            self.recorder.on_start(now)
-        self.balancer.on_start(now)
+        if self._recorder:
+            self._recorder.on_start(now)
+        self._balancer.on_start(now)
 
-    def _set_ready(self):
-        self.gateway.ready = True
+    def _set_ready(self) -> None:
+        self._application.is_ready = True
 
     # What the decisions ask (interface.Host).
-    def send(self, attempt, until):
-        now, call, peer = clock.now(), attempt.rpc.host, attempt.server.host
-        if self.recorder:
-            self.recorder.on_send(attempt, until)
-        request = call.request
+    def send(self, attempt: Attempt, until: Time) -> None:
+        """Have an attempt written by its server's actor; a timer gives it up."""
+        now = clock.now()
+        if self._recorder:
+            self._recorder.on_send(attempt, until)
+        request, peer = attempt.rpc.host.request, attempt.server.host
         fields = [
             ("host", peer.name),
             ("x-timeout", f"{max(1, until - now) / SECOND:.4f}"),
-            *request.passed_on(*REPLACED_FIELDS),
+            *request.end_to_end_fields(*REPLACED_FIELDS),
         ]
         data = http.request(request.method, request.target, fields, request.body)
         attempt.host = Exchange(attempt, None, request.method, data, now)
         peer.mailbox.post(peer.send, attempt.host)
-        self.count("picks" if attempt.number == 0 else "further_picks")
-        if now - attempt.server.started_at < self.settings.warm_up_time:
-            self.count("picks_cold")
+        self._count("picks" if attempt.number == 0 else "further_picks")
+        if now - attempt.server.started_at < self._settings.warm_up_time:
+            self._count("picks_cold")
         timeout_at = min(until, attempt.rpc.deadline)
-        self.mailbox.timers.at(timeout_at, self.give_up, attempt, AttemptResult.TIMEOUT)
+        self._mailbox.timers.at(timeout_at, self._give_up, attempt, AttemptResult.TIMEOUT)
 
-    def reject(self, rpc, retry_after):
+    def reject(self, rpc: Rpc, retry_after: Duration) -> None:
+        """Answer 503."""
         fields = [("retry-after", f"{retry_after / SECOND:.3f}")] if retry_after else []
         self._answer(rpc, 503, fields)
-        self.count(f"pushed_back_{REASON_NAMES[rpc.give_up_reason]}")
-        if self.recorder:
-            self.recorder.on_reject(clock.now(), rpc, retry_after)
+        self._count(f"pushed_back_{_reason_name(rpc)}")
+        if self._recorder:
+            self._recorder.on_reject(clock.now(), rpc, retry_after)
 
-    def abort(self, rpc):
+    def abort(self, rpc: Rpc) -> None:
+        """Answer 502."""
         self._answer(rpc, 502)
-        self.count(f"aborted_{REASON_NAMES[rpc.give_up_reason]}")
-        if self.recorder:
-            self.recorder.on_abort(clock.now(), rpc)
+        self._count(f"aborted_{_reason_name(rpc)}")
+        if self._recorder:
+            self._recorder.on_abort(clock.now(), rpc)
 
-    def cancel(self, attempt):
-        self.post(self.give_up, attempt, AttemptResult.CANCELLED)
+    def cancel(self, attempt: Attempt) -> None:
+        """Give an attempt up, once the decisions are done with this call."""
+        self.post(self._give_up, attempt, AttemptResult.CANCELLED)
 
-    def probe(self, server):
+    def probe(self, server: Server) -> None:
+        """Ask a server for its load; where the settings name no report, whether it answers."""
         peer, now = server.host, clock.now()
-        target = "/_load" if self.settings.load_report_fields else "/ping"
-        exchange = Exchange(None, server, "GET", http.request("GET", target, [("host", peer.name)]), now)
+        target = "/_load" if self._settings.load_report_fields else "/ping"
+        data = http.request("GET", target, [("host", peer.name)])
+        exchange = Exchange(None, server, "GET", data, now)
         peer.mailbox.post(peer.send, exchange)
-        self.count("probes")
-        self.mailbox.timers.at(now + self.settings.connect_timeout, self._give_up_probe, exchange)
-
-    def wake_after(self, delay):
-        self.mailbox.after(delay, self._on_timer)
-
-    def vote(self, build, step, vote):
-        if self.recorder:
-            self.recorder.on_vote(clock.now(), build, step, vote)
-        actor = self.gateway.platform
+        self._count("probes")
+        self._mailbox.timers.at(now + self._settings.connect_timeout, self._give_up_probe, exchange)
+
+    def wake_after(self, delay: Duration) -> None:
+        """Set a timer."""
+        self._mailbox.after(delay, self._on_timer)
+
+    def vote(self, build: int, step: int, vote: Vote) -> None:
+        """Have a vote cast by the platform's actor."""
+        if self._recorder:
+            self._recorder.on_vote(clock.now(), build, step, vote)
+        actor = self._application.platform
         actor.mailbox.post(actor.vote, build, step, vote)
-        self.count("votes")
+        self._count("votes")
 
-    def watch_servers(self):
-        roster = self.gateway.roster
-        roster.mailbox.post(roster.dial)
+    def watch_servers(self) -> None:
+        """Have the list asked for."""
+        directory = self._application.directory
+        directory.mailbox.post(directory.dial)
 
-    def log(self, text):
-        if self.recorder:
-            self.recorder.on_log(clock.now(), text)
-        self.gateway.log.info("decision", what=text)
+    def log(self, text: str) -> None:
+        """Log what the decisions say."""
+        if self._recorder:
+            self._recorder.on_log(clock.now(), text)
+        self._application.log.info("decision", what=text)
 
     # What the actors post.
-    def on_request(self, call):
+    def on_request(self, call: Call) -> None:
+        """A client's request is an RPC."""
         now = clock.now()
-        if call.name in self.open_ids:  # else two of one id would be out, and servers could not tell them
+        # Else two of one identifier would be out, and servers could not tell them apart.
+        if call.identifier in self._open_identifiers:
             return call.client.mailbox.post(call.client.answer, call, 409)
-        self.open_ids.add(call.name)
+        self._open_identifiers.add(call.identifier)
         rpc = call.rpc = Rpc(
             method=call.method,
             deadline=call.deadline,
-            arrived_at=call.arrived,
+            arrived_at=call.arrived_at,
             expected_work=call.expected_work,
             is_retry=call.is_retry,
             host=call,
         )
-        self.rpcs_taken += 1
-        self.count("rpcs")
-        call.serial = self.rpcs_taken
-        if self.recorder:
-            self.recorder.on_request(now, rpc)
-        self.balancer.on_request(now, rpc)
-        self.gateway.reject_connections_until = self.balancer.reject_connections_until
-        self._release(rpc)
-
-    def on_client_gone(self, call):
+        self._rpcs_taken += 1
+        self._count("rpcs")
+        call.serial = self._rpcs_taken
+        if self._recorder:
+            self._recorder.on_request(now, rpc)
+        self._balancer.on_request(now, rpc)
+        self._application.reject_connections_until = self._balancer.reject_connections_until
+        return _forget_if_over(rpc)
+
+    def on_client_gone(self, call: Call) -> None:
+        """A client has left before its answer."""
         if call.rpc is None:  # it was refused
             return
         rpc, call.rpc = call.rpc, None
-        self.open_ids.discard(call.name)
+        self._open_identifiers.discard(call.identifier)
         now = clock.now()
-        if self.recorder and not rpc.done:
-            self.recorder.on_client_gone(now, rpc)
-        self.balancer.on_client_gone(now, rpc)
-        self._release(rpc)
+        if self._recorder and not rpc.done:
+            self._recorder.on_client_gone(now, rpc)
+        self._balancer.on_client_gone(now, rpc)
+        _forget_if_over(rpc)
 
-    def on_result(self, attempt, result, load, answer=None):
+    def on_response_started(self, attempt: Attempt) -> None:
+        """The first of an answer has come, and not yet all of it."""
+        if attempt.result is None:
+            now = clock.now()
+            if self._recorder:
+                self._recorder.on_response_started(now, attempt)
+            self._balancer.on_response_started(now, attempt)
+
+    def on_result(
+        self,
+        attempt: Attempt,
+        result: AttemptResult,
+        load: Sequence[float],
+        response: http.Response | None = None,
+    ) -> None:
         """Each attempt ends once; the first ok is the client's answer and ends the RPC."""
         if attempt.result is not None:
             return
         rpc, now = attempt.rpc, clock.now()
         final = result == AttemptResult.OK or rpc.done
-        if self.recorder:
-            self.recorder.on_result(now, attempt, result, load, final)
-        if result == AttemptResult.OK and not rpc.done:
-            self.count("ok")
-            self._answer(rpc, 200, answer.passed_on("x-server-load"), answer.body)
-        self.count(f"ended_{RESULT_NAMES[result]}")
-        self.balancer.on_result(now, attempt, result, now - attempt.sent_at, load, final)
-        self._release(rpc)
-
-    def on_response_started(self, attempt):
-        """The first of an answer has come, and not yet all of it."""
-        if attempt.result is None:
-            now = clock.now()
-            if self.recorder:
-                self.recorder.on_response_started(now, attempt)
-            self.balancer.on_response_started(now, attempt)
-
-    def on_probe_result(self, exchange, result, load):
+        if self._recorder:
+            self._recorder.on_result(now, attempt, result, load, final)
+        if result == AttemptResult.OK and not rpc.done and response:
+            self._count("ok")
+            self._answer(rpc, 200, response.end_to_end_fields("x-server-load"), response.body)
+        self._count(f"ended_{RESULT_NAMES[result]}")
+        self._balancer.on_result(now, attempt, result, now - attempt.sent_at, load, final)
+        _forget_if_over(rpc)
+
+    def on_probe_result(self, exchange: Exchange, result: AttemptResult, load: Sequence[float]) -> None:
+        """Each probe ends once."""
         if exchange.server:
             server, exchange.server = exchange.server, None
             now = clock.now()
-            if self.recorder:
-                self.recorder.on_probe_result(now, server, result, now - exchange.sent, load)
-            self.balancer.on_probe_result(now, server, result, now - exchange.sent, load)
-
-    def on_server_list(self, members, complete, gone, revision):
-        """Members as (peer, address, its entry); `gone` are those that a complete list does not name."""
+            latency = now - exchange.sent_at
+            if self._recorder:
+                self._recorder.on_probe_result(now, server, result, latency, load)
+            self._balancer.on_probe_result(now, server, result, latency, load)
+
+    def on_server_list(
+        self,
+        members: Sequence[tuple[ServerPeer, Address | None, ServerEntry]],
+        complete: bool,
+        gone: Sequence[ServerPeer],
+        revision: int,
+    ) -> None:
+        """The server list, or changes of it; `gone` are those that a complete list does not name."""
         for peer, address, entry in members:
-            peer.mailbox.post(peer.listed, entry.status, (address, entry.build, entry.started_at))
+            process = Process(address, entry.build, entry.started_at)
+            peer.mailbox.post(peer.on_list_entry, entry.status, process)
         for peer in gone:
-            peer.mailbox.post(peer.listed, ServerStatus.GONE, None)
+            peer.mailbox.post(peer.on_list_entry, ServerStatus.GONE, None)
         now, entries = clock.now(), [entry for _, _, entry in members]
-        if self.recorder:
-            self.recorder.on_server_list(now, revision, entries, complete)
-        self.balancer.on_server_list(now, entries, complete)
+        if self._recorder:
+            self._recorder.on_server_list(now, revision, entries, complete)
+        self._balancer.on_server_list(now, entries, complete)
 
-    def on_server_list_failed(self):
+    def on_server_list_failed(self) -> None:
+        """Discovery refused the list or ended the watch."""
         now = clock.now()
-        if self.recorder:
-            self.recorder.on_server_list_failed(now)
-        self.balancer.on_server_list_failed(now)
+        if self._recorder:
+            self._recorder.on_server_list_failed(now)
+        self._balancer.on_server_list_failed(now)
 
-    def on_release_update(self, update):
+    def on_release_update(self, update: ReleaseUpdate) -> None:
+        """The platform told the state of its newest release."""
         now = clock.now()
-        if self.recorder:
-            self.recorder.on_release_update(now, update)
-        self.balancer.on_release_update(now, update)
+        if self._recorder:
+            self._recorder.on_release_update(now, update)
+        self._balancer.on_release_update(now, update)
 
-    def on_vote_answered(self, result, update):
-        self.count(f"vote_{platform.RESULTS[result]}")
+    def on_vote_answered(self, result: AttemptResult, update: ReleaseUpdate | None) -> None:
+        """The platform answered a vote, or did not in time."""
+        self._count(f"vote_{platform.RESULTS[result]}")
         now = clock.now()
-        if self.recorder:
-            self.recorder.on_vote_answered(now, result, update)
-        self.balancer.on_vote_answered(now, update if result == AttemptResult.OK else None)
-
-    def on_platform_counts(self, counts):
-        if counts.method in self.methods:
-            now, method = clock.now(), self.methods[counts.method]
-            told = PlatformCounts(
-                counts.build, method, counts.failed, counts.ended, counts.mean_latency, counts.age
-            )
-            if self.recorder:
-                self.recorder.on_platform_counts(now, told)
-            self.balancer.on_platform_counts(now, told)
-
-    def on_wrong_answer(self, server, method_name):
-        if method_name in self.methods:
-            now, method = clock.now(), self.methods[method_name]
-            if self.recorder:
-                self.recorder.on_wrong_answer(now, server, method)
-            self.balancer.on_wrong_answer(now, server, method)
+        if self._recorder:
+            self._recorder.on_vote_answered(now, result, update)
+        self._balancer.on_vote_answered(now, update if result == AttemptResult.OK else None)
+
+    def on_platform_counts(self, counts: platform.Counts) -> None:
+        """The platform told what it counted."""
+        if counts.method in self._methods:
+            now, method = clock.now(), self._methods[counts.method]
+            build, _, failed, ended, mean_latency, age = counts
+            told = PlatformCounts(build, method, failed, ended, mean_latency, age)
+            if self._recorder:
+                self._recorder.on_platform_counts(now, told)
+            self._balancer.on_platform_counts(now, told)
+
+    def on_wrong_answer(self, server: Server, method_name: str) -> None:
+        """The platform found an answer of a server wrong."""
+        if method_name in self._methods:
+            now, method = clock.now(), self._methods[method_name]
+            if self._recorder:
+                self._recorder.on_wrong_answer(now, server, method)
+            self._balancer.on_wrong_answer(now, server, method)
 
     # Its own.
-    def give_up(self, attempt, result):
+    def _on_timer(self) -> None:
+        now = clock.now()
+        if self._recorder:
+            self._recorder.on_timer(now)
+        self._balancer.on_timer(now)
+
+    def _give_up(self, attempt: Attempt, result: AttemptResult) -> None:
         if attempt.result is None:
             peer = attempt.server.host
             peer.mailbox.post(peer.give_up, attempt.host)
             self.on_result(attempt, result, ())
 
-    def _give_up_probe(self, exchange):
+    def _give_up_probe(self, exchange: Exchange) -> None:
         if exchange.server:
             peer = exchange.server.host
             peer.mailbox.post(peer.give_up, exchange)
             self.on_probe_result(exchange, AttemptResult.TIMEOUT, ())
 
-    def _on_timer(self):
-        now = clock.now()
-        if self.recorder:
-            self.recorder.on_timer(now)
-        self.balancer.on_timer(now)
-
-    def _release(self, rpc):
-        """Of an RPC whose last attempt has ended nothing points back to it.
-
-        So it goes at once, with all it holds, and is not left to the garbage collector.
-        """
-        if rpc.done and all(attempt.result is not None for attempt in rpc.attempts):
-            for attempt in rpc.attempts:
-                attempt.host = None
-            rpc.attempts, rpc.host = (), None
-
-    def _answer(self, rpc, status, fields=(), data=b""):
-        client = rpc.host.client
-        self.open_ids.discard(rpc.host.name)
-        client.mailbox.post(client.answer, rpc.host, status, fields, data)
+    def _answer(self, rpc: Rpc, status: int, fields: http.Fields = (), data: bytes | bytearray = b"") -> None:
+        call = rpc.host
+        self._open_identifiers.discard(call.identifier)
+        call.client.mailbox.post(call.client.answer, call, status, fields, data)
+
+
+def _reason_name(rpc: Rpc) -> str:
+    return REASON_NAMES[rpc.give_up_reason] if rpc.give_up_reason else "none"
+
+
+def _forget_if_over(rpc: Rpc) -> None:
+    """Of an RPC whose last attempt has ended nothing points back to it.
+
+    So it goes at once, with all it holds, and is not left to the garbage collector.
+    """
+    if rpc.done and all(attempt.result is not None for attempt in rpc.attempts):
+        for attempt in rpc.attempts:
+            attempt.host = None
+        rpc.attempts, rpc.host = [], None
--- a/honeywood/balancer/flow_control/__init__.py
+++ b/honeywood/balancer/flow_control/__init__.py
@@ -1,4 +1,4 @@
-"""Slow peers: what may wait, and who is cut off. Being built; no front uses it yet.
+"""Slow peers: what may wait, and who is cut off. Being built; no balancer uses it yet.
 
-Start with rules.py. docs/measured/pace.md has the figures that it is built on.
+Start with minimum_rates.py. docs/measured/pace.md has the figures that it is built on.
 """
--- a/honeywood/balancer/flow_control/minimum_rates.py
+++ b/honeywood/balancer/flow_control/minimum_rates.py
@@ -1,71 +1,100 @@
-"""Least rates, judged a phase of a connection: what a peer must move, and how long it may take in all.
+"""Minimum transfer rates by phase of a connection: what a peer must move, and how long it may take in all.
 
-Free of I/O, clock and threads. Times are tenths of a millisecond of the time in which the front was there
-(Attendance), so that nobody is blamed for the front's own absence. Bytes are those that the peer took or
-sent, as far as the system tells: what only stands in the kernel's buffers has not moved.
+Free of I/O, clock and threads. Times are tenths of a millisecond of the time in which the balancer was
+running (RunningTime), so that nobody is blamed for the balancer's own stalls. Bytes are those that the peer
+took or sent, as far as the system tells: what only stands in the kernel's buffers has not moved.
 """
 
-from honeywood.balancer.model import SECOND
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from honeywood.balancer.model import SECOND, Duration, Time
 
 PARTS = 8  # of a window: bytes are counted by parts, so a peer costs the same for ever
-LOOKED = SECOND // 4  # peers are looked at so often; what is longer than two of these was an absence
+CHECK_INTERVAL = SECOND // 4  # between checks of a peer; what is longer than two of these was a stall
 TOO_SLOW, TOO_LONG = "too_slow", "too_long"
 
 
+@dataclass(frozen=True, slots=True)
 class Phase:
-    """What is asked of a peer in one phase (head, body, answer, ...): over any `window` that begins after the
-    `grace`, `least` bytes a second; and an end after `most`."""
-
-    def __init__(self, name, grace, window, least, most):
-        self.name, self.grace, self.window, self.least, self.most = name, grace, window, least, most
-        self.part = max(1, window // PARTS)
-        self.need = least * window / SECOND  # bytes in a window
-
-
-class Attendance:
-    """The time in which the front was there. Between two looks at most 2 * LOOKED passes: what is more was an
-    absence (a stopped process, a machine that stood still), in which peers could not move a byte."""
-
-    def __init__(self, now):
-        self.last, self.away = now, 0
-
-    def at(self, now):
-        """The time attended until now; it never goes back, whatever the clock does."""
-        gap = now - self.last
-        self.away += gap if gap < 0 else max(0, gap - 2 * LOOKED)
-        self.last = now
-        return now - self.away
-
-
-class Pace:
-    """One peer in one phase, from `now` on. `moved` is told of bytes, `judged` says whether it is cut off."""
-
-    __slots__ = ("phase", "began", "counts", "part")
-
-    def __init__(self, phase, now):
-        self.phase, self.began = phase, now
-        self.counts, self.part = [0] * (PARTS + 1), 0  # the window's parts, and the one that is not over
-
-    def turn(self, now):
-        """Lets go of the parts that are older than a window."""
-        part = (now - self.began) // self.phase.part
-        for number in range(self.part + 1, min(part, self.part + PARTS + 1) + 1):
-            self.counts[number % (PARTS + 1)] = 0
-        if part > self.part + PARTS + 1:
-            self.counts = [0] * (PARTS + 1)
-        self.part = max(part, self.part)
-
-    def moved(self, now, count):
-        self.turn(now)
-        self.counts[self.part % (PARTS + 1)] += count
-
-    def judged(self, now):
-        """None, or the code with which the peer is cut off: its phase has taken too long in all, or less than
-        the least rate has moved in a window and the part of one that is not over."""
-        age = now - self.began
-        if age >= self.phase.most:
-            return f"{TOO_LONG}_{self.phase.name}"
-        self.turn(now)
-        if age >= self.phase.grace + self.phase.window and sum(self.counts) < self.phase.need:
-            return f"{TOO_SLOW}_{self.phase.name}"
+    """What is asked of a peer in one phase (head, body, answer, ...).
+
+    Over any `window` after the `grace` it must move `least` bytes a second, and it must end within `most`.
+    """
+
+    name: str
+    grace: Duration
+    window: Duration
+    least: int
+    most: Duration
+
+    @property
+    def part(self) -> Duration:
+        """The length of a part of the window."""
+        return max(1, self.window // PARTS)
+
+    @property
+    def bytes_per_window(self) -> float:
+        """What must move in a window."""
+        return self.least * self.window / SECOND
+
+
+class RunningTime:
+    """The time in which the balancer was running.
+
+    Between two checks at most 2 * CHECK_INTERVAL passes: what is more was a stall (a stopped process, a
+    machine that stood still), in which peers could not move a byte.
+    """
+
+    def __init__(self, now: Time) -> None:
+        """It has not stalled yet."""
+        self._last, self._stalled = now, 0
+
+    def at(self, now: Time) -> Time:
+        """The running time until now; it never goes back, whatever the clock does."""
+        gap = now - self._last
+        self._stalled += gap if gap < 0 else max(0, gap - 2 * CHECK_INTERVAL)
+        self._last = now
+        return now - self._stalled
+
+
+class TransferMeter:
+    """One peer in one phase: record() is told of bytes, violation() says whether it is to be cut off."""
+
+    __slots__ = ("_phase", "_began_at", "_counts", "_part")
+
+    def __init__(self, phase: Phase, now: Time) -> None:
+        """Nothing has moved yet."""
+        self._phase, self._began_at = phase, now
+        self._counts = [0] * (PARTS + 1)  # the window's parts, and the one that is not over
+        self._part = 0
+
+    def record(self, now: Time, count: int) -> None:
+        """So many bytes have moved."""
+        self._advance(now)
+        self._counts[self._part % (PARTS + 1)] += count
+
+    def violation(self, now: Time) -> str | None:
+        """The code with which the peer is cut off, None while it is not.
+
+        Its phase has taken too long in all, or less than the least rate has moved in a window and the part of
+        one that is not over.
+        """
+        age = now - self._began_at
+        if age >= self._phase.most:
+            return f"{TOO_LONG}_{self._phase.name}"
+        self._advance(now)
+        whole_window = age >= self._phase.grace + self._phase.window
+        if whole_window and sum(self._counts) < self._phase.bytes_per_window:
+            return f"{TOO_SLOW}_{self._phase.name}"
         return None
+
+    def _advance(self, now: Time) -> None:
+        """Let go of the parts that are older than a window."""
+        part = (now - self._began_at) // self._phase.part
+        for number in range(self._part + 1, min(part, self._part + PARTS + 1) + 1):
+            self._counts[number % (PARTS + 1)] = 0
+        if part > self._part + PARTS + 1:
+            self._counts = [0] * (PARTS + 1)
+        self._part = max(part, self._part)
--- /dev/null
+++ b/honeywood/balancer/program/operator_switches.py
@@ -0,0 +1,67 @@
+"""What an operator file switches on. Of a subsystem and its libraries nothing is imported unless it is."""
+
+from __future__ import annotations
+
+import threading
+
+from honeywood.balancer.sections import InvalidConfiguration
+from honeywood.balancer.transport import clock
+from honeywood.balancer.transport.mailbox import Mailbox
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping
+    from typing import Any
+
+    from honeywood.balancer.configuration import Configuration
+    from honeywood.operator.rules import Operator
+    from honeywood.trace.recorder import Recorder
+
+MAX_CALLS = 16  # of a recorder: its own looks and the one stop
+LAST_BLOCKS_S = 5.0  # in which what was recorded last is written, at a stop
+
+
+def read_operator_file(environ: Mapping[str, str]) -> Operator | None:
+    """The operator file that ROUTER_OPERATOR names, None without one. Raises InvalidConfiguration."""
+    path = environ.get("ROUTER_OPERATOR")
+    if not path:
+        return None
+    from honeywood.operator.read import read
+    from honeywood.operator.rules import BadFile
+
+    try:
+        return read(path)
+    except BadFile as error:
+        raise InvalidConfiguration(str(error)) from None
+
+
+def make_recorder(
+    operator: Operator | None,
+    configuration: Configuration,
+    log: Any,
+    fail: Callable[[str, BaseException], Any],
+) -> Recorder | None:
+    """The recorder of traces, None where the operator file has no trace block."""
+    block = operator.block("trace") if operator else None
+    if not block:
+        return None
+    from honeywood.trace.call_recorder import CallRecorder
+    from honeywood.trace.recorder import Recorder
+
+    calls = CallRecorder(block.queue, clock.UNIX_START, block.customer_fields, block.parcel_fields)
+    about = {
+        "front": configuration.name,
+        "unix_start": clock.UNIX_START,
+        "settings": configuration.settings_text,
+        "front_seed": configuration.seed,
+    }
+    mailbox = Mailbox("trace", MAX_CALLS, fail)
+    return Recorder(block, calls, about, configuration.name, mailbox, clock.now, log)
+
+
+def stop_recorder(recorder: Recorder) -> None:
+    """Wait until what was recorded is written, for a while at the most."""
+    written = threading.Event()
+    recorder.mailbox.post(recorder.stop)
+    recorder.mailbox.post(written.set)
+    written.wait(LAST_BLOCKS_S)
--- a/honeywood/balancer/protocol/__init__.py
+++ b/honeywood/balancer/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""What is said over the connections: parsers and writers, pure functions over a buffer."""
+"""Parsers and writers over a buffer: HTTP/1.1, the platform's lines, discovery's list. Without I/O."""
--- a/honeywood/balancer/protocol/discovery.py
+++ b/honeywood/balancer/protocol/discovery.py
@@ -78,7 +78,7 @@
     return ServerList(revision, complete, members, faults)
 
 
-def parse_line(text: bytes) -> ServerList | None:
+def parse_line(text: bytes | bytearray) -> ServerList | None:
     """One line of a watch, None for a heartbeat. Raises InvalidList."""
     if not text.strip():
         return None
--- a/honeywood/balancer/protocol/http.py
+++ b/honeywood/balancer/protocol/http.py
@@ -1,10 +1,20 @@
 """HTTP/1.1 (RFC 9110, RFC 9112), both sides: messages out of a buffer, and into bytes."""
 
+from __future__ import annotations
+
 import re
+from dataclasses import dataclass
 
 from honeywood.balancer.transport.buffer import Buffer
 
-MOST_HEAD, MOST_BODY, MOST_CHUNK_LINE = 16 * 1024, 64 * 1024, 256
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Iterator, Sequence
+
+    Fields = Sequence[tuple[str, str | int]]
+
+MAX_HEAD, MAX_BODY, MAX_CHUNK_LINE = 16 * 1024, 64 * 1024, 256
+MAX_LENGTH_DIGITS = 9
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 CONTROL = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
 TARGET = re.compile(rb"[!-~]+\Z")
@@ -26,8 +36,8 @@
     503: "Service Unavailable",
     505: "HTTP Version Not Supported",
 }
-# What belongs to one connection and is not passed on.
-HOP = {
+# What belongs to one connection and is not passed on (RFC 9110, 7.6.1).
+HOP_BY_HOP = {
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -38,212 +48,261 @@
     "content-length",
     "expect",
 }
-UNREAD = (b"x-server-load",)  # what can't be read in it changes nothing else about its message
+LENIENT_FIELDS = (b"x-server-load",)  # what cannot be read in it changes nothing else about its message
 
 
-class Malformed(Exception):
-    """What came can't be read. A request of this kind is answered with `status`."""
+class InvalidMessage(Exception):  # noqa: N818 - named for what went wrong
+    """What came cannot be read. A request of this kind is answered with `status`."""
 
-    def __init__(self, status, why):
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        """`reason` goes into the answer and into logs."""
+        super().__init__(reason)
         self.status = status
 
 
+class Chunked:
+    """A chunked body, taken out of a buffer chunk by chunk; `limit` bounds what is not yet used of it."""
+
+    def __init__(self, limit: int) -> None:
+        """No chunk was read yet."""
+        self.data, self.is_complete = Buffer(), False
+        self._limit, self._last_seen = limit, False
+
+    def read(self, buffer: Buffer) -> bool:
+        """Take what is complete by now; whether that was all. Raises InvalidMessage."""
+        while not self._last_seen and (chunk := _chunk(buffer)) is not None:
+            size, start = chunk
+            if size + len(self.data) > self._limit:
+                raise InvalidMessage(413, "body too large")
+            if size and len(buffer) < start + size + 2:
+                break
+            buffer.take(start)
+            self._last_seen = size == 0
+            self.data.add(buffer.take(size))
+            if size and buffer.take(2) != b"\r\n":
+                raise InvalidMessage(400, "chunk end")
+        self._skip_trailers(buffer)
+        return self.is_complete
+
+    def _skip_trailers(self, buffer: Buffer) -> None:
+        """Lines behind the last chunk are read and dropped."""
+        while self._last_seen and not self.is_complete and (end := buffer.find(b"\r\n")) >= 0:
+            line = buffer.take(end + 2)[:-2]
+            self.is_complete = not (line and _field(line))
+        if self._last_seen and not self.is_complete and len(buffer) > MAX_HEAD:
+            raise InvalidMessage(431, "trailer too large")
+
+
+@dataclass(slots=True)
 class Message:
-    """A request or an answer. `fields` keeps names (in small letters) and values in order; the body comes
-    with a `length` or is `chunked`."""
+    """What requests and answers have in common.
+
+    `fields` keeps names (in small letters) and values in order. A body comes with a `length` or is `chunked`.
+    """
 
-    __slots__ = ("method", "target", "status", "minor", "fields", "body", "length", "chunked")
+    minor: int  # of the version
+    fields: list[tuple[str, str]]
 
-    def get(self, name):
+    def get(self, name: str) -> str | None:
+        """The first value of a field, None without one."""
         for key, value in self.fields:
             if key == name:
                 return value
         return None
 
-    def once(self, name):
-        """The value of a field that must be there once."""
+    def get_single(self, name: str) -> str | None:
+        """The value of a field that is there once, else None."""
         values = [value for key, value in self.fields if key == name]
         return values[0] if len(values) == 1 else None
 
-    def tokens(self, name):
+    def tokens(self, name: str) -> list[str]:
+        """The words of a field that is a list, in small letters."""
         joined = ",".join(value for key, value in self.fields if key == name)
         return [word.strip().lower() for word in joined.split(",") if word.strip()]
 
     @property
-    def keep(self):
+    def keeps_alive(self) -> bool:
         """Whether the connection stays open after it."""
         tokens = self.tokens("connection")
         return "close" not in tokens and (self.minor == 1 or "keep-alive" in tokens)
 
-    def passed_on(self, *without):
+    def end_to_end_fields(self, *without: str) -> list[tuple[str, str]]:
         """The fields that go on to the next party."""
-        left = HOP.union(without, self.tokens("connection"))
+        left = HOP_BY_HOP.union(without, self.tokens("connection"))
         return [(name, value) for name, value in self.fields if name not in left]
 
 
-def head(buffer):
-    """The lines of a head, taken out of the buffer; None while it is not whole."""
-    while buffer.view(0, 2) == b"\r\n":  # RFC 9112, 2.2: empty lines before a message are passed over
-        passed(buffer, 2)
-        buffer.take(2)
-    end = buffer.until(b"\r\n\r\n")
-    if end > MOST_HEAD or (end < 0 and len(buffer) > MOST_HEAD):
-        raise Malformed(431, "head too large")
-    if end < 0:
-        return None
-    first, *rest = buffer.take(end + 4)[:-4].split(b"\r\n")
-    return first, [field(line) for line in rest]
+@dataclass(slots=True)
+class Request(Message):
+    """A request; its body is read after its head."""
 
+    method: str
+    target: str
+    length: int | None = None
+    chunked: Chunked | None = None
+    body: bytes | bytearray = b""
 
-def passed(buffer, size):
-    """Bounds what is passed over before a message: empty lines, and answers of the kind 1xx."""
-    buffer.passed += size
-    if buffer.passed > MOST_HEAD:
-        raise Malformed(431, "too much ahead")
 
+@dataclass(slots=True)
+class Response(Message):
+    """An answer; its body is read after its head."""
 
-def field(line):
-    name, colon, value = line.partition(b":")
-    value = value.strip(b" \t")
-    if CONTROL.search(value) and name.lower() in UNREAD:
-        value = b""
-    if not colon or not TOKEN.match(name) or CONTROL.search(value):
-        raise Malformed(400, "header line")
-    return name.decode().lower(), value.decode("latin-1")
+    status: int
+    length: int | None = None
+    chunked: Chunked | None = None
+    body: bytes | bytearray = b""
 
 
-def framing(message, most=MOST_BODY):
-    """Finds how the body is delimited; two ways at once are refused, since others might read it otherwise."""
-    lengths = [value for name, value in message.fields if name == "content-length"]
-    codings = message.tokens("transfer-encoding")
-    message.chunked, message.length = Chunked(most) if codings else None, None
-    if codings and (lengths or message.minor == 0):
-        raise Malformed(400, "two lengths")
-    if codings and codings != ["chunked"]:
-        raise Malformed(501, "transfer coding")
-    if lengths:
-        if len(lengths) > 1 or not DIGITS.match(lengths[0].encode("latin-1")):
-            raise Malformed(400, "content-length")
-        if len(lengths[0]) > 9 or int(lengths[0]) > most:
-            raise Malformed(413, "body too large")
-        message.length = int(lengths[0])
-
-
-def request_head(buffer):
-    """A request without its body, or None while its head is not whole."""
-    found = head(buffer)
-    if found is None:
+def request_head(buffer: Buffer) -> Request | None:
+    """A request without its body, None while its head is not complete. Raises InvalidMessage."""
+    head = _head(buffer)
+    if head is None:
         return None
-    buffer.passed = 0
-    message, parts = Message(), found[0].split(b" ")
-    message.fields = found[1]
+    buffer.skipped = 0
+    first, fields = head
+    parts = first.split(b" ")
     if len(parts) != 3 or not TOKEN.match(parts[0]) or not TARGET.match(parts[1]):
-        raise Malformed(400, "request line")
-    if parts[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
-        raise Malformed(505 if parts[2].startswith(b"HTTP/") else 400, "version")
-    if parts[0] == b"CONNECT":
-        raise Malformed(501, "no tunnels")
-    message.method, message.target, message.minor = parts[0].decode(), parts[1].decode(), parts[2][-1] - 48
-    hosts = [value for name, value in message.fields if name == "host"]
-    if len(hosts) != 1 and (message.minor == 1 or hosts):
-        raise Malformed(400, "host")
-    framing(message)
-    if message.length is None and not message.chunked:
-        message.length = 0
-    return message
-
-
-def response_head(buffer, to="GET", most=MOST_BODY):
-    """An answer without its body, or None; answers of the kind 1xx are passed over."""
-    while (found := head(buffer)) is not None:
-        match = STATUS.match(found[0])
+        raise InvalidMessage(400, "request line")
+    method, target, version = parts
+    if version not in (b"HTTP/1.1", b"HTTP/1.0"):
+        raise InvalidMessage(505 if version.startswith(b"HTTP/") else 400, "version")
+    if method == b"CONNECT":
+        raise InvalidMessage(501, "no tunnels")
+    request = Request(int(version[-1:]), fields, method.decode(), target.decode())
+    hosts = [value for name, value in fields if name == "host"]
+    if len(hosts) != 1 and (request.minor == 1 or hosts):
+        raise InvalidMessage(400, "host")
+    request.length, request.chunked = _framing(request, MAX_BODY)
+    if request.length is None and not request.chunked:
+        request.length = 0
+    return request
+
+
+def response_head(buffer: Buffer, method: str = "GET", max_body: int = MAX_BODY) -> Response | None:
+    """The answer to a request of this method without its body, None while its head is not complete.
+
+    Answers of the kind 1xx are skipped. Raises InvalidMessage.
+    """
+    while (head := _head(buffer)) is not None:
+        first, fields = head
+        match = STATUS.match(first)
         if not match:
-            raise Malformed(502, "status line")
-        message = Message()
-        message.minor, message.status, message.fields = int(match[1]), int(match[2]), found[1]
-        if message.status < 200:
-            passed(buffer, len(found[0]) + sum(len(name) + len(value) for name, value in found[1]))
+            raise InvalidMessage(502, "status line")
+        response = Response(int(match[1]), fields, int(match[2]))
+        if response.status < 200:
+            _skip(buffer, len(first) + sum(len(name) + len(value) for name, value in fields))
             continue
-        buffer.passed = 0
-        framing(message, most)
-        if to == "HEAD" or message.status in (204, 304):
-            message.length, message.chunked = 0, None
-        if message.length is None and not message.chunked:
-            raise Malformed(502, "no length")  # where it ends with the connection, nothing tells a cut
-        return message
+        buffer.skipped = 0
+        response.length, response.chunked = _framing(response, max_body)
+        if method == "HEAD" or response.status in (204, 304):
+            response.length, response.chunked = 0, None
+        if response.length is None and not response.chunked:
+            raise InvalidMessage(502, "no length")  # where it ends with the connection, nothing tells a cut
+        return response
     return None
 
 
-def body(buffer, message):
-    """The body of a message whose head was taken, or None while it is not whole."""
+def body(buffer: Buffer, message: Request | Response) -> bytes | bytearray | None:
+    """The body of a message whose head was taken, None while it is not complete. Raises InvalidMessage."""
     chunked = message.chunked
     if chunked:
-        return chunked.data.take(len(chunked.data)) if chunked.ends(buffer) else None
-    return buffer.take(message.length) if len(buffer) >= message.length else None
+        return chunked.data.take(len(chunked.data)) if chunked.read(buffer) else None
+    length = message.length or 0
+    return buffer.take(length) if len(buffer) >= length else None
 
 
-def lines(buffer, message):
-    """The lines of a chunked body that goes on and on, as they become whole."""
-    message.chunked.ends(buffer)
-    data = message.chunked.data
-    while (end := data.find(b"\n")) >= 0:
-        yield data.take(end + 1)
+def lines(buffer: Buffer, chunked: Chunked) -> Iterator[bytes | bytearray]:
+    """The lines of a chunked body that goes on and on, as they become complete. Raises InvalidMessage."""
+    chunked.read(buffer)
+    while (end := chunked.data.find(b"\n")) >= 0:
+        yield chunked.data.take(end + 1)
 
 
-class Chunked:
-    """A chunked body, taken out of a buffer chunk by chunk; `most` bounds what is not yet used of it."""
+def request(method: str, target: str, fields: Fields, data: bytes | bytearray = b"") -> bytes:
+    """A request's bytes."""
+    sized = [("content-length", len(data))] if data or method not in ("GET", "HEAD") else []
+    return _message(f"{method} {target} HTTP/1.1", [*fields, *sized], data)
+
+
+def response(
+    status: int,
+    fields: Fields = (),
+    data: bytes | bytearray = b"",
+    keep_alive: bool = True,
+    to: Request | None = None,
+) -> bytes:
+    """An answer's bytes; the method and version of the request `to` are kept to."""
+    ends: list[tuple[str, str | int]] = [("content-length", len(data))]
+    if not keep_alive or (to and to.minor == 0):
+        ends.append(("connection", "keep-alive" if keep_alive else "close"))
+    first = f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}"
+    return _message(first, [*fields, *ends], b"" if to and to.method == "HEAD" else data)
 
-    def __init__(self, most):
-        self.data, self.most, self.last, self.over = Buffer(), most, False, False
 
-    def ends(self, buffer):
-        """Takes what is whole by now; whether that was all."""
-        while not self.last and (found := chunk(buffer)) is not None:
-            size, start = found
-            if size + len(self.data) > self.most:
-                raise Malformed(413, "body too large")
-            if size and len(buffer) < start + size + 2:
-                break
-            buffer.take(start)
-            self.last = size == 0
-            self.data.add(buffer.take(size))
-            if size and buffer.take(2) != b"\r\n":
-                raise Malformed(400, "chunk end")
-        # Lines behind the last chunk are read and dropped.
-        while self.last and not self.over and (end := buffer.find(b"\r\n")) >= 0:
-            line = buffer.take(end + 2)[:-2]
-            self.over = not (line and field(line))
-        if self.last and not self.over and len(buffer) > MOST_HEAD:
-            raise Malformed(431, "trailer too large")
-        return self.over
+def _message(first: str, fields: Fields, data: bytes | bytearray) -> bytes:
+    head = [first, *(f"{name}: {value}" for name, value in fields)]
+    return "\r\n".join([*head, "", ""]).encode("latin-1") + data
 
 
-def chunk(buffer):
-    """(size, where its bytes start) of the next chunk, or None while its first line is not whole."""
-    end = buffer.find(b"\r\n")
-    if end < 0 and len(buffer) <= MOST_CHUNK_LINE:
+def _head(buffer: Buffer) -> tuple[bytes | bytearray, list[tuple[str, str]]] | None:
+    """The first line and the fields of a head, taken out of the buffer; None while it is not complete."""
+    while buffer.view(0, 2) == b"\r\n":  # RFC 9112, 2.2: empty lines before a message are skipped
+        _skip(buffer, 2)
+        buffer.take(2)
+    end = buffer.find_further(b"\r\n\r\n")
+    if end > MAX_HEAD or (end < 0 and len(buffer) > MAX_HEAD):
+        raise InvalidMessage(431, "head too large")
+    if end < 0:
         return None
-    match = SIZE.match(bytes(buffer.view(0, end))) if 0 <= end <= MOST_CHUNK_LINE else None
-    if not match:
-        raise Malformed(400, "chunk size")
-    return int(match[1], 16), end + 2
+    first, *rest = buffer.take(end + 4)[:-4].split(b"\r\n")
+    return first, [_field(line) for line in rest]
 
 
-def written(first, fields, data):
-    lines = [first, *(f"{name}: {value}" for name, value in fields)]
-    return "\r\n".join([*lines, "", ""]).encode("latin-1") + data
+def _skip(buffer: Buffer, size: int) -> None:
+    """Bound what is skipped before a message: empty lines, and answers of the kind 1xx."""
+    buffer.skipped += size
+    if buffer.skipped > MAX_HEAD:
+        raise InvalidMessage(431, "too much ahead")
 
 
-def request(method, target, fields, data=b""):
-    sized = [("content-length", len(data))] if data or method not in ("GET", "HEAD") else []
-    return written(f"{method} {target} HTTP/1.1", [*fields, *sized], data)
+def _field(line: bytes | bytearray) -> tuple[str, str]:
+    name, colon, value = line.partition(b":")
+    value = value.strip(b" \t")
+    if CONTROL.search(value) and name.lower() in LENIENT_FIELDS:
+        value = b""
+    if not colon or not TOKEN.match(name) or CONTROL.search(value):
+        raise InvalidMessage(400, "header line")
+    return name.decode().lower(), value.decode("latin-1")
 
 
-def response(status, fields=(), data=b"", keep=True, to=None):
-    """An answer to the request `to`, whose kind and version word it."""
-    ends = [("content-length", len(data))]
-    if not keep or (to and to.minor == 0):
-        ends.append(("connection", "keep-alive" if keep else "close"))
-    first = f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}"
-    return written(first, [*fields, *ends], b"" if to and to.method == "HEAD" else data)
+def _framing(message: Message, max_body: int) -> tuple[int | None, Chunked | None]:
+    """How the body is delimited: its length, or that it is chunked (RFC 9112, 6.3).
+
+    Two ways at once are refused, since others might read it otherwise.
+    """
+    lengths = [value for name, value in message.fields if name == "content-length"]
+    codings = message.tokens("transfer-encoding")
+    if codings and (lengths or message.minor == 0):
+        raise InvalidMessage(400, "two lengths")
+    if codings:
+        if codings != ["chunked"]:
+            raise InvalidMessage(501, "transfer coding")
+        return None, Chunked(max_body)
+    if not lengths:
+        return None, None
+    if len(lengths) > 1 or not DIGITS.match(lengths[0].encode("latin-1")):
+        raise InvalidMessage(400, "content-length")
+    if len(lengths[0]) > MAX_LENGTH_DIGITS or int(lengths[0]) > max_body:
+        raise InvalidMessage(413, "body too large")
+    return int(lengths[0]), None
+
+
+def _chunk(buffer: Buffer) -> tuple[int, int] | None:
+    """(size, where its bytes start) of the next chunk, None while its first line is not complete."""
+    end = buffer.find(b"\r\n")
+    if end < 0 and len(buffer) <= MAX_CHUNK_LINE:
+        return None
+    match = SIZE.match(bytes(buffer.view(0, end))) if 0 <= end <= MAX_CHUNK_LINE else None
+    if not match:
+        raise InvalidMessage(400, "chunk size")
+    return int(match[1], 16), end + 2
--- a/honeywood/balancer/transport/__init__.py
+++ b/honeywood/balancer/transport/__init__.py
@@ -1,1 +1,4 @@
-"""Sockets, buffers, mailboxes, timers and the clock. Knows nothing of what is said over them."""
+"""Sockets, buffers, mailboxes, timers and the clock: they know nothing of what is said over them.
+
+Start with connection.py and mailbox.py.
+"""
--- a/honeywood/balancer/transport/buffer.py
+++ b/honeywood/balancer/transport/buffer.py
@@ -1,6 +1,8 @@
 """The one buffer of a connection: bytes come in at its end and leave at its front."""
 
-COPIED = 4096  # what is larger and all there is, is handed over as it is
+from __future__ import annotations
+
+MAX_COPIED = 4096  # what is larger and all there is, is handed over as it is
 
 
 class Buffer:
@@ -9,9 +11,9 @@
     >>> b = Buffer(); b.add(b"GET / "); b.add(b"HTTP"); b.take(4), len(b), b.find(b"HT"), bytes(b.view(0, 3))
     (b'GET ', 6, 2, b'/ H')
 
-    What ends a part is looked for only where it was not yet: a part may come byte by byte.
+    What ends a message is looked for only where it was not yet: a message may come byte by byte.
 
-    >>> b.until(b"X"), b.looked, b.add(b"PX"), b.until(b"X")
+    >>> b.find_further(b"X"), b.searched, b.add(b"PX"), b.find_further(b"X")
     (-1, 6, None, 7)
 
     What was taken is let go of, also where nothing more comes.
@@ -20,42 +22,53 @@
     (b'/ HTTPPX', 0)
     """
 
-    __slots__ = ("data", "gone", "looked", "passed")
-
-    def __init__(self):
-        self.data, self.gone = bytearray(), 0
-        self.looked = 0  # so much of what is here was searched by until()
-        self.passed = 0  # bytes passed over since a message began, for those who bound that
-
-    def __len__(self):
-        return len(self.data) - self.gone
-
-    def add(self, some):
-        if self.gone * 2 >= len(self.data):
-            del self.data[: self.gone]
-            self.gone = 0
-        self.data += some
-
-    def find(self, what):
-        at = self.data.find(what, self.gone)
-        return at if at < 0 else at - self.gone
-
-    def until(self, what):
-        at = self.data.find(what, self.gone + max(0, self.looked - len(what) + 1))
-        self.looked = len(self)
-        return at if at < 0 else at - self.gone
-
-    def view(self, start, end):
-        return self.data[self.gone + start : self.gone + end]
-
-    def take(self, size):
-        self.looked = 0
+    __slots__ = ("data", "_start", "searched", "skipped")
+
+    def __init__(self) -> None:
+        """It is empty."""
+        self.data = bytearray()
+        self._start = 0  # bytes of `data` that were taken
+        self.searched = 0  # so much of what is here was searched by find_further()
+        self.skipped = 0  # bytes skipped since a message began, for those who bound that
+
+    def __len__(self) -> int:
+        return len(self.data) - self._start
+
+    def add(self, data: bytes | bytearray) -> None:
+        """Append bytes."""
+        if self._start * 2 >= len(self.data):
+            del self.data[: self._start]
+            self._start = 0
+        self.data += data
+
+    def find(self, pattern: bytes) -> int:
+        """Where a pattern begins; -1 where it is not here."""
+        place = self.data.find(pattern, self._start)
+        return place if place < 0 else place - self._start
+
+    def find_further(self, pattern: bytes) -> int:
+        """The same, where earlier calls since the last take() looked for this pattern in vain."""
+        overlap = len(pattern) - 1
+        place = self.data.find(pattern, self._start + max(0, self.searched - overlap))
+        self.searched = len(self)
+        return place if place < 0 else place - self._start
+
+    def view(self, start: int, end: int) -> bytearray:
+        """Some of it, which stays."""
+        return self.data[self._start + start : self._start + end]
+
+    def take(self, size: int) -> bytes | bytearray:
+        """The first `size` bytes, or all there are, taken out."""
+        self.searched = 0
         if size >= len(self):  # nothing is kept for a connection between two messages
-            some, self.data = self.data, bytearray()
-            del some[: self.gone]
-            self.gone = 0
-            return some if len(some) > COPIED else bytes(some)
-        with memoryview(self.data) as here:
-            some = bytes(here[self.gone : self.gone + size])
-        self.gone += size
-        return some
+            return self._take_all()
+        with memoryview(self.data) as data:
+            taken = bytes(data[self._start : self._start + size])
+        self._start += size
+        return taken
+
+    def _take_all(self) -> bytes | bytearray:
+        taken, self.data = self.data, bytearray()
+        del taken[: self._start]
+        self._start = 0
+        return taken if len(taken) > MAX_COPIED else bytes(taken)
--- a/honeywood/balancer/transport/descriptors.py
+++ b/honeywood/balancer/transport/descriptors.py
@@ -1,4 +1,6 @@
-"""The one count of descriptors held, so that the bound of the process is never met by surprise."""
+"""The one count of file descriptors, so that the process's bound is never met by surprise."""
+
+from __future__ import annotations
 
 import threading
 
@@ -6,17 +8,19 @@
 class Descriptors:
     """Of `limit`, clients may hold so many that servers, list and platform keep theirs."""
 
-    def __init__(self, limit):
-        self.free, self.lock = limit, threading.Lock()
+    def __init__(self, limit: int) -> None:
+        """All are free."""
+        self.free, self._lock = limit, threading.Lock()
 
-    def take(self, keep=0):
-        """Takes one where more than `keep` are left."""
-        with self.lock:
+    def take(self, keep: int = 0) -> bool:
+        """Take one where more than `keep` are left; whether it was taken."""
+        with self._lock:
             if self.free <= keep:
                 return False
             self.free -= 1
             return True
 
-    def give(self):
-        with self.lock:
+    def release(self) -> None:
+        """Give one back."""
+        with self._lock:
             self.free += 1
--- a/honeywood/balancer/transport/poller.py
+++ b/honeywood/balancer/transport/poller.py
@@ -1,52 +1,64 @@
-"""The one thread that waits for what comes on all connections, and says to each when something has.
+"""The one thread that waits for what comes on all connections, and tells each when something has.
 
-A thread for each connection that is kept would do, but hundreds of fronts that keep some to each of a hundred
-servers had more threads than one system has ids for (32768), and a front that gets none can't go on.
+A thread for each connection that is kept would do, but hundreds of balancers that keep some to each of a
+hundred servers had more threads than one system has ids for (32768), and a balancer that gets none cannot go
+on.
 """
 
+from __future__ import annotations
+
 import _thread
 import select
 
-from honeywood.balancer.transport.mailbox import run
+from honeywood.balancer.transport.threads import run_on_thread
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from honeywood.balancer.transport.connection import Connection
 
-AT_ONCE = 64  # events taken at once
+MAX_EVENTS = 64  # taken at once
 ONCE = select.EPOLLIN | select.EPOLLONESHOT  # nothing more is told until what had come is read
 
 
 class Poller:
-    def __init__(self):
-        self.epoll, self.waiting, self.lock, self.started = select.epoll(), {}, _thread.allocate_lock(), False
+    """Posts `on_readable` to a connection's mailbox, once for each watch() and again()."""
+
+    def __init__(self) -> None:
+        """Its thread starts with the first connection."""
+        self._epoll = select.epoll()
+        self._watched: dict[int, Connection] = {}  # by descriptor
+        self._lock, self._started = _thread.allocate_lock(), False
 
-    def watch(self, connection):
-        """From now on until forget() `connection.readable` is posted to its mailbox once something has come,
-        and after again() once more."""
-        fd = connection.sock.fileno()
+    def watch(self, connection: Connection) -> None:
+        """Watch a connection until forget()."""
+        descriptor = connection.sock.fileno()
         # As one step: an event of the number's last owner, taken before, must not find it half registered.
-        with self.lock:
-            if not self.started:
-                run("poller", self.loop, connection.mailbox.fail)
-                self.started = True
-            self.waiting[fd] = connection
-            self.epoll.register(fd, ONCE)
+        with self._lock:
+            if not self._started:
+                run_on_thread("poller", self._loop, connection.mailbox.fail)
+                self._started = True
+            self._watched[descriptor] = connection
+            self._epoll.register(descriptor, ONCE)
 
-    def again(self, connection):
-        self.epoll.modify(connection.sock.fileno(), ONCE)
+    def again(self, connection: Connection) -> None:
+        """Tell once more: what had come is read."""
+        self._epoll.modify(connection.sock.fileno(), ONCE)
 
-    def forget(self, connection):
+    def forget(self, connection: Connection) -> None:
         """To be called before its socket is closed: its number may then be another's at once."""
-        fd = connection.sock.fileno()
-        with self.lock:
-            if self.waiting.pop(fd, None):
-                self.epoll.unregister(fd)
+        descriptor = connection.sock.fileno()
+        with self._lock:
+            if self._watched.pop(descriptor, None):
+                self._epoll.unregister(descriptor)
 
-    def loop(self):
+    def _loop(self) -> None:
         while True:
-            for fd, _ in self.epoll.poll(maxevents=AT_ONCE):
+            for descriptor, _ in self._epoll.poll(maxevents=MAX_EVENTS):
                 # Of one that has gone meanwhile nothing is told; one that has got its number finds nothing.
-                with self.lock:
-                    connection = self.waiting.get(fd)
+                with self._lock:
+                    connection = self._watched.get(descriptor)
                 if connection:
-                    connection.mailbox.post(connection.readable)
+                    connection.mailbox.post(connection.on_readable)
 
 
 poller = Poller()
--- a/honeywood/balancer/transport/timers.py
+++ b/honeywood/balancer/transport/timers.py
@@ -1,22 +1,36 @@
-"""Calls to be made later by one thread. A timer fires once and is never taken back: the call looks whether
-it still matters."""
+"""Calls to be made later by one thread."""
+
+from __future__ import annotations
 
 from heapq import heappop, heappush
 from itertools import count
 
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from typing import Any
+
+TENTHS_OF_MS_PER_SECOND = 10_000
+
 
 class Timers:
-    def __init__(self):
-        self.heap, self.order = [], count()
+    """A timer fires once and is never taken back: the call looks whether it still matters."""
+
+    def __init__(self) -> None:
+        """There is no timer yet."""
+        self._heap: list[tuple[int, int, Callable[..., Any], tuple[Any, ...]]] = []
+        self._order = count()
 
-    def at(self, due, call, *given):
-        heappush(self.heap, (due, next(self.order), call, given))
+    def at(self, due: int, call: Callable[..., Any], *arguments: Any) -> None:
+        """Make a call at a time of the clock."""
+        heappush(self._heap, (due, next(self._order), call, arguments))
 
-    def wait(self, now):
+    def wait_s(self, now: int) -> float | None:
         """Seconds until the next is due, None where there is none."""
-        return max(0, self.heap[0][0] - now) / 10_000 if self.heap else None
+        return max(0, self._heap[0][0] - now) / TENTHS_OF_MS_PER_SECOND if self._heap else None
 
-    def run(self, now):
-        while self.heap and self.heap[0][0] <= now:
-            _, _, call, given = heappop(self.heap)
-            call(*given)
+    def run(self, now: int) -> None:
+        """Make the calls that are due."""
+        while self._heap and self._heap[0][0] <= now:
+            _, _, call, arguments = heappop(self._heap)
+            call(*arguments)
--- a/honeywood/cli/check.py
+++ b/honeywood/cli/check.py
@@ -20,7 +20,7 @@
     """Says what is wrong with a configuration and an operator file; ends with 2 where anything is."""
     from honeywood.operator.read import read, write_compiled
     from honeywood.operator.rules import BadFile
-    from honeywood.balancer.program import configuration
+    from honeywood.balancer import configuration
     from honeywood.balancer.sections import InvalidConfiguration
 
     config = config or os.environ.get("ROUTER_CONFIG")
--- a/honeywood/cli/serve.py
+++ b/honeywood/cli/serve.py
@@ -13,6 +13,6 @@
     for name, given in (("ROUTER_CONFIG", config), ("ROUTER_OPERATOR", operator)):
         if given:
             os.environ[name] = given
-    from honeywood.balancer.program.life import main
+    from honeywood.balancer.program.main import main
 
     os._exit(main())
--- a/honeywood/trace/call_recorder.py
+++ b/honeywood/trace/call_recorder.py
@@ -142,12 +142,12 @@
         request, address = call.request, call.client.connection.peer.rpartition(":")[0]
         values = (
             call.serial,
-            call.name,
+            call.identifier,
             rpc.method.name,
             _first_field(request, self._customer_fields),
             _first_field(request, self._parcel_fields),
             address,
-            now - call.arrived,
+            now - call.arrived_at,
             rpc.deadline - now,
             rpc.expected_work,
             int(rpc.is_retry),
--- a/tests/pace/test_pace.py
+++ b/tests/balancer/flow_control/test_minimum_rates.py
@@ -5,7 +5,13 @@
 from hypothesis import strategies as st
 
 from honeywood.balancer.model import SECOND
-from honeywood.balancer.flow_control.minimum_rates import LOOKED, PARTS, Attendance, Pace, Phase
+from honeywood.balancer.flow_control.minimum_rates import (
+    CHECK_INTERVAL,
+    PARTS,
+    Phase,
+    RunningTime,
+    TransferMeter,
+)
 
 HEAD = Phase("head", grace=SECOND, window=2 * SECOND, least=1000, most=30 * SECOND)
 # When it is looked at, and (time, bytes) that moved, in ms: what is said, and when first.
@@ -27,12 +33,12 @@
 
 
 def first_said(moves, until=60_000, phase=HEAD):
-    pace, moves = Pace(phase, 0), sorted(moves)
+    meter, moves = TransferMeter(phase, 0), sorted(moves)
     for at in range(0, until, 250):
         while moves and moves[0][0] <= at:
             when, count = moves.pop(0)
-            pace.moved(when * 10, count)
-        if said := pace.judged(at * 10):
+            meter.record(when * 10, count)
+        if said := meter.violation(at * 10):
             return said, at
     return None
 
@@ -67,17 +73,17 @@
         moves.append((at, gap * 7 // 10))
     said, when = first_said(moves)
     assert said == "too_slow_head"
-    assert when * 10 <= HEAD.grace + HEAD.window * (PARTS + 1) // PARTS + LOOKED
+    assert when * 10 <= HEAD.grace + HEAD.window * (PARTS + 1) // PARTS + CHECK_INTERVAL
 
 
 def test_nobody_is_blamed_for_the_fronts_own_absence():
     """The machine stood still for two seconds and more: peers could not move a byte, and are given that
     time."""
-    attendance, pace = Attendance(0), Pace(HEAD, 0)
+    running_time, meter = RunningTime(0), TransferMeter(HEAD, 0)
     for look in range(20):
-        now = attendance.at(look * LOOKED)
-        pace.moved(now, 300)
-        assert pace.judged(now) is None
-    back = attendance.at(19 * LOOKED + 60 * SECOND)
-    assert back == 21 * LOOKED and pace.judged(back) is None
-    assert attendance.at(0) == back  # a clock that goes back
+        now = running_time.at(look * CHECK_INTERVAL)
+        meter.record(now, 300)
+        assert meter.violation(now) is None
+    back = running_time.at(19 * CHECK_INTERVAL + 60 * SECOND)
+    assert back == 21 * CHECK_INTERVAL and meter.violation(back) is None
+    assert running_time.at(0) == back  # a clock that goes back
--- a/tests/balancer/test_architecture.py
+++ b/tests/balancer/test_architecture.py
@@ -19,9 +19,10 @@
     "settings_codec": 3,
     "decisions": 3,
     "protocol": 3,
-    "actors": 4,
-    "benchlink": 4,
-    "program": 5,
+    "configuration": 4,
+    "actors": 5,
+    "benchlink": 5,
+    "program": 6,
 }
 SHARED = {"decisions": ("honeywood.release_analysis",)}
 # What an operator file switches on is imported inside functions, only where it is switched on.
--- a/tests/operator/test_operator.py
+++ b/tests/operator/test_operator.py
@@ -99,7 +99,7 @@
 def test_a_front_imports_nothing_that_is_not_switched_on(tmp_path):
     """It lives in 32 MB: of subsystems and their libraries it loads only what the operator file names."""
     code = (
-        "import sys, honeywood.balancer.program.life; print([name for name in sys.modules if "
+        "import sys, honeywood.balancer.program.main; print([name for name in sys.modules if "
         "name.startswith(("
         "'honeywood.trace', 'honeywood.operator', 'honeywood.cli', 'honeywood.lab', 'click', 'hcl2',"
         " 'numpy', 'msgpack', 'xxhash', 'zstandard', 'matplotlib', 'standins'))])"
--- a/tests/test_all.py
+++ b/tests/test_all.py
@@ -16,12 +16,14 @@
 from honeywood.balancer.decisions import admission
 from honeywood.balancer.decisions.vote_levels import level_per_balancer
 from honeywood.balancer.protocol import discovery, http, platform
-from honeywood.balancer.actors import client, decision_host, gateway, server
+from honeywood.balancer.protocol.discovery import Address
+from honeywood.balancer.actors import application, client, decision_host, server_peer
+from honeywood.balancer.actors.exchange import Exchange
 from honeywood.balancer.actors.counters import Counters
 from honeywood.balancer.transport import connection, poller
 from honeywood.balancer.transport.buffer import Buffer
 from honeywood.balancer.transport.descriptors import Descriptors
-from honeywood.balancer.transport.mailbox import LentMailbox
+from honeywood.balancer.transport.mailbox import SharedMailbox
 from honeywood.balancer.transport.timers import Timers
 from play import play, play_sockets
 
@@ -44,7 +46,7 @@
     """A pick decided before a drain, another address or too long ago is not written when it could be."""
     told, at = [], [1000]
     monkeypatch.setattr(
-        server,
+        server_peer,
         "ServerConnection",
         lambda peer: types.SimpleNamespace(
             process=peer.process,
@@ -54,69 +56,69 @@
             write=lambda data: told.append(data) or True,
         ),
     )
-    monkeypatch.setattr(server, "LentMailbox", lambda *_: None)
-    monkeypatch.setattr(server.clock, "now", lambda: at[0])
+    monkeypatch.setattr(server_peer, "SharedMailbox", lambda *_: None)
+    monkeypatch.setattr(server_peer.clock, "now", lambda: at[0])
     module = types.SimpleNamespace(on_result="ended", post=lambda call, pick, result, *_: told.append(result))
-    peer = server.ServerPeer(
+    peer = server_peer.ServerPeer(
         "a",
         types.SimpleNamespace(
             decisions=module,
             log=None,
             fail=None,
             descriptors=Descriptors(20),
-            most_answer=9,
+            max_answer=9,
             counters=Counters(),
             settings=types.SimpleNamespace(idle_timeout=1, connect_timeout=2500, load_report_fields=()),
         ),
     )
-    peer.listed(ServerStatus.READY, (("127.0.0.1", 1), 1, 0))
-    exchange = server.Exchange("pick", None, "GET", b"data", at[0])
+    peer.on_list_entry(ServerStatus.READY, server_peer.Process(Address(*("127.0.0.1", 1)), 1, 0))
+    exchange = Exchange("pick", None, "GET", b"data", at[0])
     peer.send(exchange)
     if change == "drains":
-        peer.listed(ServerStatus.DRAINING, (("127.0.0.1", 1), 1, 0))
+        peer.on_list_entry(ServerStatus.DRAINING, server_peer.Process(Address(*("127.0.0.1", 1)), 1, 0))
     if change == "moved":
-        peer.listed(ServerStatus.READY, (("127.0.0.1", 2), 1, 0))
+        peer.on_list_entry(ServerStatus.READY, server_peer.Process(Address(*("127.0.0.1", 2)), 1, 0))
     at[0] += 2501 if change == "late" else 2500
-    peer.opened(exchange.connection)
+    peer.on_open(exchange.connection)
     assert told == ([AttemptResult.CONNECT_FAILED] if change else [b"data"])
-    peer.listed(ServerStatus.READY, (("127.0.0.1", 3), 1, 0))
-    peer.rest(exchange.connection)  # what led to another address is not kept for this one
+    peer.on_list_entry(ServerStatus.READY, server_peer.Process(Address(*("127.0.0.1", 3)), 1, 0))
+    peer._keep(exchange.connection)  # what led to another address is not kept for this one
     assert not peer.idle
 
 
 def test_an_answer_that_has_begun_is_told_once(monkeypatch):
     """The decisions must know a trickling answer from a server that is at work."""
     told = []
-    monkeypatch.setattr(server, "LentMailbox", lambda *_: None)
+    monkeypatch.setattr(server_peer, "SharedMailbox", lambda *_: None)
     module = types.SimpleNamespace(
         on_response_started="begun", on_result="ended", post=lambda call, *_: told.append(call)
     )
-    peer = server.ServerPeer(
+    peer = server_peer.ServerPeer(
         "a",
         types.SimpleNamespace(
             decisions=module,
             log=None,
             fail=None,
             descriptors=None,
-            most_answer=999,
+            max_answer=999,
             counters=Counters(),
             settings=types.SimpleNamespace(idle_timeout=1, connect_timeout=2500, load_report_fields=()),
         ),
     )
-    exchange = server.Exchange("pick", None, "GET", b"", 0)
+    exchange = Exchange("pick", None, "GET", b"", 0)
     exchange.written, buffer = True, Buffer()
     one = types.SimpleNamespace(
         exchange=exchange, buffer=buffer, code=None, process=None, close=lambda *_: None
     )
     for part in (b"HTTP/1.1 200 OK\r\n", b"Content-Length: 2\r\n\r\n", b"h", b"i"):
         buffer.add(part)
-        peer.received(one)
+        peer.on_data(one)
     assert told == ["begun", "ended"]
 
 
 SAMPLES = [
     (
-        http.Malformed,
+        http.InvalidMessage,
         lambda b: (m := http.request_head(b)) and http.body(b, m),
         [
             b"GET /a HTTP/1.1\r\nHost: x\r\nX-Timeout: 0.4\r\n\r\n",
@@ -125,7 +127,7 @@
         ],
     ),
     (
-        http.Malformed,
+        http.InvalidMessage,
         lambda b: (m := http.response_head(b)) and http.body(b, m),
         [b"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"],
     ),
@@ -228,9 +230,9 @@
 
 def test_an_overloaded_front_refuses_new_clients_unread():
     """It costs no thread, and tells when to come back; one that has come before is not concerned."""
-    front, told = gateway.Gateway.__new__(gateway.Gateway), []
+    front, told = application.Application.__new__(application.Application), []
     front.reject_connections_until, front.log = (
-        gateway.clock.now() + 1000,
+        application.clock.now() + 1000,
         types.SimpleNamespace(warning=lambda event, **said: told.append(said["code"])),
     )
     theirs, ours = socket.socketpair()
@@ -242,21 +244,21 @@
 def test_what_is_not_read_is_written_apart_and_bounded():
     """A write never waits: the rest goes out as the peer reads, in order; who reads nothing is closed."""
     told, (ours, theirs) = [], socket.socketpair()
-    owner = types.SimpleNamespace(ended=lambda one: told.append(one.code), received=None)
-    made = connection.Connection(owner, LentMailbox("x", 9, None), Descriptors(1), "peer")
+    owner = types.SimpleNamespace(on_closed=lambda one: told.append(one.code), on_data=None)
+    made = connection.Connection(owner, SharedMailbox("x", 9, None), Descriptors(1), "peer")
     made.sock = ours
     ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     pieces = [bytes([n]) * 300_000 for n in range(3)]
-    assert all(made.write(piece) for piece in pieces) and made.flushing
+    assert all(made.write(piece) for piece in pieces) and made.is_flushing
     made.finish("done")
     got = b""
     while some := theirs.recv(1 << 20):
         got += some
     assert got == b"".join(pieces)
     until = time.monotonic() + 15
-    while made.flushing and time.monotonic() < until:
+    while made.is_flushing and time.monotonic() < until:
         time.sleep(0.01)
-    made.finishing = False
+    made.is_finishing = False
     made.code, (made.sock, theirs) = None, socket.socketpair()
     while made.write(pieces[0]):
         pass
@@ -273,12 +275,12 @@
     def none_left(*_):
         raise RuntimeError("can't start new thread")
 
-    monkeypatch.setattr(connection, "run", none_left)
+    monkeypatch.setattr(connection, "run_on_thread", none_left)
     told = []
-    owner = types.SimpleNamespace(ended=lambda one: told.append(one.code), opened=None)
+    owner = types.SimpleNamespace(on_closed=lambda one: told.append(one.code), on_open=None)
     held = Descriptors(3)
     held.take()
-    one = connection.Connection(owner, LentMailbox("x", 9, None), held, "x")
+    one = connection.Connection(owner, SharedMailbox("x", 9, None), held, "x")
     one.dial(("127.0.0.1", 1), 1)
     assert told == ["no_thread"] and held.free == 3
 
@@ -287,9 +289,9 @@
     """The poller takes many events at once; a connection that ends while the first are told gives its number
     to the next one accepted. Its event, told while that one is being registered, ended the program."""
     made, told = poller.Poller(), []
-    made.started = True
+    made._started = True
     monkeypatch.setattr(connection, "poller", made)
-    real, events = made.epoll, threading.Event()
+    real, events = made._epoll, threading.Event()
 
     class Slow:
         def poll(self, maxevents):
@@ -311,30 +313,30 @@
 
     def looped():
         try:
-            made.loop()
+            made._loop()
         except OSError as wrong:
             told.append(wrong)
 
-    made.epoll = Slow()
+    made._epoll = Slow()
     with socket.create_server(("127.0.0.1", 0)) as server, socket.create_connection(server.getsockname()):
         ours, _ = server.accept()
-        box = LentMailbox("x", 9, None)
+        box = SharedMailbox("x", 9, None)
         one = connection.Connection(None, box, Descriptors(3), "x")
-        one.accepted(ours)
+        one.accept(ours)
         until = time.monotonic() + 1
         while not told and time.monotonic() < until:
             time.sleep(0.01)
-    assert not told and one.stands() is False
+    assert not told and one.is_open_and_silent() is False
 
 
 def test_nothing_of_an_rpc_is_left_to_the_collector():
     """Long days: what has ended goes at once, or memory grows until the collector finds it."""
     settings = types.SimpleNamespace(load_report_fields=(), connect_timeout=2500, warm_up_time=0)
     made = decision_host.DecisionHost.__new__(decision_host.DecisionHost)
-    made.recorder, made.rpcs_taken = None, 0
-    made.count = Counters().add
-    made.open_ids, made.mailbox = set(), types.SimpleNamespace(timers=Timers())
-    made.gateway, made.settings = types.SimpleNamespace(), settings
+    made._recorder, made._rpcs_taken = None, 0
+    made._count = Counters().add
+    made._open_identifiers, made._mailbox = set(), types.SimpleNamespace(timers=Timers())
+    made._application, made._settings = types.SimpleNamespace(), settings
     peer = types.SimpleNamespace(name="a", send=None, mailbox=types.SimpleNamespace(post=lambda *_: None))
     sent = Server(host=peer, started_at=0)
 
@@ -342,7 +344,7 @@
         rpc.attempts.append(Attempt(rpc=rpc, server=sent, number=0, build=1, sent_at=now))
         made.send(rpc.attempts[0], now + 100)
 
-    made.balancer = types.SimpleNamespace(
+    made._balancer = types.SimpleNamespace(
         on_request=take,
         reject_connections_until=0,
         on_result=lambda now, attempt, result, *_: [
@@ -354,22 +356,24 @@
     request = http.request_head(filled(b"GET /a HTTP/1.0\r\n\r\n"))
     request.body = b""
     call = types.SimpleNamespace(
-        name="1",
+        identifier="1",
         client=asker,
         request=request,
         method=None,
         expected_work=0,
         is_retry=False,
-        arrived=1,
+        arrived_at=1,
         deadline=9,
         rpc=None,
     )
     made.on_request(call)
     attempt = call.rpc.attempts[0]
-    made.on_result(attempt, AttemptResult.OK, (), types.SimpleNamespace(passed_on=lambda *_: [], body=b""))
+    made.on_result(
+        attempt, AttemptResult.OK, (), types.SimpleNamespace(end_to_end_fields=lambda *_: [], body=b"")
+    )
     assert attempt.result == AttemptResult.OK and attempt.host is None
     assert attempt.rpc.host is None and not attempt.rpc.attempts
-    assert not made.open_ids
+    assert not made._open_identifiers
 
 
 def filled(data):
@@ -382,11 +386,12 @@
 def test_a_client_that_asked_once_leaves_its_place(quiet, closed):
     """Clients that ask once and stay would hold all the connections there may be."""
     one = client.Client(
-        types.SimpleNamespace(decisions=None, log=None, fail=None, descriptors=None, draining=False), "peer"
+        types.SimpleNamespace(decisions=None, log=None, fail=None, descriptors=None, is_draining=False),
+        "peer",
     )
     told = []
-    one.connection.close, one.served, one.active = told.append, True, client.clock.now() - quiet
-    one.look()
+    one.connection.close, one.was_answered, one.active_at = told.append, True, client.clock.now() - quiet
+    one.check_timeouts()
     assert told == closed
 
 
@@ -398,8 +403,8 @@
             log=None,
             fail=None,
             descriptors=None,
-            draining=False,
-            crowded=lambda: crowded,
+            is_draining=False,
+            is_crowded=lambda: crowded,
             idle={},
             ending={},
         ),
@@ -407,5 +412,5 @@
     )
     ours, theirs = socket.socketpair()
     one.connection.sock = ours
-    one.write(http.request_head(filled(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")), 200, (), b"hi")
+    one._write(http.request_head(filled(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")), 200, (), b"hi")
     assert (b"connection: close" in theirs.recv(999)) != kept and (one.connection.code is None) == kept
--- a/tests/test_recorded_outsides.py
+++ b/tests/test_recorded_outsides.py
@@ -12,8 +12,8 @@
 
 import pytest
 
+from honeywood.balancer import configuration as program_configuration
 from honeywood.balancer.benchlink import adapter, codec
-from honeywood.balancer.program import configuration as program_configuration
 from honeywood.balancer.protocol import discovery, platform
 from honeywood.balancer.sections import InvalidConfiguration
 from honeywood.balancer.transport.buffer import Buffer
--- a/tests/trace/test_recorded_trace.py
+++ b/tests/trace/test_recorded_trace.py
@@ -75,7 +75,7 @@
     fields = {"x-customer": "c" * 5000, "x-other": "p1"}
     request = types.SimpleNamespace(get=fields.get)
     client = types.SimpleNamespace(connection=types.SimpleNamespace(peer="10.0.0.7:4000"))
-    call = types.SimpleNamespace(serial=1, name="id-1", request=request, client=client, arrived=970)
+    call = types.SimpleNamespace(serial=1, identifier="id-1", request=request, client=client, arrived_at=970)
     method = Method(name="read")
     servers = [Server(host=types.SimpleNamespace(name=name)) for name in ("s1", "s2", "s3")]
     rpc = Rpc(method=method, host=call, arrived_at=970, deadline=40_000, expected_work=12, is_retry=True)
