--- a/tests/fleet/fleet.py
+++ b/tests/balancer/fleet/fleet.py
@@ -4,12 +4,12 @@
 from random import Random
 
 from honeywood.balancer.model import SECOND, AttemptResult, Idempotency, Method
-from play import MS, Play
+from decision_player import MS, DecisionPlayer
 
 WORK, CORES = 330 * MS, 3  # of a server; an RPC takes longer in proportion where more than CORES are held
 
 
-class Member(Play):
+class Member(DecisionPlayer):
     """One front of a fleet: its clock and the servers behind the names are the fleet's."""
 
     def __init__(self, fleet, number):
--- a/tests/fleet/test_real_fronts.py
+++ b/tests/balancer/fleet/test_real_balancers.py
@@ -11,7 +11,7 @@
 import threading
 import time
 
-from play import CONFIG
+from socket_player import CONFIGURATION
 from standins.control import DiscoveryStand
 from standins.peer import health, message, rpc
 from standins.release import Platform, Worker
@@ -91,7 +91,7 @@
         return [{**worker.entry(), "up_since_ms": 0} for worker in self.workers]
 
     def configure(self, number):
-        config = json.loads(json.dumps(CONFIG))
+        config = json.loads(json.dumps(CONFIGURATION))
         config.update(
             name=f"n{number}",
             seed=f"{number:x}",
--- a/tests/test_process.py
+++ b/tests/balancer/program/test_process.py
@@ -7,9 +7,9 @@
 import sys
 import tomllib
 
-from play import Sockets
+from socket_player import SocketPlayer
 
-ROOT = pathlib.Path(__file__).parent.parent
+ROOT = pathlib.Path(__file__).parents[3]
 # Loaded into the program at its start; each event that matters is a line, written as it happens.
 HOOK = """
 import os, sys
@@ -38,7 +38,7 @@
 """
 
 
-class Audited(Sockets):
+class Audited(SocketPlayer):
     def spawn(self):
         """By the `run` line itself, with this interpreter in place of the installed one."""
         self.write()
