--- a/tests/cli/test_installed.py
+++ b/tests/cli/test_installed.py
@@ -29,7 +29,7 @@
     "honeywood lab emulator hunt": ("honeywood", "lab", "emulator", "hunt", "--days", "1", "--jobs", "1"),
     "honeywood lab soak": ("honeywood", "lab", "soak", "--seeds", "1", "--seconds", "3"),
     "honeywood version": ("honeywood", "version"),
-    "python -m honeywood.benchlink": ("python", "-m", "honeywood.benchlink"),
+    "python -m honeywood.balancer.benchlink": ("python", "-m", "honeywood.balancer.benchlink"),
     "python -m honeywood.lab.emulator.loopback": (
         *("python", "-m", "honeywood.lab.emulator.loopback", "--no-rollouts"),
     ),
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -10,11 +10,11 @@
 from ward import each, test
 
 from honeywood.gateway.configuration import config
-from honeywood.gateway.errors import GatewayError, VersionConflict
 from honeywood.gateway.controller import machines
 from honeywood.gateway.controller.app import App
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.store import Store
+from honeywood.gateway.errors import GatewayError, VersionConflict
 from honeywood.gateway.proxy import polling, sender
 from honeywood.gateway.proxy.forwarding import Forwarder
 from honeywood.gateway.proxy.program import Proxy
--- a/tests/gateway/test_history.py
+++ b/tests/gateway/test_history.py
@@ -5,13 +5,13 @@
 from timeline import World
 from ward import test
 
-from honeywood.gateway.errors import Unavailable
 from honeywood.gateway.controller.machine_records import MachineRecords
 from honeywood.gateway.controller.machines import DEPARTED_ROW, Machines
-from honeywood.gateway.dissemination.history import KEEP, MOST, History
 from honeywood.gateway.dissemination import departed
+from honeywood.gateway.dissemination.history import KEEP, MOST, History
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.store import Store
+from honeywood.gateway.errors import Unavailable
 
 BEAT = {"svc": "s", "ip": "m", "port": 1, "zone": "z", "ver": "v1", "slots": 4, "state": "ready", "cold": 0.0}
 
--- a/tests/gateway/test_messages.py
+++ b/tests/gateway/test_messages.py
@@ -7,13 +7,13 @@
 
 from ward import each, raises, test
 
-from honeywood.gateway.errors import CallFailed, InvalidInput
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.chunk import Chunk, ChunkCollector
 from honeywood.gateway.dissemination.messages import Answer, Ask, Asker
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.subscriber import Subscriber
+from honeywood.gateway.errors import CallFailed, InvalidInput
 
 # as 00fe626 wrote them; since then `who` tells the epoch, controllers contacts and the state of the disk too
 CONTROLLER_ASKS = (
