--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -49,10 +49,10 @@
             if body is None:
                 raise Wrong(named, "the body is too long or broken off", peer, 413)
             # an order begins nothing for a caller that has gone, nor is it told what others wait for
-            departure = scope[CONTEXT].departure
+            disconnect = scope[CONTEXT].disconnect
             clock = self.controller.clock
-            heeds_departure = call in (self.start, self.news)
-            more = {"left": lambda: departure.check(clock())} if heeds_departure else {}
+            heeds_disconnect = call in (self.start, self.news)
+            more = {"left": lambda: disconnect.check(clock())} if heeds_disconnect else {}
             found = await call(of, body, peer, **more)
         except Wrong as wrong:
             failed = wrong.failed
--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -59,19 +59,19 @@
             headers = [*headers, (b"connection", b"close")]  # what has begun behind is answered first
         if response.remainder is None:
             return await answer(send, response.status, headers, response.body)
-        await self._relay(send, response, headers, context.departure)
+        await self._relay(send, response, headers, context.disconnect)
 
-    async def _relay(self, send, response, headers, departure):
+    async def _relay(self, send, response, headers, disconnect):
         """Passes a long answer on as it comes."""
         self.relaying += 1
         try:
             await stream(send, response.status, headers, _chunks(response))
         except httpcore.ReadTimeout:  # what `abandon` makes of the reading
-            if not departure.gone:
+            if not disconnect.happened:
                 raise
         finally:
             self.relaying -= 1
-            departure.unsubscribe(response.remainder.abandon)
+            disconnect.unsubscribe(response.remainder.abandon)
 
     def early(self, scope):
         """Begins with a request that stands behind another, where it may be repeated and has no body: a task
@@ -103,7 +103,7 @@
             refused.headers.append(CHALLENGE)
             return refused
         body = await body_of(receive, self.proxy.limits.body_bytes)
-        if body is None and scope[CONTEXT].departure.gone:
+        if body is None and scope[CONTEXT].disconnect.happened:
             return self._refused(BAD_REQUEST, "its client left before its end")
         if body is None:
             return self._refused(BODY_TOO_LONG, "the body is too long")
@@ -131,13 +131,13 @@
             scope["headers"],
             fields,
             body,
-            context.departure,
+            context.disconnect,
             context.received_at,
             admission,
         )
         response = await self.proxy.forwarder.forward(route, request)
         if response.remainder is not None and route.safe:  # it may wait long for its turn to be passed on
-            context.departure.subscribe(response.remainder.abandon)
+            context.disconnect.subscribe(response.remainder.abandon)
         return response
 
     async def hear(self, raw, peer, has_left=lambda: False):
@@ -154,8 +154,8 @@
             raw = await body_of(receive, NEWS_MOST)
             if raw is None:
                 return await answer(send, BODY_TOO_LONG)
-            departure = scope[CONTEXT].departure
-            found = await self.hear(raw, peer, lambda: departure.gone)
+            disconnect = scope[CONTEXT].disconnect
+            found = await self.hear(raw, peer, lambda: disconnect.happened)
         except Wrong as wrong:
             return await answer(send, BAD_REQUEST, (), str(wrong).encode())
         await answer(
--- a/honeywood/gateway/proxy/forwarding.py
+++ b/honeywood/gateway/proxy/forwarding.py
@@ -21,7 +21,7 @@
 from honeywood.gateway.routing.routes import pick_service
 from honeywood.gateway.routing.tenants import WITHOUT_TENANTS, Admission
 from honeywood.gateway.rpc.connection import end_to_end
-from honeywood.gateway.rpc.departure import ClientDeparture
+from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
 
 HEDGE_AFTER = 2.0  # typical latencies after which a repeatable request goes to a second endpoint as well
 HEDGE_LEAST_S = 0.05  # seconds
@@ -34,7 +34,7 @@
 @dataclass(slots=True)
 class ClientRequest:
     """A whole request of a client: `target` with its raw escapes, `fields` a value of each header.
-    `departure` tells of its client's leaving; `received_at` when it was whole, if that was before it is
+    `disconnect` tells of its client's leaving; `received_at` when it was whole, if that was before it is
     forwarded; `admission` says for which tenant."""
 
     method: bytes
@@ -42,7 +42,7 @@
     headers: list
     fields: dict
     body: bytes
-    departure: ClientDeparture = field(default_factory=ClientDeparture)
+    disconnect: ClientDisconnect = field(default_factory=ClientDisconnect)
     received_at: float | None = None
     admission: Admission = WITHOUT_TENANTS
 
@@ -79,8 +79,8 @@
             return own_response(BAD_REQUEST, "x-deadline-ms is no number")
         request = self._take(route, client_request, min(route.timeout, told_ms / 1000))
         self.open_requests.add(request)
-        request.on_departure = partial(self._client_left, request)
-        request.departure.subscribe(request.on_departure)
+        request.on_disconnect = partial(self._client_left, request)
+        request.disconnect.subscribe(request.on_disconnect)
         try:
             response = await self._race(request, client_request.outgoing())
         finally:
@@ -102,7 +102,7 @@
     def _unsubscribe(self, request):
         """Nothing of a request that is finished and has no attempts under way depends on its client."""
         if request.finished and request not in self.sender.flights:
-            request.departure.unsubscribe(request.on_departure)
+            request.disconnect.unsubscribe(request.on_disconnect)
 
     def _take(self, route, client_request, wait_s):
         """The PendingRequest, which earns its service's budget and its version's trial their parts."""
@@ -111,7 +111,7 @@
         service = pick_service(route.split, self.random.random())
         try_id, deadline = client_request.fields.get(b"x-try-id", b""), received_at + wait_s
         request = PendingRequest(route, service, try_id, received_at, deadline, priority=route.priority)
-        request.departure = client_request.departure
+        request.disconnect = client_request.disconnect
         tenant = client_request.admission.tenant
         if tenant is not None and tenant.priority is not None:
             request.priority = tenant.priority
@@ -121,7 +121,7 @@
 
     def _count(self, request, response):
         self.counts["requests"] += 1
-        if request.departure.gone:
+        if request.disconnect.happened:
             return
         if response.status < FIRST_FAILURE:
             late = self.clock() - request.received_at > request.route.target
@@ -184,7 +184,7 @@
 
     def _give_up(self, request, failure):
         """The final answer where no endpoint may be asked any more."""
-        if request.departure.gone:
+        if request.disconnect.happened:
             return own_response(BAD_GATEWAY, "its client has left")  # nobody reads it
         if failure is not None:
             return relayed(failure)
--- a/honeywood/gateway/proxy/sender.py
+++ b/honeywood/gateway/proxy/sender.py
@@ -118,7 +118,7 @@
         while await self._connect(flight):
             now = self.clock()
             if not request.route.safe:  # it couldn't be taken back
-                request.departure.check(now)
+                request.disconnect.check(now)
             if self.policy.refusal(now, request, endpoint, True) is not None:
                 return False  # what changed while the connection came up counts
             self.on_attempt(request)
@@ -223,7 +223,7 @@
 
     def _count_abandoned_work(self, flight):
         """How long an endpoint had an attempt after its client had left."""
-        left_at = flight.request.departure.left_at
+        left_at = flight.request.disconnect.disconnected_at
         if left_at is None or flight.attempt is None:
             return
         kind = flight.request.route.kind
--- a/honeywood/gateway/routing/attempts.py
+++ b/honeywood/gateway/routing/attempts.py
@@ -6,7 +6,7 @@
 
 from honeywood.gateway.routing.endpoints import READY
 from honeywood.gateway.routing.outcomes import AttemptOutcome
-from honeywood.gateway.rpc.departure import ClientDeparture
+from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
 
 DEFAULT_MAX_CONNECTIONS = 8  # that an endpoint is taken to accept while no configuration says more
 MAX_UNREACHABLE = 4  # endpoints that may prove out of reach to one request
@@ -53,8 +53,8 @@
     attempts: list = field(default_factory=list)
     finished: bool = False
     unreachable: list = field(default_factory=list)  # endpoints to which no connection came up
-    departure: ClientDeparture = field(default_factory=ClientDeparture)
-    on_departure: Callable[[], None] | None = None  # what `departure` calls; None: nothing
+    disconnect: ClientDisconnect = field(default_factory=ClientDisconnect)
+    on_disconnect: Callable[[], None] | None = None  # what `disconnect` calls; None: nothing
     priority: int = 0
 
     @property
@@ -116,7 +116,7 @@
         """What keeps a request from all endpoints, or None."""
         if request.finished or request.succeeded:
             return Refusal.FINISHED
-        if request.departure.gone:
+        if request.disconnect.happened:
             return Refusal.CLIENT_GONE
         if self._is_out_of_reach(now, request):
             return Refusal.UNREACHABLE
--- a/honeywood/gateway/rpc/asgi.py
+++ b/honeywood/gateway/rpc/asgi.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from honeywood.gateway.rpc.departure import ClientDeparture
+from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
 
 CONTEXT = "honeywood.context"  # the scope's key of its RequestContext
 
@@ -14,10 +14,10 @@
     """What the server says of a request beside ASGI. `target` has its raw escapes; `received_at` is when the
     request was whole, on the loop's clock; `early_response` is a future where the application has begun with
     it behind another request of its connection, `others_begun` tells whether any behind it has been;
-    `departure` tells of its client's leaving."""
+    `disconnect` tells of its client's leaving."""
 
     target: bytes
-    departure: ClientDeparture = field(default_factory=ClientDeparture)
+    disconnect: ClientDisconnect = field(default_factory=ClientDisconnect)
     others_begun: Callable = lambda: False
     received_at: float | None = None
     early_response: Any = None
--- a/honeywood/gateway/rpc/server.py
+++ b/honeywood/gateway/rpc/server.py
@@ -10,7 +10,7 @@
 from uvicorn.server import Server
 
 from honeywood.gateway.rpc.asgi import CONTEXT, RequestContext
-from honeywood.gateway.rpc.departure import ClientDeparture
+from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
 
 BACKLOG = 1024
 PIPELINED_MOST = 16  # requests of one connection that are at work before the first is answered
@@ -35,7 +35,7 @@
         super().connection_made(transport)
         self.head_bytes, self.refusal = 0, BAD_REQUEST
         self.flow = WatchedFlow(transport, self.watch_for_hang_up)
-        self.departure = ClientDeparture(lambda: hung_up(transport.get_extra_info("socket")))
+        self.disconnect = ClientDisconnect(lambda: hung_up(transport.get_extra_info("socket")))
         self.hang_up_timer, self.open_cycles = None, []
         self.timer = self.loop.call_later(self.config.app.limits.idle_s, self.on_timeout)
 
@@ -57,7 +57,7 @@
             cycle.disconnected = True
             cycle.message_event.set()
         self.open_cycles.clear()
-        self.departure.announce(self.loop.time())
+        self.disconnect.notify(self.loop.time())
 
     def watch_for_hang_up(self):
         """Reading has been paused: the client's leaving would lie unread behind what it has sent, so it is
@@ -70,7 +70,7 @@
         self.hang_up_timer = None
         if not self.flow.read_paused or self.transport.is_closing():
             return
-        if self.departure.check(self.loop.time()):
+        if self.disconnect.check(self.loop.time()):
             self.transport.abort()
         else:
             self.watch_for_hang_up()
@@ -173,7 +173,7 @@
         self.timer.cancel()
         self.head_bytes = 0
         self.refuse_ambiguous()
-        self.scope[CONTEXT] = RequestContext(self.url, self.departure, self.any_early_begun)
+        self.scope[CONTEXT] = RequestContext(self.url, self.disconnect, self.any_early_begun)
         super().on_headers_complete()
         self.open_cycles = [cycle for cycle in self.open_cycles if not cycle.response_complete]
         self.open_cycles.append(self.cycle)
--- a/honeywood/lab/emulator/clients.py
+++ b/honeywood/lab/emulator/clients.py
@@ -83,7 +83,7 @@
         self.world.monitor.requests.client_left(self.now(), id, proxy)
 
         async def hear():
-            context.departure.announce(self.now())
+            context.disconnect.notify(self.now())
 
         process.run(hear())
 
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -12,7 +12,7 @@
 from honeywood.gateway.controller.orders import Orders
 from honeywood.gateway.rollout import record as rollouts
 from honeywood.gateway.rpc.asgi import CONTEXT, RequestContext
-from honeywood.gateway.rpc.departure import ClientDeparture
+from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
 from honeywood.lab.emulator.boot import BOUNDS
 
 CONTENTS = {"x": 1, "y": 2, "z": 3}  # contents under one number, by their routes
@@ -274,7 +274,7 @@
         scope = {"client": ("op", 1), "server": ("a", 82), "method": "POST", "path": "/v1/rpc"}
         # What the server hands over, by its own type: a key that only tests knew let every order of the real
         # controllers end in 500.
-        context = RequestContext(b"/v1/rpc?call=rollouts.start", ClientDeparture(self.left))
+        context = RequestContext(b"/v1/rpc?call=rollouts.start", ClientDisconnect(self.left))
         scope |= {"query_string": b"call=rollouts.start", CONTEXT: context}
         world.loop.create_task(world.nodes[name].app(scope, self.receive, self.send))
 
