--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -23,8 +23,10 @@
 from honeywood.gateway.configuration.config import Limits  # noqa: E402
 from honeywood.gateway.configuration.settings import read  # noqa: E402
 from honeywood.gateway.proxy.program import Proxy  # noqa: E402
-from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of  # noqa: E402
-from honeywood.gateway.rpc.connection import Connection, end_to_end  # noqa: E402
+from honeywood.gateway.rpc.asgi import read_body, send_response  # noqa: E402
+from honeywood.gateway.rpc.connection import Connection  # noqa: E402
+from honeywood.gateway.rpc.headers import end_to_end  # noqa: E402
+from honeywood.gateway.rpc.request_context import CONTEXT  # noqa: E402
 from honeywood.gateway.rpc.server import HttpServer  # noqa: E402
 from honeywood.lab.emulator.boot import boot  # noqa: E402
 
@@ -76,16 +78,19 @@
 
     limits = Limits()
 
+    def begin_early(self, scope):
+        return None
+
     def __init__(self, port):
         self.port, self.idle = port, []
 
     async def __call__(self, scope, receive, send):
-        await body_of(receive, 1 << 20)
+        await read_body(receive, 1 << 20)
         connection = self.idle.pop() if self.idle else await Connection.open("127.0.0.1", self.port, 1.0)
         until = asyncio.get_running_loop().time() + 1.0
         reply = await connection.exchange(b"GET", scope[CONTEXT].target, scope["headers"], b"", until)
         self.idle.append(connection)
-        await answer(
+        await send_response(
             send,
             reply.status,
             [h for h in end_to_end(reply.headers) if h[0] != b"content-length"],
--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -12,7 +12,8 @@
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH
 from honeywood.gateway.register import replica as register
-from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of
+from honeywood.gateway.rpc.asgi import read_body, send_response
+from honeywood.gateway.rpc.request_context import CONTEXT
 
 MOST = 8 << 20  # bytes of a call's body
 JSON = [(b"content-type", b"application/json")]
@@ -33,6 +34,10 @@
 
     limits = config.Limits()  # callers here are machines, operators and our own programs
 
+    def begin_early(self, scope):
+        """Nothing is begun early: the calls of one connection are answered one after the other."""
+        return None
+
     async def __call__(self, scope, receive, send):
         peer = scope["client"][0]
         asked = parse_qs(scope["query_string"].decode("latin-1"))
@@ -45,7 +50,7 @@
         try:
             if call is None:
                 raise Wrong("dispatch", f"no such call: {scope['method']} {scope['path']} {named}", peer, 404)
-            body = await body_of(receive, MOST)
+            body = await read_body(receive, MOST)
             if body is None:
                 raise Wrong(named, "the body is too long or broken off", peer, 413)
             # an order begins nothing for a caller that has gone, nor is it told what others wait for
@@ -61,10 +66,10 @@
                 "refused", 1.0, step=failed.step, peer=peer, why=failed.why, status=failed.status
             )
             found = json.dumps({"step": failed.step, "peer": peer, "why": failed.why}).encode()
-            return await answer(send, failed.status, JSON, found)
+            return await send_response(send, failed.status, JSON, found)
         if not isinstance(found, bytes):
             found = json.dumps(found, separators=(",", ":")).encode()
-        await answer(send, 200, JSON, found)
+        await send_response(send, 200, JSON, found)
 
     # machines
     async def heartbeat(self, of, body, peer):
--- a/honeywood/gateway/program.py
+++ b/honeywood/gateway/program.py
@@ -15,7 +15,7 @@
 from honeywood.gateway.configuration.settings import read
 from honeywood.gateway.metrics import CONTENT_TYPE, Figures, render
 from honeywood.gateway.metrics import PATH as METRICS_PATH
-from honeywood.gateway.rpc.asgi import answer
+from honeywood.gateway.rpc.asgi import send_response
 from honeywood.gateway.rpc.client import Caller
 
 FILE = "HONEYWOOD_NODE_FILE"
@@ -106,8 +106,8 @@
     async def tell_figures(self, scope, send):
         """Answers a request at the metrics address."""
         if scope["path"] != METRICS_PATH:
-            return await answer(send, 404)
-        await answer(send, 200, [CONTENT_TYPE], render(self.figures()))
+            return await send_response(send, 404)
+        await send_response(send, 200, [CONTENT_TYPE], render(self.figures()))
 
     def loop(self, step, every):
         """Runs `step` again and again, `every` seconds after it ended; what it raises is logged."""
--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -20,7 +20,8 @@
     own_response,
 )
 from honeywood.gateway.routing.tenants import WITHOUT_TENANTS
-from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of, stream
+from honeywood.gateway.rpc.asgi import read_body, send_response, stream_response
+from honeywood.gateway.rpc.request_context import CONTEXT
 
 NEWS_MOST = 8 << 20  # bytes of one ask or answer of news
 OK = 200
@@ -46,7 +47,7 @@
         """ASGI: a client's request, the platform's readiness call, or another proxy's ask for news."""
         port = scope["server"][1]
         if port == self.ready_port:
-            return await answer(send, OK if self.proxy.ready else UNAVAILABLE)
+            return await send_response(send, OK if self.proxy.ready else UNAVAILABLE)
         if port == self.news_port:
             return await self.news(scope, receive, send)
         if port == self.proxy.metrics_port:
@@ -58,14 +59,14 @@
         if self.proxy.stopping.is_set() and not context.others_begun():
             headers = [*headers, (b"connection", b"close")]  # what has begun behind is answered first
         if response.remainder is None:
-            return await answer(send, response.status, headers, response.body)
+            return await send_response(send, response.status, headers, response.body)
         await self._relay(send, response, headers, context.disconnect)
 
     async def _relay(self, send, response, headers, disconnect):
         """Passes a long answer on as it comes."""
         self.relaying += 1
         try:
-            await stream(send, response.status, headers, _chunks(response))
+            await stream_response(send, response.status, headers, _chunks(response))
         except httpcore.ReadTimeout:  # what `abandon` makes of the reading
             if not disconnect.happened:
                 raise
@@ -73,7 +74,7 @@
             self.relaying -= 1
             disconnect.unsubscribe(response.remainder.abandon)
 
-    def early(self, scope):
+    def begin_early(self, scope):
         """Begins with a request that stands behind another, where it may be repeated and has no body: a task
         of its ClientResponse, or None."""
         fields = dict(scope["headers"])
@@ -102,7 +103,7 @@
             refused = self._refused(UNAUTHORIZED, "no known key")
             refused.headers.append(CHALLENGE)
             return refused
-        body = await body_of(receive, self.proxy.limits.body_bytes)
+        body = await read_body(receive, self.proxy.limits.body_bytes)
         if body is None and scope[CONTEXT].disconnect.happened:
             return self._refused(BAD_REQUEST, "its client left before its end")
         if body is None:
@@ -150,15 +151,15 @@
         peer = scope["client"][0]
         try:
             if scope["path"] != PATH or scope["method"] != "POST":
-                return await answer(send, NOT_FOUND)
-            raw = await body_of(receive, NEWS_MOST)
+                return await send_response(send, NOT_FOUND)
+            raw = await read_body(receive, NEWS_MOST)
             if raw is None:
-                return await answer(send, BODY_TOO_LONG)
+                return await send_response(send, BODY_TOO_LONG)
             disconnect = scope[CONTEXT].disconnect
             found = await self.hear(raw, peer, lambda: disconnect.happened)
         except Wrong as wrong:
-            return await answer(send, BAD_REQUEST, (), str(wrong).encode())
-        await answer(
+            return await send_response(send, BAD_REQUEST, (), str(wrong).encode())
+        await send_response(
             send,
             200,
             [(b"content-type", b"application/json")],
--- a/honeywood/gateway/proxy/forwarding.py
+++ b/honeywood/gateway/proxy/forwarding.py
@@ -20,8 +20,8 @@
 from honeywood.gateway.routing.outcomes import FIRST_FAILURE, AttemptOutcome
 from honeywood.gateway.routing.routes import pick_service
 from honeywood.gateway.routing.tenants import WITHOUT_TENANTS, Admission
-from honeywood.gateway.rpc.connection import end_to_end
 from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
+from honeywood.gateway.rpc.headers import end_to_end
 
 HEDGE_AFTER = 2.0  # typical latencies after which a repeatable request goes to a second endpoint as well
 HEDGE_LEAST_S = 0.05  # seconds
--- a/honeywood/gateway/proxy/responses.py
+++ b/honeywood/gateway/proxy/responses.py
@@ -3,7 +3,8 @@
 from dataclasses import dataclass
 
 from honeywood.gateway.routing.outcomes import FIRST_FAILURE, may_relay
-from honeywood.gateway.rpc.connection import Remainder, end_to_end
+from honeywood.gateway.rpc.headers import end_to_end
+from honeywood.gateway.rpc.reply import BodyRemainder
 
 RETRY_AFTER_S = 0.1  # after which a refused client may come again
 # after which one may come again that met a proxy without a configuration: that comes within seconds, not at
@@ -20,7 +21,7 @@
     status: int
     headers: list
     body: bytes = b""
-    remainder: Remainder | None = None
+    remainder: BodyRemainder | None = None
 
 
 def own_response(status, reason, retry_after_s=None):
--- a/honeywood/gateway/proxy/sender.py
+++ b/honeywood/gateway/proxy/sender.py
@@ -7,7 +7,7 @@
 
 from honeywood.gateway.routing.attempts import PendingRequest, connect_by
 from honeywood.gateway.routing.outcomes import AttemptOutcome, classify
-from honeywood.gateway.rpc.connection import ExchangeFailed, Reply
+from honeywood.gateway.rpc.reply import ExchangeFailure, Reply
 
 LATE_ANSWER_S = 0.05  # after its deadline in which an endpoint's own late answer still frees its connection
 USUAL_OUTCOMES = (AttemptOutcome.SUCCESS, AttemptOutcome.FAILURE)
@@ -130,9 +130,9 @@
                 outgoing.headers_for(endpoint, request.deadline - now),
                 outgoing.body,
                 request.deadline + LATE_ANSWER_S,
-                expected=(b"x-try-id", request.try_id),
+                expected_header=(b"x-try-id", request.try_id),
             )
-            if not (flight.reused and isinstance(flight.reply, ExchangeFailed)):
+            if not (flight.reused and isinstance(flight.reply, ExchangeFailure)):
                 return True
             if flight.reply.sent:
                 if not flight.reply.timed_out:
@@ -190,7 +190,7 @@
     def _outcome(self, flight, now):
         """What an attempt's last answer, or its lack, means, also for the endpoint."""
         reply, endpoint = flight.reply, flight.endpoint
-        if isinstance(reply, ExchangeFailed):
+        if isinstance(reply, ExchangeFailure):
             if not reply.timed_out:
                 endpoint.avoid(now)
             return AttemptOutcome.NO_ANSWER if reply.sent else AttemptOutcome.NOT_RUN
--- a/honeywood/gateway/rpc/__init__.py
+++ b/honeywood/gateway/rpc/__init__.py
@@ -1,4 +1,5 @@
-"""What carries bytes for both programs: connections by httpcore, listeners by uvicorn, our own calls.
+"""Transport of both programs: HTTP/1.1 listeners (uvicorn), connections (httpcore) and calls between them.
 
-Start reading at stream.py (one connection), connection.py (one exchange on it), server.py (listening) and
-client.py."""
+Start reading at tcp_stream.py (one TCP connection), connection.py (exchanges on it), client.py (calls between
+programs), server.py and protocol.py (listeners and what they do with one client's connection).
+"""
--- a/honeywood/gateway/rpc/asgi.py
+++ b/honeywood/gateway/rpc/asgi.py
@@ -1,52 +1,68 @@
-"""What an ASGI scope asks for, and how it is answered."""
+"""Reading an ASGI request's body, and sending responses.
 
-from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Any
+Source: the ASGI specification, HTTP message format 2.3.
+"""
 
-from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
+from __future__ import annotations
 
-CONTEXT = "honeywood.context"  # the scope's key of its RequestContext
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import AsyncIterable, MutableMapping, Sequence
+    from typing import Any, Protocol, TypeAlias
 
+    from uvicorn._types import ASGIReceiveCallable, ASGISendCallable
 
-@dataclass(slots=True)
-class RequestContext:
-    """What the server says of a request beside ASGI. `target` has its raw escapes; `received_at` is when the
-    request was whole, on the loop's clock; `early_response` is a future where the application has begun with
-    it behind another request of its connection, `others_begun` tells whether any behind it has been;
-    `disconnect` tells of its client's leaving."""
+    from honeywood.gateway.configuration.config import Limits
+    from honeywood.gateway.rpc.headers import HeaderField
 
-    target: bytes
-    disconnect: ClientDisconnect = field(default_factory=ClientDisconnect)
-    others_begun: Callable = lambda: False
-    received_at: float | None = None
-    early_response: Any = None
+    Scope: TypeAlias = MutableMapping[str, Any]  # its values differ by key, as the specification says
+    Receive: TypeAlias = ASGIReceiveCallable
+    Send: TypeAlias = ASGISendCallable
 
+    class Application(Protocol):
+        """What HttpServer serves: an ASGI application with two members more."""
 
-async def body_of(receive, most):
-    """The request's whole body, or None where it is longer than `most` bytes or its sender has left."""
+        @property
+        def limits(self) -> Limits:
+            """What clients may send and how long they may take, at this moment."""
+
+        def begin_early(self, scope: Scope) -> asyncio.Future[Any] | None:
+            """Begin with a request that stands behind another of its connection, or return None."""
+
+        async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
+            """Answer a request."""
+
+
+async def read_body(receive: Receive, max_bytes: int) -> bytes | None:
+    """Return a request's complete body; None if it is over `max_bytes` or its sender has disconnected."""
     parts, size = [], 0
     while True:
         message = await receive()
         if message["type"] != "http.request":
             return None
-        parts.append(message.get("body", b""))
-        size += len(parts[-1])
-        if size > most:
+        part = message.get("body", b"")
+        parts.append(part)
+        size += len(part)
+        if size > max_bytes:
             return None
         if not message.get("more_body", False):
             return b"".join(parts)
 
 
-async def answer(send, status, headers=(), body=b""):
-    """A whole answer of ours."""
+async def send_response(
+    send: Send, status: int, headers: Sequence[HeaderField] = (), body: bytes = b""
+) -> None:
+    """Send a complete response; `content-length` is added to its headers."""
     length = (b"content-length", str(len(body)).encode())
     await send({"type": "http.response.start", "status": status, "headers": [*headers, length]})
     await send({"type": "http.response.body", "body": body})
 
 
-async def stream(send, status, headers, chunks):
-    """An answer that is passed on as it comes."""
+async def stream_response(
+    send: Send, status: int, headers: Sequence[HeaderField], chunks: AsyncIterable[bytes]
+) -> None:
+    """Send a response while its body arrives."""
     await send({"type": "http.response.start", "status": status, "headers": headers})
     async for chunk in chunks:
         await send({"type": "http.response.body", "body": chunk, "more_body": True})
--- a/honeywood/gateway/rpc/client.py
+++ b/honeywood/gateway/rpc/client.py
@@ -14,8 +14,9 @@
 
 from honeywood.gateway.configuration.check import read_json
 from honeywood.gateway.configuration.outcome import Done, Failed, Wrong
-from honeywood.gateway.rpc.connection import Connection, ExchangeFailed
-from honeywood.gateway.rpc.server import CALL_ID
+from honeywood.gateway.rpc.connection import Connection
+from honeywood.gateway.rpc.reply import ExchangeFailure
+from honeywood.gateway.rpc.headers import CALL_ID
 
 CONNECT_S = 0.3  # seconds for a connection to one of ours
 IDLE_S = 5.0  # seconds after which an idle connection isn't trusted
@@ -47,7 +48,7 @@
             connection, reply = await self._exchange((ip, port), path, headers, raw, until, again)
         except (httpcore.ConnectError, httpcore.ConnectTimeout) as wrong:
             return Failed(path, f"{type(wrong).__name__}: {wrong}", peer, UNAVAILABLE)
-        if isinstance(reply, ExchangeFailed):
+        if isinstance(reply, ExchangeFailure):
             return Failed(path, reply.reason, peer, UNAVAILABLE)
         self.carried[f"{path} answered"] += len(reply.body)
         if reply.fields.get(CALL_ID) != id or reply.remainder is not None:
@@ -67,7 +68,7 @@
                 within_s = max(LEAST_S, min(CONNECT_S, until - loop.time()))
                 connection = await Connection.open(*place, within_s)
             reply = await connection.exchange(b"POST", path.encode(), headers, raw, until, ANSWER_MOST)
-            if not (kept and isinstance(reply, ExchangeFailed) and (again or not reply.sent)):
+            if not (kept and isinstance(reply, ExchangeFailure) and (again or not reply.sent)):
                 return connection, reply
             if reply.timed_out or loop.time() >= until:
                 return connection, reply
--- /dev/null
+++ b/honeywood/gateway/rpc/request_head.py
@@ -0,0 +1,54 @@
+"""Checks of a request's head that go beyond the HTTP parser's: its size, and that nobody reads it otherwise.
+
+A head that another HTTP implementation may read differently could smuggle a request past it.
+Source: RFC 9112, sections 3.2 (Host), 6.1 (Transfer-Encoding) and 11.2 (request smuggling); RFC 6585 (431).
+"""
+
+from __future__ import annotations
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from honeywood.gateway.rpc.headers import HeaderFields
+
+LINE_OVERHEAD_BYTES = 4  # of a header's line beside its name and value: ": " and CRLF
+ALLOWED_CODINGS: tuple[list[bytes], ...] = ([], [b"chunked"])
+
+
+class RequestRejected(Exception):
+    """A request's head that is not read further."""
+
+
+class HeadSize:
+    """Counts the bytes of a request's head while it arrives."""
+
+    __slots__ = ("is_exceeded", "size_bytes")
+
+    def __init__(self) -> None:
+        """Begin with a head of which no byte has come."""
+        self.size_bytes, self.is_exceeded = 0, False
+
+    def add_target(self, target: bytes, max_bytes: int) -> None:
+        """Count a part of the target; raises RequestRejected if the head is over `max_bytes`."""
+        self._add(len(target) + 1, max_bytes)
+
+    def add_header(self, name: bytes, value: bytes, max_bytes: int) -> None:
+        """Count a header; raises RequestRejected if the head is over `max_bytes`."""
+        self._add(len(name) + len(value) + LINE_OVERHEAD_BYTES, max_bytes)
+
+    def _add(self, count: int, max_bytes: int) -> None:
+        self.size_bytes += count
+        if self.size_bytes > max_bytes:
+            self.is_exceeded = True
+            raise RequestRejected(f"a head of over {max_bytes} bytes")
+
+
+def reject_ambiguous(target: bytes, headers: HeaderFields) -> None:
+    """Raise RequestRejected for a head that another reader might read otherwise."""
+    hosts = [name for name, _ in headers if name == b"host"]
+    codings = [value.strip().lower() for name, value in headers if name == b"transfer-encoding"]
+    if len(hosts) != 1:
+        raise RequestRejected(f"{len(hosts)} host headers")
+    if codings not in ALLOWED_CODINGS:
+        raise RequestRejected(f"transfer codings {codings}")
+    if not target.startswith(b"/") or b"#" in target:
+        raise RequestRejected(f"a target that is no path: {target!r}")
--- a/honeywood/lab/emulator/clients.py
+++ b/honeywood/lab/emulator/clients.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from math import inf
 
-from honeywood.gateway.rpc.asgi import CONTEXT, RequestContext
+from honeywood.gateway.rpc.request_context import CONTEXT, RequestContext
 from honeywood.lab.emulator.boot import AIM_S, DEADLINE_S
 from honeywood.lab.emulator.network import OUTSIDE
 from honeywood.lab.emulator.operators import LATER_ROUTES
--- a/honeywood/lab/emulator/loopback.py
+++ b/honeywood/lab/emulator/loopback.py
@@ -12,7 +12,8 @@
 
 from honeywood.gateway.configuration.outcome import Failed
 from honeywood.gateway.rpc.client import Caller
-from honeywood.gateway.rpc.connection import ExchangeFailed, Connection
+from honeywood.gateway.rpc.connection import Connection
+from honeywood.gateway.rpc.reply import ExchangeFailure
 from honeywood.lab.emulator.boot import boot
 from standins.sorting import Machine
 
@@ -103,7 +104,7 @@
         link.close()
         return (
             "broken off"
-            if isinstance(reply, ExchangeFailed)
+            if isinstance(reply, ExchangeFailure)
             else f"{reply.status} by {reply.body.decode()[:2]}"
         )
 
--- a/honeywood/lab/emulator/machines.py
+++ b/honeywood/lab/emulator/machines.py
@@ -6,7 +6,7 @@
 
 import httpcore
 
-from honeywood.gateway.rpc.connection import ExchangeFailed, Reply
+from honeywood.gateway.rpc.reply import ExchangeFailure, Reply
 
 REFUSES, DARK, LEFT = "refuses", "dark", "left"  # how a machine that has ended is met
 COLD_S, COLD_PACE = 3.0, 2.0  # seconds after its start in which a machine is so many times slower
@@ -121,26 +121,26 @@
             if self.work is not None and not self.machine.gone:
                 asyncio.get_running_loop().create_task(self.machines.drop(self), context=Context())
 
-    async def exchange(self, method, target, headers, body, until, expected=None):
-        """Reply or ExchangeFailed, as over a real connection."""
+    async def exchange(self, method, target, headers, body, deadline, expected_header=None):
+        """Reply or ExchangeFailure, as over a real connection."""
         loop = asyncio.get_running_loop()
         if not self.reusable:
-            return ExchangeFailed("the connection had ended", False)
+            return ExchangeFailure("the connection had ended", False)
         self.broke = loop.create_future()
         work = loop.create_task(self.machines.serve(self, dict(headers), target), context=Context())
         self.work = work
-        return await self._outcome(work, until, expected)
+        return await self._outcome(work, deadline, expected_header)
 
-    async def read_on(self, until):
+    async def read_on(self, deadline):
         """What follows a surplus answer: of every second machine the request's own, of others nothing."""
         loop = asyncio.get_running_loop()
         if self.own is None:
             self.own = loop.create_future()
-        return await self._outcome(self.own, until, None)
+        return await self._outcome(self.own, deadline, None)
 
-    async def _outcome(self, work, until, expected):
+    async def _outcome(self, work, deadline, expected):
         loop = asyncio.get_running_loop()
-        left = max(0.0, until - loop.time())
+        left = max(0.0, deadline - loop.time())
         await asyncio.wait((work, self.broke), timeout=left, return_when="FIRST_COMPLETED")
         if work.done() and not work.cancelled() and work.result() is not None:
             self.idle_since, reply = loop.time(), work.result()
@@ -149,7 +149,7 @@
             return reply
         late = not work.done() and not self.broke.done()
         self.close()
-        return ExchangeFailed("time is up" if late else "reset", True, late)
+        return ExchangeFailure("time is up" if late else "reset", True, late)
 
 
 class Machines:
--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -19,9 +19,10 @@
 from honeywood.gateway.routing.attempts import PendingRequest
 from honeywood.gateway.routing.outcomes import PROMISES, AttemptOutcome, classify
 from honeywood.gateway.rpc import connection
-from honeywood.gateway.rpc import stream
+from honeywood.gateway.rpc import tcp_stream
 from honeywood.gateway.rpc.client import Caller
-from honeywood.gateway.rpc.server import HttpProtocol, HttpServer
+from honeywood.gateway.rpc.protocol import HttpProtocol
+from honeywood.gateway.rpc.server import HttpServer
 from honeywood.lab.emulator import world
 from honeywood.lab.emulator.boot import settings
 from honeywood.protocol import http
@@ -392,19 +393,19 @@
     return classify(status, {**fields, b"x-try-id": id}, id)
 
 
-FAILED = connection.ExchangeFailed
+FAILED = connection.ExchangeFailure
 GUARDS = {  # each guard taken away: (what stands in its place, the family that shows it)
     "whose refusal it is": ((sender, "classify", lax), "strays"),
     "whose answer it is": ((sender, "classify", anyones), "strays"),
     "what may have run": ((PendingRequest, "may_have_run", property(lambda request: False)), "requests cut"),
     "what has left": (
-        (connection, "ExchangeFailed", lambda why, sent, late=False, kind=FAILED: kind(why, False, late)),
+        (connection, "ExchangeFailure", lambda why, sent, late=False, kind=FAILED: kind(why, False, late)),
         "requests cut",
     ),
-    "where it ends": ((connection, "is_framed", lambda *given: True), "endless answers"),
+    "where it ends": ((connection, "is_self_delimited", lambda *given: True), "endless answers"),
     "who may promise": ((responses, "may_relay", lambda status: True), "silent promises cut"),
     "what came at rest": (
-        (stream.Stream, "usable", property(lambda line: not (line.eof or line.error))),
+        (tcp_stream.TcpStream, "usable", property(lambda line: not (line.eof or line.error))),
         "strays at rest",
     ),
 }
@@ -462,7 +463,7 @@
     # What a program that stood still or was busy has not heard of yet isn't taken for the next answer.
     loop, (one, other) = Loop(None), socket.socketpair()
     with one, other:
-        line = stream.Stream()
+        line = tcp_stream.TcpStream()
         line.connection_made(Line(loop, line))
         line.transport._extra["socket"] = one
         other.send(b"x") if what == "bytes" else other.shutdown(socket.SHUT_WR) if what == "the end" else None
@@ -573,9 +574,9 @@
 
     def __init__(self, scenario, port=80):
         self.out, listening = b"", HttpServer(scenario.proxy.app)
-        self.server, listening.server.servers = listening, []
-        listening.server.config.load()
-        door = HttpProtocol(listening.server.config, listening.server.server_state, {}, scenario.loop)
+        self.server, uvicorn_server = listening, listening.uvicorn_server
+        uvicorn_server.config.load()
+        door = HttpProtocol(uvicorn_server.config, uvicorn_server.server_state, {}, scenario.loop)
         super().__init__(scenario.loop, door)
         self._extra["sockname"] = ("f", port)
         door.connection_made(self)
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -11,7 +11,7 @@
 from honeywood.gateway.configuration.outcome import Done
 from honeywood.gateway.controller.orders import Orders
 from honeywood.gateway.rollout import record as rollouts
-from honeywood.gateway.rpc.asgi import CONTEXT, RequestContext
+from honeywood.gateway.rpc.request_context import CONTEXT, RequestContext
 from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
 from honeywood.lab.emulator.boot import BOUNDS
 
--- a/tests/gateway/test_pinned_rpc.py
+++ b/tests/gateway/test_pinned_rpc.py
@@ -21,7 +21,8 @@
 from honeywood.gateway.configuration.settings import read
 from honeywood.gateway.controller.program import Controller
 from honeywood.gateway.proxy.program import Proxy
-from honeywood.gateway.rpc import asgi, client, connection, server
+from honeywood.gateway.rpc import asgi, client, connection, reply, request_context, server
+from honeywood.gateway.rpc import headers as header_module
 from honeywood.lab.emulator.boot import boot
 
 RECORDED = Path(__file__).resolve().parent / "recorded"
@@ -37,27 +38,27 @@
 
 
 async def read_body(receive: Any, limit: int) -> bytes | None:
-    return await asgi.body_of(receive, limit)
+    return await asgi.read_body(receive, limit)
 
 
 async def send_response(send: Any, status: int, headers: list, body: bytes) -> None:
-    await asgi.answer(send, status, headers, body)
+    await asgi.send_response(send, status, headers, body)
 
 
 async def send_stream(send: Any, status: int, headers: list, chunks: Any) -> None:
-    await asgi.stream(send, status, headers, chunks)
+    await asgi.stream_response(send, status, headers, chunks)
 
 
 def others_begun(scope: dict) -> bool:
-    return scope[asgi.CONTEXT].others_begun()
+    return scope[request_context.CONTEXT].others_begun()
 
 
 def early_response(scope: dict) -> Any:
-    return scope[asgi.CONTEXT].early_response
+    return scope[request_context.CONTEXT].early_response
 
 
 def raw_target(scope: dict) -> bytes:
-    return scope[asgi.CONTEXT].target
+    return scope[request_context.CONTEXT].target
 
 
 def make_caller() -> Any:
@@ -97,7 +98,7 @@
 
 async def reply_of(found: Any) -> dict:
     """A reply, read to its end, or what is known of the failure."""
-    if isinstance(found, connection.ExchangeFailed):
+    if isinstance(found, reply.ExchangeFailure):
         return {"reason": found.reason, "sent": found.sent, "timed_out": found.timed_out}
     rest = None
     if found.remainder is not None:
@@ -121,8 +122,8 @@
     }
 
 
-def end_to_end(headers: list) -> list:
-    return connection.end_to_end(headers)
+def end_to_end(fields: list) -> list:
+    return header_module.end_to_end(fields)
 
 
 def make_program(role: str, folder: str) -> tuple[Any, dict[str, int]]:
@@ -146,7 +147,7 @@
     def __init__(self, limits: dict) -> None:
         self.limits = Limits(**limits)
 
-    def early(self, scope: dict) -> asyncio.Future | None:
+    def begin_early(self, scope: dict) -> asyncio.Future | None:
         if not scope["path"].startswith("/early"):
             return None
         ready = asyncio.get_running_loop().create_future()
