--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -114,7 +114,7 @@
     return AttemptOutcome.SUCCESS if 200 <= status < 300 else AttemptOutcome.FAILURE
 
 
-def unexpecting(self, *given, expected=None, exchange=Connection.exchange):
+def unexpecting(self, *given, expected_header=None, exchange=Connection.exchange):
     return exchange(self, *given)
 
 
