--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -3,11 +3,11 @@
 
 import asyncio
 import json
-import socket
 from collections import Counter
 from random import Random
 from unittest.mock import patch
 
+from scripted_transport import STEP, ScriptedLoop, ScriptedTransport
 from timeline import config, machine
 from ward import each, test
 
@@ -23,7 +23,6 @@
 from honeywood.gateway.rpc.client import Caller
 from honeywood.gateway.rpc.protocol import HttpProtocol
 from honeywood.gateway.rpc.server import HttpServer
-from honeywood.lab.emulator import world
 from honeywood.lab.emulator.boot import settings
 from honeywood.protocol import http
 from honeywood.transport.buffer import Buffer
@@ -32,7 +31,6 @@
 FULL = b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Try-Id: %s\r\nContent-Length: 0\r\n\r\n"
 CALLED = b'HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n{"n":%d}'
 NOBODYS = b"HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"
-STEP = 0.001  # seconds one way
 TIMEOUT, SPARE = 0.6, ANSWER_EARLY_S
 
 
@@ -40,84 +38,6 @@
     return HEAD % (b"200 OK", id, id[-2:])
 
 
-class Loop(world.Loop):
-    """A clock that jumps; connections go to scripted peers."""
-
-    def __init__(self, peer):
-        super().__init__()
-        self.peer, self.lines = peer, []
-
-    async def create_connection(self, factory, ip, port):
-        await asyncio.sleep(STEP)
-        protocol = factory()
-        self.lines.append(Line(self, protocol, self.peer))
-        protocol.connection_made(self.lines[-1])
-        return self.lines[-1], protocol
-
-
-class Line(asyncio.Transport):
-    """One end's transport; `peer(line, request)` plays the other for each whole request."""
-
-    def __init__(self, loop, protocol, peer=None):
-        super().__init__({"sockname": ("f", 80), "peername": ("c", 1)})
-        self.loop, self.protocol, self.peer = loop, protocol, peer
-        self.got, self.closing, self.most = b"", False, None
-
-    def write(self, data):
-        if self.closing:
-            return
-        if self.most is not None:  # a reset within a request, or right behind it
-            data, self.most = data[: self.most], None
-            self.loop.call_later(STEP, self.reset)
-        self.loop.call_later(STEP, self.arrive, data)
-
-    def arrive(self, data):
-        self.got += data
-        while self.peer is not None:
-            head, end, body = self.got.partition(b"\r\n\r\n")
-            lines = head.lower().split(b"\r\n")
-            if not end:
-                return
-            size = sum(int(line[15:]) for line in lines if line.startswith(b"content-length"))
-            if len(body) < size:
-                return
-            self.got = body[size:]
-            self.peer(self, head + end + body[:size])
-
-    def say(self, data):
-        if data and not self.closing:
-            self.protocol.data_received(data)
-
-    def eof(self):
-        if not self.closing:
-            self.protocol.eof_received()
-            self.close()
-
-    def reset(self):
-        self.end(ConnectionResetError("reset"))
-
-    def close(self):
-        self.end(None)
-
-    abort = close
-
-    def end(self, why):
-        if not self.closing:
-            self.closing = True
-            self.loop.call_soon(self.protocol.connection_lost, why)
-
-    def is_closing(self):
-        return self.closing
-
-    def get_write_buffer_size(self):
-        return 0
-
-    def pause_reading(self):
-        pass
-
-    resume_reading = pause_reading
-
-
 def id_of(request):
     return request.lower().partition(b"x-try-id: ")[2].partition(b"\r\n")[0]
 
@@ -127,7 +47,7 @@
     all others are answered at once, unless `every`."""
 
     def __init__(self, kind="safe", script=None, every=False):
-        self.loop, self.kind, self.script, self.every = Loop(self.serve), kind, script, every
+        self.loop, self.kind, self.script, self.every = ScriptedLoop(self.serve), kind, script, every
         self.still = 0.0  # seconds for which the proxy stood still
         self.still_out = []  # ids refused while a machine had them
         self.method = b"POST"
@@ -458,34 +378,11 @@
     assert status == (200 if method == b"GET" else 502)
 
 
-@test("a kernel that holds {what} unread: the request leaves {leaves}")
-def _(what=each("nothing", "bytes", "the end"), leaves=each(True, False, False)):
-    # What a program that stood still or was busy has not heard of yet isn't taken for the next answer.
-    loop, (one, other) = Loop(None), socket.socketpair()
-    with one, other:
-        line = tcp_stream.TcpStream()
-        line.connection_made(Line(loop, line))
-        line.transport._extra["socket"] = one
-        other.send(b"x") if what == "bytes" else other.shutdown(socket.SHUT_WR) if what == "the end" else None
-
-        async def work():
-            line.begin_exchange()
-            await line.write(b"GET")
-            task = loop.create_task(line.read(1))
-            await asyncio.sleep(STEP)
-            task.cancel()
-            await asyncio.gather(task, return_exceptions=True)
-
-        loop.run_until_complete(work())
-        assert line.sent == leaves
-    loop.close()
-
-
 class Office:
     """A caller and a peer that answers each call with its number; `script(line, id, n)` plays one of them."""
 
     def __init__(self, script=None, at=2):
-        self.loop, self.script, self.at, self.came = Loop(self.serve), script, at, Counter()
+        self.loop, self.script, self.at, self.came = ScriptedLoop(self.serve), script, at, Counter()
         asyncio.set_event_loop(self.loop)
         self.caller = Caller()
 
@@ -569,7 +466,7 @@
 REQUEST = b"%s /p0/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: %s\r\n%sContent-Length: 0\r\n\r\n"
 
 
-class Visitor(Line):
+class Visitor(ScriptedTransport):
     """A client's connection to the proxy's listener."""
 
     def __init__(self, scenario, port=80):
@@ -848,7 +745,7 @@
 
 @test("a request whose only machine accepts no connection before time is up is refused, and never sent after")
 def _():
-    scenario, made = CallScenario("unsafe"), Loop.create_connection
+    scenario, made = CallScenario("unsafe"), ScriptedLoop.create_connection
 
     async def late(factory, ip, port):
         await asyncio.sleep(0.2)
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -6,7 +6,6 @@
 from ward import each, raises, test
 
 from honeywood.gateway.metrics import Figures, port_of, render
-from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
 
 
 async def read_page(ip, port, path):
@@ -51,27 +50,6 @@
     assert ended.raised.code == 2
 
 
-@test("a disconnect is notified once to each listener, at once to a later one, not to one that unsubscribed")
-def _():
-    heard, disconnect = [], ClientDisconnect()
-    disconnect.subscribe(lambda: heard.append("a"))
-    disconnect.subscribe(gone := lambda: heard.append("b"))
-    disconnect.unsubscribe(gone)
-    disconnect.notify(1.0)
-    disconnect.notify(2.0)
-    disconnect.subscribe(lambda: heard.append("c"))
-    assert heard == ["a", "c"] and disconnect.disconnected_at == 1.0
-
-
-@test("a disconnect that was not read is found by its probe")
-def _():
-    left = []
-    disconnect = ClientDisconnect(lambda: bool(left))
-    assert not disconnect.check(1.0)
-    left.append(True)
-    assert not disconnect.happened and disconnect.check(2.0) and disconnect.disconnected_at == 2.0
-
-
 @test("a proxy tells its figures at its metrics address only, and does without where that is taken")
 def _():
     async def work():
