--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -1,5 +1,5 @@
-"""Requests and our own calls cut at every byte and at every step of the loop: real proxies, callers and
-connections between scripted peers, on a clock that jumps. What must hold is in `CallScenario.broken`."""
+"""Requests cut at every byte and at every step of the loop: real proxies and connections between scripted
+peers, on a clock that jumps. What must hold is in `CallScenario.broken`."""
 
 import asyncio
 import json
@@ -20,7 +20,6 @@
 from honeywood.gateway.routing.outcomes import PROMISES, AttemptOutcome, classify
 from honeywood.gateway.rpc import connection
 from honeywood.gateway.rpc import tcp_stream
-from honeywood.gateway.rpc.client import Caller
 from honeywood.gateway.rpc.protocol import HttpProtocol
 from honeywood.gateway.rpc.server import HttpServer
 from honeywood.lab.emulator.boot import settings
@@ -29,7 +28,6 @@
 
 HEAD = b"HTTP/1.1 %s\r\nX-Try-Id: %s\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\n%s"
 FULL = b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Try-Id: %s\r\nContent-Length: 0\r\n\r\n"
-CALLED = b'HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n{"n":%d}'
 NOBODYS = b"HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"
 TIMEOUT, SPARE = 0.6, ANSWER_EARLY_S
 
@@ -378,91 +376,6 @@
     assert status == (200 if method == b"GET" else 502)
 
 
-class Office:
-    """A caller and a peer that answers each call with its number; `script(line, id, n)` plays one of them."""
-
-    def __init__(self, script=None, at=2):
-        self.loop, self.script, self.at, self.came = ScriptedLoop(self.serve), script, at, Counter()
-        asyncio.set_event_loop(self.loop)
-        self.caller = Caller()
-
-    def serve(self, line, request):
-        n = json.loads(request.rpartition(b"\r\n\r\n")[2])["n"]
-        self.came[n] += 1
-        id = b"X-Call-Id: %s\r\n" % request.lower().partition(b"x-call-id: ")[2].partition(b"\r\n")[0]
-        script = self.script if n == self.at and self.came[n] == 1 else None
-        whole = CALLED % (id, 6 + len(str(n)), n)
-        self.loop.call_later(STEP, *((script, line, whole, id) if script else (line.say, whole)))
-
-    async def call(self, n, again):
-        return await self.caller.call("b", 7000, "/p", {"n": n}, 0.5, again)
-
-    def play(self, again, between=0.0, cancel=None):
-        """Three calls, the second cancelled after `cancel` seconds; what doesn't hold."""
-        told = {}
-
-        async def work():
-            for n in (1, 2, 3):
-                task = self.loop.create_task(self.call(n, again))
-                if n == 2 and cancel is not None:
-                    await asyncio.sleep(cancel)
-                    task.cancel()
-                told[n] = (await asyncio.gather(task, return_exceptions=True))[0]
-                await asyncio.sleep(between)
-            await asyncio.sleep(1.0)
-
-        self.loop.run_until_complete(work())
-        self.loop.close()
-        kept = sum(one.reusable for ones in self.caller.idle.values() for one in ones)
-        wrong = [n for n, reply in told.items() if getattr(reply, "ok", False) and reply.value != {"n": n}]
-        wrong += [] if told[3].ok else ["the next got no answer"]
-        wrong += [] if again else [f"{n} twice" for n, came in self.came.items() if came > 1]
-        open_now = sum(not line.closing for line in self.loop.lines)
-        return wrong + ([] if open_now == kept else [f"{open_now} connections, {kept} kept"]), told
-
-
-@test("a call of ours, repeatable: {again}, whose answer is cut at any byte gets its own or none")
-def _(again=each(True, False)):
-    whole = CALLED % (b"X-Call-Id: 0123456789ab-2\r\n", 7, 2)
-    for n in range(len(whole)):
-        for how in ("eof", "reset", None):
-
-            def script(line, whole, id, n=n, how=how):
-                line.say(whole[:n])
-                how and line.loop.call_later(STEP, getattr(line, how))
-
-            office = Office(script)
-            wrong, told = office.play(again)
-            assert not wrong and told[2].ok == (again and how is not None), (n, how, wrong)
-            assert office.came[2] == 1 + (again and how is not None)
-
-
-@test("an answer with {what} ends the connection and is none")
-def _(what=each("no id", "another call's id", "its id, of another call before")):
-    ids = {"no id": b"", "another call's id": b"X-Call-Id: 1-1\r\n"}
-
-    def script(line, whole, id):
-        early = CALLED % (ids.get(what, b"X-Call-Id: 0-1\r\n"), 7, 1)
-        line.say(early + whole)
-
-    office = Office(script)
-    wrong, told = office.play(True)
-    assert not wrong and not told[2].ok and office.came[2] == 1 and len(office.loop.lines) == 2
-
-
-@test("a call that is given up at any moment leaves no connection on which its answer could meet another")
-def _():
-    for quarter in range(0, 16):
-        for late in range(0, 4):
-
-            def script(line, whole, id, late=late):
-                line.say(whole[: late * 10])
-                line.loop.call_later(late * STEP, line.say, whole[late * 10 :])
-
-            wrong, _ = Office(script).play(False, cancel=quarter * STEP / 4)
-            assert not wrong, (quarter, late, wrong)
-
-
 REQUEST = b"%s /p0/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: %s\r\n%sContent-Length: 0\r\n\r\n"
 
 
