--- /dev/null
+++ b/tests/gateway/rpc/test_protocol.py
@@ -0,0 +1,94 @@
+"""rpc/protocol.py under a real proxy: pipelining, closing, idle connections, call ids."""
+
+from call_scenario import REQUEST, CallScenario, ScriptedClient, good
+from scripted_transport import STEP
+from ward import each, test
+
+from honeywood.gateway.configuration.config import Limits
+
+
+@test("pipelined requests, split at any byte, are answered in order, each with its own response")
+def _():
+    requests = b"".join(REQUEST % (b"GET", id, b"") for id in (b"a1", b"a2", b"a3"))
+    for n in range(0, len(requests), 2):
+        scenario = CallScenario()
+        client = ScriptedClient(scenario)
+        scenario.loop.call_soon(client.say, requests[:n])
+        scenario.loop.call_later(2.5 * STEP, client.say, requests[n:])
+        client.run(1.0)
+        assert client.ids == [b"a1", b"a2", b"a3"] and client.out.count(b"200 OK") == 3
+        assert all(b"\r\n\r\n" + id in client.out for id in client.ids)
+        assert set(scenario.ran.values()) == {1}
+
+
+@test("what stands behind a response that closes the connection, {why}, has not run")
+def _(why=each("as the client wishes", "as the proxy stops", "as the proxy stops, idempotent")):
+    scenario = CallScenario("safe" if "idempotent" in why else "unsafe")
+    client, method = ScriptedClient(scenario), b"GET" if "idempotent" in why else b"POST"
+    if "proxy" in why:
+        scenario.proxy.stopping.set()
+    close = b"" if "proxy" in why else b"Connection: close\r\n"
+    scenario.loop.call_soon(client.say, REQUEST % (method, b"a1", close) + REQUEST % (method, b"a2", b""))
+    client.run(1.0)
+    assert client.ids == [b"a1"] and scenario.ran == {b"a1": 1} and client.closing
+
+
+@test("requests begun behind another when the proxy stops, {how}, are answered before the connection ends")
+def _(how=each("signalled", "and closes its listeners")):
+    # The response in front said `connection: close`: what stood behind it was at endpoints by then, and was cut.
+    def slowly(transport, id):
+        transport.loop.call_later(0.1, transport.say, good(id))
+
+    scenario = CallScenario(script=slowly)
+    client = ScriptedClient(scenario)
+    requests = b"".join(REQUEST % (b"GET", id, b"") for id in (b"a1", b"a2", b"a3"))
+    scenario.loop.call_soon(client.say, requests)
+    client.run(0.05)
+    scenario.proxy.stopping.set()
+    if "closes" in how:
+        client.protocol.shutdown()
+    client.say(REQUEST % (b"GET", b"a4", b""))
+    client.run(1.0)
+    assert client.ids == [b"a1", b"a2", b"a3"] and client.closing
+    assert scenario.ran == {b"a1": 1, b"a2": 1, b"a3": 1}
+
+
+@test("idle_s {before}, then {after}: an idle connection is open after {at} s: {is_open}")
+def _(
+    before=each(5, 5, 5, 5, 15, 15),
+    after=each(5, 5, 15, 15, 5, 5),
+    at=each(4.9, 5.2, 14.8, 15.2, 14.8, 15.2),
+    is_open=each(True, False, True, False, True, False),
+):
+    # Clients take up connections after four fifths of idle_s, of the old or the new configuration's.
+    scenario = CallScenario()
+    scenario.proxy.limits = Limits(idle_s=before)
+    client = ScriptedClient(scenario)
+    client.say(REQUEST % (b"GET", b"a1", b""))
+    client.run(1.0)
+    scenario.proxy.limits = Limits(idle_s=after)
+    assert client.run(at).closing != is_open
+
+
+@test("a request that came while the proxy was suspended is read before its connection is ended as idle")
+def _():
+    scenario = CallScenario()
+    scenario.proxy.limits = Limits(idle_s=5)
+    client = ScriptedClient(scenario)
+    client.say(REQUEST % (b"GET", b"a1", b""))
+
+    def suspend():
+        scenario.loop.now += 3.0  # what came is read first, then all timers are due
+        client.say(REQUEST % (b"GET", b"a2", b""))
+
+    scenario.loop.call_at(4.0, suspend)
+    assert client.run(9.0).ids == [b"a1", b"a2"] and not client.closing
+
+
+@test("each response to a call between programs repeats its id, a rejection too")
+def _():
+    client = ScriptedClient(CallScenario(), port=7000)
+    client.say(b"POST /news HTTP/1.1\r\nHost: f\r\nX-Call-Id: c-1\r\nContent-Length: 2\r\n\r\n{}")
+    client.say(b"GET /else HTTP/1.1\r\nHost: f\r\nX-Call-Id: c-2\r\n\r\n")
+    out = client.run(1.0).out
+    assert out.startswith(b"HTTP/1.1 400") and out.index(b"x-call-id: c-1") < out.index(b"x-call-id: c-2")
--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -4,122 +4,31 @@
 import asyncio
 import json
 from collections import Counter
-from random import Random
 from unittest.mock import patch
 
-from scripted_transport import STEP, ScriptedLoop, ScriptedTransport
+from call_scenario import (
+    FULL,
+    HEAD,
+    NOBODYS,
+    REQUEST,
+    SPARE,
+    TIMEOUT,
+    CallScenario,
+    ScriptedClient,
+    good,
+)
+from scripted_transport import STEP, ScriptedLoop
 from timeline import config, machine
 from ward import each, test
 
-from honeywood.gateway.configuration.config import Limits
 from honeywood.gateway.proxy import responses, sender
-from honeywood.gateway.proxy.forwarding import ANSWER_EARLY_S, ClientRequest
-from honeywood.gateway.proxy.program import Proxy
 from honeywood.gateway.proxy.sender import LATE_ANSWER_S
 from honeywood.gateway.routing.attempts import PendingRequest
-from honeywood.gateway.routing.outcomes import PROMISES, AttemptOutcome, classify
-from honeywood.gateway.rpc import connection
-from honeywood.gateway.rpc import tcp_stream
-from honeywood.gateway.rpc.protocol import HttpProtocol
-from honeywood.gateway.rpc.server import HttpServer
-from honeywood.lab.emulator.boot import settings
+from honeywood.gateway.routing.outcomes import AttemptOutcome, classify
+from honeywood.gateway.rpc import connection, tcp_stream
 from honeywood.protocol import http
 from honeywood.transport.buffer import Buffer
 
-HEAD = b"HTTP/1.1 %s\r\nX-Try-Id: %s\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\n%s"
-FULL = b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Try-Id: %s\r\nContent-Length: 0\r\n\r\n"
-NOBODYS = b"HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"
-TIMEOUT, SPARE = 0.6, ANSWER_EARLY_S
-
-
-def good(id):
-    return HEAD % (b"200 OK", id, id[-2:])
-
-
-def id_of(request):
-    return request.lower().partition(b"x-try-id: ")[2].partition(b"\r\n")[0]
-
-
-class CallScenario:
-    """A proxy with a route of one `kind` and machines m and n; `script(line, id)` plays the first arrival,
-    all others are answered at once, unless `every`."""
-
-    def __init__(self, kind="safe", script=None, every=False):
-        self.loop, self.kind, self.script, self.every = ScriptedLoop(self.serve), kind, script, every
-        self.still = 0.0  # seconds for which the proxy stood still
-        self.still_out = []  # ids refused while a machine had them
-        self.method = b"POST"
-        self.served = False  # whether nothing keeps a request from being served
-        asyncio.set_event_loop(self.loop)
-        quiet = type("Quiet", (Proxy,), {"say": lambda *said, **more: None})
-        given = settings("f", bear=0), None, self.loop.time, self.loop.time
-        self.proxy, self.ran, self.answers = quiet(*given, random=Random(1)), Counter(), {}
-        self.proxy.hear("config", json.dumps(config(5, kind=kind)))
-        for id in "mn":
-            self.proxy.hear(f"machine/{id}", machine(id))
-
-    def serve(self, line, request):
-        id = id_of(request)
-        self.ran[id] += 1
-        script, self.script = self.script, self.script if self.every else None
-        if script is not None:
-            script(line, id)
-        else:
-            line.loop.call_later(STEP, line.say, good(id))
-
-    async def ask(self, id):
-        """One request of a client on its own."""
-        proxy = self.proxy
-        fields = {b"host": b"h.example", b"x-try-id": id}
-        route = proxy.table.find(b"h.example", b"/p0/x")
-        began = self.loop.time()
-        request = ClientRequest(self.method, b"/p0/x", list(fields.items()), fields, b"body")
-        answer = await proxy.forwarder.forward(route, request)
-        self.answers[id] = answer.status, answer.body, self.loop.time() - began
-        at_work = sum(one.in_flight - one.connecting for one in proxy.endpoints.by_id.values())
-        if answer.status in PROMISES and at_work:  # one that is still being dialled gets nothing any more
-            self.still_out.append(id)
-        return answer.status
-
-    def play(self, *ids, every=0.0):
-        """The requests one after the other, then three seconds in which nothing may come of them."""
-
-        async def work():
-            for id in ids:
-                await self.ask(id)
-                await asyncio.sleep(every)
-            await asyncio.sleep(3.0)
-            await self.proxy.tidy()
-            await asyncio.sleep(STEP)
-
-        self.loop.run_until_complete(work())
-        broken = self.broken()
-        self.loop.close()
-        return broken
-
-    def broken(self):
-        """What doesn't hold of TWICE, MIXED, REFUSED, and of what was given up."""
-        self.proxy.invariants.look(self.loop.time())
-        found = [f"{count} x {what}" for what, count in self.proxy.invariants.violations.items()]
-        for id, (status, body, took) in self.answers.items():
-            if self.kind == "unsafe" and self.ran[id] > 1:
-                found.append(f"{id} ran {self.ran[id]} times")
-            if self.served and (status != 200 or self.ran[id] != 1):
-                found.append(f"{id} got {status} though nothing of it was lost")
-            if status == 200 and body != id[-2:]:
-                found.append(f"{id} got {body}")
-            if status in PROMISES and self.ran[id]:
-                found.append(f"{id} was refused and ran")
-            if id in self.still_out:
-                found.append(f"{id} was refused with a machine at work")
-            if took > max(TIMEOUT, self.still + 3 * STEP) + 0.001:
-                found.append(f"{id} was held for {took}")
-        for held in self.proxy.endpoints.by_id.values():
-            kept = sum(one.reusable for one in held.idle_connections)
-            if held.in_flight or held.connecting or held.connected != kept:
-                found.append(f"{held.id}: {held.in_flight} open, {held.connected} connections, {kept} kept")
-        return found
-
 
 def cuts(whole, kind):
     """An answer cut at every byte by an end, a reset or silence; the same on a kept connection."""
@@ -376,47 +285,6 @@
     assert status == (200 if method == b"GET" else 502)
 
 
-REQUEST = b"%s /p0/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: %s\r\n%sContent-Length: 0\r\n\r\n"
-
-
-class Visitor(ScriptedTransport):
-    """A client's connection to the proxy's listener."""
-
-    def __init__(self, scenario, port=80):
-        self.out, listening = b"", HttpServer(scenario.proxy.app)
-        self.server, uvicorn_server = listening, listening.uvicorn_server
-        uvicorn_server.config.load()
-        door = HttpProtocol(uvicorn_server.config, uvicorn_server.server_state, {}, scenario.loop)
-        super().__init__(scenario.loop, door)
-        self._extra["sockname"] = ("f", port)
-        door.connection_made(self)
-
-    def write(self, data):
-        self.out += b"" if self.closing else data
-
-    def run(self, until):
-        self.loop.run_until_complete(asyncio.sleep(until - self.loop.time()))
-        return self
-
-    @property
-    def ids(self):
-        return [part.partition(b"\r\n")[0] for part in self.out.lower().split(b"x-try-id: ")[1:]]
-
-
-@test("requests behind one another, split at any byte, are answered in order, each with its own")
-def _():
-    whole = b"".join(REQUEST % (b"GET", id, b"") for id in (b"a1", b"a2", b"a3"))
-    for n in range(0, len(whole), 2):
-        scenario = CallScenario()
-        visitor = Visitor(scenario)
-        scenario.loop.call_soon(visitor.say, whole[:n])
-        scenario.loop.call_later(2.5 * STEP, visitor.say, whole[n:])
-        visitor.run(1.0)
-        assert visitor.ids == [b"a1", b"a2", b"a3"] and visitor.out.count(b"200 OK") == 3
-        assert all(b"\r\n\r\n" + id in visitor.out for id in visitor.ids)
-        assert set(scenario.ran.values()) == {1}
-
-
 @test("a client that leaves at any byte: what it had not sent whole never runs, and nothing goes out twice")
 def _():
     whole = b"".join(REQUEST % (b"POST", id, b"") for id in (b"a1", b"a2"))
@@ -427,72 +295,22 @@
                 line.loop.call_later(4 * STEP, line.say, FULL % id)
 
             scenario = CallScenario(kind, refuse, every=True)
-            visitor = Visitor(scenario)
-            scenario.loop.call_soon(visitor.say, whole[:n])
-            scenario.loop.call_later(3 * STEP, visitor.close)
-            visitor.run(3.0)
+            client = ScriptedClient(scenario)
+            scenario.loop.call_soon(client.say, whole[:n])
+            scenario.loop.call_later(3 * STEP, client.close)
+            client.run(3.0)
             assert scenario.ran == Counter({b"a1": 1} if n >= len(whole) // 2 else {})
             assert not scenario.broken()
 
 
-@test("what stands behind an answer that closes, {why}, has not run")
-def _(why=each("as the client wishes", "as the proxy stops", "as the proxy stops, repeatable")):
-    scenario = CallScenario("safe" if "repeatable" in why else "unsafe")
-    visitor, method = Visitor(scenario), b"GET" if "repeatable" in why else b"POST"
-    if "proxy" in why:
-        scenario.proxy.stopping.set()
-    close = b"" if "proxy" in why else b"Connection: close\r\n"
-    scenario.loop.call_soon(visitor.say, REQUEST % (method, b"a1", close) + REQUEST % (method, b"a2", b""))
-    visitor.run(1.0)
-    assert visitor.ids == [b"a1"] and scenario.ran == {b"a1": 1} and visitor.closing
-
-
-@test("requests at work behind another when the proxy stops, {how}, are answered before the connection ends")
-def _(how=each("told so", "and closes its listening")):
-    # The answer in front said `connection: close`: what stood behind it was at machines by then, and was cut.
-    def slowly(line, id):
-        line.loop.call_later(0.1, line.say, good(id))
-
-    scenario = CallScenario(script=slowly)
-    visitor = Visitor(scenario)
-    whole = b"".join(REQUEST % (b"GET", id, b"") for id in (b"a1", b"a2", b"a3"))
-    scenario.loop.call_soon(visitor.say, whole)
-    visitor.run(0.05)
-    scenario.proxy.stopping.set()
-    if "closes" in how:
-        visitor.protocol.shutdown()
-    visitor.say(REQUEST % (b"GET", b"a4", b""))
-    visitor.run(1.0)
-    assert visitor.ids == [b"a1", b"a2", b"a3"] and visitor.closing
-    assert scenario.ran == {b"a1": 1, b"a2": 1, b"a3": 1}
-
-
-@test("a proxy that stops while an answer is still leaving ends once it has left, and waits no longer")
-def _():
-    # LOST: an answer of up to 256 KB is handed over whole; its tail went with the process that ended.
-    scenario = CallScenario()
-    visitor = Visitor(scenario)
-    server, unsent = visitor.server, [b"tail"]
-    visitor.close = lambda: None if unsent else Visitor.abort(visitor)  # asyncio closes once all has left
-    visitor.say(REQUEST % (b"GET", b"a1", b"Connection: close\r\n"))
-    visitor.run(0.1)
-    done = scenario.loop.create_task(server.close(5.0))
-    visitor.run(1.0)
-    assert visitor.ids == [b"a1"] and not done.done()
-    unsent.clear()
-    visitor.close()
-    visitor.run(1.1)
-    assert done.done()
-
-
 @test("a request with a body that stands behind another is held no longer than its route's time")
 def _():
     # A second one's time began when the first had been answered: it was held for twice timeout_s.
     scenario = CallScenario(script=lambda line, id: None, every=True)
-    visitor = Visitor(scenario)
+    client = ScriptedClient(scenario)
     body = b"POST /p0/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: %s\r\nContent-Length: 2\r\n\r\nok"
-    visitor.say(body % b"a1" + body % b"a2")
-    assert visitor.run(TIMEOUT + 0.2).out.count(b"HTTP/1.1 ") == 2
+    client.say(body % b"a1" + body % b"a2")
+    assert client.run(TIMEOUT + 0.2).out.count(b"HTTP/1.1 ") == 2
     assert b"a2" not in scenario.ran
 
 
@@ -503,10 +321,10 @@
         for n in range(20):
             line.loop.call_later(n / 10, line.say, b"x" * 100)
 
-    visitor = Visitor(CallScenario(script=trickle, every=True))
-    visitor.say(REQUEST % (b"GET", b"a1", b""))
-    assert not visitor.run(TIMEOUT - 0.1).closing and len(visitor.out) > 300_000
-    assert visitor.run(TIMEOUT + 0.25).closing and len(visitor.out) < 900_000
+    client = ScriptedClient(CallScenario(script=trickle, every=True))
+    client.say(REQUEST % (b"GET", b"a1", b""))
+    assert not client.run(TIMEOUT - 0.1).closing and len(client.out) > 300_000
+    assert client.run(TIMEOUT + 0.25).closing and len(client.out) < 900_000
 
 
 @test("a failure keeps its machine's status and seal, or bears neither: {status}, {kind}")
@@ -519,9 +337,9 @@
         line.say(HEAD % (status + b" No", id, b"no"))
 
     scenario = CallScenario(kind, fail, every=True)
-    visitor = Visitor(scenario)
-    visitor.say(REQUEST % (b"POST", b"a1", b""))
-    out = visitor.run(1.0).out
+    client = ScriptedClient(scenario)
+    client.say(REQUEST % (b"POST", b"a1", b""))
+    out = client.run(1.0).out
     assert out.startswith(b"HTTP/1.1 %s" % status) if b"x-seal" in out else out[9:12] in (b"502", b"503")
 
 
@@ -550,47 +368,6 @@
     assert len(reached) == 3 and max(len(lines) for lines in reached.values()) <= 2
 
 
-@test("idle_s {before}, then {after}: a connection that rests is there after {at} s: {there}")
-def _(
-    before=each(5, 5, 5, 5, 15, 15),
-    after=each(5, 5, 15, 15, 5, 5),
-    at=each(4.9, 5.2, 14.8, 15.2, 14.8, 15.2),
-    there=each(True, False, True, False, True, False),
-):
-    # Clients take up connections after four fifths of idle_s, of the old or the new configuration's.
-    scenario = CallScenario()
-    scenario.proxy.limits = Limits(idle_s=before)
-    visitor = Visitor(scenario)
-    visitor.say(REQUEST % (b"GET", b"a1", b""))
-    visitor.run(1.0)
-    scenario.proxy.limits = Limits(idle_s=after)
-    assert visitor.run(at).closing != there
-
-
-@test("a request that came while the proxy stood still is heard before its connection is ended as idle")
-def _():
-    scenario = CallScenario()
-    scenario.proxy.limits = Limits(idle_s=5)
-    visitor = Visitor(scenario)
-    visitor.say(REQUEST % (b"GET", b"a1", b""))
-
-    def still():
-        scenario.loop.now += 3.0  # what came is heard first, then all timers are due
-        visitor.say(REQUEST % (b"GET", b"a2", b""))
-
-    scenario.loop.call_at(4.0, still)
-    assert visitor.run(9.0).ids == [b"a1", b"a2"] and not visitor.closing
-
-
-@test("each answer to one of our calls repeats its id, a refusal too")
-def _():
-    visitor = Visitor(CallScenario(), port=7000)
-    visitor.say(b"POST /news HTTP/1.1\r\nHost: f\r\nX-Call-Id: c-1\r\nContent-Length: 2\r\n\r\n{}")
-    visitor.say(b"GET /else HTTP/1.1\r\nHost: f\r\nX-Call-Id: c-2\r\n\r\n")
-    out = visitor.run(1.0).out
-    assert out.startswith(b"HTTP/1.1 400") and out.index(b"x-call-id: c-1") < out.index(b"x-call-id: c-2")
-
-
 @test("the old program's reader, fed in two parts cut at any byte, takes one message and nothing of the next")
 def _():
     one = {
