--- a/tests/gateway/rpc/test_protocol.py
+++ b/tests/gateway/rpc/test_protocol.py
@@ -35,7 +35,7 @@
 
 @test("requests begun behind another when the proxy stops, {how}, are answered before the connection ends")
 def _(how=each("signalled", "and closes its listeners")):
-    # The response in front said `connection: close`: what stood behind it was at endpoints by then, and was cut.
+    # The response in front closed the connection: what stood behind it was at endpoints, and was cut off.
     def slowly(transport, id):
         transport.loop.call_later(0.1, transport.say, good(id))
 
