--- a/honeywood/gateway/rpc/reply.py
+++ b/honeywood/gateway/rpc/reply.py
@@ -41,7 +41,7 @@
             self._connection.close()
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class Reply:
     """A complete response, or with `remainder` the start of a long one.
 
@@ -56,7 +56,7 @@
     surplus: bool = False  # it answers another request; `Connection.read_on` may find the right response
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class ExchangeFailure:
     """No complete response came.
 
--- a/honeywood/lab/emulator/machines.py
+++ b/honeywood/lab/emulator/machines.py
@@ -2,7 +2,7 @@
 
 import asyncio
 from contextvars import Context
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 
 import httpcore
 
@@ -145,7 +145,7 @@
         if work.done() and not work.cancelled() and work.result() is not None:
             self.idle_since, reply = loop.time(), work.result()
             if expected is not None and reply.fields.get(expected[0], expected[1]) != expected[1]:
-                reply.surplus, self.reusable = True, False
+                reply, self.reusable = replace(reply, surplus=True), False
             return reply
         late = not work.done() and not self.broke.done()
         self.close()
