--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -6,7 +6,7 @@
 import httpcore
 
 from honeywood.gateway.configuration.check import read_json
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH
 from honeywood.gateway.proxy.forwarding import ClientRequest
@@ -157,7 +157,7 @@
                 return await send_response(send, BODY_TOO_LONG)
             disconnect = scope[CONTEXT].disconnect
             found = await self.hear(raw, peer, lambda: disconnect.happened)
-        except Wrong as wrong:
+        except GatewayError as wrong:
             return await send_response(send, BAD_REQUEST, (), str(wrong).encode())
         await send_response(
             send,
--- a/tests/gateway/rpc/test_client.py
+++ b/tests/gateway/rpc/test_client.py
@@ -7,6 +7,7 @@
 from scripted_transport import STEP, ScriptedLoop
 from ward import each, test
 
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.rpc.client import Caller
 
 RESPONSE = b'HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n{"n":%d}'
@@ -51,8 +52,8 @@
         self.loop.run_until_complete(work())
         self.loop.close()
         kept = sum(one.reusable for ones in self.caller.idle.values() for one in ones)
-        wrong = [n for n, reply in results.items() if getattr(reply, "ok", False) and reply.value != {"n": n}]
-        wrong += [] if results[3].ok else ["the next got no answer"]
+        wrong = [n for n, reply in results.items() if isinstance(reply, dict) and reply != {"n": n}]
+        wrong += [] if isinstance(results[3], dict) else ["the next got no answer"]
         wrong += [] if idempotent else [f"{n} twice" for n, came in self.received.items() if came > 1]
         open_now = sum(not transport.closing for transport in self.loop.lines)
         return wrong + ([] if open_now == kept else [f"{open_now} connections, {kept} kept"]), results
@@ -70,7 +71,8 @@
 
             scenario = CallerScenario(script)
             wrong, results = scenario.play(idempotent)
-            assert not wrong and results[2].ok == (idempotent and ending is not None), (n, ending, wrong)
+            answered = isinstance(results[2], dict)
+            assert not wrong and answered == (idempotent and ending is not None), (n, ending, wrong)
             assert scenario.received[2] == 1 + (idempotent and ending is not None)
 
 
@@ -84,7 +86,8 @@
 
     scenario = CallerScenario(script)
     wrong, results = scenario.play(True)
-    assert not wrong and not results[2].ok and scenario.received[2] == 1 and len(scenario.loop.lines) == 2
+    assert not wrong and isinstance(results[2], GatewayError)
+    assert scenario.received[2] == 1 and len(scenario.loop.lines) == 2
 
 
 @test("a call that is cancelled at any moment leaves no connection on which its response could meet another")
