--- a/honeywood/lab/emulator/loopback.py
+++ b/honeywood/lab/emulator/loopback.py
@@ -13,7 +13,8 @@
 
 from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.rpc.client import Caller
-from honeywood.gateway.rpc.connection import ExchangeFailed, Connection
+from honeywood.gateway.rpc.connection import Connection
+from honeywood.gateway.rpc.reply import ExchangeFailure
 from honeywood.gateway.rpc.statuses import INTERNAL_ERROR, status_of
 from honeywood.lab.emulator.boot import boot
 from honeywood.standins.sorting import Machine
@@ -110,7 +111,7 @@
         link.close()
         return (
             "broken off"
-            if isinstance(reply, ExchangeFailed)
+            if isinstance(reply, ExchangeFailure)
             else f"{reply.status} by {reply.body.decode()[:2]}"
         )
 
