--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -163,7 +163,7 @@
             machines=dict(states),
             fronts=len(self.fleet.proxies),
             told=dict(self.publisher.told),
-            called=dict(self.caller.carried),
+            called=dict(self.caller.bytes_by_path),
             joined=self.in_quorum,
             sound=self.register.sound,
             disk=self.disk_state().value,
--- a/honeywood/gateway/dissemination/subscriber.py
+++ b/honeywood/gateway/dissemination/subscriber.py
@@ -46,7 +46,7 @@
         body = self._ask(ip, port, hold_s).encode()
         loop = asyncio.get_running_loop()
         try:
-            reply = await self.caller.call(ip, port, PATH, body, hold_s + MARGIN_S, again=True)
+            reply = await self.caller.call(ip, port, PATH, body, hold_s + MARGIN_S, idempotent=True)
             answer = Answer.decode(reply, ip)
         except GatewayError as error:
             self.backoff.silent(ip, loop.time())
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -247,7 +247,7 @@
             machines=len(endpoints),
             fronts=self.fronts(),
             told=dict(self.publisher.told),
-            called=dict(self.caller.carried),
+            called=dict(self.caller.bytes_by_path),
             ready=self.ready,
         )
 
--- a/honeywood/gateway/register/paging.py
+++ b/honeywood/gateway/register/paging.py
@@ -24,25 +24,25 @@
     def __init__(self, caller):
         self.caller, self.hearer, self.calls = caller, PartReceiver(), 0
 
-    async def call(self, ip, port, path, body, within, again=False):
+    async def call(self, ip, port, path, body, within, idempotent=False):
         """The whole answer; raises CallFailed where not all of it came in time."""
         if body.get("step") not in LONG:
-            return await self.caller.call(ip, port, path, body, within, again=again)
+            return await self.caller.call(ip, port, path, body, within, idempotent=idempotent)
         self.calls += 1
         key = _question(ip, body) if body["step"] == "pull" else self.calls
         try:
-            return await self._parts(key, ip, port, path, body, within, again)
+            return await self._parts(key, ip, port, path, body, within, idempotent)
         finally:
             if body["step"] != "pull":
                 self.hearer.open.pop(key, None)
 
-    async def _parts(self, key, ip, port, path, body, within, again):
+    async def _parts(self, key, ip, port, path, body, within, idempotent):
         loop = asyncio.get_running_loop()
         until = loop.time() + max(MOST, within)
         while (left := until - loop.time()) > 0:
             have = self.hearer.have(key)
             asked, step = {**body, HAVE: have}, min(STEP, within, left)
-            reply = await self.caller.call(ip, port, path, asked, step, again=again)
+            reply = await self.caller.call(ip, port, path, asked, step, idempotent=idempotent)
             whole = self.hearer.take(key, reply, ip)
             if whole is not None:
                 return whole
--- a/honeywood/gateway/register/peers.py
+++ b/honeywood/gateway/register/peers.py
@@ -24,7 +24,7 @@
             if ip == self.settings.ip:
                 return Done(await self.serve(request, ip))
             body, port = encode_request(request), self.settings.controller_port
-            reply = await self.caller.call(ip, port, PATH, body, within, again=True)
+            reply = await self.caller.call(ip, port, PATH, body, within, idempotent=True)
             return Done(decode_reply(request, reply, ip))
         except GatewayError as error:
             return failed_by(error)
--- a/honeywood/gateway/rpc/client.py
+++ b/honeywood/gateway/rpc/client.py
@@ -25,32 +25,32 @@
 
 
 class Caller:
-    """Keeps a few connections to each peer; `carried` counts bytes asked and answered by path."""
+    """Keeps a few connections to each peer; `bytes_by_path` counts bytes asked and answered by path."""
 
     def __init__(self):
         """A caller with a name of its own, which its calls' ids begin with."""
         self.idle, self.name, self.numbers = {}, os.urandom(6).hex(), count(1)
-        self.carried = Counter()
+        self.bytes_by_path = Counter()
 
-    async def call(self, ip, port, path, body, within, again=False):
+    async def call(self, ip, port, path, body, within, idempotent=False):
         """The answer's object, after `within` seconds at the most. Raises CallFailed, CallRefused or
         InvalidInput.
 
-        `again` is the call's word that it may be made twice: if a kept connection ends before its answer, it
+        `idempotent` is the call's word that it may be made twice: if a kept connection ends before its answer, it
         is made once more on another. A call that doesn't say so is made again only where nothing of it left.
         """
         until, peer = asyncio.get_running_loop().time() + within, f"{ip}:{port}"
         raw = json.dumps(body, separators=(",", ":")).encode()
         id = b"%s-%d" % (self.name.encode(), next(self.numbers))
         headers = [(b"host", peer.encode()), (CALL_ID, id), (b"content-length", str(len(raw)).encode())]
-        self.carried[f"{path} asked"] += len(raw)
+        self.bytes_by_path[f"{path} asked"] += len(raw)
         try:
-            connection, reply = await self._exchange((ip, port), path, headers, raw, until, again)
+            connection, reply = await self._exchange((ip, port), path, headers, raw, until, idempotent)
         except (httpcore.ConnectError, httpcore.ConnectTimeout) as error:
             raise CallFailed(path, f"{type(error).__name__}: {error}", peer) from None
         if isinstance(reply, ExchangeFailure):
             raise CallFailed(path, reply.reason, peer)
-        self.carried[f"{path} answered"] += len(reply.body)
+        self.bytes_by_path[f"{path} answered"] += len(reply.body)
         if reply.fields.get(CALL_ID) != id or reply.remainder is not None:
             connection.close()
             raise CallFailed(path, "no answer to this call, or one too long", peer)
@@ -58,7 +58,7 @@
             self.idle[ip, port].append(connection)
         return _object_of(reply, path, peer)
 
-    async def _exchange(self, place, path, headers, raw, until, again):
+    async def _exchange(self, place, path, headers, raw, until, idempotent):
         """(connection, Reply or ExchangeFailed), over a kept connection or a new one."""
         loop = asyncio.get_running_loop()
         while True:
@@ -68,7 +68,7 @@
                 within_s = max(LEAST_S, min(CONNECT_S, until - loop.time()))
                 connection = await Connection.open(*place, within_s)
             reply = await connection.exchange(b"POST", path.encode(), headers, raw, until, ANSWER_MOST)
-            if not (kept and isinstance(reply, ExchangeFailure) and (again or not reply.sent)):
+            if not (kept and isinstance(reply, ExchangeFailure) and (idempotent or not reply.sent)):
                 return connection, reply
             if reply.timed_out or loop.time() >= until:
                 return connection, reply
--- a/honeywood/lab/emulator/network.py
+++ b/honeywood/lab/emulator/network.py
@@ -23,11 +23,11 @@
 
     def __init__(self, network, node):
         """`node` is the program that calls."""
-        self.network, self.node, self.links, self.carried = network, node, {}, Counter()
+        self.network, self.node, self.links, self.bytes_by_path = network, node, {}, Counter()
 
-    async def call(self, ip, port, path, body, within, again=False):
+    async def call(self, ip, port, path, body, within, idempotent=False):
         """A call to a program at `ip`: its answer; raises CallFailed when `within` seconds have passed."""
-        answer = self.network.carry(self.node, ip, path, json.dumps(body), again)
+        answer = self.network.carry(self.node, ip, path, json.dumps(body), idempotent)
         try:
             async with asyncio.timeout(within):
                 return await answer
--- a/honeywood/lab/soak/node.py
+++ b/honeywood/lab/soak/node.py
@@ -46,12 +46,12 @@
         super().__init__()
         self.cuts = cuts
 
-    async def call(self, ip, port, path, body, within, again=False):
+    async def call(self, ip, port, path, body, within, idempotent=False):
         """As Caller.call."""
         if self.cuts.bar(ip, port):
             await asyncio.sleep(within)
             raise CallFailed(path, "cut off", f"{ip}:{port}")
-        return await super().call(ip, port, path, body, within, again)
+        return await super().call(ip, port, path, body, within, idempotent)
 
 
 def cut_connect(cuts):
--- a/honeywood/lab/soak/operator.py
+++ b/honeywood/lab/soak/operator.py
@@ -28,7 +28,7 @@
         for _ in range(TRIES):
             ip = self.chance.choice(self.controllers)
             try:
-                return await self.caller.call(ip, CTL, f"/v1/rpc?call={name}", body, 1.0, again=True)
+                return await self.caller.call(ip, CTL, f"/v1/rpc?call={name}", body, 1.0, idempotent=True)
             except GatewayError as error:
                 if status_of(error) < INTERNAL_ERROR:
                     return None
--- a/tests/gateway/test_dissemination_links.py
+++ b/tests/gateway/test_dissemination_links.py
@@ -367,7 +367,7 @@
                 publisher.store.put(f"machine/{n}", [n], {"n": n})
 
         class Caller:
-            async def call(self, ip, port, path, body, within, again=False):
+            async def call(self, ip, port, path, body, within, idempotent=False):
                 return (await told_by.serve(Ask.decode(body, ip))).encode()
 
         subscriber = Subscriber(hearer, Caller(), lambda: Asker(proxy=True), Backoff(random.Random(0), 1.0))
--- a/tests/gateway/test_messages.py
+++ b/tests/gateway/test_messages.py
@@ -66,7 +66,7 @@
     sent = []
 
     class Caller:
-        async def call(self, ip, port, path, body, within, again=False):
+        async def call(self, ip, port, path, body, within, idempotent=False):
             sent.append(written(body))
             return {"life": "l.2", "rev": 9, "notes": [], "more": False}
 
@@ -161,7 +161,7 @@
     assert field.split(": ")[-1] in str(failed) and failed.peer == "10.0.0.3" and "/news" in failed.operation
 
     class Caller:
-        async def call(self, ip, port, path, body, within, again=False):
+        async def call(self, ip, port, path, body, within, idempotent=False):
             return {**json.loads(TO_PROXY), **ANSWER_FAULTS[field]}
 
     subscriber = Subscriber(told(), Caller(), Asker, Backoff(random.Random(0), 1.0))
--- a/tests/gateway/test_pinned_dissemination.py
+++ b/tests/gateway/test_pinned_dissemination.py
@@ -140,8 +140,8 @@
     def __init__(self, answers):
         self.answers, self.sent = list(answers), []
 
-    async def call(self, ip, port, path, body, within, again=False):
-        self.sent.append([ip, port, path, written(body), within, again])
+    async def call(self, ip, port, path, body, within, idempotent=False):
+        self.sent.append([ip, port, path, written(body), within, idempotent])
         answer = self.answers.pop(0)
         if answer is None:
             raise CallFailed(PATH, "refused", ip)
--- a/tests/gateway/test_pinned_register.py
+++ b/tests/gateway/test_pinned_register.py
@@ -198,7 +198,7 @@
         net = self
 
         class Caller:
-            async def call(self, ip, port, path, body, within, again=False):
+            async def call(self, ip, port, path, body, within, idempotent=False):
                 return await net.carry(source, ip, port, path, body)
 
         return paged_caller(Caller())
--- a/tests/gateway/test_pinned_rpc.py
+++ b/tests/gateway/test_pinned_rpc.py
@@ -70,13 +70,13 @@
 
 
 def bytes_by_path(caller: Any) -> dict[str, int]:
-    return dict(caller.carried)
+    return dict(caller.bytes_by_path)
 
 
-async def call(caller: Any, port: int, path: str, body: Any, within_s: float, again: bool) -> dict:
+async def call(caller: Any, port: int, path: str, body: Any, within_s: float, idempotent: bool) -> dict:
     """What a call came to: a value, or the failure's operation, reason, peer and status."""
     try:
-        return {"value": await caller.call(IP, port, path, body, within_s, again)}
+        return {"value": await caller.call(IP, port, path, body, within_s, idempotent)}
     except GatewayError as error:
         peer = error.peer.replace(str(port), "PORT")
         found = {"operation": error.operation, "reason": error.reason, "peer": peer}
--- a/tests/gateway/test_register_parts.py
+++ b/tests/gateway/test_register_parts.py
@@ -61,7 +61,7 @@
 @test("an answer that is no part and no whole is a failed call that names field and peer")
 def _():
     class Peer:
-        async def call(self, ip, port, path, body, within, again):
+        async def call(self, ip, port, path, body, within, idempotent):
             return {"part": "x", "at": "0", "of": 9, "mark": "m", "sum": 0}
 
     ask = {"step": "survey", "known": {}}
@@ -161,7 +161,7 @@
         value, fails = ["x" * (3 * PART)], [False]
 
         class Peer:
-            async def call(self, ip, port, path, body, within, again):
+            async def call(self, ip, port, path, body, within, idempotent):
                 if body["have"] and fails[0]:
                     raise CallFailed(path, "silence", ip)
                 return await telling(dict(body), "a")
