--- a/honeywood/gateway/rpc/statuses.py
+++ b/honeywood/gateway/rpc/statuses.py
@@ -17,7 +17,7 @@
 
 
 def status_of(error: errors.GatewayError) -> int:
-    """The status that a caller is answered with; a refusal by another process keeps its status."""
+    """Return the status that a caller is answered with; a refusal by another process keeps its status."""
     if isinstance(error, errors.CallRefused):
         return error.status
     for kind, status in STATUSES:
--- a/tests/gateway/rpc/test_client.py
+++ b/tests/gateway/rpc/test_client.py
@@ -51,7 +51,7 @@
 
         self.loop.run_until_complete(work())
         self.loop.close()
-        kept = sum(one.reusable for ones in self.caller.idle.values() for one in ones)
+        kept = sum(one.reusable for one in self.caller.idle)
         wrong = [n for n, reply in results.items() if isinstance(reply, dict) and reply != {"n": n}]
         wrong += [] if isinstance(results[3], dict) else ["the next got no answer"]
         wrong += [] if idempotent else [f"{n} twice" for n, came in self.received.items() if came > 1]
