--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -21,20 +21,19 @@
 from timeline import config, machine
 from ward import each, test
 
+from honeywood.balancer.protocol import http
+from honeywood.balancer.transport.buffer import Buffer
 from honeywood.gateway.proxy import responses, sender
 from honeywood.gateway.proxy.sender import LATE_ANSWER_S
 from honeywood.gateway.routing.attempts import PendingRequest
 from honeywood.gateway.routing.outcomes import AttemptOutcome, classify
 from honeywood.gateway.rpc import connection, tcp_stream
-from honeywood.protocol import http
-from honeywood.transport.buffer import Buffer
 
 
 def cuts(whole, kind):
     """An answer cut at every byte by an end, a reset or silence; the same on a kept connection."""
     for n in range(len(whole) + 1):
         for how in ("eof", "reset", None):
-
             scenario = CallScenario(kind)
 
             def script(line, id, n=n, how=how, scenario=scenario):
