--- a/honeywood/gateway/rpc/asgi.py
+++ b/honeywood/gateway/rpc/asgi.py
@@ -36,18 +36,18 @@
 
 async def read_body(receive: Receive, max_bytes: int) -> bytes | None:
     """Return a request's complete body; None if it is over `max_bytes` or its sender has disconnected."""
-    parts, size = [], 0
+    chunks, size = [], 0
     while True:
         message = await receive()
         if message["type"] != "http.request":
             return None
-        part = message.get("body", b"")
-        parts.append(part)
-        size += len(part)
+        chunk = message.get("body", b"")
+        chunks.append(chunk)
+        size += len(chunk)
         if size > max_bytes:
             return None
         if not message.get("more_body", False):
-            return b"".join(parts)
+            return b"".join(chunks)
 
 
 async def send_response(
--- a/honeywood/gateway/rpc/connection.py
+++ b/honeywood/gateway/rpc/connection.py
@@ -205,10 +205,10 @@
 
 async def read_at_most(chunks: AsyncIterator[bytes], max_bytes: int) -> tuple[bytes, bool]:
     """Return the bytes of `chunks` and True, or those up to the chunk that exceeds `max_bytes` and False."""
-    parts, size = [], 0
+    taken, size = [], 0
     async for chunk in chunks:
-        parts.append(chunk)
+        taken.append(chunk)
         size += len(chunk)
         if size > max_bytes:
-            return b"".join(parts), False
-    return b"".join(parts), True
+            return b"".join(taken), False
+    return b"".join(taken), True
--- a/honeywood/gateway/rpc/request_head.py
+++ b/honeywood/gateway/rpc/request_head.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+from honeywood.gateway.rpc.errors import RequestRejected
+
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from honeywood.gateway.rpc.headers import HeaderFields
@@ -14,10 +16,6 @@
 ALLOWED_CODINGS: tuple[list[bytes], ...] = ([], [b"chunked"])
 
 
-class RequestRejected(Exception):
-    """A request's head that is not read further."""
-
-
 class HeadSize:
     """Counts the bytes of a request's head while it arrives."""
 
--- a/tests/gateway/rpc/test_request_head.py
+++ b/tests/gateway/rpc/test_request_head.py
@@ -2,7 +2,8 @@
 
 from ward import each, raises, test
 
-from honeywood.gateway.rpc.request_head import HeadSize, RequestRejected, reject_ambiguous
+from honeywood.gateway.rpc.errors import RequestRejected
+from honeywood.gateway.rpc.request_head import HeadSize, reject_ambiguous
 
 HOST = (b"host", b"h")
 
