--- a/honeywood/lab/emulator/loopback.py
+++ b/honeywood/lab/emulator/loopback.py
@@ -170,7 +170,7 @@
         if rollouts:
             await self.show_rollouts()
         found = await self.operate("config.read")
-        self.tell(f"operator: config.read says version {found["ver"]}")
+        self.tell(f"operator: config.read says version {found['ver']}")
         for task in tasks:
             task.cancel()
         for ip, process in self.processes.items():
