--- /dev/null
+++ b/honeywood/balancer/decisions/balancer.py
@@ -0,0 +1,140 @@
+"""All decisions of one balancer: which server an RPC goes to, when it is retried or given up, how it votes.
+
+An RPC runs down a chain: Admission, BuildSelection, ServerSelection, SendPolicy; what comes of it runs up.
+ReleaseVerdict looks at that and votes. Times are tenths of a millisecond.
+"""
+
+from __future__ import annotations
+
+from random import Random
+
+from honeywood.balancer.decisions.admission import Admission
+from honeywood.balancer.decisions.arrivals import Arrivals
+from honeywood.balancer.decisions.build_selection import BuildSelection
+from honeywood.balancer.decisions.cold_servers import ColdServers
+from honeywood.balancer.decisions.concurrency_limit import ConcurrencyLimit
+from honeywood.balancer.decisions.limits import TIMER_PERIOD
+from honeywood.balancer.decisions.list_watch import ListWatch
+from honeywood.balancer.decisions.release_verdict import ReleaseVerdict
+from honeywood.balancer.decisions.send_policy import SendPolicy
+from honeywood.balancer.decisions.server_groups import ServerGroups
+from honeywood.balancer.decisions.server_selection import ServerSelection
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from honeywood.balancer.interface import Host
+    from honeywood.balancer.model import (
+        Attempt,
+        AttemptResult,
+        Duration,
+        Method,
+        PlatformCounts,
+        ReleaseUpdate,
+        Rpc,
+        Server,
+        ServerEntry,
+        Time,
+    )
+    from honeywood.balancer.settings import Settings
+
+
+class Balancer:
+    """The decisions of one balancer (interface.Decisions), wired together."""
+
+    def __init__(self, settings: Settings, host: Host) -> None:
+        """Nothing is decided before on_start."""
+        random = Random(settings.seed)
+        arrivals = Arrivals()
+        self._host = host
+        self.servers = ServerGroups()
+        self.list_watch = ListWatch(settings, host, random)
+        self.release = ReleaseVerdict(settings, host, random, self.servers, self.list_watch)
+        cold_servers = ColdServers(settings, self.servers, random)
+        policy = SendPolicy(settings, host, self.release, cold_servers)
+        self._selection = ServerSelection(
+            settings, host, random, self.servers, arrivals, cold_servers, policy
+        )
+        builds = BuildSelection(random, self.servers, self.release, cold_servers, self._selection)
+        limit = ConcurrencyLimit(settings, self.servers)
+        self._admission = Admission(
+            settings, host, arrivals, limit, policy, self._selection, builds, self.release
+        )
+
+    @property
+    def reject_connections_until(self) -> float:
+        """Until then no new client connection is to be taken: RPCs wait too long for this balancer."""
+        return self._admission.reject_connections_until
+
+    def on_start(self, now: Time) -> None:
+        """Begin to look around."""
+        self.on_timer(now)
+
+    def on_timer(self, now: Time) -> None:
+        """Look for what is due."""
+        self._host.wake_after(TIMER_PERIOD)
+        self.list_watch.on_timer(now)
+        self._admission.on_timer(now)
+        self.release.on_timer(now)
+
+    def on_server_list(self, now: Time, entries: Sequence[ServerEntry], complete: bool) -> None:
+        """Take over changes of the server list, or all of it."""
+        self.servers.update(now, entries, complete)
+        self.list_watch.on_server_list()
+        self.servers.regroup(self.release)
+
+    def on_server_list_failed(self, now: Time) -> None:
+        """Ask for the list again, later."""
+        self.list_watch.on_failure(now)
+
+    def on_release_update(self, now: Time, update: ReleaseUpdate) -> None:
+        """Take over the state of the newest release."""
+        self.release.on_update(now, update)
+
+    def on_vote_answered(self, now: Time, update: ReleaseUpdate | None) -> None:
+        """Take note of whether the last vote counts."""
+        self.release.on_vote_answered(now, update)
+
+    def on_request(self, now: Time, rpc: Rpc) -> None:
+        """Send an RPC or give it up."""
+        self._admission.on_request(now, rpc)
+
+    def on_client_gone(self, now: Time, rpc: Rpc) -> None:
+        """Call back what is in flight for an RPC whose client has left."""
+        self._admission.on_client_gone(now, rpc)
+
+    def on_response_started(self, now: Time, attempt: Attempt) -> None:
+        """Take note that the first of an answer has come, and not yet the last."""
+        attempt.rpc.response_began_at = attempt.rpc.response_began_at or now
+
+    def on_stream_established(self, now: Time, attempt: Attempt) -> None:
+        """Leave a stream to its client."""
+        self._admission.on_stream_established(attempt.rpc)
+
+    def on_result(
+        self,
+        now: Time,
+        attempt: Attempt,
+        result: AttemptResult,
+        latency: Duration,
+        load: Sequence[float],
+        final: bool,
+    ) -> None:
+        """End an attempt, and its RPC or send it again."""
+        attempt.result, attempt.latency = result, latency
+        self._admission.on_result(now, attempt, load, final)
+
+    def on_probe_result(
+        self, now: Time, server: Server, result: AttemptResult, latency: Duration, load: Sequence[float]
+    ) -> None:
+        """Take over a server's load report."""
+        self._selection.on_load_report(now, server, load)
+
+    def on_wrong_answer(self, now: Time, server: Server, method: Method) -> None:
+        """Count an answer that the platform found wrong."""
+        self.release.on_wrong_answer(server, method)
+
+    def on_platform_counts(self, now: Time, counts: PlatformCounts) -> None:
+        """Count what the platform told."""
+        self.release.on_platform_counts(now, counts)
--- a/tests/gateway/test_architecture.py
+++ b/tests/gateway/test_architecture.py
@@ -46,7 +46,7 @@
     "honeywood",
     "tests",
 )  # where a shortened path may lead
-BELOW_THE_GATEWAY = ("honeywood.judge",)  # the statistics, which both fronts share
+BELOW_THE_GATEWAY = ("honeywood.release_analysis",)  # the statistics, which both fronts share
 # Imports that break the floors, each with its reason.
 EXCEPTIONS = {
     ("rpc", "configuration"): "calls read JSON as configuration/check.py does",
