--- a/honeywood/balancer/actors/application.py
+++ b/honeywood/balancer/actors/application.py
@@ -129,7 +129,7 @@
             for client in list(group)[:MAX_EVICTION_CANDIDATES]:
                 # One that has asked in this moment is not silent: its bytes have come and are not read.
                 is_ending = group is self.ending
-                if is_ending or client.reading_since or client.connection.is_open_and_silent():
+                if is_ending or client.reading_since or client.connection.is_reusable():
                     group.pop(client, None)  # it is asked once
                     client.mailbox.post(client.evict)
                     return True
--- a/honeywood/balancer/actors/client.py
+++ b/honeywood/balancer/actors/client.py
@@ -62,7 +62,7 @@
     def on_closed(self, connection: Connection) -> None:
         """It has ended."""
         if self.call:
-            self._decisions.post(self._decisions.on_client_gone, self.call)
+            self._decisions.post(self._decisions.on_client_disconnected, self.call)
         self.join(None)
         self._application.clients.discard(self)
         self._log.info("connection_ended", peer="client", id=connection.peer, code=connection.code)
--- a/honeywood/balancer/actors/decision_host.py
+++ b/honeywood/balancer/actors/decision_host.py
@@ -191,7 +191,7 @@
         self._application.reject_connections_until = self._balancer.reject_connections_until
         return _forget_if_over(rpc)
 
-    def on_client_gone(self, call: Call) -> None:
+    def on_client_disconnected(self, call: Call) -> None:
         """A client has left before its answer."""
         if call.rpc is None:  # it was refused
             return
@@ -199,8 +199,8 @@
         self._open_identifiers.discard(call.identifier)
         now = clock.now()
         if self._recorder and not rpc.done:
-            self._recorder.on_client_gone(now, rpc)
-        self._balancer.on_client_gone(now, rpc)
+            self._recorder.on_client_disconnected(now, rpc)
+        self._balancer.on_client_disconnected(now, rpc)
         _forget_if_over(rpc)
 
     def on_response_started(self, attempt: Attempt) -> None:
@@ -254,7 +254,7 @@
             process = Process(address, entry.build, entry.started_at)
             peer.mailbox.post(peer.on_list_entry, entry.status, process)
         for peer in gone:
-            peer.mailbox.post(peer.on_list_entry, ServerStatus.GONE, None)
+            peer.mailbox.post(peer.on_list_entry, ServerStatus.REMOVED, None)
         now, entries = clock.now(), [entry for _, _, entry in members]
         if self._recorder:
             self._recorder.on_server_list(now, revision, entries, complete)
@@ -292,13 +292,13 @@
                 self._recorder.on_platform_counts(now, told)
             self._balancer.on_platform_counts(now, told)
 
-    def on_wrong_answer(self, server: Server, method_name: str) -> None:
+    def on_incorrect_answer(self, server: Server, method_name: str) -> None:
         """The platform found an answer of a server wrong."""
         if method_name in self._methods:
             now, method = clock.now(), self._methods[method_name]
             if self._recorder:
-                self._recorder.on_wrong_answer(now, server, method)
-            self._balancer.on_wrong_answer(now, server, method)
+                self._recorder.on_incorrect_answer(now, server, method)
+            self._balancer.on_incorrect_answer(now, server, method)
 
     # Its own.
     def _on_timer(self) -> None:
--- a/honeywood/balancer/actors/platform_client.py
+++ b/honeywood/balancer/actors/platform_client.py
@@ -141,7 +141,7 @@
         elif kind == "tally":
             self.decisions.post(self.decisions.on_platform_counts, platform.parse_counts(rest))
         elif kind == "flag":
-            wrong = platform.parse_wrong_answer(rest)
-            self._directory.mailbox.post(self._directory.on_wrong_answer, wrong.server, wrong.method)
+            wrong = platform.parse_incorrect_answer(rest)
+            self._directory.mailbox.post(self._directory.on_incorrect_answer, wrong.server, wrong.method)
         else:
             raise platform.InvalidLine(f"news {kind}")
--- a/honeywood/balancer/actors/recording.py
+++ b/honeywood/balancer/actors/recording.py
@@ -51,7 +51,7 @@
     def on_request(self, now: Time, rpc: Rpc) -> None:
         """They are told of an RPC."""
 
-    def on_client_gone(self, now: Time, rpc: Rpc) -> None:
+    def on_client_disconnected(self, now: Time, rpc: Rpc) -> None:
         """They are told that a client has left."""
 
     def on_response_started(self, now: Time, attempt: Attempt) -> None:
@@ -67,7 +67,7 @@
     ) -> None:
         """They are told how a probe ended."""
 
-    def on_wrong_answer(self, now: Time, server: Server, method: Method) -> None:
+    def on_incorrect_answer(self, now: Time, server: Server, method: Method) -> None:
         """They are told of a wrong answer."""
 
     def on_platform_counts(self, now: Time, counts: PlatformCounts) -> None:
--- a/honeywood/balancer/actors/server_directory.py
+++ b/honeywood/balancer/actors/server_directory.py
@@ -43,11 +43,11 @@
             self._moved_at = clock.now()
         super().move(address)
 
-    def on_wrong_answer(self, identifier: str, method: str) -> None:
+    def on_incorrect_answer(self, identifier: str, method: str) -> None:
         """The platform tells of a wrong answer of a server."""
         if identifier in self.peers:
             server = self.peers[identifier].server
-            self.decisions.post(self.decisions.on_wrong_answer, server, method)
+            self.decisions.post(self.decisions.on_incorrect_answer, server, method)
 
     # What its connection tells.
     def on_subscribing(self, connection: Connection) -> None:
@@ -95,7 +95,7 @@
         entries = []
         for member in told.members:
             unnamed.discard(member.identifier)
-            if member.identifier in self.peers or member.status != ServerStatus.GONE:
+            if member.identifier in self.peers or member.status != ServerStatus.REMOVED:
                 entries.append(self._entry(member))
         gone = [self.peers.pop(identifier) for identifier in sorted(unnamed)]
         self.decisions.post(self.decisions.on_server_list, entries, told.complete, gone, told.revision)
@@ -122,6 +122,6 @@
             status=member.status,
             started_at=clock.from_unix(member.started_ms) if member.started_ms else UNKNOWN_START,
         )
-        if member.status == ServerStatus.GONE:
+        if member.status == ServerStatus.REMOVED:
             del self.peers[member.identifier]
         return peer, member.address, entry
--- a/honeywood/balancer/actors/server_peer.py
+++ b/honeywood/balancer/actors/server_peer.py
@@ -80,7 +80,7 @@
         exchange.entry_number = self._entry_number
         while self.idle:
             connection = self.idle.pop()
-            if connection.is_open_and_silent():
+            if connection.is_reusable():
                 connection.exchange, exchange.connection = exchange, connection
                 return self._write(exchange, connection)
         address = self.process.address if self.process else None
--- a/honeywood/balancer/benchlink/__main__.py
+++ b/honeywood/balancer/benchlink/__main__.py
@@ -1,3 +1,5 @@
+"""Starts the bench's host."""
+
 import sys
 
 from honeywood.balancer.benchlink.adapter import main
--- a/honeywood/balancer/decisions/admission.py
+++ b/honeywood/balancer/decisions/admission.py
@@ -4,7 +4,7 @@
 
 from math import inf
 
-from honeywood.balancer.decisions.limits import OVERDUE_SHARE, SILENCE, TIMER_PERIOD
+from honeywood.balancer.decisions.limits import OVERDUE_SHARE, UNRESPONSIVE_AFTER, TIMER_PERIOD
 from honeywood.balancer.decisions.retry_budget import RetryBudget
 from honeywood.balancer.model import AttemptResult, GiveUpReason
 
@@ -85,7 +85,7 @@
         rpc.done = True
         self._open = [other for other in self._open if other is not rpc]
 
-    def on_client_gone(self, now: Time, rpc: Rpc) -> None:
+    def on_client_disconnected(self, now: Time, rpc: Rpc) -> None:
         """An RPC whose client left before its answer counts as one that fared poorly."""
         if not rpc.done:
             self._close(now, rpc, True)
@@ -101,16 +101,16 @@
             in_flight = [attempt for attempt in rpc.attempts if attempt.result is None]
             overdue_after = OVERDUE_SHARE * rpc.method.latency_target
             overdue = [attempt for attempt in in_flight if now - attempt.sent_at >= overdue_after]
-            if not rpc.late:
-                self._count_late(now, rpc, overdue)
+            if not rpc.is_overdue:
+                self._count_overdue(now, rpc, overdue)
             alone = len(overdue) == len(in_flight) == 1
             if alone and self._may_hedge(now, overdue[0]) and self._builds.send(now, rpc):
                 self._budget.spend()
 
-    def _count_late(self, now: Time, rpc: Rpc, overdue: Sequence[Attempt]) -> None:
+    def _count_overdue(self, now: Time, rpc: Rpc, overdue: Sequence[Attempt]) -> None:
         for attempt in overdue:
-            attempt.latency, rpc.late = now - attempt.sent_at, True
-            self._release.on_rpc_fared(now, poorly=True)
+            attempt.latency, rpc.is_overdue = now - attempt.sent_at, True
+            self._release.on_rpc_outcome(now, poorly=True)
             self._release.on_result(attempt)
 
     def _may_hedge(self, now: Time, attempt: Attempt) -> bool:
@@ -125,7 +125,7 @@
             self._budget.available
             and now < rpc.target_at
             and now - attempt.sent_at > tail
-            and now - attempt.server.answered_at > SILENCE // 2
+            and now - attempt.server.answered_at > UNRESPONSIVE_AFTER // 2
         )
 
     def _retry(self, now: Time, rpc: Rpc, attempt: Attempt) -> None:
@@ -159,9 +159,9 @@
 
     def _close(self, now: Time, rpc: Rpc, failed: bool) -> None:
         """The RPC is over; what is in flight for it is called back."""
-        if not rpc.late:
+        if not rpc.is_overdue:
             poorly_from = rpc.arrived_at + int(rpc.method.latency_target * POOR_SHARE)
-            self._release.on_rpc_fared(now, poorly=failed or now > poorly_from)
+            self._release.on_rpc_outcome(now, poorly=failed or now > poorly_from)
         rpc.done = True
         self._open = [other for other in self._open if other is not rpc]
         if self._may_cancel:
--- a/honeywood/balancer/decisions/balancer.py
+++ b/honeywood/balancer/decisions/balancer.py
@@ -11,7 +11,7 @@
 from honeywood.balancer.decisions.admission import Admission
 from honeywood.balancer.decisions.arrivals import Arrivals
 from honeywood.balancer.decisions.build_selection import BuildSelection
-from honeywood.balancer.decisions.cold_servers import ColdServers
+from honeywood.balancer.decisions.warm_up import WarmUpBudget
 from honeywood.balancer.decisions.concurrency_limit import ConcurrencyLimit
 from honeywood.balancer.decisions.limits import TIMER_PERIOD
 from honeywood.balancer.decisions.list_watch import ListWatch
@@ -51,12 +51,10 @@
         self.servers = ServerGroups()
         self.list_watch = ListWatch(settings, host, random)
         self.release = ReleaseVerdict(settings, host, random, self.servers, self.list_watch)
-        cold_servers = ColdServers(settings, self.servers, random)
-        policy = SendPolicy(settings, host, self.release, cold_servers)
-        self._selection = ServerSelection(
-            settings, host, random, self.servers, arrivals, cold_servers, policy
-        )
-        builds = BuildSelection(random, self.servers, self.release, cold_servers, self._selection)
+        warm_up = WarmUpBudget(settings, self.servers, random)
+        policy = SendPolicy(settings, host, self.release, warm_up)
+        self._selection = ServerSelection(settings, host, random, self.servers, arrivals, warm_up, policy)
+        builds = BuildSelection(random, self.servers, self.release, warm_up, self._selection)
         limit = ConcurrencyLimit(settings, self.servers)
         self._admission = Admission(
             settings, host, arrivals, limit, policy, self._selection, builds, self.release
@@ -100,9 +98,9 @@
         """Send an RPC or give it up."""
         self._admission.on_request(now, rpc)
 
-    def on_client_gone(self, now: Time, rpc: Rpc) -> None:
+    def on_client_disconnected(self, now: Time, rpc: Rpc) -> None:
         """Call back what is in flight for an RPC whose client has left."""
-        self._admission.on_client_gone(now, rpc)
+        self._admission.on_client_disconnected(now, rpc)
 
     def on_response_started(self, now: Time, attempt: Attempt) -> None:
         """Take note that the first of an answer has come, and not yet the last."""
@@ -131,9 +129,9 @@
         """Take over a server's load report."""
         self._selection.on_load_report(now, server, load)
 
-    def on_wrong_answer(self, now: Time, server: Server, method: Method) -> None:
+    def on_incorrect_answer(self, now: Time, server: Server, method: Method) -> None:
         """Count an answer that the platform found wrong."""
-        self.release.on_wrong_answer(server, method)
+        self.release.on_incorrect_answer(server, method)
 
     def on_platform_counts(self, now: Time, counts: PlatformCounts) -> None:
         """Count what the platform told."""
--- a/honeywood/balancer/decisions/build_selection.py
+++ b/honeywood/balancer/decisions/build_selection.py
@@ -9,7 +9,7 @@
     from collections.abc import Sequence
     from random import Random
 
-    from honeywood.balancer.decisions.cold_servers import ColdServers
+    from honeywood.balancer.decisions.warm_up import WarmUpBudget
     from honeywood.balancer.decisions.release_verdict import ReleaseVerdict
     from honeywood.balancer.decisions.server_groups import ServerGroups
     from honeywood.balancer.decisions.server_selection import ServerSelection
@@ -26,12 +26,12 @@
         random: Random,
         servers: ServerGroups,
         release: ReleaseVerdict,
-        cold_servers: ColdServers,
+        warm_up: WarmUpBudget,
         selection: ServerSelection,
     ) -> None:
         """The release decides which servers are on trial."""
         self._random, self._servers, self._release = random, servers, release
-        self._cold_servers, self._selection = cold_servers, selection
+        self._warm_up, self._selection = warm_up, selection
 
     def send(self, now: Time, rpc: Rpc) -> bool:
         """Send an attempt; whether it was sent."""
@@ -59,7 +59,7 @@
     def _draws_trial(self, now: Time) -> bool:
         """Whether chance takes the servers on trial, by their part of the capacity."""
         on_trial, rest = (
-            sum(self._cold_servers.capacity_share(now, server) for server in group)
+            sum(self._warm_up.capacity_share(now, server) for server in group)
             for group in (self._servers.on_trial, self._servers.established)
         )
         return self._random.random() * (on_trial + rest) < on_trial
--- a/honeywood/balancer/decisions/list_watch.py
+++ b/honeywood/balancer/decisions/list_watch.py
@@ -14,7 +14,7 @@
     from honeywood.balancer.model import Time
     from honeywood.balancer.settings import Settings
 
-MAX_ASK_INTERVAL = 3 * SECOND
+MAX_REQUEST_INTERVAL = 3 * SECOND
 
 
 class ListWatch:
@@ -24,9 +24,11 @@
         """The list is asked for at the first on_timer."""
         self._host, self._random = host, random
         self._on_request = settings.list_on_request
-        self._ask_interval = min(MAX_ASK_INTERVAL, settings.ask_within // 3 or MAX_ASK_INTERVAL)
-        self._ask_at = -inf
-        self.asked = self.established = False
+        self._request_interval = min(
+            MAX_REQUEST_INTERVAL, settings.list_request_window // 3 or MAX_REQUEST_INTERVAL
+        )
+        self._request_at = -inf
+        self.requested = self.established = False
 
     @property
     def is_stale(self) -> bool:
@@ -35,7 +37,7 @@
 
     def on_server_list(self) -> None:
         """What came answers a request, if there was one."""
-        self.established = self.asked
+        self.established = self.requested
 
     def on_failure(self, now: Time) -> None:
         """Ask again after a random wait.
@@ -43,10 +45,10 @@
         Balancers that were refused together must not come together again: the same few would be served.
         """
         self.established = False
-        self._ask_at = now + int(self._ask_interval * self._random.random())
+        self._request_at = now + int(self._request_interval * self._random.random())
 
     def on_timer(self, now: Time) -> None:
         """Ask where it is due."""
-        if self._on_request and not self.established and now >= self._ask_at:
-            self.asked, self._ask_at = True, now + self._ask_interval
+        if self._on_request and not self.established and now >= self._request_at:
+            self.requested, self._request_at = True, now + self._request_interval
             self._host.watch_servers()
--- a/honeywood/balancer/decisions/release_samples.py
+++ b/honeywood/balancer/decisions/release_samples.py
@@ -86,7 +86,7 @@
     answers: float
 
 
-class ToldCounts(NamedTuple):
+class ReportedCounts(NamedTuple):
     """What the platform told last of a build and method."""
 
     counted_at: float
@@ -105,7 +105,7 @@
         self.earlier = [OutcomeStatistics() for _ in settings.methods]
         self._current = [OutcomeStatistics() for _ in settings.methods]
         self.by_server: dict[Server, ServerSamples] = {}
-        self.told: dict[int, dict[int, ToldCounts]] = {}  # by method and build
+        self.reported: dict[int, dict[int, ReportedCounts]] = {}  # by method and build
         self.platform: dict[int, PlatformSample] = {}  # by method
         self.changed = True
         self._halved_at: Time = 0
@@ -150,7 +150,7 @@
             slow_bin, share = earlier.slow_from()
             samples.slow[index] = samples.slow[index].plus(latency_bin >= slow_bin, share)
 
-    def add_wrong_answer(self, server: Server, method: Method) -> None:
+    def add_incorrect_answer(self, server: Server, method: Method) -> None:
         """An answer that was counted as a good one was wrong."""
         if server in self.by_server:
             failures = self.by_server[server].failures
@@ -163,13 +163,13 @@
     ) -> None:
         """Count what the platform told: late and sampled, but of all balancers and the same for each."""
         counted_at, index = now - counts.age, counts.method.index
-        told = self.told.setdefault(index, {})
-        told[counts.build] = ToldCounts(counted_at, counts.failed, counts.ended, counts.mean_latency)
+        reported = self.reported.setdefault(index, {})
+        reported[counts.build] = ReportedCounts(counted_at, counts.failed, counts.ended, counts.mean_latency)
         if build is None:
             return
         same_period = [
             other
-            for other, line in told.items()
+            for other, line in reported.items()
             if abs(line.counted_at - counted_at) < self._counts_period // 2 and line.ended
         ]
         earlier = max(
@@ -177,31 +177,33 @@
         )
         if not earlier or build not in same_period or counts.build not in (earlier, build):
             return
-        if not self._mostly_grown_up(counted_at - self._counts_period):
+        if not self._half_is_mature(counted_at - self._counts_period):
             return
         self.changed = True
-        self.platform[index] = self._compared(self.platform.get(index), told[build], told[earlier])
+        self.platform[index] = self._compared(self.platform.get(index), reported[build], reported[earlier])
 
-    def _mostly_grown_up(self, since: float) -> bool:
+    def _half_is_mature(self, since: float) -> bool:
         """Whether half of the release's servers were no longer young then, and others stand beside them."""
         newest = self._servers.newest
-        old_enough = sum(server.started_at + MIN_SERVER_AGE <= since for server in newest)
-        return len(self._servers.ready) > len(newest) <= 2 * old_enough
+        mature = sum(server.started_at + MIN_SERVER_AGE <= since for server in newest)
+        return len(self._servers.ready) > len(newest) <= 2 * mature
 
     @staticmethod
-    def _compared(sample: PlatformSample | None, new: ToldCounts, old: ToldCounts) -> PlatformSample:
+    def _compared(
+        sample: PlatformSample | None, new: ReportedCounts, earlier: ReportedCounts
+    ) -> PlatformSample:
         """The sample with one more period."""
         sample = sample or PlatformSample(0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
         # Where all of the earlier release's failed there is no latency to compare with; their mean is 0.
-        comparable = old.ended > old.failed and old.mean_latency > 0
+        comparable = earlier.ended > earlier.failed and earlier.mean_latency > 0
         answers = (new.ended - new.failed) * comparable
         return PlatformSample(
             sample.failed + new.failed,
             sample.ended + new.ended,
-            sample.expected_failures + new.ended * old.failed / old.ended,
-            sample.earlier_ended + old.ended,
+            sample.expected_failures + new.ended * earlier.failed / earlier.ended,
+            sample.earlier_ended + earlier.ended,
             answers * new.mean_latency,
-            answers * old.mean_latency,
+            answers * earlier.mean_latency,
             answers,
         )
 
--- a/honeywood/balancer/decisions/release_tests.py
+++ b/honeywood/balancer/decisions/release_tests.py
@@ -27,7 +27,7 @@
     """All tests that have a sample: of this balancer's attempts, and of what the platform counted."""
     results: list[ReleaseTestResult] = []
     # Where one of many balancers' votes alone decides, it is left to the counts of all, if they are told.
-    if not (samples.told and levels.single_vote_decides):
+    if not (samples.reported and levels.single_vote_decides):
         results += _failure_tests(samples, levels)
         results += _slowness_tests(samples, levels)
     if samples.platform:
@@ -58,10 +58,10 @@
     rows = [server.slow for server in samples.by_server.values()]
     for method, servers in enumerate(_by_method(rows, len(samples.earlier))):
         sample = total(servers)
-        parts = [sample.minus(server) for server in servers] or [sample]
-        if min(part.outcomes for part in parts) >= levels.min_slow_outcomes:
+        remainders = [sample.minus(server) for server in servers] or [sample]
+        if min(remainder.outcomes for remainder in remainders) >= levels.min_slow_outcomes:
             earlier_outcomes = _earlier_outcomes(samples, method)
-            p_value = max(_p_value(part, earlier_outcomes, SLOW_MARGIN) for part in parts)
+            p_value = max(_p_value(remainder, earlier_outcomes, SLOW_MARGIN) for remainder in remainders)
             results.append(_result(f"slow answers of method {method}", sample, p_value, levels))
     return results
 
--- a/honeywood/balancer/decisions/release_verdict.py
+++ b/honeywood/balancer/decisions/release_verdict.py
@@ -118,15 +118,15 @@
         """An attempt has ended or is overdue."""
         self._samples.add(attempt, self.build, self.rejected_builds)
 
-    def on_wrong_answer(self, server: Server, method: Method) -> None:
+    def on_incorrect_answer(self, server: Server, method: Method) -> None:
         """The platform found an answer wrong."""
-        self._samples.add_wrong_answer(server, method)
+        self._samples.add_incorrect_answer(server, method)
 
     def on_platform_counts(self, now: Time, counts: PlatformCounts) -> None:
         """The platform told what it counted."""
         self._samples.add_platform_counts(now, counts, self.build, self.rejected_builds)
 
-    def on_rpc_fared(self, now: Time, poorly: bool) -> None:
+    def on_rpc_outcome(self, now: Time, poorly: bool) -> None:
         """An RPC ended, or is late. Those under a release that may be why do not count as normal."""
         just_released = (
             self.state == ReleaseState.RELEASED and now - self._step_began_at < 2 * TREND_CONFIRMATION
@@ -151,8 +151,8 @@
         self._trend.begin_release(after_released=self.state == ReleaseState.RELEASED)
         self.suspect_since = None
         self.servers_before = sum(server.build < build for server in self._servers.ready)
-        known_good = self.build is not None and self.build not in self.rejected_builds
-        self._samples.begin_release(earlier_was_good=known_good)
+        was_good = self.build is not None and self.build not in self.rejected_builds
+        self._samples.begin_release(earlier_was_good=was_good)
         listed = {server.build for server in self._servers.listed}
         self.rejected_builds = [rejected for rejected in self.rejected_builds if rejected in listed]
 
@@ -214,6 +214,6 @@
     def _start_wait(self) -> float:
         """How long listed servers are waited for; shorter where the platform's counts show that they run."""
         none = (-inf, 0, 0, 0)
-        lines = [lines.get(self.build or 0, none) for lines in self._samples.told.values()]
+        lines = [lines.get(self.build or 0, none) for lines in self._samples.reported.values()]
         ended = sum(line[2] for line in lines if line[0] > self._step_began_at)
         return MAX_COUNTED_START_WAIT if ended >= MIN_OUTCOMES else MAX_START_WAIT
--- a/honeywood/balancer/decisions/send_policy.py
+++ b/honeywood/balancer/decisions/send_policy.py
@@ -18,7 +18,7 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from honeywood.balancer.decisions.cold_servers import ColdServers
+    from honeywood.balancer.decisions.warm_up import WarmUpBudget
     from honeywood.balancer.decisions.release_verdict import ReleaseVerdict
     from honeywood.balancer.interface import Host
     from honeywood.balancer.model import Method, Rpc, Server, Time
@@ -29,17 +29,17 @@
     """Says what keeps an RPC from a server, and sends where nothing does."""
 
     def __init__(
-        self, settings: Settings, host: Host, release: ReleaseVerdict, cold_servers: ColdServers
+        self, settings: Settings, host: Host, release: ReleaseVerdict, warm_up: WarmUpBudget
     ) -> None:
         """Nothing was sent yet."""
-        self._host, self._release, self._cold_servers = host, release, cold_servers
+        self._host, self._release, self._warm_up = host, release, warm_up
         self._resolution, self._window = settings.clock_resolution, settings.exposure_window
         self._allowance, self._per_method = settings.exposure_allowance, settings.exposure_per_method
         self._max_attempts, self._may_duplicate = settings.max_attempts, settings.may_duplicate
-        self._guarded_steps, self._one_way = settings.guarded_steps, settings.one_way
+        self._guarded_steps, self._no_downgrade = settings.guarded_steps, settings.no_downgrade
         self._arrivals: list[deque[Time]] = [deque() for _ in settings.methods]  # by exposure class
         self._sends: dict[tuple[int, int], deque[Time]] = {}  # by build and exposure class
-        self._answered_builds: dict[int, int] = {}  # one way: the latest build that answered a key
+        self._answered_builds: dict[int, int] = {}  # the latest build that answered a key
 
     def on_request(self, now: Time, rpc: Rpc) -> None:
         """Count an RPC that has come: exposure is a share of these."""
@@ -59,11 +59,11 @@
             self._drops_repeat(now, attempt, server) for attempt in may_have_run
         ):
             return Exclusion.DEDUPLICATION
-        if self._one_way and self._goes_back(rpc, server):
-            return Exclusion.ONE_WAY
+        if self._no_downgrade and self._is_downgrade(rpc, server):
+            return Exclusion.NO_DOWNGRADE
         if not self._within_exposure(now, server.build, rpc.method):
             return Exclusion.EXPOSURE
-        return Exclusion.NONE if self._cold_servers.may_send(now, server) else Exclusion.COLD_BUDGET
+        return Exclusion.NONE if self._warm_up.may_send(now, server) else Exclusion.WARM_UP_BUDGET
 
     def may_reject(self, rpc: Rpc) -> bool:
         """Whether the client may be told to retry: its RPC did not run, or may run twice."""
@@ -90,7 +90,7 @@
         if not server.in_flight:
             server.answered_at = now
         server.in_flight += 1
-        self._cold_servers.on_send(now, server)
+        self._warm_up.on_send(now, server)
         sends = self._sends.setdefault((server.build, self._exposure_class(rpc.method)), deque())
         trimmed(sends, now - self._window - self._resolution).append(now)
         self._host.send(attempt, rpc.deadline)
@@ -99,8 +99,8 @@
     def on_result(self, now: Time, attempt: Attempt) -> None:
         """An attempt has ended."""
         attempt.server.in_flight -= 1
-        self._cold_servers.on_result(now, attempt)
-        if attempt.result == AttemptResult.OK and self._one_way and attempt.rpc.key:
+        self._warm_up.on_result(now, attempt)
+        if attempt.result == AttemptResult.OK and self._no_downgrade and attempt.rpc.key:
             latest = self._answered_builds.get(attempt.rpc.key, 0)
             self._answered_builds[attempt.rpc.key] = max(attempt.build, latest)
 
@@ -134,7 +134,7 @@
         same = scope == "all" or getattr(attempt.server, scope) == getattr(server, scope)
         return same and now + self._resolution < attempt.sent_at + method.dedup_window
 
-    def _goes_back(self, rpc: Rpc, server: Server) -> bool:
+    def _is_downgrade(self, rpc: Rpc, server: Server) -> bool:
         """Whether the server has an older build than one that answered the RPC's key."""
         release = self._release
         if release.build is None or release.state not in (ReleaseState.ON_TRIAL, ReleaseState.RELEASED):
--- a/honeywood/balancer/decisions/server_groups.py
+++ b/honeywood/balancer/decisions/server_groups.py
@@ -43,15 +43,15 @@
         if complete:
             named = {entry[0] for entry in entries}
             for server in self.listed:
-                server.status = server.status if server in named else ServerStatus.GONE
-        self.listed = [server for server in self.listed if server.status != ServerStatus.GONE]
+                server.status = server.status if server in named else ServerStatus.REMOVED
+        self.listed = [server for server in self.listed if server.status != ServerStatus.REMOVED]
 
     def _update_server(self, now: Time, entry: ServerEntry) -> None:
         server, build, zone, cell, scale, status, started_at = entry
-        was_gone = server.status == ServerStatus.GONE
-        if was_gone:
+        was_removed = server.status == ServerStatus.REMOVED
+        if was_removed:
             self.listed.append(server)
-        if was_gone or started_at != server.started_at or build != server.build:
+        if was_removed or started_at != server.started_at or build != server.build:
             forget_process(server, now)
         server.build, server.zone, server.cell, server.scale = build, zone, cell, scale
         server.status, server.started_at = status, started_at
@@ -79,5 +79,5 @@
     """
     server.latency_factor, server.recent_failures, server.decayed_at = 1.0, 0.0, now
     server.reported_load, server.reported_at = 0.0, -inf
-    server.cold_sends, server.answered_at = deque(), now
+    server.warm_up_sends, server.answered_at = deque(), now
     server.ejected_until, server.suspect = now, False
--- a/honeywood/balancer/decisions/server_selection.py
+++ b/honeywood/balancer/decisions/server_selection.py
@@ -10,7 +10,7 @@
 from collections import deque
 from math import isfinite
 
-from honeywood.balancer.decisions.limits import RETURN_TIME, SILENCE
+from honeywood.balancer.decisions.limits import RETURN_TIME, UNRESPONSIVE_AFTER
 from honeywood.balancer.model import SECOND, AttemptResult, Exclusion, ServerStatus
 
 TYPE_CHECKING = False
@@ -19,7 +19,7 @@
     from random import Random
 
     from honeywood.balancer.decisions.arrivals import Arrivals
-    from honeywood.balancer.decisions.cold_servers import ColdServers
+    from honeywood.balancer.decisions.warm_up import WarmUpBudget
     from honeywood.balancer.decisions.send_policy import SendPolicy
     from honeywood.balancer.decisions.server_groups import ServerGroups
     from honeywood.balancer.interface import Host
@@ -49,13 +49,13 @@
         random: Random,
         servers: ServerGroups,
         arrivals: Arrivals,
-        cold_servers: ColdServers,
+        warm_up: WarmUpBudget,
         policy: SendPolicy,
     ) -> None:
         """No answer was seen yet."""
         self._host, self._observer, self._random = host, host.observer, random
         self._servers, self._arrivals = servers, arrivals
-        self._cold_servers, self._policy = cold_servers, policy
+        self._warm_up, self._policy = warm_up, policy
         self._zone = settings.zone if settings.cross_zone_price else None
         fields = settings.load_report_fields
         self._load_field = fields.index("active") if "active" in fields else None
@@ -65,8 +65,8 @@
         self._reports: deque[tuple[Time, Server]] = deque()
         self._next_probe = random.randrange(1 << 16)  # by chance: else all balancers probe the same server
         # Where this balancer's subset begins: those of all balancers are spread evenly.
-        known = settings.balancer_index < settings.balancers
-        self._subset_start = settings.balancer_index / settings.balancers if known else random.random()
+        is_member = settings.balancer_index < settings.balancers
+        self._subset_start = settings.balancer_index / settings.balancers if is_member else random.random()
         self.mean_latencies: list[float | None] = [None] * len(settings.methods)
 
     def send(self, now: Time, rpc: Rpc, first: Sequence[Server], second: Sequence[Server]) -> bool:
@@ -98,9 +98,9 @@
     def _choose(self, now: Time, rpc: Rpc, group: Sequence[Server]) -> Server | None:
         """The least busy of two drawn that may be chosen; of the whole group where there is none."""
         candidates: list[tuple[float, int, Server]] = []
-        tried, in_zone = [attempt.server for attempt in rpc.attempts], 0
+        attempted, in_zone = [attempt.server for attempt in rpc.attempts], 0
         for server in self._draw(group):
-            exclusion = self._exclusion(now, rpc, server, tried)
+            exclusion = self._exclusion(now, rpc, server, attempted)
             if self._observer:
                 self._observer.considered(rpc, server, exclusion)
             if not exclusion:
@@ -119,8 +119,8 @@
         sample = self._random.sample
         reported = list(self._lately_reported(group))
         drawn = sample(reported, min(2, len(reported)))
-        for part in (self._subset(group), group):
-            drawn += sample(part, min(MAX_DRAWN, len(part)))
+        for servers in (self._subset(group), group):
+            drawn += sample(servers, min(MAX_DRAWN, len(servers)))
         return dict.fromkeys(drawn)
 
     def _lately_reported(self, group: Sequence[Server]) -> dict[Server, None]:
@@ -147,27 +147,29 @@
         start = int(self._subset_start * len(group))
         return [*group[start:], *group[:start]][:most]
 
-    def _exclusion(self, now: Time, rpc: Rpc, server: Server, tried: Sequence[Server]) -> int:
+    def _exclusion(self, now: Time, rpc: Rpc, server: Server, attempted: Sequence[Server]) -> int:
         """What keeps the RPC from a server that was drawn."""
-        if self._random.random() >= self._cold_servers.capacity_share(now, server):
+        if self._random.random() >= self._warm_up.capacity_share(now, server):
             return Exclusion.WARMING_UP
         if now < server.ejected_until:
             return Exclusion.EJECTED
-        if server.in_flight and now - server.answered_at >= SILENCE:
-            return Exclusion.SILENT
-        return Exclusion.TRIED if server in tried else self._policy.exclusion(now, rpc, server)
+        if server.in_flight and now - server.answered_at >= UNRESPONSIVE_AFTER:
+            return Exclusion.UNRESPONSIVE
+        return (
+            Exclusion.ALREADY_ATTEMPTED if server in attempted else self._policy.exclusion(now, rpc, server)
+        )
 
     def _consider_all(self, now: Time, rpc: Rpc, group: Sequence[Server]) -> list[tuple[float, int, Server]]:
         """All of the group that the policy lets through, whatever their health."""
         exclusions = [self._policy.exclusion(now, rpc, server) for server in group]
-        found = [
-            (self._load(now, server), place, server)
-            for place, (server, exclusion) in enumerate(zip(group, exclusions))
+        candidates = [
+            (self._load(now, server), position, server)
+            for position, (server, exclusion) in enumerate(zip(group, exclusions))
             if not exclusion
         ]
         if self._observer:
             self._observer.considered_all(rpc, group, exclusions)
-        return found
+        return candidates
 
     def _load(self, now: Time, server: Server) -> float:
         """RPCs at a server, this one among them; recent failures count as such."""
--- a/honeywood/balancer/decisions/cold_servers.py
+++ b/honeywood/balancer/decisions/warm_up.py
@@ -34,7 +34,7 @@
     attempts: float
 
 
-class ColdServers:
+class WarmUpBudget:
     """Each cold server gets its part of what this balancer's servers bear.
 
     So all balancers together keep its overload threshold. Small ones have less than an attempt for all cold
@@ -45,7 +45,7 @@
         """Nothing was sent yet."""
         self._servers, self._random = servers, random
         self._balancers = max(1, settings.balancers)
-        self._cold_share, self._warm_up_time = settings.cold_capacity_share, settings.warm_up_time
+        self._initial_share, self._warm_up_time = settings.initial_capacity_share, settings.warm_up_time
         self._window, self._resolution = settings.overload_window, settings.clock_resolution
         self._multiple = settings.overload_multiple * SAFE_SHARE
         self._successes: deque[Time] = deque()
@@ -59,11 +59,11 @@
         age, warm_up_time = max(0, now - server.started_at), self._warm_up_time
         if age >= warm_up_time:
             return 1.0
-        return self._cold_share + (1 - self._cold_share) * age / warm_up_time
+        return self._initial_share + (1 - self._initial_share) * age / warm_up_time
 
     def may_send(self, now: Time, server: Server) -> bool:
         """Whether a server, if it is cold, bears one more attempt."""
-        if not self._is_cold(now, server):
+        if not self._is_warming_up(now, server):
             return True
         since: Duration = now - self._window - self._resolution
         ready = len(self._servers.ready)
@@ -72,9 +72,9 @@
         if self._allowance[:2] != (now, server.build):  # once for all servers that an RPC looks at
             attempts = self._build_allowance(now, server.build, per_server)
             self._allowance = Allowance(now, server.build, attempts)
-        to_server = len(trimmed(server.cold_sends, since)) + 1
+        to_server = len(trimmed(server.warm_up_sends, since)) + 1
         to_build = len(trimmed(self._sends[server.build], since)) + 1
-        in_flight = self._in_flight / ready + self._multiple * (share - self._cold_share)
+        in_flight = self._in_flight / ready + self._multiple * (share - self._initial_share)
         return (
             to_build <= self._allowance.attempts
             and to_server <= max(1, per_server * share)
@@ -84,8 +84,8 @@
     def on_send(self, now: Time, server: Server) -> None:
         """An attempt goes to a server."""
         self._in_flight += 1
-        if self._is_cold(now, server):
-            server.cold_sends.append(now)
+        if self._is_warming_up(now, server):
+            server.warm_up_sends.append(now)
             self._sends[server.build].append(now)
 
     def on_result(self, now: Time, attempt: Attempt) -> None:
@@ -94,7 +94,7 @@
         if attempt.result == AttemptResult.OK:
             trimmed(self._successes, now - self._window).append(now)
 
-    def _is_cold(self, now: Time, server: Server) -> bool:
+    def _is_warming_up(self, now: Time, server: Server) -> bool:
         return now - server.started_at < self._warm_up_time + self._window
 
     def _build_allowance(self, now: Time, build: int, per_server: float) -> float:
@@ -106,6 +106,6 @@
         shares = [
             self.capacity_share(now, server)
             for server in self._servers.ready
-            if server.build == build and self._is_cold(now, server)
+            if server.build == build and self._is_warming_up(now, server)
         ]
         return max(per_server * sum(shares), len(shares) / self._balancers) + self._rounding[build].fraction
--- a/honeywood/balancer/flow_control/minimum_rates.py
+++ b/honeywood/balancer/flow_control/minimum_rates.py
@@ -11,7 +11,7 @@
 
 from honeywood.balancer.model import SECOND, Duration, Time
 
-PARTS = 8  # of a window: bytes are counted by parts, so a peer costs the same for ever
+BUCKETS = 8  # of a window: bytes are counted by buckets, so a peer costs the same for ever
 CHECK_INTERVAL = SECOND // 4  # between checks of a peer; what is longer than two of these was a stall
 TOO_SLOW, TOO_LONG = "too_slow", "too_long"
 
@@ -30,9 +30,9 @@
     most: Duration
 
     @property
-    def part(self) -> Duration:
-        """The length of a part of the window."""
-        return max(1, self.window // PARTS)
+    def bucket(self) -> Duration:
+        """The length of a bucket of the window."""
+        return max(1, self.window // BUCKETS)
 
     @property
     def bytes_per_window(self) -> float:
@@ -62,39 +62,39 @@
 class TransferMeter:
     """One peer in one phase: record() is told of bytes, violation() says whether it is to be cut off."""
 
-    __slots__ = ("_phase", "_began_at", "_counts", "_part")
+    __slots__ = ("_phase", "_began_at", "_counts", "_bucket")
 
     def __init__(self, phase: Phase, now: Time) -> None:
         """Nothing has moved yet."""
         self._phase, self._began_at = phase, now
-        self._counts = [0] * (PARTS + 1)  # the window's parts, and the one that is not over
-        self._part = 0
+        self._counts = [0] * (BUCKETS + 1)  # the window's buckets, and the one that is not over
+        self._bucket = 0
 
     def record(self, now: Time, count: int) -> None:
         """So many bytes have moved."""
         self._advance(now)
-        self._counts[self._part % (PARTS + 1)] += count
+        self._counts[self._bucket % (BUCKETS + 1)] += count
 
     def violation(self, now: Time) -> str | None:
         """The code with which the peer is cut off, None while it is not.
 
-        Its phase has taken too long in all, or less than the least rate has moved in a window and the part of
-        one that is not over.
+        Its phase has taken too long in all, or less than the least rate has moved in a window and in the
+        bucket that is not over.
         """
         age = now - self._began_at
         if age >= self._phase.most:
             return f"{TOO_LONG}_{self._phase.name}"
         self._advance(now)
-        whole_window = age >= self._phase.grace + self._phase.window
-        if whole_window and sum(self._counts) < self._phase.bytes_per_window:
+        full_window = age >= self._phase.grace + self._phase.window
+        if full_window and sum(self._counts) < self._phase.bytes_per_window:
             return f"{TOO_SLOW}_{self._phase.name}"
         return None
 
     def _advance(self, now: Time) -> None:
-        """Let go of the parts that are older than a window."""
-        part = (now - self._began_at) // self._phase.part
-        for number in range(self._part + 1, min(part, self._part + PARTS + 1) + 1):
-            self._counts[number % (PARTS + 1)] = 0
-        if part > self._part + PARTS + 1:
-            self._counts = [0] * (PARTS + 1)
-        self._part = max(part, self._part)
+        """Let go of the buckets that are older than a window."""
+        bucket = (now - self._began_at) // self._phase.bucket
+        for number in range(self._bucket + 1, min(bucket, self._bucket + BUCKETS + 1) + 1):
+            self._counts[number % (BUCKETS + 1)] = 0
+        if bucket > self._bucket + BUCKETS + 1:
+            self._counts = [0] * (BUCKETS + 1)
+        self._bucket = max(bucket, self._bucket)
--- a/honeywood/balancer/interface.py
+++ b/honeywood/balancer/interface.py
@@ -98,7 +98,7 @@
     def on_request(self, now: Time, rpc: Rpc) -> None:
         """A client's RPC has come."""
 
-    def on_client_gone(self, now: Time, rpc: Rpc) -> None:
+    def on_client_disconnected(self, now: Time, rpc: Rpc) -> None:
         """The client has left before its answer."""
 
     def on_response_started(self, now: Time, attempt: Attempt) -> None:
@@ -123,7 +123,7 @@
     ) -> None:
         """A probe has ended."""
 
-    def on_wrong_answer(self, now: Time, server: Server, method: Method) -> None:
+    def on_incorrect_answer(self, now: Time, server: Server, method: Method) -> None:
         """The platform found an answer of this server wrong."""
 
     def on_platform_counts(self, now: Time, counts: PlatformCounts) -> None:
--- a/honeywood/balancer/model.py
+++ b/honeywood/balancer/model.py
@@ -46,7 +46,7 @@
 class ServerStatus(IntEnum):
     """A server's place in its life cycle as the list has it. The figures stand in traces and on the wire."""
 
-    GONE = 0
+    REMOVED = 0
     DRAINING = 1
     READY = 2
 
@@ -93,13 +93,13 @@
     DEADLINE = 4
     MAY_HAVE_RUN = 5
     DEDUPLICATION = 6
-    ONE_WAY = 7
+    NO_DOWNGRADE = 7
     EXPOSURE = 8
-    COLD_BUDGET = 9
+    WARM_UP_BUDGET = 9
     WARMING_UP = 10
     EJECTED = 11
-    SILENT = 12
-    TRIED = 13
+    UNRESPONSIVE = 12
+    ALREADY_ATTEMPTED = 13
 
 
 def digest(identifier: object) -> int:
@@ -116,7 +116,7 @@
     target_per_work: float = 0.0  # added to the target for each unit of an RPC's expected work
     timeout: Duration = SECOND
     utility: float = 1.0
-    late_utility: float = 0.0
+    overdue_utility: float = 0.0
     dedup_scope: str = (
         "all"  # where repeats of a keyed RPC are dropped: "all", or servers of one "zone", "cell"
     )
@@ -133,13 +133,13 @@
     zone: int = 0
     cell: int = 0
     scale: float = 1.0
-    status: ServerStatus = ServerStatus.GONE
+    status: ServerStatus = ServerStatus.REMOVED
     started_at: Time = UNKNOWN_START
     digest: int = 0
     host: Any = None  # the host's own; the decisions do not look at it
 
     in_flight: int = 0
-    cold_sends: deque[Time] = field(default_factory=deque)  # times of attempts while it was cold
+    warm_up_sends: deque[Time] = field(default_factory=deque)  # times of attempts while it was cold
     latency_factor: float = 1.0  # its latency over the mean of all servers
     reported_load: float = 0.0  # RPCs of other balancers, by its last load report
     reported_at: float = -inf
@@ -167,7 +167,7 @@
     attempts: list[Attempt] = field(default_factory=list)
     target_at: Time = 0  # when an answer is late, though its client still waits
     done: bool = False
-    late: bool = False  # counted as slow before its answer came
+    is_overdue: bool = False  # counted as slow before its answer came
     response_began_at: Time | None = None
     give_up_reason: GiveUpReason | None = None
 
--- a/honeywood/balancer/program/__init__.py
+++ b/honeywood/balancer/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program: configuration, log and life cycle."""
+"""The program: life cycle, log, and what an operator file switches on. Start with main.py."""
--- a/honeywood/balancer/protocol/discovery.py
+++ b/honeywood/balancer/protocol/discovery.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from typing import Any
 
-PHASES = {"up": ServerStatus.READY, "draining": ServerStatus.DRAINING, "removed": ServerStatus.GONE}
+PHASES = {"up": ServerStatus.READY, "draining": ServerStatus.DRAINING, "removed": ServerStatus.REMOVED}
 # What values of other kinds lead to.
 UNUSABLE = KeyError, TypeError, ValueError, AttributeError, OverflowError
 MAX_LINE = 4 * 1024 * 1024
@@ -90,7 +90,7 @@
 
 def _parse_member(raw: Any) -> Member:
     status = PHASES[raw["phase"]]
-    no_address = status == ServerStatus.GONE and "host_port" not in raw
+    no_address = status == ServerStatus.REMOVED and "host_port" not in raw
     return Member(
         identifier=str(raw["id"]),
         address=None if no_address else parse_address(raw["host_port"]),
--- a/honeywood/balancer/protocol/platform.py
+++ b/honeywood/balancer/protocol/platform.py
@@ -66,7 +66,7 @@
     age: Duration
 
 
-class WrongAnswer(NamedTuple):
+class IncorrectAnswer(NamedTuple):
     """A server whose answer to an RPC of this method was wrong."""
 
     server: str
@@ -79,7 +79,7 @@
 
 
 def read_line(buffer: Buffer) -> list[str] | None:
-    """The next line's words, None while it is not complete. Raises InvalidLine."""
+    """The next line's fields, None while it is not complete. Raises InvalidLine."""
     end = buffer.find(b"\r\n")
     if end > MAX_LINE or (end < 0 and len(buffer) > MAX_LINE):
         raise InvalidLine("line too long")
@@ -91,15 +91,15 @@
         raise InvalidLine("not text") from None
 
 
-def parse_update(words: Sequence[str], steps: int) -> ReleaseUpdate:
+def parse_update(fields: Sequence[str], steps: int) -> ReleaseUpdate:
     """`image ring progress ceiling lag_ms` of a release with so many steps. Raises InvalidLine."""
     try:
-        image, ring, progress, ceiling, lag = words
+        image, ring, progress, ceiling, lag = fields
         age = _tenths_of_ms(lag)
         build, step = _integer(image), _integer(ring, steps - 1)
         return ReleaseUpdate(build, step, _number(ceiling), STATES[progress], age)
     except (ValueError, KeyError, TypeError):
-        raise InvalidLine(f"state {words}") from None
+        raise InvalidLine(f"state {fields}") from None
 
 
 def read_update(section: Section, steps: int) -> ReleaseUpdate:
@@ -116,46 +116,46 @@
     )
 
 
-def parse_reply(words: Sequence[str], steps: int, bare: bool = False) -> Reply:
+def parse_reply(fields: Sequence[str], steps: int, bare: bool = False) -> Reply:
     """The answer to a call; only a subscription is answered by a bare OK. Raises InvalidLine."""
-    if words[0] == "OK" and bare == (len(words) == 1):
-        return Reply(AttemptResult.OK, None if bare else parse_update(words[1:], steps))
-    if words[0] == "ERR" and len(words) == 2 and words[1] in REFUSALS:
-        return Reply(REFUSALS[words[1]], None)
-    raise InvalidLine(f"answer {words}")
+    if fields[0] == "OK" and bare == (len(fields) == 1):
+        return Reply(AttemptResult.OK, None if bare else parse_update(fields[1:], steps))
+    if fields[0] == "ERR" and len(fields) == 2 and fields[1] in REFUSALS:
+        return Reply(REFUSALS[fields[1]], None)
+    raise InvalidLine(f"answer {fields}")
 
 
-def parse_counts(words: Sequence[str]) -> Counts:
+def parse_counts(fields: Sequence[str]) -> Counts:
     """`image type n bad latency_ms lag_ms`. Raises InvalidLine."""
     try:
-        image, name, count, bad, latency, lag = words
+        image, name, count, bad, latency, lag = fields
         ended = _integer(count)
         mean, age = _tenths_of_ms(latency), _tenths_of_ms(lag)
         return Counts(_integer(image), name, _integer(bad, ended), ended, mean, age)
     except ValueError:
-        raise InvalidLine(f"tally {words}") from None
+        raise InvalidLine(f"tally {fields}") from None
 
 
-def parse_wrong_answer(words: Sequence[str]) -> WrongAnswer:
+def parse_incorrect_answer(fields: Sequence[str]) -> IncorrectAnswer:
     """`host type lag_ms`. Raises InvalidLine."""
-    if len(words) != 3:
-        raise InvalidLine(f"flag {words}")
-    return WrongAnswer(words[0], words[1])
+    if len(fields) != 3:
+        raise InvalidLine(f"flag {fields}")
+    return IncorrectAnswer(fields[0], fields[1])
 
 
-def _number(word: str) -> float:
-    value = float(word)
+def _number(field: str) -> float:
+    value = float(field)
     if not 0 <= value <= MAX_NUMBER:
-        raise ValueError(word)
+        raise ValueError(field)
     return value
 
 
-def _tenths_of_ms(word: str) -> Duration:
+def _tenths_of_ms(field: str) -> Duration:
     """Milliseconds as tenths of them."""
-    return int(_number(word) * 10)
+    return int(_number(field) * 10)
 
 
-def _integer(word: str, most: int = MAX_NUMBER) -> int:
-    if not word.isdecimal() or int(word) > most:
-        raise ValueError(word)
-    return int(word)
+def _integer(field: str, most: int = MAX_NUMBER) -> int:
+    if not field.isdecimal() or int(field) > most:
+        raise ValueError(field)
+    return int(field)
--- a/honeywood/balancer/settings.py
+++ b/honeywood/balancer/settings.py
@@ -44,8 +44,8 @@
     connect_timeout: Duration = DEFAULT_CONNECT_TIMEOUT
 
     list_on_request: bool = False  # whether discovery must be asked for the list
-    ask_within: Duration = 0
-    cold_capacity_share: float = 1.0  # of a server that has just started
+    list_request_window: Duration = 0
+    initial_capacity_share: float = 1.0  # of a server that has just started
     warm_up_time: Duration = 0
     overload_multiple: float = 1.0  # a cold server sent so many times its capacity
     overload_window: Duration = 0  # for so long falls over
@@ -59,7 +59,7 @@
     exposure_window: Duration = 0
     exposure_per_method: bool = False
     guarded_steps: int = 0  # first steps in which only idempotent methods go to it
-    one_way: bool = False  # whether a key that it answered must not go back to an older build
+    no_downgrade: bool = False  # whether a key that it answered must not go back to an older build
     vote_rule: VoteRule = VoteRule.ANY
     rollback_votes: int = 1
     proceed_votes: int = 1
--- a/honeywood/balancer/transport/buffer.py
+++ b/honeywood/balancer/transport/buffer.py
@@ -6,7 +6,7 @@
 
 
 class Buffer:
-    """Grows as needed; what has left is cut off in place, by and by.
+    """Grows as needed; what has left is cut off in position, by and by.
 
     >>> b = Buffer(); b.add(b"GET / "); b.add(b"HTTP"); b.take(4), len(b), b.find(b"HT"), bytes(b.view(0, 3))
     (b'GET ', 6, 2, b'/ H')
@@ -43,15 +43,15 @@
 
     def find(self, pattern: bytes) -> int:
         """Where a pattern begins; -1 where it is not here."""
-        place = self.data.find(pattern, self._start)
-        return place if place < 0 else place - self._start
+        position = self.data.find(pattern, self._start)
+        return position if position < 0 else position - self._start
 
     def find_further(self, pattern: bytes) -> int:
         """The same, where earlier calls since the last take() looked for this pattern in vain."""
         overlap = len(pattern) - 1
-        place = self.data.find(pattern, self._start + max(0, self.searched - overlap))
+        position = self.data.find(pattern, self._start + max(0, self.searched - overlap))
         self.searched = len(self)
-        return place if place < 0 else place - self._start
+        return position if position < 0 else position - self._start
 
     def view(self, start: int, end: int) -> bytearray:
         """Some of it, which stays."""
--- a/honeywood/balancer/transport/connection.py
+++ b/honeywood/balancer/transport/connection.py
@@ -82,7 +82,7 @@
         if not self._run("dial", lambda: self._connect(address, timeout_s)):
             self.mailbox.post(self._end, NO_THREAD)
 
-    def is_open_and_silent(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether a kept connection still stands and nothing has come on it, as far as it has arrived."""
         try:
             self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -134,7 +134,7 @@
         try:
             data = self.sock.recv(READ_SIZE, socket.MSG_DONTWAIT)
         except BlockingIOError:
-            poller.again(self)
+            poller.rearm(self)
             return
         except OSError as error:
             self._end(code_of(error))
@@ -148,7 +148,7 @@
         else:
             self._discard(data)
         if not self.has_ended:
-            poller.again(self)
+            poller.rearm(self)
 
     def _discard(self, data: bytes) -> None:
         self._discarded += len(data)
--- a/honeywood/balancer/transport/poller.py
+++ b/honeywood/balancer/transport/poller.py
@@ -21,7 +21,7 @@
 
 
 class Poller:
-    """Posts `on_readable` to a connection's mailbox, once for each watch() and again()."""
+    """Posts `on_readable` to a connection's mailbox, once for each watch() and rearm()."""
 
     def __init__(self) -> None:
         """Its thread starts with the first connection."""
@@ -40,7 +40,7 @@
             self._watched[descriptor] = connection
             self._epoll.register(descriptor, ONCE)
 
-    def again(self, connection: Connection) -> None:
+    def rearm(self, connection: Connection) -> None:
         """Tell once more: what had come is read."""
         self._epoll.modify(connection.sock.fileno(), ONCE)
 
--- a/honeywood/trace/call_recorder.py
+++ b/honeywood/trace/call_recorder.py
@@ -155,7 +155,7 @@
         if not self.put(now, TAKEN, values):
             call.serial = 0
 
-    def on_client_gone(self, now: Time, rpc: Rpc) -> None:
+    def on_client_disconnected(self, now: Time, rpc: Rpc) -> None:
         """The client has left."""
         self.put(now, LEFT, (rpc.host.serial, rpc.method.name), rpc.host.serial)
 
@@ -191,7 +191,7 @@
         """A probe has ended."""
         self.put(now, PROBE, (server.host.name, result, latency, load))
 
-    def on_wrong_answer(self, now: Time, server: Server, method: Method) -> None:
+    def on_incorrect_answer(self, now: Time, server: Server, method: Method) -> None:
         """The platform found an answer wrong."""
         self.put(now, WRONG, (server.host.name, method.name))
 
--- a/honeywood/trace/rules/lives.py
+++ b/honeywood/trace/rules/lives.py
@@ -34,13 +34,13 @@
     Exclusion.DEADLINE: "past the deadline",
     Exclusion.MAY_HAVE_RUN: "an earlier pick may have run",
     Exclusion.DEDUPLICATION: "outside the token's group or window",
-    Exclusion.ONE_WAY: "an older build than answered the key",
+    Exclusion.NO_DOWNGRADE: "an older build than answered the key",
     Exclusion.EXPOSURE: "over the cap of the build on trial",
-    Exclusion.COLD_BUDGET: "a cold server's budget was used",
+    Exclusion.WARM_UP_BUDGET: "a cold server's budget was used",
     Exclusion.WARMING_UP: "warming up: left out by chance",
     Exclusion.EJECTED: "left alone after failures",
-    Exclusion.SILENT: "silent with picks out",
-    Exclusion.TRIED: "tried before",
+    Exclusion.UNRESPONSIVE: "silent with picks out",
+    Exclusion.ALREADY_ATTEMPTED: "tried before",
 }
 
 
--- a/honeywood/trace/rules/replaying.py
+++ b/honeywood/trace/rules/replaying.py
@@ -153,7 +153,7 @@
         made = self.answers.pop(got.rpc, None)
         self.compare("answer", OUTCOMES.get(made), OUTCOMES.get(got.outcome), f"RPC {got.rpc} answer")
         if not rpc.done:  # still open today: it was over then, and so are its picks
-            self.balancer.on_client_gone(self.now, rpc)
+            self.balancer.on_client_disconnected(self.now, rpc)
             for attempt in rpc.attempts:
                 if attempt.result is None:
                     latency = self.now - attempt.sent_at
@@ -174,7 +174,7 @@
 
     def left(self, got):
         if rpc := self.rpcs.get(got.rpc):
-            self.balancer.on_client_gone(self.now, rpc)
+            self.balancer.on_client_disconnected(self.now, rpc)
             self.let_go(rpc)
 
     def news(self, got):
@@ -192,7 +192,7 @@
             server = self.servers.setdefault(name, Server(host=name, digest=digest(name)))
             status = ServerStatus(status)
             lines.append(ServerEntry(server, build, zone, cell, scale, status, start + self.unix_start))
-            if status == ServerStatus.GONE:
+            if status == ServerStatus.REMOVED:
                 del self.servers[name]
         if got.whole:
             self.servers = {name: self.servers[name] for name in got.servers if name in self.servers}
@@ -213,7 +213,7 @@
 
     def wrong(self, got):
         if got.server in self.servers and got.method in self.methods:
-            self.balancer.on_wrong_answer(self.now, self.servers[got.server], self.methods[got.method])
+            self.balancer.on_incorrect_answer(self.now, self.servers[got.server], self.methods[got.method])
 
     def probed(self, got):
         if got.server in self.servers:
--- a/tests/balancer/decision_player.py
+++ b/tests/balancer/decision_player.py
@@ -68,8 +68,8 @@
             may_probe=False,
             max_retry_after=10000,
             list_on_request=False,
-            ask_within=100000,
-            cold_capacity_share=0.4,
+            list_request_window=100000,
+            initial_capacity_share=0.4,
             warm_up_time=40000,
             overload_multiple=2.5,
             overload_window=20000,
@@ -82,7 +82,7 @@
             exposure_window=30000,
             exposure_per_method=False,
             guarded_steps=0,
-            one_way=False,
+            no_downgrade=False,
             vote_rule="any",
             rollback_votes=1,
             proceed_votes=1,
@@ -193,7 +193,7 @@
                     timeout=int(deadline) * MS,
                     index=place,
                     utility=float(utility),
-                    late_utility=0,
+                    overdue_utility=0,
                     dedup_scope="all",
                     dedup_window=80000,
                 )
@@ -243,7 +243,7 @@
 
     def do_wrong(self, server, method, times):
         for _ in range(int(times)):
-            self.balancer.on_wrong_answer(self.now, self.servers[server], self.methods[method])
+            self.balancer.on_incorrect_answer(self.now, self.servers[server], self.methods[method])
 
     def do_tally(self, build, method, failed, ended, mean):
         counts = int(failed), int(ended), int(mean) * MS
@@ -271,7 +271,7 @@
 
     def do_restart(self):
         for server in self.servers.values():
-            server.status, server.in_flight = ServerStatus.GONE, 0
+            server.status, server.in_flight = ServerStatus.REMOVED, 0
         self.rpcs, self.queue = {}, []
         self.start()
 
--- a/tests/balancer/fleet/fleet.py
+++ b/tests/balancer/fleet/fleet.py
@@ -59,7 +59,7 @@
                 timeout=3600 * MS,
                 index=0,
                 utility=2.0,
-                late_utility=0,
+                overdue_utility=0,
                 dedup_scope="all",
                 dedup_window=80000,
             )
--- a/tests/balancer/fleet/test_fleet.py
+++ b/tests/balancer/fleet/test_fleet.py
@@ -38,7 +38,9 @@
 def test_cold_servers_get_no_more_than_their_multiple_from_all_fronts(size):
     """Ten of 40 servers start at 10 s. In any window of the told length a cold one may get the multiple (2.5)
     of what a warm one gets, times the share of its capacity that it has."""
-    fleet = Fleet(size, servers(40), 240, cold_capacity_share=0.33, warm_up_time=26400, overload_window=30000)
+    fleet = Fleet(
+        size, servers(40), 240, initial_capacity_share=0.33, warm_up_time=26400, overload_window=30000
+    )
     fleet.flow(20000)
     fleet.run(10000)
     for member in fleet.members:
@@ -55,7 +57,7 @@
 def test_all_fronts_get_their_list_from_a_discovery_that_refuses_most_calls(size):
     """All start at once and ask; discovery takes one call of each in 6 s and turns away what comes faster.
     Where those refused come again together, only a few of them are taken each time."""
-    fleet = Fleet(size, servers(4), 10, list_on_request=True, ask_within=100000)
+    fleet = Fleet(size, servers(4), 10, list_on_request=True, list_request_window=100000)
     spare, told = [1.0, 0], {}
 
     def asked(member):
@@ -69,7 +71,7 @@
 
     for member in fleet.members:
         watch = member.balancer.list_watch
-        watch.established = watch.asked = False  # the list at start was the configuration's
+        watch.established = watch.requested = False  # the list at start was the configuration's
         member.watch_servers = lambda member=member: asked(member)
     fleet.run(20000)
     assert len(told) == size and max(told.values()) < 150000
--- a/tests/balancer/flow_control/test_minimum_rates.py
+++ b/tests/balancer/flow_control/test_minimum_rates.py
@@ -7,7 +7,7 @@
 from honeywood.balancer.model import SECOND
 from honeywood.balancer.flow_control.minimum_rates import (
     CHECK_INTERVAL,
-    PARTS,
+    BUCKETS,
     Phase,
     RunningTime,
     TransferMeter,
@@ -73,7 +73,7 @@
         moves.append((at, gap * 7 // 10))
     said, when = first_said(moves)
     assert said == "too_slow_head"
-    assert when * 10 <= HEAD.grace + HEAD.window * (PARTS + 1) // PARTS + CHECK_INTERVAL
+    assert when * 10 <= HEAD.grace + HEAD.window * (BUCKETS + 1) // BUCKETS + CHECK_INTERVAL
 
 
 def test_nobody_is_blamed_for_the_fronts_own_absence():
--- a/tests/balancer/transport/test_poller.py
+++ b/tests/balancer/transport/test_poller.py
@@ -50,4 +50,4 @@
         until = time.monotonic() + 1
         while not told and time.monotonic() < until:
             time.sleep(0.01)
-    assert not told and one.is_open_and_silent() is False
+    assert not told and one.is_reusable() is False
