--- /dev/null
+++ b/tests/balancer/decisions/decision_builders.py
@@ -0,0 +1,83 @@
+"""What the tests of single decisions are built from."""
+
+from honeywood.balancer.decisions.server_groups import ServerGroups
+from honeywood.balancer.model import (
+    UNKNOWN_START,
+    Attempt,
+    Method,
+    Rpc,
+    Server,
+    ServerEntry,
+    ServerStatus,
+)
+from honeywood.balancer.settings import Settings
+
+
+class RecordingHost:
+    """Keeps what the decisions ask."""
+
+    observer = None
+
+    def __init__(self):
+        self.sent, self.votes, self.lines, self.list_requests = [], [], [], 0
+
+    def send(self, attempt, until):
+        self.sent.append(attempt)
+
+    def vote(self, build, step, vote):
+        self.votes.append((build, step, vote))
+
+    def watch_servers(self):
+        self.list_requests += 1
+
+    def log(self, text):
+        self.lines.append(text)
+
+
+class NoRelease:
+    """A release that puts only the builds of `on_trial` on trial."""
+
+    build, state, rejected_builds = None, None, ()
+
+    def __init__(self, **on_trial):
+        self.on_trial = on_trial
+
+    def trial_of(self, build):
+        return self.on_trial.get(f"build_{build}")
+
+
+def method(**given):
+    return Method(**{"latency_target": 10_000, "timeout": 40_000, "dedup_window": 50_000, **given})
+
+
+def settings(**given):
+    return Settings(**{"methods": [method()], "max_attempts": 3, "clock_resolution": 50, **given})
+
+
+def server(**given):
+    made = Server(**{"status": ServerStatus.READY, "build": 1, **given})
+    made.host = made
+    return made
+
+
+def rpc(of=None, **given):
+    return Rpc(**{"method": of or method(), "deadline": 40_000, "arrived_at": 0, **given})
+
+
+def attempt(of=None, at=None, result=None, latency=100, sent_at=0):
+    of, at = of or rpc(), at or server()
+    made = Attempt(rpc=of, server=at, number=len(of.attempts), build=at.build, sent_at=sent_at)
+    made.result, made.latency = result, latency
+    of.attempts.append(made)
+    return made
+
+
+def groups(*servers, release=None):
+    made = ServerGroups()
+    made.listed = list(servers)
+    made.regroup(release or NoRelease())
+    return made
+
+
+def entry(of, build=1, status=ServerStatus.READY, started_at=UNKNOWN_START):
+    return ServerEntry(of, build, 0, 0, 1.0, status, started_at)
--- a/tests/balancer/decisions/test_scenarios.py
+++ b/tests/balancer/decisions/test_scenarios.py
@@ -5,7 +5,6 @@
 import pytest
 from decision_player import play
 
-
 SCENARIOS = sorted((pathlib.Path(__file__).parent / "scenarios").glob("*.txt"))
 
 
