--- a/tests/balancer/fleet/fleet.py
+++ b/tests/balancer/fleet/fleet.py
@@ -3,9 +3,10 @@
 from heapq import heappop, heappush
 from random import Random
 
-from honeywood.balancer.model import SECOND, AttemptResult, Idempotency, Method
 from decision_player import MS, DecisionPlayer
 
+from honeywood.balancer.model import SECOND, AttemptResult, Idempotency, Method
+
 WORK, CORES = 330 * MS, 3  # of a server; an RPC takes longer in proportion where more than CORES are held
 
 
--- a/tests/balancer/flow_control/test_minimum_rates.py
+++ b/tests/balancer/flow_control/test_minimum_rates.py
@@ -4,7 +4,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from honeywood.balancer.model import SECOND
 from honeywood.balancer.flow_control.minimum_rates import (
     CHECK_INTERVAL,
     BUCKETS,
@@ -12,6 +11,7 @@
     RunningTime,
     TransferMeter,
 )
+from honeywood.balancer.model import SECOND
 
 HEAD = Phase("head", grace=SECOND, window=2 * SECOND, least=1000, most=30 * SECOND)
 # When it is looked at, and (time, bytes) that moved, in ms: what is said, and when first.
--- a/tests/balancer/protocol/test_parsers.py
+++ b/tests/balancer/protocol/test_parsers.py
@@ -7,7 +7,6 @@
 from honeywood.balancer.protocol import discovery, http, platform
 from honeywood.balancer.transport.buffer import Buffer
 
-
 SAMPLES = [
     (
         http.InvalidMessage,
--- a/tests/balancer/socket_player.py
+++ b/tests/balancer/socket_player.py
@@ -12,8 +12,8 @@
 import threading
 import time
 
-from standins.control import DiscoveryStand, PlatformStand
-from standins.peer import Peer, health, message
+from honeywood.standins.control import DiscoveryStand, PlatformStand
+from honeywood.standins.peer import Peer, health, message
 
 
 class ScriptedServer(Peer):
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -7,8 +7,8 @@
 
 from honeywood.gateway.configuration import versions as held
 from honeywood.gateway.configuration.config import unpack
-from honeywood.gateway.dissemination.messages import Answer
 from honeywood.gateway.controller.orders import Orders
+from honeywood.gateway.dissemination.messages import Answer
 from honeywood.gateway.rollout import record as rollouts
 from honeywood.gateway.rpc.asgi import CONTEXT, RequestContext
 from honeywood.gateway.rpc.departure import ClientDeparture
--- a/tests/gateway/test_soak.py
+++ b/tests/gateway/test_soak.py
@@ -1,8 +1,9 @@
 """The soak: real processes under troubles that overlap, in a short form; its rules, each seen to break."""
 
+from ward import each, test
+
 from honeywood.lab.soak import rules, run, troubles
 from honeywood.lab.soak.rules import Record, Run, Try
-from ward import each, test
 
 
 @test("a short soak of seed {seed} breaks no rule")
--- a/tests/operator/test_operator.py
+++ b/tests/operator/test_operator.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from honeywood.operator.rules import BadFile
 from honeywood.operator.read import read, write_compiled
+from honeywood.operator.rules import BadFile
 
 GOOD = 'trace {\n  folder = "/var/trace"\n  block_age = "250ms"\n  most_bytes = "1.5GB"\n}\n'
 
@@ -102,7 +102,7 @@
         "import sys, honeywood.balancer.program.main; print([name for name in sys.modules if "
         "name.startswith(("
         "'honeywood.trace', 'honeywood.operator', 'honeywood.cli', 'honeywood.lab', 'click', 'hcl2',"
-        " 'numpy', 'msgpack', 'xxhash', 'zstandard', 'matplotlib', 'standins'))])"
+        " 'numpy', 'msgpack', 'xxhash', 'zstandard', 'matplotlib', 'honeywood.standins'))])"
     )
 
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "[]\n"
--- a/tests/trace/test_recorded_trace.py
+++ b/tests/trace/test_recorded_trace.py
@@ -16,17 +16,17 @@
     Method,
     PlatformCounts,
     ReleaseState,
+    ReleaseTestResult,
     ReleaseUpdate,
     Rpc,
     Server,
     ServerEntry,
     ServerStatus,
-    ReleaseTestResult,
     Vote,
 )
 from honeywood.trace import format, schema, writer
-from honeywood.trace.reader import Reader
 from honeywood.trace.call_recorder import CallRecorder
+from honeywood.trace.reader import Reader
 
 RECORDED = pathlib.Path(__file__).parent / "recorded"
 ALL_KINDS = RECORDED / "all_kinds.trace"
--- a/tests/trace/test_tools.py
+++ b/tests/trace/test_tools.py
@@ -10,16 +10,16 @@
 
 import pytest
 
+from honeywood.balancer.transport.mailbox import Mailbox
 from honeywood.lab.world import World
+from honeywood.standins.release import Load
 from honeywood.trace import sample
+from honeywood.trace.call_recorder import CallRecorder
 from honeywood.trace.reader import Reader
 from honeywood.trace.recorder import Recorder
 from honeywood.trace.rules.selection import Wanted
 from honeywood.trace.schema import DROPPED, KINDS, LOOK, NEWS, PICK, TAKEN
-from honeywood.trace.call_recorder import CallRecorder
 from honeywood.trace.writer import create
-from honeywood.balancer.transport.mailbox import Mailbox
-from standins.release import Load
 
 SECOND = 10_000
 
