--- a/honeywood/gateway/controller/orders.py
+++ b/honeywood/gateway/controller/orders.py
@@ -7,7 +7,7 @@
 from honeywood.gateway.configuration import config
 from honeywood.gateway.configuration import versions as held
 from honeywood.gateway.configuration.outcome import Wrong
-from honeywood.gateway.rollout import record
+from honeywood.gateway.rollout import record, transitions
 from honeywood.gateway.routing.endpoints import DRAINING, READY
 
 CONFIG, ROLLOUT = "config", "rollout/"  # keys of the register
@@ -89,7 +89,7 @@
             raise Wrong(START, "this controller stood still; the order may be an old one", peer, 503)
         held = await self._orderable(svc, peer)
         alone = await self._agreed_alone(svc, to_ver, peer)
-        if record.sent_back(held, to_ver):
+        if transitions.was_reverted(held, to_ver):
             await asyncio.sleep(LINGER)
 
         def begun(held):
@@ -100,9 +100,9 @@
             since_s = 0.0 if held is None else self.controller.rollouts.since(held)
             still_alone = alone and self._alone(svc, to_ver)
             again_s = self.controller.settings.bounds["ack_s"] + AGAIN
-            return record.start(held, svc, to_ver, over_s, since_s, again_s, still_alone)
+            return transitions.start_rollout(held, svc, to_ver, over_s, since_s, again_s, still_alone)
 
-        change = lambda value: record.rewritten(value, begun)  # noqa: E731
+        change = lambda value: transitions.update_stored(value, begun)  # noqa: E731
         rollout = record.decode(await self._change(START, ROLLOUT + svc, change, peer))
         told = {"svc": svc, "to_ver": to_ver, "over_s": over_s}
         self.say("rollout ordered", **told, n=rollout.revision, state=rollout.state)
--- a/honeywood/gateway/controller/retention.py
+++ b/honeywood/gateway/controller/retention.py
@@ -1,6 +1,6 @@
 """Which counts of proxies stay on the store though their proxy has ended. Pure."""
 
-from honeywood.gateway.rollout.record import ACTIVE
+from honeywood.gateway.rollout.record import RolloutState
 
 COUNT, ROLLOUT = "count/", "rollout/"  # keys of proxies' counts and of rollouts' records
 
@@ -16,4 +16,4 @@
 def _counts_for(record, n):
     if record is None or record["n"] < n:
         return True
-    return record["state"] == ACTIVE and n >= record["order"]
+    return record["state"] == RolloutState.ACTIVE and n >= record["order"]
--- a/honeywood/gateway/controller/rollout_loop.py
+++ b/honeywood/gateway/controller/rollout_loop.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 from honeywood.gateway.dissemination.rendezvous import order
-from honeywood.gateway.rollout import record, report
-from honeywood.gateway.rollout.verdict import Verdict
+from honeywood.gateway.rollout import record, report, transitions
+from honeywood.gateway.rollout.evaluator import RolloutEvaluator
 
 ROLLOUT, COUNT = "rollout/", "count/"  # keys of the register, and of what proxies tell
 TURN_S = 0.15  # seconds by which controllers act after each other
@@ -29,7 +29,7 @@
         self.local_ip, self.store, self.register = local_ip, store, register
         self.contacts, self.fleet, self.publish = contacts, fleet, publish
         self.clock, self.say = clock, say
-        self.verdicts, self._known = {}, {}  # by service
+        self.evaluators, self._known = {}, {}  # by service
 
     def heard(self, service, revision):
         """A record of a rollout has come to the store."""
@@ -43,7 +43,7 @@
         for key, value in self.store.under(ROLLOUT):
             rollout = record.decode(value)
             if not rollout.active:
-                self.verdicts.pop(rollout.service, None)
+                self.evaluators.pop(rollout.service, None)
                 continue
             change = self._look(rollout)
             if change is not None and await self._turn(rollout, key, value):
@@ -51,12 +51,12 @@
 
     def _look(self, rollout):
         """The change that is to be made, or None."""
-        verdict = self.verdicts.get(rollout.service)
-        if verdict is None or verdict.revision != rollout.revision:
-            verdict = self.verdicts[rollout.service] = Verdict(rollout.revision)
-        tallies, votes, left = self.counted(rollout)
-        elapsed_s = rollout.held_s + self.since(rollout)
-        return verdict.look(self.clock(), elapsed_s, rollout, tallies, votes, left)
+        evaluator = self.evaluators.get(rollout.service)
+        if evaluator is None or evaluator.revision != rollout.revision:
+            evaluator = self.evaluators[rollout.service] = RolloutEvaluator(rollout.revision)
+        outcome_counts, votes, left = self.counted(rollout)
+        elapsed_s = rollout.elapsed_s + self.since(rollout)
+        return evaluator.evaluate(self.clock(), elapsed_s, rollout, outcome_counts, votes, left)
 
     async def _turn(self, rollout, key, value):
         """Waits for this controller's turn; whether what was decided before still holds."""
@@ -71,14 +71,14 @@
         def changed(held):
             since_s = self.since(rollout)
             step = (rollout.version, rollout.revision, since_s, change.state, change.stage)
-            return record.advance(held, *step)
+            return transitions.advance(held, *step)
 
-        found = await self.register.change(key, lambda value: record.rewritten(value, changed))
+        found = await self.register.change(key, lambda value: transitions.update_stored(value, changed))
         if not found.ok:
             return
         self.publish(key, found.value)
         changes = {name: getattr(change, name) for name in ("state", "stage") if getattr(change, name)}
-        told = {"svc": rollout.service, "to_ver": rollout.version, "why": change.why}
+        told = {"svc": rollout.service, "to_ver": rollout.version, "why": change.reason}
         self.say("rollout", **told, **changes)
 
     def since(self, rollout):
@@ -86,32 +86,38 @@
         steady clocks go on where all controllers begin anew."""
         here = self._known.get(rollout.service, Known())
         known = [self.clock() - here.since] if here.revision == rollout.revision else []
-        ballots = (report.decode(value).ballot(rollout.service) for _, value in self.store.under(COUNT))
+        statuses = (report.decode(value).status(rollout.service) for _, value in self.store.under(COUNT))
         known += [
-            ballot.known_s
-            for ballot in ballots
-            if ballot is not None and ballot.revision == rollout.revision and ballot.known_s is not None
+            status.known_for_s
+            for status in statuses
+            if status is not None and status.revision == rollout.revision and status.known_for_s is not None
         ]
         return max(known, default=0.0)
 
     def counted(self, rollout):
-        """All proxies' tallies since the order, those of proxies that have died too; of the proxies that
-        share in the traffic their votes on this revision, and whether all follow it and have nothing out
+        """All proxies' outcome counts since the order, those of proxies that have died too; of the proxies
+        that share in the traffic their votes on this revision, and whether all follow it and have nothing out
         where it leaves."""
         told = sorted(self.store.heard(COUNT), key=lambda one: one[2])
         reports = [(key.split("/")[1], report.decode(value)) for key, value, _ in told]
         last = dict(reports)  # the life last heard of is the one that lives, whatever its clock said
-        tallies = [tally for _, one in reports if self._since_order(one, rollout) for tally in one.tallies]
-        ballots = [
-            last[node].ballot(rollout.service) if node in last else None
+        outcome_counts = [
+            tally for _, one in reports if self._since_order(one, rollout) for tally in one.outcome_counts
+        ]
+        statuses = [
+            last[node].status(rollout.service) if node in last else None
             for node in self.fleet.sharing(self.clock())
         ]
-        current = [one if one and one.revision == rollout.revision else None for one in ballots]
+        current = [one if one and one.revision == rollout.revision else None for one in statuses]
         votes = [one.vote if one else None for one in current]
-        return tallies, votes, bool(current) and all(one and not one.pending for one in current)
+        return outcome_counts, votes, bool(current) and all(one and not one.pending for one in current)
 
     @staticmethod
     def _since_order(one, rollout):
         """Whether a report was told by a proxy that had heard of the order."""
-        ballot = one.ballot(rollout.service)
-        return ballot is not None and ballot.known_s is not None and ballot.revision >= rollout.ordered_at
+        status = one.status(rollout.service)
+        return (
+            status is not None
+            and status.known_for_s is not None
+            and status.revision >= rollout.order_revision
+        )
--- a/honeywood/gateway/proxy/forwarding.py
+++ b/honeywood/gateway/proxy/forwarding.py
@@ -116,7 +116,7 @@
         if tenant is not None and tenant.priority is not None:
             request.priority = tenant.priority
         self.budget_of(service).record_request(now)
-        self.stage.taking(request)
+        self.stage.record_request(request)
         return request
 
     def _count(self, request, response):
@@ -167,7 +167,7 @@
         """The endpoint for an attempt now, or None."""
         now, service = self.clock(), request.service
         typical_s = self.endpoints.typical_latency(service)
-        for group in self.stage.groups(now, request, self.endpoints.of(service)):
+        for group in self.stage.preference_groups(now, request, self.endpoints.of(service)):
             fit = self.policy.eligible(now, request, group)
             attempted = request.attempted_endpoints
             endpoint = choose(now, fit, self.zone, attempted, typical_s, self.random)
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -20,7 +20,7 @@
 from honeywood.gateway.proxy.invariants import InvariantChecks
 from honeywood.gateway.proxy.polling import poll_pause
 from honeywood.gateway.rollout import record
-from honeywood.gateway.rollout.stage import Stage
+from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 from honeywood.gateway.routing.attempts import AttemptPolicy
 from honeywood.gateway.routing.budget import RetryBudget
 from honeywood.gateway.routing.endpoints import LOST, Endpoints
@@ -49,7 +49,9 @@
         s, self.app, self.random = self.settings, App(self), random or Random()
         self.table, self.limits, self.config_at, self.server = None, config.Limits(), None, None
         self.endpoints, self.budgets, self.fleet = Endpoints(), {}, FleetSize(self.clock)
-        self.stage = Stage(self.endpoints, s.bounds["canary_share"], s.bounds["canary_slack"], self.fronts)
+        self.stage = RolloutTrafficPolicy(
+            self.endpoints, s.bounds["canary_share"], s.bounds["canary_slack"], self.fronts
+        )
         self.pool, self.tasks = ConnectionPool(self.clock, connect), set()
         self.policy = AttemptPolicy(self.budget_of, self.fronts, self.stage, self.endpoints.max_connections)
         parts = self.endpoints, self.policy, self.stage, self.pool, self.budget_of
@@ -117,7 +119,7 @@
         elif kind == "machine":
             self.hear_endpoint(name, value)
         elif kind == "rollout":
-            self.stage.hear(self.clock(), record.decode(value))
+            self.stage.update(self.clock(), record.decode(value))
         elif kind == "bourse":
             self.found([name])
 
@@ -163,7 +165,7 @@
             if answer is not None and answer.in_quorum:
                 self.met_quorum(asked_at, answer)
                 pause_s = poll_pause(
-                    self.stage.active, self.fronts(), len(self.controllers), self.random.random()
+                    self.stage.has_active_rollout, self.fronts(), len(self.controllers), self.random.random()
                 )
                 return await asyncio.sleep(pause_s)
         self.say("no controller answers", SAY_AGAIN_S)
@@ -188,9 +190,9 @@
     def met_quorum(self, asked_at, answer):
         """A controller that hears a majority has answered."""
         if answer.whole:  # else what ends a stage may be among what was not told
-            if self.met_majority and asked_at - self.stage.heard_at > CUT:
+            if self.met_majority and asked_at - self.stage.controller_contact_at > CUT:
                 self.doubt()
-            self.stage.heard_at = asked_at
+            self.stage.controller_contact_at = asked_at
         self.met_majority = True
 
     def poll_most(self):
--- a/honeywood/gateway/proxy/sender.py
+++ b/honeywood/gateway/proxy/sender.py
@@ -180,7 +180,7 @@
             self.endpoints.record_abandoned(now, flight.endpoint, now - flight.sent_at)
             return AttemptResult(AttemptOutcome.ABANDONED)
         flight.attempt.outcome = outcome = self._outcome(flight, now)
-        self.stage.ended(now, flight.request, flight.endpoint, outcome, now - flight.sent_at)
+        self.stage.record_outcome(now, flight.request, flight.endpoint, outcome, now - flight.sent_at)
         if outcome is AttemptOutcome.INVALID:  # what belongs to this request may still come: it ends there
             flight.connection.close()
         if flight.request.finished and isinstance(flight.reply, Reply) and flight.reply.remainder is not None:
--- a/honeywood/gateway/rollout/__init__.py
+++ b/honeywood/gateway/rollout/__init__.py
@@ -1,4 +1,4 @@
-"""Rollouts: what a stage lets a version get, what fronts count, and what the counts of all say. Pure.
+"""Staged rollouts of a service's versions: records, traffic policy, reports and decisions; no I/O.
 
-Start reading at stage.py (a front's side), then verdict.py (a controller's side).
+Start reading at record.py, then traffic_policy.py (a proxy's side) and evaluator.py (a controller's side).
 """
--- a/honeywood/gateway/rollout/allowance.py
+++ b/honeywood/gateway/rollout/allowance.py
@@ -1,27 +1,53 @@
-"""What one proxy may send to the version of an order: the bound on exposure in sum. Pure."""
+"""The bound on the exposure of a version that is being rolled out, kept by each proxy on its own.
 
-KNOWN_S = 3.0  # after which a proxy that has just started, and guesses high, knows how many proxies there are
+The sum over all proxies stays within a share of all requests and a slack, whatever news reaches whom:
+docs/design/system.md.
+"""
 
+from __future__ import annotations
 
-class Allowance:
-    """A proxy's share of the requests that it has taken since an order, and its part of the slack. So all
-    proxies together stay within the share of all requests and the slack (docs/design/system.md)."""
+# A proxy that has just started believes in too few others, and would take too large a part of the slack.
+PROXY_COUNT_SETTLE_S = 3.0
 
-    __slots__ = ("share", "slack", "ordered_at", "proxies", "fixed", "requests", "attempts")
 
-    def __init__(self, share, slack, ordered_at):
-        """`slack` is that of all proxies, or 0 for one that has no part in it; `ordered_at` in seconds."""
-        self.share, self.slack, self.ordered_at = share, slack, ordered_at
-        self.proxies, self.fixed, self.requests, self.attempts = 1, False, 0, 0
+class ExposureAllowance:
+    """One proxy's allowance for attempts at the version of one order.
 
-    def taking(self, now, proxies):
-        """A request is taken, while so many proxies are known. Their number at the order counts, and is known
-        KNOWN_S later: one that dies afterwards has had its part."""
+    It is its share of the requests that the proxy has taken since the order, and its part of the slack.
+    """
+
+    __slots__ = ("share", "slack", "started_at", "proxy_count", "proxy_count_settled", "requests", "attempts")
+
+    def __init__(self, share: float, slack: float, started_at: float) -> None:
+        """Begin an allowance at `started_at` (seconds).
+
+        `share` is a part of requests; `slack` is a number of attempts that all proxies have together, 0 for a
+        proxy that has no part in it.
+        """
+        self.share = share
+        self.slack = slack
+        self.started_at = started_at
+        self.proxy_count = 1
+        self.proxy_count_settled = False
+        self.requests = 0
+        self.attempts = 0
+
+    def record_request(self, now: float, proxy_count: int) -> None:
+        """Count a request, taken while `proxy_count` proxies are known.
+
+        The number of proxies at the order divides the slack, and is known PROXY_COUNT_SETTLE_S later: a proxy
+        that ends afterwards has used its part.
+        """
         self.requests += 1
-        if not self.fixed:
-            self.proxies, self.fixed = proxies, now - self.ordered_at >= KNOWN_S
+        if not self.proxy_count_settled:
+            self.proxy_count = proxy_count
+            self.proxy_count_settled = now - self.started_at >= PROXY_COUNT_SETTLE_S
+
+    def record_attempt(self) -> None:
+        """Count an attempt at the version."""
+        self.attempts += 1
 
     @property
-    def room(self):
-        """Whether one more attempt fits."""
-        return self.attempts + 1 <= self.share * self.requests + self.slack / self.proxies
+    def has_room(self) -> bool:
+        """Whether one more attempt is within the allowance."""
+        return self.attempts + 1 <= self.share * self.requests + self.slack / self.proxy_count
--- /dev/null
+++ b/honeywood/gateway/rollout/comparison.py
@@ -0,0 +1,96 @@
+"""Statistical tests of a new version against the established ones, route by route.
+
+Each test is one-sided, of the null hypothesis that the new version's share of failures (or of slow answers)
+exceeds the established one's by no more than a margin: a two-proportion z-test with unpooled variance, or
+the exact binomial tail where few failures are expected (honeywood/judge/cut.py).
+
+Many routes are tested at a time, so the p-values go through the procedure of Benjamini and Hochberg,
+"Controlling the False Discovery Rate: a Practical and Powerful Approach to Multiple Testing", Journal of the
+Royal Statistical Society B 57 (1995), 289-300, procedure (1): sorted as p(1) <= ... <= p(m), the first k are
+rejected, k being the largest i with p(i) <= i / m * q. The expected share of false rejections among all
+rejections is then at most the level q, for independent tests.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from honeywood.judge.counts import Counts, summed
+from honeywood.judge.cut import FAIL_MARGIN, LEAST, sorted_cut, trails
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from honeywood.gateway.rollout.report import OutcomeCounts
+
+SLOW_SHARE_MARGIN = 0.10  # by which the share of slow answers may exceed the established one
+MIN_NEW_OUTCOMES = 5  # of the new version on a route before it is tested
+MIN_ESTABLISHED_OUTCOMES = LEAST  # of the established versions
+
+
+@dataclass(frozen=True, slots=True, order=True)
+class TestResult:
+    """The p-value of one test of one route; results are ordered by it."""
+
+    p_value: float
+    kind: str  # "failures" or "slow answers"
+    route: str
+
+
+@dataclass(frozen=True, slots=True)
+class PooledCounts:
+    """Counts by route over all proxies, of the new version and of all others together."""
+
+    new: dict[str, Counts]
+    established: dict[str, Counts]
+
+
+def pool(outcome_counts: Iterable[OutcomeCounts], service: str, version: str) -> PooledCounts:
+    """Return the counts of a service, summed over proxies; `version` is the new one."""
+    pooled = PooledCounts({}, {})
+    for one in outcome_counts:
+        if one.service != service:
+            continue
+        by_route = pooled.new if one.version == version else pooled.established
+        counts = by_route.setdefault(one.route, Counts())
+        counts.add(one.ended, one.failed, 0, 0)
+        counts.bins = summed((counts.bins, one.latency_bins))
+    return pooled
+
+
+def count_ended(outcome_counts: Iterable[OutcomeCounts], service: str, version: str) -> float:
+    """Return how many attempts at a version have ended."""
+    return sum(one.ended for one in outcome_counts if one.service == service and one.version == version)
+
+
+def compare(pooled: PooledCounts) -> list[TestResult]:
+    """Return a test of failures and one of slow answers for each route that has enough outcomes."""
+    results = []
+    for route, new in pooled.new.items():
+        established = pooled.established.get(route)
+        if established is None or established.ended < MIN_ESTABLISHED_OUTCOMES:
+            continue
+        if new.ended < MIN_NEW_OUTCOMES:
+            continue
+        results.append(TestResult(_failure_p_value(new, established), "failures", route))
+        results.append(TestResult(_slowness_p_value(new, established), "slow answers", route))
+    return results
+
+
+def _failure_p_value(new: Counts, established: Counts) -> float:
+    return trails(new.failed, new.ended, established.failed, established.ended, FAIL_MARGIN)
+
+
+def _slowness_p_value(new: Counts, established: Counts) -> float:
+    """Return an answer is slow from the bin on that few of the established versions' answers reach."""
+    first_slow_bin, slow_share = established.slow_from()
+    slow, timed = sum(new.bins[first_slow_bin:]), sum(new.bins)
+    established_timed = sum(established.bins)
+    return trails(slow, timed, slow_share * established_timed, established_timed, SLOW_SHARE_MARGIN)
+
+
+def rejections(results: list[TestResult], level: float) -> list[TestResult]:
+    """Return the results that are rejected together at the false discovery rate `level`."""
+    rejected = sorted_cut([result.p_value for result in results], level)
+    return [results[index] for index in rejected]
--- /dev/null
+++ b/honeywood/gateway/rollout/evaluator.py
@@ -0,0 +1,104 @@
+"""A controller's decision on the next step of a rollout, from all proxies' counts and votes."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from honeywood.gateway.rollout.comparison import count_ended
+from honeywood.gateway.rollout.condition_timer import ConditionTimer
+from honeywood.gateway.rollout.record import RolloutStage, RolloutState
+from honeywood.gateway.rollout.rejection import RejectionMonitor
+from honeywood.gateway.rollout.report import Vote
+from honeywood.judge.cut import LEAST
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from honeywood.gateway.rollout.record import Rollout
+    from honeywood.gateway.rollout.report import OutcomeCounts
+
+# Fractions are parts of the time that the order gives the rollout.
+MIN_TRIAL_FRACTION = 0.55  # a version stays on trial for as long: it may turn bad late
+MAX_TRIAL_FRACTION = 0.7  # after it missing votes and outcomes are waited for no more
+MIN_FULL_OUTCOMES = 25  # none of them rejected, before all traffic goes to the version without a bound
+MIN_WIDE_S = 0.6  # seconds of the wide stage before that: slow answers end last, so the first ones flatter
+MAX_WIDE_FRACTION = 0.85  # after it few outcomes mean few requests, and no want of allowance
+MIN_DONE_OUTCOMES = LEAST  # before the established endpoints are given up
+MIN_DONE_FRACTION = 0.9  # after it a version with fewer outcomes is done as well
+MIN_DRAINED_S = 0.4  # seconds for which all proxies must have left the established endpoints
+
+
+@dataclass(frozen=True, slots=True)
+class RolloutChange:
+    """A change to make to a rollout's state or stage; `reason` is for the log."""
+
+    state: RolloutState | None = None
+    stage: RolloutStage | None = None
+    reason: str = ""
+
+
+class RolloutEvaluator:
+    """One controller's evaluation of one revision of a rollout, look by look."""
+
+    __slots__ = ("revision", "_rejection", "_drained", "_wide")
+
+    def __init__(self, revision: int) -> None:
+        """Nothing is known of the revision yet."""
+        self.revision = revision
+        self._rejection = RejectionMonitor()
+        self._drained = ConditionTimer()
+        self._wide = ConditionTimer()
+
+    def evaluate(
+        self,
+        now: float,
+        elapsed_s: float,
+        rollout: Rollout,
+        outcome_counts: Sequence[OutcomeCounts],
+        votes: Sequence[Vote | None],
+        drained: bool,
+    ) -> RolloutChange | None:
+        """Return the change to make to an active rollout now, `elapsed_s` after its order, or None.
+
+        `votes` are those of the proxies that share in the traffic; `drained` says that none of them has
+        attempts in flight at the established endpoints, or needs these.
+        """
+        confirmed = self._rejection.confirms(now, rollout, outcome_counts)
+        if confirmed or Vote.REVERT in votes:
+            reason = self._rejection.reason if self._rejection.rejects else "a proxy's vote"
+            return RolloutChange(state=RolloutState.REVERTED, reason=reason)
+        if self._rejection.rejects:  # until it is confirmed or gone, no more than the trial's traffic
+            if rollout.stage is not RolloutStage.FULL:
+                return None
+            return RolloutChange(stage=RolloutStage.TRIAL, reason=self._rejection.reason)
+        fraction = elapsed_s / rollout.duration_s
+        ended = count_ended(outcome_counts, rollout.service, rollout.version)
+        if rollout.stage is RolloutStage.TRIAL:
+            return self._leave_trial(fraction, ended, votes)
+        if rollout.stage is RolloutStage.WIDE:
+            return self._leave_wide(now, fraction, ended)
+        return self._finish(now, fraction, ended, drained)
+
+    @staticmethod
+    def _leave_trial(fraction: float, ended: float, votes: Sequence[Vote | None]) -> RolloutChange | None:
+        if fraction < MIN_TRIAL_FRACTION:
+            return None
+        if ended < MIN_FULL_OUTCOMES:
+            return RolloutChange(stage=RolloutStage.WIDE)
+        unanimous = bool(votes) and all(vote is Vote.PROMOTE for vote in votes)
+        if unanimous or fraction >= MAX_TRIAL_FRACTION:
+            return RolloutChange(stage=RolloutStage.FULL)
+        return None
+
+    def _leave_wide(self, now: float, fraction: float, ended: float) -> RolloutChange | None:
+        settled = self._wide.check(now, True) >= MIN_WIDE_S
+        if settled and ended >= MIN_FULL_OUTCOMES or fraction >= MAX_WIDE_FRACTION:
+            return RolloutChange(stage=RolloutStage.FULL)
+        return None
+
+    def _finish(self, now: float, fraction: float, ended: float, drained: bool) -> RolloutChange | None:
+        may_finish = drained and (fraction >= MIN_DONE_FRACTION or ended >= MIN_DONE_OUTCOMES)
+        if self._drained.check(now, may_finish) >= MIN_DRAINED_S:
+            return RolloutChange(state=RolloutState.DONE)
+        return None
--- /dev/null
+++ b/honeywood/gateway/rollout/outcome_counters.py
@@ -0,0 +1,61 @@
+"""How attempts of one proxy ended, counted while rollouts are active."""
+
+from __future__ import annotations
+
+from bisect import bisect_left
+
+from honeywood.gateway.rollout.record import RolloutStage
+from honeywood.gateway.rollout.report import OutcomeCounts
+from honeywood.gateway.routing.outcomes import AttemptOutcome
+from honeywood.judge.counts import EDGES, Counts
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from honeywood.gateway.rollout.record import Rollout
+    from honeywood.gateway.routing.attempts import PendingRequest
+    from honeywood.gateway.routing.endpoints import Endpoint
+
+# Latency of a service's slowest machines as a multiple of the usual one, whatever their version.
+MACHINE_LATENCY_SPREAD = 1.5
+IGNORED_OUTCOMES = (AttemptOutcome.NOT_RUN, AttemptOutcome.ABANDONED)  # these say nothing of a version
+
+
+class OutcomeCounters:
+    """Counters by service, route and version."""
+
+    __slots__ = ("_counters",)
+
+    def __init__(self) -> None:
+        """Nothing is counted."""
+        self._counters: dict[tuple[str, str, str], Counts] = {}
+
+    def record(
+        self,
+        now: float,
+        rollout: Rollout,
+        request: PendingRequest,
+        endpoint: Endpoint,
+        outcome: AttemptOutcome,
+        latency_s: float,
+    ) -> None:
+        """Count an attempt of an active rollout's service that has ended after `latency_s` seconds."""
+        if outcome in IGNORED_OUTCOMES or now < endpoint.warm_at:
+            return
+        # The few endpoints on trial may be the slow machines of the service; later all get requests.
+        if endpoint.version == rollout.version and rollout.stage is RolloutStage.TRIAL:
+            latency_s /= MACHINE_LATENCY_SPREAD
+        key = request.service, request.route.name, endpoint.version
+        counter = self._counters.setdefault(key, Counts())
+        latency_bin = bisect_left(EDGES, latency_s / request.route.timeout)
+        counter.add(1, outcome is not AttemptOutcome.SUCCESS, 1, latency_bin)
+
+    def reset(self, service: str) -> None:
+        """Drop the counters of a service: what was counted before an order says nothing of it."""
+        self._counters = {key: counter for key, counter in self._counters.items() if key[0] != service}
+
+    def snapshot(self) -> tuple[OutcomeCounts, ...]:
+        """All counts as they are reported."""
+        return tuple(
+            OutcomeCounts(*key, counter.failed, counter.ended, tuple(counter.bins))
+            for key, counter in self._counters.items()
+        )
--- a/honeywood/gateway/rollout/record.py
+++ b/honeywood/gateway/rollout/record.py
@@ -1,167 +1,143 @@
-"""A rollout as the register keeps it, changed only from active to done or to reverted. Pure.
+"""The durable record of a service's rollout, and the codec of its stored form.
 
-`revision` rises with each change, so that news of it win by it; `ordered_at` is the revision of its order,
-and counts from before it say nothing. `held_s` is for how many seconds the order had been held at the last
-change; whoever looks adds for how long it has known that revision (`since_s`, by a steady clock), so no
-clock's time of day is in it, and whoever came later sees less, never more.
-
-Stored and told as {"svc", "to_ver", "over_s", "state", "stage", "lasted", "n", "order", "past", "back"}.
+The register keeps one record a service, as {"svc", "to_ver", "over_s", "state", "stage", "lasted", "n",
+"order", "past", "back"}. No wall clock is stored: `elapsed_s` is the time since the order at the last change,
+and a reader adds for how long it has known that revision by its own steady clock. A reader that came later
+therefore sees less elapsed time, never more.
 """
 
-from dataclasses import dataclass, replace
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import StrEnum
 
 from honeywood.gateway.configuration.check import need
 from honeywood.gateway.configuration.outcome import Wrong
 
-ACTIVE, DONE, REVERTED = "active", "done", "reverted"
-TRIAL, WIDE, FULL = "trial", "wide", "full"
-STATES, STAGES = (ACTIVE, DONE, REVERTED), (TRIAL, WIDE, FULL)
-REMEMBERED = 16  # orders, and versions that were sent back
-STEP = "rollout"
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from typing import Any
+
+OPERATION = "rollout"  # named in errors
+PREVIOUS_ORDER_ITEMS = 3  # of the stored form of a previous order
+
+
+class RolloutState(StrEnum):
+    """Whether a rollout is under way, or how it ended; the values are stored and shown to operators."""
+
+    ACTIVE = "active"
+    DONE = "done"
+    REVERTED = "reverted"
+
+
+class RolloutStage(StrEnum):
+    """How much traffic an active rollout gives its version; the values are stored.
+
+    TRIAL gives it idempotent requests within a cap for each route, WIDE all traffic within the allowance on
+    exposure, FULL all traffic.
+    """
+
+    TRIAL = "trial"
+    WIDE = "wide"
+    FULL = "full"
+
+
+# Python 3.11 looks members up slowly, and `Rollout.active` is read for each attempt of a request.
+_ACTIVE = RolloutState.ACTIVE
 
 
 @dataclass(frozen=True, slots=True)
-class EarlierOrder:
-    """An order that another has followed; `age_s` since it was given, at the last change."""
+class PreviousOrder:
+    """An order that a later one has replaced; `age_s` is its age in seconds at the record's last change."""
 
     version: str
-    over_s: float
+    duration_s: float
     age_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Rollout:
-    """The order in force for a service, and what has come of it. `back` are the versions that were sent back
-    and not ordered since."""
+    """The current order for a service and its progress.
+
+    `revision` rises by one with each change, so that copies of the record are ordered by it. `order_revision`
+    is the revision of the order: outcomes reported for earlier revisions say nothing of it.
+    `reverted_versions` were reverted and have not been ordered since.
+    """
 
     service: str
     version: str
-    over_s: float
-    state: str = ACTIVE
-    stage: str = TRIAL
-    held_s: float = 0.0
+    duration_s: float
+    state: RolloutState = RolloutState.ACTIVE
+    stage: RolloutStage = RolloutStage.TRIAL
+    elapsed_s: float = 0.0
     revision: int = 1
-    ordered_at: int = 1
-    earlier: tuple[EarlierOrder, ...] = ()
-    back: tuple[str, ...] = ()
+    order_revision: int = 1
+    previous_orders: tuple[PreviousOrder, ...] = ()
+    reverted_versions: tuple[str, ...] = ()
 
     @property
-    def active(self):
-        """Whether it has not ended."""
-        return self.state == ACTIVE
+    def active(self) -> bool:
+        """Whether the rollout has not ended."""
+        return self.state is _ACTIVE
 
 
-def encode(rollout):
-    """The stored form."""
+def encode(rollout: Rollout) -> dict[str, Any]:
+    """Return the stored form of a rollout."""
     return {
         "svc": rollout.service,
         "to_ver": rollout.version,
-        "over_s": rollout.over_s,
-        "state": rollout.state,
-        "stage": rollout.stage,
-        "lasted": rollout.held_s,
+        "over_s": rollout.duration_s,
+        "state": rollout.state.value,
+        "stage": rollout.stage.value,
+        "lasted": rollout.elapsed_s,
         "n": rollout.revision,
-        "order": rollout.ordered_at,
-        "past": [[one.version, one.over_s, one.age_s] for one in rollout.earlier],
-        "back": list(rollout.back),
+        "order": rollout.order_revision,
+        "past": [[one.version, one.duration_s, one.age_s] for one in rollout.previous_orders],
+        "back": list(rollout.reverted_versions),
     }
 
 
-def decode(value, peer=""):
-    """The Rollout of a stored form; outcome.Wrong names the field and the peer that told it."""
+def decode(value: object, peer: str = "") -> Rollout:
+    """Return the rollout of a stored form that came from `peer`.
+
+    Raises Wrong, which names the field, where it can't be used.
+    """
     if not isinstance(value, dict):
-        raise Wrong(STEP, f"must be a table, not {type(value).__name__}", peer)
-    past, back = (need(value, key, list, STEP, peer=peer) for key in ("past", "back"))
+        raise Wrong(OPERATION, f"must be a table, not {type(value).__name__}", peer)
+    previous_orders, reverted_versions = (
+        need(value, key, list, OPERATION, peer=peer) for key in ("past", "back")
+    )
     return Rollout(
-        service=need(value, "svc", str, STEP, peer=peer),
-        version=need(value, "to_ver", str, STEP, peer=peer),
-        over_s=need(value, "over_s", float, STEP, least=0, peer=peer),
-        state=_one_of(value, "state", STATES, peer),
-        stage=_one_of(value, "stage", STAGES, peer),
-        held_s=need(value, "lasted", float, STEP, peer=peer),
-        revision=need(value, "n", int, STEP, least=1, peer=peer),
-        ordered_at=need(value, "order", int, STEP, least=1, peer=peer),
-        earlier=tuple(_earlier(one, peer) for one in past),
-        back=tuple(back),
+        service=need(value, "svc", str, OPERATION, peer=peer),
+        version=need(value, "to_ver", str, OPERATION, peer=peer),
+        duration_s=need(value, "over_s", float, OPERATION, least=0, peer=peer),
+        state=_decode_state(need(value, "state", str, OPERATION, peer=peer), peer),
+        stage=_decode_stage(need(value, "stage", str, OPERATION, peer=peer), peer),
+        elapsed_s=need(value, "lasted", float, OPERATION, peer=peer),
+        revision=need(value, "n", int, OPERATION, least=1, peer=peer),
+        order_revision=need(value, "order", int, OPERATION, least=1, peer=peer),
+        previous_orders=tuple(_decode_previous_order(one, peer) for one in previous_orders),
+        reverted_versions=tuple(reverted_versions),
     )
 
 
-def _one_of(value, key, known, peer):
-    found = need(value, key, str, STEP, peer=peer)
-    if found not in known:
-        raise Wrong(STEP, f"{key} {found!r} is not known", peer)
-    return found
-
-
-def _earlier(value, peer):
-    if len(value) != 3:
-        raise Wrong(STEP, f"past has an order of {len(value)} items, not 3", peer)
-    return EarlierOrder(*value)
-
-
-def rewritten(value, change):
-    """The stored form after `change`, a function of the Rollout or None; the same where nothing changes."""
-    held = None if value is None else decode(value)
-    after = change(held)
-    return value if after is held else encode(after)
-
+def _decode_state(text: str, peer: str) -> RolloutState:
+    try:
+        return RolloutState(text)
+    except ValueError:
+        raise Wrong(OPERATION, f"state {text!r} is not known", peer) from None
 
-def sent_back(held, version):
-    """Whether a version was sent back, and not ordered since, by the rollout held or None."""
-    if held is None:
-        return False
-    return version in held.back or version == held.version and held.state == REVERTED
 
-
-def start(held, service, version, over_s, since_s=0.0, again_s=6.0, alone=False):
-    """The rollout after an order, given the one held or None; the same where the order changes nothing.
-    `again_s` is for how long the same order may arrive once more. A version that is `alone` in service has
-    nothing to be compared with or to be taken back to: its order is done at once."""
-    state, stage = (DONE, FULL) if alone else (ACTIVE, TRIAL)
-    if held is None:
-        return Rollout(service, version, over_s, state, stage)
-    if _known(held, version, over_s, since_s, again_s):
-        return held
-    last = EarlierOrder(held.version, held.over_s, held.held_s + since_s)
-    earlier = (*(one for one in _aged(held.earlier, since_s) if one.age_s <= again_s), last)
-    back = (*held.back, *([held.version] if held.state == REVERTED else []))
-    revision = held.revision + 1
-    return Rollout(
-        service,
-        version,
-        over_s,
-        state,
-        stage,
-        revision=revision,
-        ordered_at=revision,
-        earlier=earlier[-REMEMBERED:],
-        back=tuple(one for one in back if one != version)[-REMEMBERED:],
-    )
-
-
-def _known(held, version, over_s, since_s, again_s):
-    """Whether an order is in force, or the late copy of one that was."""
-    if version == held.version:
-        copy = over_s == held.over_s and held.held_s + since_s <= again_s
-        return held.state != REVERTED or copy
-    recent = (one for one in held.earlier if one.age_s + since_s <= again_s)
-    return any((version, over_s) == (one.version, one.over_s) for one in recent)
-
-
-def advance(held, version, revision, since_s=0.0, state=None, stage=None):
-    """The rollout after a step taken from its `revision`, known for `since_s`: whoever comes late, or after
-    an end, changes nothing."""
-    if held is None or (held.version, held.revision) != (version, revision) or not held.active:
-        return held
-    return replace(
-        held,
-        state=state or held.state,
-        stage=stage or held.stage,
-        held_s=held.held_s + since_s,
-        revision=revision + 1,
-        earlier=_aged(held.earlier, since_s),
-    )
+def _decode_stage(text: str, peer: str) -> RolloutStage:
+    try:
+        return RolloutStage(text)
+    except ValueError:
+        raise Wrong(OPERATION, f"stage {text!r} is not known", peer) from None
 
 
-def _aged(earlier, since_s):
-    return tuple(replace(one, age_s=one.age_s + since_s) for one in earlier)
+def _decode_previous_order(value: list[Any], peer: str) -> PreviousOrder:
+    if len(value) != PREVIOUS_ORDER_ITEMS:
+        reason = f"past has an order of {len(value)} items, not {PREVIOUS_ORDER_ITEMS}"
+        raise Wrong(OPERATION, reason, peer)
+    version, duration_s, age_s = value
+    return PreviousOrder(version, duration_s, age_s)
--- /dev/null
+++ b/honeywood/gateway/rollout/rejection.py
@@ -0,0 +1,43 @@
+"""When a version is rejected by statistical tests for long enough to act on it."""
+
+from __future__ import annotations
+
+from honeywood.gateway.rollout.comparison import compare, pool, rejections
+from honeywood.gateway.rollout.condition_timer import ConditionTimer
+from honeywood.judge.cut import Q
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from honeywood.gateway.rollout.record import Rollout
+    from honeywood.gateway.rollout.report import OutcomeCounts
+
+FALSE_DISCOVERY_RATE = Q  # the level of the tests
+CONFIRMATION_S = 1.0  # seconds for which a rejection must stand before it is confirmed
+
+
+class RejectionMonitor:
+    """Tests the version of a rollout at each look, and confirms a rejection that stands."""
+
+    __slots__ = ("level", "reason", "_timer")
+
+    def __init__(self, level: float = FALSE_DISCOVERY_RATE) -> None:
+        """Nothing is rejected; `level` is the false discovery rate of each look."""
+        self.level = level
+        self.reason = ""  # of the last rejection, for the log
+        self._timer = ConditionTimer()
+
+    @property
+    def rejects(self) -> bool:
+        """Whether the last look rejected the version."""
+        return self._timer.holds
+
+    def confirms(self, now: float, rollout: Rollout, outcome_counts: Sequence[OutcomeCounts]) -> bool:
+        """Test the version, and return whether it is rejected and has been for CONFIRMATION_S seconds."""
+        results = compare(pool(outcome_counts, rollout.service, rollout.version))
+        rejected = rejections(results, self.level)
+        if rejected:
+            first = min(results)
+            self.reason = f"{first.kind} of {first.route}, p {first.p_value:.2g}"
+        return self._timer.check(now, bool(rejected)) >= CONFIRMATION_S
--- a/honeywood/gateway/rollout/report.py
+++ b/honeywood/gateway/rollout/report.py
@@ -1,76 +1,131 @@
-"""What a proxy tells controllers of rollouts, and its encoding. Pure.
+"""What a proxy reports of rollouts to controllers, and the codec of its message.
 
-Told as {"rows": [[svc, class, version, failed, ended, bins]], "votes": {svc: [n, vote]}, "left": {svc: [n,
-pending]}, "known": {svc: [n, seconds]}}; votes and times of rollouts under way alone.
+A report is {"rows": [[service, route, version, failed, ended, latency bins]], "votes": {service: [revision,
+vote]}, "left": {service: [revision, pending]}, "known": {service: [revision, seconds]}}. Votes and times are
+those of active rollouts only.
 """
 
+from __future__ import annotations
+
 from dataclasses import dataclass
+from enum import StrEnum
 
 from honeywood.gateway.configuration.check import need
 from honeywood.gateway.configuration.outcome import Wrong
 
-STEP = "count"
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from typing import Any
+
+OPERATION = "count"  # named in errors
+ROW_ITEMS = 6
+
+
+class Vote(StrEnum):
+    """A proxy's vote on a version, by its own counts; the values are those of the message."""
+
+    PROMOTE = "on"
+    REVERT = "back"
 
 
 @dataclass(frozen=True, slots=True)
-class Tally:
-    """How requests of one class (a route) ended at one version: `bins` are those that got an answer, by time
-    (honeywood/judge/counts.py)."""
+class OutcomeCounts:
+    """How attempts of one route ended at one version.
+
+    `latency_bins` counts the attempts by latency, in the bins of honeywood/judge/counts.py.
+    """
 
     service: str
     route: str
     version: str
     failed: float
     ended: float
-    bins: tuple[float, ...]
+    latency_bins: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Ballot:
-    """A proxy's word on one revision of a service's rollout. `pending` counts what is still out at machines
-    that the stage leaves, and what keeps the proxy from leaving them; `known_s` is for how long it has known
-    the revision, None once the rollout has ended; `vote` is verdict.ON, verdict.BACK or None."""
+class RolloutStatus:
+    """A proxy's status in one revision of a service's rollout.
+
+    `pending` counts attempts in flight at endpoints whose version gets no more traffic, and one more while
+    the proxy still needs those endpoints. `known_for_s` is for how long it has known the revision, None once
+    the rollout has ended. `vote` is None while there is too little to say.
+    """
 
     revision: int
     pending: int
-    vote: str | None = None
-    known_s: float | None = None
+    vote: Vote | None = None
+    known_for_s: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
-    """All tallies of a proxy, and its ballots by service."""
+class ProxyReport:
+    """All outcome counts of a proxy, and its status in rollouts by service."""
 
-    tallies: tuple[Tally, ...] = ()
-    ballots: dict[str, Ballot] | None = None
+    outcome_counts: tuple[OutcomeCounts, ...] = ()
+    statuses: dict[str, RolloutStatus] | None = None
 
-    def ballot(self, service):
-        """The ballot on a service's rollout, or None."""
-        return (self.ballots or {}).get(service)
+    def status(self, service: str) -> RolloutStatus | None:
+        """Return the status in the rollout of a service, if the proxy knows of one."""
+        return (self.statuses or {}).get(service)
 
 
-def encode(report):
-    """The form told."""
-    ballots = report.ballots or {}
-    active = {service: one for service, one in ballots.items() if one.known_s is not None}
+def encode(report: ProxyReport) -> dict[str, Any]:
+    """Return the message of a report."""
+    statuses = report.statuses or {}
+    active = {service: one for service, one in statuses.items() if one.known_for_s is not None}
     return {
-        "rows": [[t.service, t.route, t.version, t.failed, t.ended, list(t.bins)] for t in report.tallies],
-        "votes": {service: [one.revision, one.vote] for service, one in active.items()},
-        "left": {service: [one.revision, one.pending] for service, one in ballots.items()},
-        "known": {service: [one.revision, one.known_s] for service, one in active.items()},
+        "rows": [_encode_counts(one) for one in report.outcome_counts],
+        "votes": {service: [one.revision, one.vote and one.vote.value] for service, one in active.items()},
+        "left": {service: [one.revision, one.pending] for service, one in statuses.items()},
+        "known": {service: [one.revision, one.known_for_s] for service, one in active.items()},
     }
 
 
-def decode(value, peer=""):
-    """The Report of a form told; outcome.Wrong names the field and the peer that told it."""
-    rows = need(value, "rows", list, STEP, peer=peer)
-    votes, pending, known = (need(value, key, dict, STEP, peer=peer) for key in ("votes", "left", "known"))
-    if any(len(row) != 6 for row in rows):
-        raise Wrong(STEP, "rows must have 6 items", peer)
-    ballots = {}
-    for service in {**pending, **known}:
-        revision, count = pending.get(service) or (known[service][0], 0)
-        _, vote = votes.get(service, (revision, None))
-        _, seconds = known.get(service, (revision, None))
-        ballots[service] = Ballot(revision, count, vote, seconds)
-    return Report(tuple(Tally(*row[:5], tuple(row[5])) for row in rows), ballots)
+def _encode_counts(counts: OutcomeCounts) -> list[Any]:
+    return [
+        counts.service,
+        counts.route,
+        counts.version,
+        counts.failed,
+        counts.ended,
+        list(counts.latency_bins),
+    ]
+
+
+def decode(value: dict[str, Any], peer: str = "") -> ProxyReport:
+    """Return the report of a message that came from `peer`.
+
+    Raises Wrong, which names the field, where it can't be used.
+    """
+    rows = need(value, "rows", list, OPERATION, peer=peer)
+    votes, pending, known = (
+        need(value, key, dict, OPERATION, peer=peer) for key in ("votes", "left", "known")
+    )
+    if any(len(row) != ROW_ITEMS for row in rows):
+        raise Wrong(OPERATION, f"rows must have {ROW_ITEMS} items", peer)
+    statuses = {
+        service: _decode_status(votes.get(service), pending.get(service), known.get(service))
+        for service in {**pending, **known}
+    }
+    return ProxyReport(tuple(_decode_counts(row) for row in rows), statuses)
+
+
+def _decode_counts(row: list[Any]) -> OutcomeCounts:
+    service, route, version, failed, ended, latency_bins = row
+    return OutcomeCounts(service, route, version, failed, ended, tuple(latency_bins))
+
+
+def _decode_status(
+    vote: list[Any] | None, pending: list[Any] | None, known: list[Any] | None
+) -> RolloutStatus:
+    """Return the status out of its parts, of which `pending` or `known` is there."""
+    known_revision, known_for_s = known if known is not None else (0, None)
+    revision, count = pending or (known_revision, 0)
+    _, choice = vote if vote is not None else (revision, None)
+    return RolloutStatus(revision, count, _decode_vote(choice), known_for_s)
+
+
+def _decode_vote(text: object) -> Vote | None:
+    """Return a vote that is not known counts as none: it neither promotes nor reverts a version."""
+    return next((vote for vote in Vote if vote == text), None)
--- /dev/null
+++ b/honeywood/gateway/rollout/trial_endpoints.py
@@ -0,0 +1,39 @@
+"""The endpoints that get requests while their version is on trial."""
+
+from __future__ import annotations
+
+from math import ceil
+
+from honeywood.gateway.dissemination.rendezvous import order
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from honeywood.gateway.routing.endpoints import Endpoint
+
+
+class TrialEndpointSelector:
+    """Selects a share of the endpoints on trial, the same at each proxy.
+
+    Each selected endpoint gets what it would if all traffic went to all of them. Spread over all endpoints, a
+    version that fails only under load would show nothing. The selection is kept until the endpoints change.
+    """
+
+    __slots__ = ("share", "_selections")
+
+    def __init__(self, share: float) -> None:
+        """Will select `share` of the endpoints of a version, at least one."""
+        self.share = share
+        self._selections: dict[str, tuple[list[str], list[Endpoint]]] = {}
+
+    def select(self, service: str, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
+        """Return the selected ones of a service's endpoints on trial."""
+        ids = [endpoint.id for endpoint in endpoints]
+        known = self._selections.get(service)
+        if known is not None and known[0] == ids:
+            return known[1]
+        selected_ids = order(ids, service)[: max(1, ceil(self.share * len(ids)))]
+        selected = [endpoint for endpoint in endpoints if endpoint.id in selected_ids]
+        self._selections[service] = ids, selected
+        return selected
--- a/honeywood/gateway/routing/attempts.py
+++ b/honeywood/gateway/routing/attempts.py
@@ -169,7 +169,7 @@
         """Takes note of an attempt that nothing keeps from an endpoint; its Attempt."""
         if request.attempts:
             self.budget_of(request.service).record_retry(now)
-        self.stage.sent(now, request, endpoint)
+        self.stage.record_attempt(request, endpoint)
         attempt = Attempt(endpoint)
         request.attempts.append(attempt)
         return attempt
--- a/honeywood/lab/model/register.py
+++ b/honeywood/lab/model/register.py
@@ -119,18 +119,19 @@
 
 def outcomes(**more):
     """Two controllers that bring one rollout to different ends."""
-    from honeywood.gateway.rollout import record
+    from honeywood.gateway.rollout.record import RolloutState
+    from honeywood.gateway.rollout.transitions import advance, start_rollout
 
-    first = record.start(None, "s", "v2", 14.0, 0.0)
+    first = start_rollout(None, "s", "v2", 14.0, 0.0)
 
     def change(state):
         def taken(held):
-            return record.advance(held, first.version, first.revision, state=state)
+            return advance(held, first.version, first.revision, state=state)
 
         return taken
 
     return Register(
-        [change(record.DONE), change(record.REVERTED)],
+        [change(RolloutState.DONE), change(RolloutState.REVERTED)],
         lambda value, told: value != told,
         lambda told: len(set(told)) > 1,
         first=first,
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -6,7 +6,7 @@
 from ward import each, test
 
 from honeywood.gateway.configuration.config import Config, Limits, Route
-from honeywood.gateway.rollout.stage import Stage
+from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 from honeywood.gateway.routing.attempts import Attempt, AttemptPolicy, PendingRequest, connect_by
 from honeywood.gateway.routing.balancer import choose
 from honeywood.gateway.routing.budget import RetryBudget
@@ -24,7 +24,7 @@
 
     def __init__(self, slack=64.0):
         self.endpoints = Endpoints()
-        self.stage = Stage(self.endpoints, 0.1, 50, lambda: 1)
+        self.stage = RolloutTrafficPolicy(self.endpoints, 0.1, 50, lambda: 1)
         self.budget = RetryBudget(0.2, slack, 10.0)
         self.policy = AttemptPolicy(lambda svc: self.budget, lambda: 4, self.stage, {"s": 9})
         for id in "mno":
--- a/tests/gateway/test_dissemination_links.py
+++ b/tests/gateway/test_dissemination_links.py
@@ -17,7 +17,7 @@
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.dissemination.subscriber import Subscriber
-from honeywood.gateway.rollout.report import Ballot, Report, Tally
+from honeywood.gateway.rollout.report import RolloutStatus, ProxyReport, OutcomeCounts
 from honeywood.lab.emulator.world import Loop
 
 
@@ -199,7 +199,7 @@
         assert sum(12 <= at < 14 for at in calls) < 40, "without backoff 400 and more"
         refuse[0] = False
         world.run(15.2)
-        assert world.loop.time() - world.nodes["f"].stage.heard_at < 0.6
+        assert world.loop.time() - world.nodes["f"].stage.controller_contact_at < 0.6
     finally:
         world.close()
 
@@ -246,7 +246,7 @@
     world = met("fg")
     try:
         front = world.nodes["f"]
-        told = Report((Tally("s", "r", "v1", 0, 9, ()),), {"s": Ballot(1, 0, None, 2.0)})
+        told = ProxyReport((OutcomeCounts("s", "r", "v1", 0, 9, ()),), {"s": RolloutStatus(1, 0, None, 2.0)})
         front.stage.report = lambda now: told
         world.run(6.0)
         held = {name: world.nodes[name].store.get(f"count/f/{front.life}") for name in "abc"}
@@ -414,7 +414,7 @@
     world = met("f", until=100.0)
     try:
         front = world.nodes["f"]
-        before, doubted = front.stage.heard_at, front.doubted_at
+        before, doubted = front.stage.controller_contact_at, front.doubted_at
 
         async def call(*given, **more):
             await asyncio.sleep(0.01)
@@ -423,7 +423,7 @@
 
         front.caller.call = call
         world.run(104.0)
-        assert (front.stage.heard_at > before + 3.0) == renewed
+        assert (front.stage.controller_contact_at > before + 3.0) == renewed
         world.kill("f")
         world.start("f")
         world.run(106.0)
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -22,8 +22,8 @@
 from honeywood.gateway.proxy.sender import AttemptSender
 from honeywood.gateway.register import membership as members
 from honeywood.gateway.register.storage import Storage
-from honeywood.gateway.rollout import record
-from honeywood.gateway.rollout.stage import Stage
+from honeywood.gateway.rollout import transitions
+from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 from honeywood.gateway.routing.attempts import AttemptPolicy
 from honeywood.gateway.routing.budget import RetryBudget
 from honeywood.gateway.routing.outcomes import AttemptOutcome
@@ -182,9 +182,9 @@
     return {"state": held["state"], "to_ver": held["to_ver"]} if held else await rollout(self, of, body, peer)
 
 
-def forgetful(held, *order, start=record.start):
+def forgetful(held, *order, start=transitions.start_rollout):
     """Orders before the one that is held are forgotten."""
-    return start(replace(held, earlier=()) if held else held, *order)
+    return start(replace(held, previous_orders=()) if held else held, *order)
 
 
 async def unlooked(self, of, body, peer):
@@ -229,7 +229,7 @@
         lambda: [(polling, "POLL_S", 3.0), (Proxy, "listen", idle)],
         lambda: [(Store, "put", last_wins), (Store, "since", all_again)],
         lambda: [(RetryBudget, "allows", lambda self, now, fronts: True)],
-        lambda: [(Stage, "room", lambda self, now, ask: True)],
+        lambda: [(RolloutTrafficPolicy, "trial_has_room", lambda self, now, ask: True)],
         lambda: [(Storage, "keep", unwritten)],
         lambda: [(App, "replace", by_number)],
         lambda: [(App, "start", once_only)],
@@ -237,7 +237,7 @@
         lambda: [(App, "rollout", own_state)],
         lambda: [(members, "majority", lambda here: len(here["members"]))],
         lambda: [(App, "start", unlooked)],
-        lambda: [(record, "start", forgetful)],
+        lambda: [(transitions, "start_rollout", forgetful)],
         lambda: [(Storage, "keep", unwritten)],
         lambda: [(Storage, "keep", unwritten)],
         lambda: [(Storage, "keep", without_rollouts)],
--- a/tests/gateway/test_epochs.py
+++ b/tests/gateway/test_epochs.py
@@ -13,7 +13,7 @@
 from honeywood.gateway.dissemination.local import LocalRecords
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.store import Store
-from honeywood.gateway.rollout.report import Report, Tally
+from honeywood.gateway.rollout.report import ProxyReport, OutcomeCounts
 
 STEP = 10.0  # seconds between exchanges of the stores below
 DAY = 86400.0
@@ -244,7 +244,7 @@
     world, sizes = World(fronts="f" + names), []
 
     def count(name):
-        told = Report((Tally("s", "r", "v1", 0, 9, ()),), {})
+        told = ProxyReport((OutcomeCounts("s", "r", "v1", 0, 9, ()),), {})
         world.nodes[name].stage.report = lambda now: told
 
     try:
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -10,7 +10,8 @@
 from honeywood.gateway.dissemination.messages import Answer
 from honeywood.gateway.configuration.outcome import Done
 from honeywood.gateway.controller.orders import Orders
-from honeywood.gateway.rollout import record as rollouts
+from honeywood.gateway.rollout import transitions
+from honeywood.gateway.rollout.record import RolloutState
 from honeywood.gateway.rpc.asgi import CONTEXT, RequestContext
 from honeywood.gateway.rpc.departure import ClientDeparture
 from honeywood.lab.emulator.boot import BOUNDS
@@ -288,13 +289,13 @@
         self.status = message.get("status", self.status)
 
 
-def sent_back(world, name, to_ver):
+def was_reverted(world, name, to_ver):
     """Sends the rollout that is under way back."""
     key, held = "rollout/s", world.nodes[name].store.get("rollout/s")
 
     def step(value):
-        return rollouts.rewritten(
-            value, lambda now: rollouts.advance(now, to_ver, held["n"], state=rollouts.REVERTED)
+        return transitions.update_stored(
+            value, lambda now: transitions.advance(now, to_ver, held["n"], state=RolloutState.REVERTED)
         )
 
     world.loop.create_task(world.nodes[name].register.change(key, step))
@@ -316,7 +317,7 @@
           2    | order v2 14 |       |
           3    | says v2 200 active v2 |  |
         """)
-        sent_back(world, "a", "v2")
+        was_reverted(world, "a", "v2")
         world.run(3.0 + late_s)
         copies = [OperatorCall(world, name, "v2", 14.0, stays_s) for name in "ab"]
         world.run(world.loop.time() + 2.0)
@@ -326,7 +327,7 @@
         world.run(world.loop.time() + 2.0)
         begun = late_s > world.bounds["ack_s"] + 1.0
         held = world.nodes["c"].store.get("rollout/s")
-        assert again.status == 200 and (held["n"], held["state"] == rollouts.ACTIVE) == (2 + begun, begun)
+        assert again.status == 200 and (held["n"], held["state"] == RolloutState.ACTIVE) == (2 + begun, begun)
     finally:
         world.close()
 
@@ -358,7 +359,7 @@
           4.5  |             | says v2 200 active v2
         """)
         stage = world.nodes["f"].stage
-        assert [stage.standing("s", ver) for ver in ("v1", "v2")] == ["established", "trial"]
+        assert [stage.version_status("s", ver) for ver in ("v1", "v2")] == ["established", "trial"]
     finally:
         world.close()
 
@@ -484,7 +485,7 @@
         assert not controller.in_quorum
         now = world.loop.now
         world.loop.run_until_complete(front.poll())
-        assert front.stage.heard_at == now
+        assert front.stage.controller_contact_at == now
     finally:
         world.close()
 
--- a/tests/gateway/test_pinned_rollout.py
+++ b/tests/gateway/test_pinned_rollout.py
@@ -11,9 +11,12 @@
 
 from honeywood.gateway.configuration.config import Route
 from honeywood.gateway.configuration.outcome import Wrong
-from honeywood.gateway.rollout import record, report, verdict
-from honeywood.gateway.rollout.allowance import Allowance
-from honeywood.gateway.rollout.stage import Stage
+from honeywood.gateway.rollout import comparison, record, report, transitions
+from honeywood.gateway.rollout.allowance import ExposureAllowance
+from honeywood.gateway.rollout.evaluator import RolloutEvaluator
+from honeywood.gateway.rollout.record import RolloutStage, RolloutState
+from honeywood.gateway.rollout.report import Vote
+from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 from honeywood.gateway.routing.attempts import PendingRequest
 from honeywood.gateway.routing.endpoints import Endpoints
 from honeywood.gateway.routing.outcomes import AttemptOutcome
@@ -50,27 +53,28 @@
 
 def record_after_order(stored, service, version, over_s, since_s, again_s, alone):
     """The stored record after an order."""
-    return record.rewritten(
-        stored, lambda held: record.start(held, service, version, over_s, since_s, again_s, alone)
-    )
+    order = service, version, over_s, since_s, again_s, alone
+    return transitions.update_stored(stored, lambda held: transitions.start_rollout(held, *order))
 
 
 def record_after_step(stored, version, revision, since_s, state, stage):
     """The stored record after a controller's step."""
-    return record.rewritten(
-        stored, lambda held: record.advance(held, version, revision, since_s, state, stage)
+    state, stage = state and RolloutState(state), stage and RolloutStage(stage)
+    return transitions.update_stored(
+        stored, lambda held: transitions.advance(held, version, revision, since_s, state, stage)
     )
 
 
 def was_sent_back(stored, version):
     """Whether a stored record says that a version was sent back."""
-    return record.sent_back(None if stored is None else record.decode(stored), version)
+    return transitions.was_reverted(None if stored is None else record.decode(stored), version)
 
 
 def p_values(told, service, version):
     """[p, kind, route] of each test on a report's counts."""
-    tallies = report.decode(told).tallies
-    return [[one.p, one.kind, one.route] for one in verdict.tests(*verdict.pooled(tallies, service, version))]
+    outcome_counts = report.decode(told).outcome_counts
+    results = comparison.compare(comparison.pool(outcome_counts, service, version))
+    return [[one.p_value, one.kind, one.route] for one in results]
 
 
 class ControllerView:
@@ -78,13 +82,14 @@
 
     def __init__(self, stored):
         self.rollout = record.decode(stored)
-        self.verdict = verdict.Verdict(self.rollout.revision)
+        self.evaluator = RolloutEvaluator(self.rollout.revision)
 
     def look(self, now, elapsed_s, told, votes, left):
         """The change decided as [state, stage, why], or None."""
-        tallies = report.decode(told).tallies
-        change = self.verdict.look(now, elapsed_s, self.rollout, tallies, votes, left)
-        return change and [change.state, change.stage, change.why]
+        outcome_counts = report.decode(told).outcome_counts
+        votes = [vote and Vote(vote) for vote in votes]
+        change = self.evaluator.evaluate(now, elapsed_s, self.rollout, outcome_counts, votes, left)
+        return change and [change.state, change.stage, change.reason]
 
 
 class ProxyView:
@@ -92,7 +97,7 @@
 
     def __init__(self, proxies):
         self.endpoints = Endpoints()
-        self.stage = Stage(self.endpoints, 0.1, 50, lambda: proxies)
+        self.stage = RolloutTrafficPolicy(self.endpoints, 0.1, 50, lambda: proxies)
         self.routes = {
             name: Route(name, "shop.example", f"/{name}/", kind, 0.8, 0.3, 0, 2, (("search", 1.0),))
             for name, kind in (("read", "safe"), ("write", "unsafe"))
@@ -104,38 +109,39 @@
 
     def update_rollout(self, now, stored):
         """A record of a rollout has come."""
-        self.stage.hear(now, record.decode(stored))
+        self.stage.update(now, record.decode(stored))
 
     def contact(self, now):
         """A controller has answered."""
-        self.stage.heard_at = now
+        self.stage.controller_contact_at = now
 
     def request(self, now, route):
         """A request that is taken; it stands for the later calls."""
         request = PendingRequest(self.routes[route], "search", b"id", now, now + 0.8)
-        self.stage.taking(request)
+        self.stage.record_request(request)
         return request
 
     def groups(self, now, request):
         """The ids of machines in the order in which they are asked."""
         machines = self.endpoints.by_service["search"]
-        return [[machine.id for machine in group] for group in self.stage.groups(now, request, machines)]
+        groups = self.stage.preference_groups(now, request, machines)
+        return [[machine.id for machine in group] for group in groups]
 
     def attempt(self, now, request, id):
         """An attempt of a request begins."""
         self.endpoints.by_id[id].request_began(now)
-        self.stage.sent(now, request, self.endpoints.by_id[id])
+        self.stage.record_attempt(request, self.endpoints.by_id[id])
         request.attempts.append(id)
 
     def ended(self, now, request, id, outcome, took_s):
         """An attempt of a request has ended."""
         machine = self.endpoints.by_id[id]
         machine.request_ended(now, True)
-        self.stage.ended(now, request, machine, AttemptOutcome(outcome), took_s)
+        self.stage.record_outcome(now, request, machine, AttemptOutcome(outcome), took_s)
 
     def standings(self):
         """What each version is just now."""
-        return [self.stage.standing("search", version) for version in ("v1", "v2", "v3")]
+        return [self.stage.version_status("search", version) for version in ("v1", "v2", "v3")]
 
     def allowed(self, now, request):
         """The ids of machines that a request may go to."""
@@ -148,18 +154,18 @@
 
     def active(self):
         """Whether a rollout is under way."""
-        return self.stage.active
+        return self.stage.has_active_rollout
 
 
 def allowance_room(share, slack, steps):
     """Whether there is room after each step: [now, proxies] of a request taken, or null for an attempt."""
-    allowance, found = Allowance(share, slack, 0.0), []
+    allowance, found = ExposureAllowance(share, slack, 0.0), []
     for step in steps:
         if step is None:
-            allowance.attempts += 1
+            allowance.record_attempt()
         else:
-            allowance.taking(*step)
-        found.append(allowance.room)
+            allowance.record_request(*step)
+        found.append(allowance.has_room)
     return found
 
 
--- a/tests/gateway/test_rollouts.py
+++ b/tests/gateway/test_rollouts.py
@@ -7,14 +7,18 @@
 from ward import each, test
 
 from honeywood.gateway.configuration.config import Route
-from honeywood.gateway.rollout import record, report
-from honeywood.gateway.rollout.stage import Stage
-from honeywood.gateway.rollout.report import Ballot, Tally
-from honeywood.gateway.rollout.verdict import Change, Verdict, Voter
+from honeywood.gateway.rollout import report, transitions
+from honeywood.gateway.rollout.evaluator import RolloutChange, RolloutEvaluator
+from honeywood.gateway.rollout.proxy_voter import ProxyVoter
+from honeywood.gateway.rollout.record import RolloutStage, RolloutState
+from honeywood.gateway.rollout.report import OutcomeCounts, RolloutStatus, Vote
+from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 from honeywood.gateway.routing.attempts import PendingRequest
 from honeywood.gateway.routing.outcomes import AttemptOutcome
 
 SUCCESS, FAILURE = AttemptOutcome.SUCCESS, AttemptOutcome.FAILURE
+ACTIVE, DONE, REVERTED = RolloutState.ACTIVE, RolloutState.DONE, RolloutState.REVERTED
+TRIAL, WIDE, FULL = RolloutStage.TRIAL, RolloutStage.WIDE, RolloutStage.FULL
 
 
 class Fleet:
@@ -35,10 +39,10 @@
             endpoints = Endpoints()
             for id, ver in (("m", "v1"), *((f"n{n}", "v2") for n in range(8))):
                 endpoints.update(warm_s if ver == "v2" else -5.0, id, machine(id, ver, slots=6))
-            self.fronts.append((endpoints, Stage(endpoints, 0.1, 50, lambda: fronts)))
-        self.record = record.start(None, "s", "v2", over_s, 0.0)
+            self.fronts.append((endpoints, RolloutTrafficPolicy(endpoints, 0.1, 50, lambda: fronts)))
+        self.record = transitions.start_rollout(None, "s", "v2", over_s, 0.0)
         for _, stage in self.fronts:
-            stage.hear(0.0, self.record)
+            stage.update(0.0, self.record)
         self.trial = self.total = self.bads = 0
         self.fiftieth = self.last_trial = self.end = None
         self.loads = {}  # when what is at each machine on trial ends
@@ -47,10 +51,10 @@
     def passed_on(now, endpoints, stage, route):
         """A request that a front takes, and the machine that it goes to."""
         ask = PendingRequest(route, "s", b"i", now, now + 0.6)
-        stage.taking(ask)
-        groups = stage.groups(now, ask, endpoints.by_service["s"])
+        stage.record_request(ask)
+        groups = stage.preference_groups(now, ask, endpoints.by_service["s"])
         machine = next(m for group in groups for m in group if stage.allows(now, ask, m))
-        stage.sent(now, ask, machine)
+        stage.record_attempt(ask, machine)
         return ask, machine
 
     def one(self, now):
@@ -73,32 +77,32 @@
             took *= self.draw.choice(self.paces)
         if took > 0.6:
             failed, took = True, 0.6
-        stage.ended(now, ask, machine, FAILURE if failed else SUCCESS, took)
+        stage.record_outcome(now, ask, machine, FAILURE if failed else SUCCESS, took)
 
     def run(self):
-        until, verdict, now, told, heard = self.over_s, Verdict(1), 0.0, [], []
+        until, evaluator, now, told, heard = self.over_s, RolloutEvaluator(1), 0.0, [], []
         while now < until and self.record.active:
             for _ in range(int(self.rate / 10)):
                 self.one(now + self.draw.random() / 10)
             now += 0.1
             for _, stage in self.fronts:
-                stage.heard_at = now
+                stage.controller_contact_at = now
             told.append([stage.report(now) for _, stage in self.fronts])
             seen = told[max(0, len(told) - 1 - int(self.lag * 10))]
-            if verdict.revision != self.record.revision:
-                verdict = Verdict(self.record.revision)
-            tallies = [tally for one in seen for tally in one.tallies]
-            ballots = [one.ballot("s") for one in seen]
-            current = [one if one and one.revision == self.record.revision else None for one in ballots]
+            if evaluator.revision != self.record.revision:
+                evaluator = RolloutEvaluator(self.record.revision)
+            outcome_counts = [tally for one in seen for tally in one.outcome_counts]
+            statuses = [one.status("s") for one in seen]
+            current = [one if one and one.revision == self.record.revision else None for one in statuses]
             votes = [one.vote if one else None for one in current]
             left = all(one and not one.pending for one in current)
-            change = verdict.look(now, now, self.record, tallies, votes, left)
+            change = evaluator.evaluate(now, now, self.record, outcome_counts, votes, left)
             if change:
                 step = (self.record.version, self.record.revision, 0.0, change.state, change.stage)
-                self.record = record.advance(self.record, *step)
+                self.record = transitions.advance(self.record, *step)
             heard.append(self.record)
             for _, stage in self.fronts:
-                stage.hear(0.0, heard[max(0, len(heard) - 1 - int(self.lag * 10))])
+                stage.update(0.0, heard[max(0, len(heard) - 1 - int(self.lag * 10))])
         self.end = now
         return self
 
@@ -138,7 +142,7 @@
 def _(bad=each(errors, slow, late, one_class, under_load)):
     for seed in range(6):
         fleet = Fleet(bad, seed, classes=3).run()
-        assert fleet.record.state == record.REVERTED, f"seed {seed}: {fleet.record}"
+        assert fleet.record.state == REVERTED, f"seed {seed}: {fleet.record}"
         assert fleet.trial <= 0.1 * fleet.total + 50, f"seed {seed}: {fleet.trial} of {fleet.total}"
         assert fleet.fiftieth is None or fleet.last_trial - fleet.fiftieth < 4.0, f"seed {seed}"
 
@@ -147,7 +151,7 @@
 def _():
     for seed in range(6):
         fleet = Fleet(when_full, seed, classes=3).run()
-        assert fleet.record.state == record.REVERTED, f"seed {seed}: {fleet.record}"
+        assert fleet.record.state == REVERTED, f"seed {seed}: {fleet.record}"
         assert fleet.trial <= 0.1 * 14.0 * fleet.rate + 50, f"seed {seed}: {fleet.trial}"
 
 
@@ -155,26 +159,29 @@
 def _(per_s=each(20.0, 400.0)):
     for seed in range(8):
         fleet = Fleet(good, seed, per_s=per_s, classes=3).run()
-        assert fleet.record.state == record.DONE, f"seed {seed}: {fleet.record}"
+        assert fleet.record.state == DONE, f"seed {seed}: {fleet.record}"
         assert fleet.end < 13.0
 
 
 def row(ver, count):
     """Good outcomes of a version, as fronts tell them."""
-    return Tally("s", "r", ver, 0, count, (float(count), *[0.0] * 8))
+    return OutcomeCounts("s", "r", ver, 0, count, (float(count), *[0.0] * 8))
 
 
 @test("{met} outcomes on trial, {part} of the time over: the stage is {stage_now}")
 def _(
     met=each(6, 6, 24, 24, 25, 25, 25),
     part=each(0.5, 0.56, 0.56, 0.99, 0.5, 0.56, 0.7),
-    votes=each(["on"], ["on"], ["on"], [None], ["on"], ["on"], [None]),
-    stage_now=each(None, record.WIDE, record.WIDE, record.WIDE, None, record.FULL, record.FULL),
+    votes=each(
+        [Vote.PROMOTE], [Vote.PROMOTE], [Vote.PROMOTE], [None], [Vote.PROMOTE], [Vote.PROMOTE], [None]
+    ),
+    stage_now=each(None, WIDE, WIDE, WIDE, None, FULL, FULL),
 ):
     # Found by the emulator (30230, 10342, 14648): six outcomes, of which few failed, and then all traffic.
-    held = record.start(None, "s", "v2", 10.0, 0.0)
-    found = Verdict(1).look(10 * part, 10 * part, held, [row("v1", 900), row("v2", met)], votes, False)
-    assert found == (stage_now and Change(stage=stage_now))
+    held = transitions.start_rollout(None, "s", "v2", 10.0, 0.0)
+    rows = [row("v1", 900), row("v2", met)]
+    found = RolloutEvaluator(1).evaluate(10 * part, 10 * part, held, rows, votes, False)
+    assert found == (stage_now and RolloutChange(stage=stage_now))
 
 
 @test("the wide stage, {met} outcomes after {seconds} s and {part} of the time: {stage_now}")
@@ -182,14 +189,14 @@
     met=each(24, 24, 25, 25),
     seconds=each(1.0, 1.0, 0.5, 0.7),
     part=each(0.84, 0.86, 0.6, 0.6),
-    stage_now=each(None, record.FULL, None, record.FULL),
+    stage_now=each(None, FULL, None, FULL),
 ):
     # The first outcomes are those of quick answers.
-    held = replace(record.start(None, "s", "v2", 10.0, 0.0), stage=record.WIDE)
-    verdict, rows = Verdict(1), [row("v1", 900), row("v2", met)]
-    verdict.look(0.0, 10 * part, held, rows, [], False)
-    found = verdict.look(seconds, 10 * part, held, rows, [], False)
-    assert found == (stage_now and Change(stage=stage_now))
+    held = replace(transitions.start_rollout(None, "s", "v2", 10.0, 0.0), stage=WIDE)
+    evaluator, rows = RolloutEvaluator(1), [row("v1", 900), row("v2", met)]
+    evaluator.evaluate(0.0, 10 * part, held, rows, [], False)
+    found = evaluator.evaluate(seconds, 10 * part, held, rows, [], False)
+    assert found == (stage_now and RolloutChange(stage=stage_now))
 
 
 @test(
@@ -198,12 +205,12 @@
 def _():
     fleet = Fleet(good, 0, fronts=4)
     endpoints, stage = fleet.fronts[0]
-    stage.hear(0.0, replace(fleet.record, stage=record.WIDE, revision=2))
+    stage.update(0.0, replace(fleet.record, stage=WIDE, revision=2))
     write = Route("w", "h", "/w/", "unsafe", 0.6, 0.25, 0, 2, (("s", 1.0),))
     sends = [fleet.passed_on(0.0, endpoints, stage, route) for route in [write, *fleet.routes] * 100]
     vers = [taken.version for _, taken in sends]
     assert vers[:10] == ["v2"] * 10 and "v1" in vers[10:14] and 0 < vers[100:].count("v2") <= 10
-    assert stage.report(0.0).ballot("s").pending == 1  # the earlier machines are still needed
+    assert stage.report(0.0).status("s").pending == 1  # the earlier machines are still needed
     assert not stage.allows(9.0, sends[0][0], endpoints.by_id["n1"])  # a lease, as on trial
 
 
@@ -211,14 +218,14 @@
 def _(per_s=each(10.0, 30.0, 30.0, 100.0, 400.0), over_s=each(12.0, 6.0, 12.0, 6.0, 12.0)):
     for seed in range(8):
         fleet = Fleet(good, seed, fronts=4, per_s=per_s, over_s=over_s, warm_s=0.0, lag=0.2).run()
-        assert fleet.record.state == record.DONE, f"seed {seed}: {fleet.record}"
+        assert fleet.record.state == DONE, f"seed {seed}: {fleet.record}"
         assert fleet.end <= over_s, f"seed {seed}: {fleet.end}"
 
 
 @test(
     "all fronts together stay within share and slack, whichever stage they hold for however long: {stage_now}"
 )
-def _(stage_now=each(record.TRIAL, record.WIDE)):
+def _(stage_now=each(TRIAL, WIDE)):
     # Attempts that classes had banked before the order were spent by it: 24 fronts with 20 classes spent 480.
     draw, tried = random.Random(1), 0
     for fronts, classes, per_front in ((24, 20, 10), (4, 1, 30), (12, 3, 200)):
@@ -227,21 +234,21 @@
 
         for _, stage in fleet.fronts:  # a service's classes have earned what they may before the order
             for route in fleet.routes * 40:
-                stage.taking(PendingRequest(route, "s", b"i", 0.0, 9.0))
-        ordered = record.start(
-            record.advance(fleet.record, "v2", 1, state=record.REVERTED), "s", "v2", 9.0, 9.0
+                stage.record_request(PendingRequest(route, "s", b"i", 0.0, 9.0))
+        ordered = transitions.start_rollout(
+            transitions.advance(fleet.record, "v2", 1, state=REVERTED), "s", "v2", 9.0, 9.0
         )
         held = replace(ordered, stage=stage_now)
         for _, stage in fleet.fronts:
-            stage.hear(0.0, held)
+            stage.update(0.0, held)
         for turn in range(per_front * fronts):
             n = turn % fronts
             endpoints, stage = fleet.fronts[n]
             if draw.random() < 0.02:  # a front dies and starts anew, or comes back from a cut
-                stage = Stage(endpoints, 0.1, 50, lambda: 1)
-                stage.heard_at = -9.0
-                stage.hear(0.0, held)
-                stage.heard_at = 0.0
+                stage = RolloutTrafficPolicy(endpoints, 0.1, 50, lambda: 1)
+                stage.controller_contact_at = -9.0
+                stage.update(0.0, held)
+                stage.controller_contact_at = 0.0
                 fleet.fronts[n] = endpoints, stage
             _, taken = fleet.passed_on(0.0, endpoints, stage, draw.choice(fleet.routes))
             attempts, requests = attempts + (taken.version == "v2"), requests + 1
@@ -259,7 +266,7 @@
     # machines differ in speed, a good version went back for its slow answers.
     for seed in range(6):
         fleet = Fleet(good, seed, classes=2, paces=PACES[shift:] + PACES[:shift]).run()
-        assert fleet.record.state == record.DONE, f"seed {seed}: {fleet.record}"
+        assert fleet.record.state == DONE, f"seed {seed}: {fleet.record}"
 
 
 @test("a version with {bad.__name__} on machines of differing speed is reverted, whichever are tried")
@@ -267,7 +274,7 @@
     for seed in range(12):
         shift = seed % 4
         fleet = Fleet(bad, seed, classes=3, paces=PACES[shift:] + PACES[:shift]).run()
-        assert fleet.record.state == record.REVERTED, f"seed {seed}: {fleet.record}"
+        assert fleet.record.state == REVERTED, f"seed {seed}: {fleet.record}"
         assert fleet.trial <= 0.1 * fleet.total + 50, f"seed {seed}: {fleet.trial} of {fleet.total}"
 
 
@@ -278,25 +285,26 @@
     def bins(stage_now):
         fleet = Fleet(good, 0)
         endpoints, stage = fleet.fronts[0]
-        stage.hear(0.0, replace(fleet.record, stage=stage_now, revision=2))
+        stage.update(0.0, replace(fleet.record, stage=stage_now, revision=2))
         ask = PendingRequest(fleet.routes[0], "s", b"i", 0.0, 9.0)
         for id in ("m", "n0"):
-            stage.ended(0.0, ask, endpoints.by_id[id], SUCCESS, 0.3)
-        return [list(count.bins) for count in stage.counts.values()]
+            stage.record_outcome(0.0, ask, endpoints.by_id[id], SUCCESS, 0.3)
+        return [list(one.latency_bins) for one in stage.report(0.0).outcome_counts]
 
-    on_trial, full = bins(record.TRIAL), bins(record.FULL)
+    on_trial, full = bins(TRIAL), bins(FULL)
     assert full[0] == full[1] == on_trial[0] and on_trial[1] != on_trial[0]
 
 
 @test("old machines are kept until enough requests have met the new version, or time is nearly over")
 def _():
     # Found by the emulator (day 83): a version was done with eight answers, the slow ones still out.
-    held = record.advance(record.start(None, "s", "v2", 10.0, 0.0), "v2", 1, stage=record.FULL)
+    held = transitions.advance(transitions.start_rollout(None, "s", "v2", 10.0, 0.0), "v2", 1, stage=FULL)
 
-    for count, elapsed, state in ((8, 7.5, None), (20, 7.5, record.DONE), (8, 9.5, record.DONE)):
-        verdict = Verdict(2)
+    for count, elapsed, state in ((8, 7.5, None), (20, 7.5, DONE), (8, 9.5, DONE)):
+        evaluator = RolloutEvaluator(2)
         rows = [row("v1", 90), row("v2", count)]
-        told = [verdict.look(elapsed + n / 10, elapsed + n / 10, held, rows, [], True) for n in range(6)]
+        looks = [elapsed + n / 10 for n in range(6)]
+        told = [evaluator.evaluate(now, now, held, rows, [], True) for now in looks]
         assert [step.state for step in told if step][:1] == ([state] if state else []), (count, told)
 
 
@@ -305,25 +313,26 @@
     what=each("all have left", "the pool rejects", "a front rejects", "looked at all the while"),
     failed=each(0, 12, 12, 0),
     times=each((10.0, 30.0), (10.0, 30.0), (10.0, 30.0), (10.0, 10.3, 10.6)),
-    wanted=each(None, None, None, Change(state=record.DONE)),
+    wanted=each(None, None, None, RolloutChange(state=DONE)),
 ):
     # Found by review: a controller frozen for 20 s took its look before and its look after for one long
     # look, and told a version done, or sent one back, on counts as old as its standstill.
-    held = replace(record.start(None, "s", "v2", 14.0), stage=record.FULL if not failed else record.TRIAL)
+    held = replace(transitions.start_rollout(None, "s", "v2", 14.0), stage=FULL if not failed else TRIAL)
     rows = [replace(row("v2", 60), failed=failed), row("v1", 4000)]
-    verdict, voter = Verdict(1), Voter(1, 0.0, 1)
+    evaluator, voter = RolloutEvaluator(1), ProxyVoter(1, 0.0, 1)
     for now in times:
         if what == "a front rejects":
             found = voter.vote(now, held, rows)
         else:
-            found = verdict.look(now, 5.0 if failed else now, held, rows, [], not failed)
+            found = evaluator.evaluate(now, 5.0 if failed else now, held, rows, [], not failed)
     assert found == wanted
     if failed:  # and it does stand when it is looked at again
-        assert voter.vote(now, held, rows) is None and verdict.look(now, 5.0, held, rows, [], False) is None
+        assert voter.vote(now, held, rows) is None
+        assert evaluator.evaluate(now, 5.0, held, rows, [], False) is None
         assert voter.vote(now + 1.1, held, rows) == "back"
-        assert verdict.look(now + 1.1, 5.0, held, rows, [], False).state == record.REVERTED
+        assert evaluator.evaluate(now + 1.1, 5.0, held, rows, [], False).state == REVERTED
     elif wanted is None:
-        assert verdict.look(now + 0.5, now + 0.5, held, rows, [], True) == Change(state=record.DONE)
+        assert evaluator.evaluate(now + 0.5, now + 0.5, held, rows, [], True) == RolloutChange(state=DONE)
 
 
 @test("a front that doubts a version in full stage says that it has not left the earlier machines")
@@ -331,31 +340,29 @@
     # Otherwise these would be stopped with its requests on them.
     fleet = Fleet(good, 0)
     _, stage = fleet.fronts[0]
-    for full in (fleet.record, record.advance(fleet.record, "v2", 1, stage=record.FULL)):
-        stage.hear(0.0, full)
+    for full in (fleet.record, transitions.advance(fleet.record, "v2", 1, stage=FULL)):
+        stage.update(0.0, full)
     for n in range(60):
         ask = PendingRequest(fleet.routes[0], "s", b"i", 0.0, 9.0)
         machine = stage.endpoints.by_id["m" if n < 30 else "n1"]
-        stage.ended(1.0, ask, machine, SUCCESS if n < 30 else FAILURE, 0.05)
-    ballot = stage.report(2.0).ballot("s")
-    assert (ballot.revision, ballot.pending, ballot.vote) == (2, 1, None)
-    assert stage.standing("s", "v1") == "established" and stage.standing("s", "v2") == "trial"
+        stage.record_outcome(1.0, ask, machine, SUCCESS if n < 30 else FAILURE, 0.05)
+    status = stage.report(2.0).status("s")
+    assert (status.revision, status.pending, status.vote) == (2, 1, None)
+    assert stage.version_status("s", "v1") == "established" and stage.version_status("s", "v2") == "trial"
 
 
 @test("a front that hears no controller tries nothing: a stage is a lease")
 def _():
     fleet = Fleet(good, 0)
     endpoints, stage = fleet.fronts[0]
-    stage.hear(0.0, fleet.record)
-    stage.heard_at = 0.0
+    stage.update(0.0, fleet.record)
+    stage.controller_contact_at = 0.0
     ask = PendingRequest(fleet.routes[0], "s", b"i", 0.0, 9.0)
     for _ in range(20):
-        stage.taking(ask)
-    assert stage.allows(
-        0.1, ask, next(m for m in stage.few("s", [m for m in endpoints.by_id.values() if m.version == "v2"]))
-    ) and not stage.allows(
-        9.0, ask, next(m for m in stage.few("s", [m for m in endpoints.by_id.values() if m.version == "v2"]))
-    )
+        stage.record_request(ask)
+    new = [m for m in endpoints.by_id.values() if m.version == "v2"]
+    on_trial = stage.trial_endpoints("s", new)[0]
+    assert stage.allows(0.1, ask, on_trial) and not stage.allows(9.0, ask, on_trial)
     assert stage.allows(9.0, ask, endpoints.by_id["m"])
 
 
@@ -363,10 +370,10 @@
 def _():
     fleet = Fleet(good, 0)
     endpoints, stage = fleet.fronts[0]
-    stage.hear(0.0, fleet.record)
+    stage.update(0.0, fleet.record)
     ask = PendingRequest(fleet.routes[0], "s", b"i", 0.0, 9.0)
     for now, versions in ((-3.0, {"v1"}), (-1.0, {"v1", "v2"})):
-        groups = stage.groups(now, ask, endpoints.by_service["s"])
+        groups = stage.preference_groups(now, ask, endpoints.by_service["s"])
         assert {m.version for group in groups for m in group} == versions
 
 
@@ -377,25 +384,25 @@
     fleet = Fleet(good, 0)
     for _ in range(2000):
         endpoints, stage = fleet.draw.choice(fleet.fronts)
-        stage.taking(PendingRequest(fleet.routes[0], "s", b"i", 0.0, 9.0))
+        stage.record_request(PendingRequest(fleet.routes[0], "s", b"i", 0.0, 9.0))
     for _ in range(24):
         for endpoints, stage in fleet.fronts:
             ask = PendingRequest(fleet.routes[0], "s", b"i", 0.0, 9.0)
-            machine = stage.groups(0.0, ask, endpoints.by_service["s"])[0][0]
+            machine = stage.preference_groups(0.0, ask, endpoints.by_service["s"])[0][0]
             fleet.trial += machine.version == "v2"
-            stage.sent(0.0, ask, machine)
+            stage.record_attempt(ask, machine)
     assert 0 < fleet.trial <= 12
 
 
 @test("an order twice changes nothing; steps from an older stage, or after the end, change nothing")
 def _():
-    first = record.start(None, "s", "v2", 14.0, 0.0)
-    assert record.start(first, "s", "v2", 14.0, 9.0) is first
-    full = record.advance(first, "v2", 1, stage=record.FULL)
-    assert record.advance(full, "v2", 1, state=record.REVERTED) is full
-    done = record.advance(full, "v2", 2, state=record.DONE)
-    assert record.advance(done, "v2", 3, state=record.REVERTED) is done
-    assert record.start(done, "s", "v3", 14.0, 20.0).revision == 4
+    first = transitions.start_rollout(None, "s", "v2", 14.0, 0.0)
+    assert transitions.start_rollout(first, "s", "v2", 14.0, 9.0) is first
+    full = transitions.advance(first, "v2", 1, stage=FULL)
+    assert transitions.advance(full, "v2", 1, state=REVERTED) is full
+    done = transitions.advance(full, "v2", 2, state=DONE)
+    assert transitions.advance(done, "v2", 3, state=REVERTED) is done
+    assert transitions.start_rollout(done, "s", "v3", 14.0, 20.0).revision == 4
 
 
 @test("a front that starts again with its clock set back still counts in a rollout")
@@ -417,7 +424,7 @@
         world.skew["f"] = -3600.0
         world.start("f")
         world.run(9.0)
-        assert world.nodes["a"].store.get("rollout/s")["state"] == record.DONE
+        assert world.nodes["a"].store.get("rollout/s")["state"] == DONE
     finally:
         world.close()
 
@@ -433,12 +440,12 @@
             world.say("a", "order v2 14")
             world.run(2.0)
             held = world.nodes["a"].store.get("rollout/s")
-            for name, state in (("a", record.DONE), ("b", record.REVERTED)):
+            for name, state in (("a", DONE), ("b", REVERTED)):
                 world.loop.create_task(
                     world.nodes[name].register.change(
                         "rollout/s",
-                        lambda value, n=held["n"], state=state: record.rewritten(
-                            value, lambda now: record.advance(now, "v2", n, state=state)
+                        lambda value, n=held["n"], state=state: transitions.update_stored(
+                            value, lambda now: transitions.advance(now, "v2", n, state=state)
                         ),
                     )
                 )
@@ -456,9 +463,9 @@
     held = None
     for since, step in steps:
         if isinstance(step, tuple):
-            held = record.start(held, "s", *step, since, again_s)
+            held = transitions.start_rollout(held, "s", *step, since, again_s)
         else:
-            held = record.advance(held, held.version, held.revision, since, state=step)
+            held = transitions.advance(held, held.version, held.revision, since, state=RolloutState(step))
     return held
 
 
@@ -503,10 +510,10 @@
 def _():
     held = None
     for n in range(100):
-        held = record.start(held, "s", f"v{n}", 14.0, 0.1)
-        assert len(held.earlier) <= record.REMEMBERED
+        held = transitions.start_rollout(held, "s", f"v{n}", 14.0, 0.1)
+        assert len(held.previous_orders) <= transitions.MAX_REMEMBERED
         if n:
-            assert record.start(held, "s", f"v{n - 1}", 14.0, 0.1) is held
+            assert transitions.start_rollout(held, "s", f"v{n - 1}", 14.0, 0.1) is held
 
 
 @test("the time of day of all controllers steps by {skew} s after an order: its trial lasts as ever")
@@ -527,9 +534,9 @@
             world.skew[name] = skew
         world.run(6.0)
         held = world.nodes["a"].store.get("rollout/s")
-        assert (held["state"], held["stage"]) == (record.ACTIVE, record.TRIAL), held
+        assert (held["state"], held["stage"]) == (ACTIVE, TRIAL), held
         world.run(10.0)
-        assert world.nodes["a"].store.get("rollout/s")["state"] == record.DONE
+        assert world.nodes["a"].store.get("rollout/s")["state"] == DONE
     finally:
         world.close()
 
@@ -554,7 +561,7 @@
         for name in "abc":
             world.start(name)
         world.run(13.6)
-        assert world.nodes["a"].store.get("rollout/s")["state"] == record.DONE
+        assert world.nodes["a"].store.get("rollout/s")["state"] == DONE
     finally:
         world.close()
 
@@ -566,13 +573,13 @@
     _, stage = fleet.fronts[0]
     for n in range(60):
         ask, id = PendingRequest(fleet.routes[0], "s", b"i", 0.0, 9.0), "m" if n < 30 else "n1"
-        stage.ended(1.0, ask, stage.endpoints.by_id[id], SUCCESS if n < 30 else FAILURE, 0.05)
-    assert stage.report(2.0).tallies
-    sent_back = record.advance(fleet.record, "v2", 1, 3.0, state=record.REVERTED)
-    again = record.start(sent_back, "s", "v2", 14.0, 20.0)
-    stage.hear(0.0, again)  # of the return it may never have heard
+        stage.record_outcome(1.0, ask, stage.endpoints.by_id[id], SUCCESS if n < 30 else FAILURE, 0.05)
+    assert stage.report(2.0).outcome_counts
+    reverted = transitions.advance(fleet.record, "v2", 1, 3.0, state=REVERTED)
+    again = transitions.start_rollout(reverted, "s", "v2", 14.0, 20.0)
+    stage.update(0.0, again)  # of the return it may never have heard
     told = stage.report(30.0)
-    assert not told.tallies and told.ballot("s") == Ballot(3, 1, None, 0.0)
+    assert not told.outcome_counts and told.status("s") == RolloutStatus(3, 1, None, 0.0)
 
 
 @test("a controller counts no rows that a front told before it had heard of the order")
@@ -583,10 +590,10 @@
         world.start("a")
         world.run(0.5)
         controller = world.nodes["a"]
-        held = record.start(played((0, V2), (3, "reverted")), "s", "v2", 14.0, 20.0)
+        held = transitions.start_rollout(played((0, V2), (3, "reverted")), "s", "v2", 14.0, 20.0)
         for front, n in (("before", 1), ("after", 3)):
-            tally = Tally("s", front, "v2", 9, 9, ())
-            told = report.encode(report.Report((tally,), {"s": Ballot(n, 0, None, 1.0)}))
+            tally = OutcomeCounts("s", front, "v2", 9, 9, ())
+            told = report.encode(report.ProxyReport((tally,), {"s": RolloutStatus(n, 0, None, 1.0)}))
             controller.store.put(f"count/{front}/1", [1], told)
         assert [tally.route for tally in controller.rollouts.counted(held)[0]] == ["after"]
     finally:
@@ -599,10 +606,11 @@
     # version again, and all its failures were served.
     fleet = Fleet(good, 0)
     endpoints, stage = fleet.fronts[0]
-    stage.hear(0.0, played((0, V2), (3, "reverted"), (1, V3)))
+    stage.update(0.0, played((0, V2), (3, "reverted"), (1, V3)))
     endpoints.update(0.0, "o", machine("o", "v3"))
-    assert [stage.standing("s", ver) for ver in ("v1", "v2", "v3")] == ["established", "closed", "trial"]
+    statuses = [stage.version_status("s", ver) for ver in ("v1", "v2", "v3")]
+    assert statuses == ["established", "closed", "trial"]
     endpoints.update(0.0, "m", {**machine("m", "v1"), "state": "gone"})
-    assert stage.standing("s", "v2") == "established"
-    stage.hear(0.0, played((0, V2), (3, "reverted"), (1, V3), (9, "done"), (1, V2)))
-    assert stage.standing("s", "v2") == "trial"
+    assert stage.version_status("s", "v2") == "established"
+    stage.update(0.0, played((0, V2), (3, "reverted"), (1, V3), (9, "done"), (1, V2)))
+    assert stage.version_status("s", "v2") == "trial"
