--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -20,7 +20,7 @@
 
 from timeline import config  # noqa: E402
 
-from honeywood.gateway.configuration.config import Limits  # noqa: E402
+from honeywood.gateway.configuration.model import Limits  # noqa: E402
 from honeywood.gateway.configuration.settings import read  # noqa: E402
 from honeywood.gateway.proxy.program import Proxy  # noqa: E402
 from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of  # noqa: E402
--- a/honeywood/gateway/configuration/__init__.py
+++ b/honeywood/gateway/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""What comes from outside, read and checked by hand: settings and configurations; errors say step and peer.
+"""Input from outside, read and checked by hand: settings files and configurations, as typed values.
 
-Start reading at settings.py and config.py.
+Start reading at settings.py, model.py and reader.py.
 """
--- /dev/null
+++ b/honeywood/gateway/configuration/reader.py
@@ -0,0 +1,195 @@
+"""Reads a configuration as operators send it, or as controllers pass it on to proxies.
+
+It is checked completely before any of it is used. A configuration is {"ver": eight hexadecimal digits, "res":
+[{"type", "hdr": {"name"}, "spec"}]}; fields that are not known are skipped.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from honeywood.gateway.configuration.check import need, read_json
+from honeywood.gateway.configuration.model import (
+    Configuration,
+    Limits,
+    RequestKind,
+    Route,
+    Service,
+    WeightedService,
+)
+from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.configuration.tenants import (
+    TENANTS,
+    check_keys_differ,
+    read_hashed_tenant,
+    read_tenant,
+)
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from typing import Any
+
+    from honeywood.gateway.configuration.tenants import Tenant
+
+OPERATION = "config.replace"  # named in errors
+ROUTES, SERVICES, LIMITS = "routes", "svcs", "limits"  # types of items
+VERSION_DIGITS = 8
+HEX_DIGITS = "0123456789abcdef"
+MAX_ROUTE_TIME_S = 86400.0  # longer times in a route are taken for a slip
+MIN_HEADER_BYTES = 256
+MIN_CLIENT_TIME_S = 0.001
+PROTOCOL = "h1"
+
+
+@dataclass(slots=True)
+class _Items:
+    """The items of a configuration that have been read, by name."""
+
+    routes: dict[str, Route] = field(default_factory=dict)
+    services: dict[str, Service] = field(default_factory=dict)
+    limits: dict[str, Limits] = field(default_factory=dict)
+    tenants: dict[str, Tenant] = field(default_factory=dict)
+
+
+def read_configuration(raw: bytes, peer: str = "", hashed_keys: bool = False) -> Configuration:
+    """Return the configuration in bytes that came from `peer`.
+
+    With `hashed_keys` it is one that controllers pass on to proxies. Raises Wrong, which names the item and
+    the key, where it can't be used.
+    """
+    table = read_json(raw, OPERATION, peer)
+    version = read_version(table.get("ver"), peer)
+    items = _Items()
+    for index, entry in enumerate(need(table, "res", list, OPERATION)):
+        _read_item(entry, f"{OPERATION}: res[{index}]", items, hashed_keys, peer)
+    _check_routes(items, peer)
+    tenants = tuple(items.tenants.values())
+    check_keys_differ(tenants, OPERATION, peer)
+    limits = next(iter(items.limits.values()), Limits())
+    return Configuration(version, tuple(items.routes.values()), items.services, limits, tenants)
+
+
+def read_version(text: object, peer: str = "") -> int:
+    """Return the number of a version's eight hexadecimal digits; raises Wrong where it is something else."""
+    digits = text.lower() if isinstance(text, str) else ""
+    if len(digits) != VERSION_DIGITS or not all(digit in HEX_DIGITS for digit in digits):
+        raise Wrong(OPERATION, f"ver: {text!r} is not eight hexadecimal digits", peer)
+    return int(digits, 16)
+
+
+def _read_item(entry: object, where: str, items: _Items, hashed_keys: bool, peer: str) -> None:
+    """Read one item of a configuration into `items`."""
+    if not isinstance(entry, dict):
+        raise Wrong(where, "must be an object", peer)
+    kind = need(entry, "type", str, where)
+    header = need(entry, "hdr", dict, where)
+    known: dict[str, dict[str, Any]] = {
+        ROUTES: items.routes,
+        SERVICES: items.services,
+        LIMITS: items.limits,
+        TENANTS: items.tenants,
+    }
+    if kind not in known:
+        raise Wrong(where, f"type {kind!r} is not known", peer)
+    name = need(header, "name", str, where, "" if kind == LIMITS else None)
+    if name is None or name in known[kind]:
+        raise Wrong(where, f"name {name!r} is missing or stands twice", peer)
+    spec = need(entry, "spec", dict, where)
+    where_in_item = f"{where} {name}"
+    if kind == ROUTES:
+        items.routes[name] = _read_route(name, spec, where_in_item)
+    elif kind == SERVICES:
+        items.services[name] = _read_service(name, spec, where_in_item)
+    elif kind == LIMITS:
+        items.limits[name] = _read_limits(spec, where_in_item)
+    elif hashed_keys:
+        items.tenants[name] = read_hashed_tenant(name, spec, where_in_item)
+    else:
+        items.tenants[name] = read_tenant(name, spec, where_in_item)
+
+
+def _read_route(name: str, spec: dict[str, Any], where: str) -> Route:
+    kind_text = need(spec, "kind", str, where)
+    prefix = need(spec, "pfx", str, where)
+    kind = _read_kind(kind_text, where)
+    if not (prefix.startswith("/") and prefix.endswith("/")):
+        raise Wrong(where, f"pfx {prefix!r} must begin and end with a slash")
+    host = need(spec, "vhost", str, where)
+    if not host or host != host.strip():
+        raise Wrong(where, "vhost is empty or padded")
+    timeout_s = need(spec, "timeout_s", float, where, least=0, most=MAX_ROUTE_TIME_S)
+    if not timeout_s > 0:
+        raise Wrong(where, "timeout_s must be above 0")
+    return Route(
+        name,
+        host.lower(),
+        prefix,
+        kind,
+        timeout_s,
+        latency_target_s=need(spec, "target_s", float, where, timeout_s, least=0, most=MAX_ROUTE_TIME_S),
+        priority=need(spec, "prio", int, where, 0, least=0),
+        max_attempts=need(spec, "tries", int, where, 1, least=1),
+        split=_read_split(spec, where),
+        public=need(spec, "public", bool, where, False),
+    )
+
+
+def _read_kind(text: str, where: str) -> RequestKind:
+    try:
+        return RequestKind(text)
+    except ValueError:
+        raise Wrong(where, f"kind {text!r} is not one of {', '.join(RequestKind)}") from None
+
+
+def _read_split(spec: dict[str, Any], where: str) -> tuple[WeightedService, ...]:
+    if "split" not in spec:
+        return (WeightedService(need(spec, "svc", str, where), 1.0),)
+    parts = need(spec, "split", list, where)
+    if not parts or not all(isinstance(part, dict) for part in parts) or "svc" in spec:
+        raise Wrong(where, "split must be a list of services and weights, with no svc beside it")
+    split = tuple(
+        WeightedService(need(part, "svc", str, where), need(part, "wt", float, where, least=0))
+        for part in parts
+    )
+    if len({part.service for part in split}) != len(split):
+        raise Wrong(where, "split names a service twice")
+    if not sum(part.weight for part in split) > 0:
+        raise Wrong(where, "split has no weight above 0")
+    return split
+
+
+def _read_service(name: str, spec: dict[str, Any], where: str) -> Service:
+    protocol = need(spec, "proto", str, where, PROTOCOL)
+    tls = need(spec, "tls", bool, where, False)
+    if protocol != PROTOCOL or tls:
+        raise Wrong(where, "only proto h1 without tls is spoken")
+    return Service(
+        name,
+        health_check_path=need(spec, "hc_path", str, where, "/"),
+        max_connections=need(spec, "max_conns", int, where, least=1),
+    )
+
+
+def _read_limits(spec: dict[str, Any], where: str) -> Limits:
+    default = Limits()
+    return Limits(
+        need(spec, "hdr_bytes", int, where, default.header_bytes, least=MIN_HEADER_BYTES),
+        need(spec, "body_bytes", int, where, default.body_bytes, least=0),
+        need(spec, "hdr_s", float, where, default.header_s, least=MIN_CLIENT_TIME_S, most=MAX_ROUTE_TIME_S),
+        need(spec, "idle_s", float, where, default.idle_s, least=MIN_CLIENT_TIME_S, most=MAX_ROUTE_TIME_S),
+    )
+
+
+def _check_routes(items: _Items, peer: str) -> None:
+    """Check that routes name known services, and no two have the same host and prefix."""
+    if len(items.limits) > 1:
+        raise Wrong(OPERATION, "limits stand twice", peer)
+    places = set()
+    for route in items.routes.values():
+        unknown = [part.service for part in route.split if part.service not in items.services]
+        if unknown:
+            raise Wrong(OPERATION, f"route {route.name} names the unknown service {unknown[0]!r}", peer)
+        if (route.host, route.prefix) in places:
+            reason = f"route {route.name}: {route.host}{route.prefix} is taken by another"
+            raise Wrong(OPERATION, reason, peer)
+        places.add((route.host, route.prefix))
--- a/honeywood/gateway/configuration/tenants.py
+++ b/honeywood/gateway/configuration/tenants.py
@@ -1,28 +1,38 @@
-"""Customers (tenants) of a configuration, and the form in which their keys leave the controllers.
+"""Tenants of a configuration, and the form in which their keys leave the controllers.
 
-Operators send keys as they are, and `config.read` gives the configuration back as it was sent; so the
-register's disks hold it so. Everything else knows a key by its hash only: `with_hashed_keys` rewrites a
-configuration before it is told to proxies, and a proxy hashes what a client shows.
+Operators send keys in plain text, and `config.read` returns the configuration as it was sent; so the
+register's disks hold them. Everything else knows a key by its hash only: `with_hashed_keys` rewrites a
+configuration before proxies get it, and a proxy hashes the key that a client shows.
 """
 
+from __future__ import annotations
+
 import json
-from _blake2 import blake2b  # hashlib would bring OpenSSL
+from _blake2 import blake2b  # hashlib would import OpenSSL
 from dataclasses import dataclass
 
 from honeywood.gateway.configuration.check import need
 from honeywood.gateway.configuration.outcome import Wrong
 
-TENANTS = "tenants"  # the kind of item
-QUOTED_TENANTS, ESCAPE = b'"tenants"', b"\\u"  # as it stands in a text, unless its letters are escaped
-KEYS, KEY_HASHES, PRIORITY = "apikeys", "key_hashes", "prio"  # of an item's `spec`
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+    from typing import Any
+
+TENANTS = "tenants"  # type of the items
+QUOTED_TENANTS = b'"tenants"'  # the type as it stands in a text, unless its letters are escaped
+ESCAPE = b"\\u"
+KEYS, KEY_HASHES, PRIORITY = "apikeys", "key_hashes", "prio"  # keys of an item's `spec`
 HASH_BYTES = 16  # keys are drawn at random by their issuer: two with one hash of 128 bits don't occur
-PRIORITY_MOST = 1 << 30
+MAX_PRIORITY = 1 << 30
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer: `key_hashes` are HASH_BYTES each; `priority`, 0 the highest, stands in place of its routes'
-    where it is given."""
+    """A tenant: its keys' hashes, HASH_BYTES each, and its priority (0 is the highest).
+
+    A priority takes the place of its requests' routes', where there is one.
+    """
 
     name: str
     key_hashes: tuple[bytes, ...]
@@ -30,61 +40,64 @@
 
 
 def hash_key(key: bytes) -> bytes:
-    """The hash by which a key is known."""
+    """Return the hash by which a key is known."""
     return blake2b(key, digest_size=HASH_BYTES).digest()
 
 
-def read_tenant(name: str, spec: dict, where: str) -> Tenant:
-    """A tenant as operators send it; raises outcome.Wrong, which never holds a key."""
+def read_tenant(name: str, spec: dict[str, Any], where: str) -> Tenant:
+    """Return a tenant as operators send it; raises Wrong, which never holds a key."""
     keys = need(spec, KEYS, list, where)
     if not all(isinstance(key, str) and _is_header_value(key) for key in keys):
         raise Wrong(where, f"{KEYS} holds what can't stand in a header")
-    return _tenant(name, spec, where, [hash_key(key.encode()) for key in keys])
+    return _build_tenant(name, spec, where, [hash_key(key.encode()) for key in keys])
 
 
-def read_hashed_tenant(name: str, spec: dict, where: str) -> Tenant:
-    """A tenant as controllers tell it to proxies."""
+def read_hashed_tenant(name: str, spec: dict[str, Any], where: str) -> Tenant:
+    """Return a tenant as controllers pass it on to proxies; raises Wrong where it can't be used."""
     try:
         hashes = [bytes.fromhex(text) for text in need(spec, KEY_HASHES, list, where)]
     except (TypeError, ValueError):
         raise Wrong(where, f"{KEY_HASHES} holds what is no hash") from None
     if any(len(one) != HASH_BYTES for one in hashes):
         raise Wrong(where, f"{KEY_HASHES} holds a hash of another length")
-    return _tenant(name, spec, where, hashes)
+    return _build_tenant(name, spec, where, hashes)
 
 
-def _tenant(name, spec, where, hashes):
+def _build_tenant(name: str, spec: dict[str, Any], where: str, hashes: list[bytes]) -> Tenant:
     if not _is_header_value(name):
         raise Wrong(where, "the name can't stand in a header")
-    priority = need(spec, PRIORITY, int, where, None, least=0, most=PRIORITY_MOST)
+    priority = need(spec, PRIORITY, int, where, None, least=0, most=MAX_PRIORITY)
     return Tenant(name, tuple(dict.fromkeys(hashes)), priority)
 
 
-def _is_header_value(text):
-    """Whether a text can be a header's value: ASCII that is seen, without a space at either end."""
+def _is_header_value(text: str) -> bool:
+    """Return whether a text can be a header's value: visible ASCII, without a space at either end."""
     return text.isascii() and text.isprintable() and text == text.strip() and text != ""
 
 
-def check_keys_differ(tenants, where: str, peer: str = "") -> None:
-    """Raises outcome.Wrong where two tenants share a key."""
+def check_keys_differ(tenants: Iterable[Tenant], where: str, peer: str = "") -> None:
+    """Raise Wrong where two tenants share a key."""
     owners: dict[bytes, str] = {}
     for tenant in tenants:
-        for one in tenant.key_hashes:
-            if owners.setdefault(one, tenant.name) != tenant.name:
-                raise Wrong(where, f"tenants {owners[one]} and {tenant.name} share a key", peer)
+        for key_hash in tenant.key_hashes:
+            owner = owners.setdefault(key_hash, tenant.name)
+            if owner != tenant.name:
+                raise Wrong(where, f"tenants {owner} and {tenant.name} share a key", peer)
 
 
 def with_hashed_keys(raw: bytes) -> bytes:
-    """A configuration that has been read without fault, as proxies are told it; the same bytes where it has
-    no tenants."""
-    if QUOTED_TENANTS not in raw and ESCAPE not in raw:  # most are told as they are, without being read again
+    """Return a valid configuration as proxies get it; the same object where it has no tenants."""
+    if QUOTED_TENANTS not in raw and ESCAPE not in raw:  # most need not be parsed again
         return raw
     table = json.loads(raw)
     items = [item for item in table["res"] if item["type"] == TENANTS]
     if not items:
         return raw
     for item in items:
-        spec = item["spec"]
-        hashed = {KEY_HASHES: [hash_key(key.encode()).hex() for key in spec[KEYS]]}
-        item["spec"] = {**hashed, **{key: spec[key] for key in (PRIORITY,) if key in spec}}
+        item["spec"] = _hashed_spec(item["spec"])
     return json.dumps(table, separators=(",", ":")).encode()
+
+
+def _hashed_spec(spec: dict[str, Any]) -> dict[str, Any]:
+    hashed = {KEY_HASHES: [hash_key(key.encode()).hex() for key in spec[KEYS]]}
+    return {**hashed, PRIORITY: spec[PRIORITY]} if PRIORITY in spec else hashed
--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -5,9 +5,11 @@
 from dataclasses import replace
 from urllib.parse import parse_qs
 
-from honeywood.gateway.configuration import config
+from honeywood.gateway.configuration import packing
 from honeywood.gateway.configuration.check import need, read_json
+from honeywood.gateway.configuration.model import Limits
 from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.configuration.reader import read_configuration
 from honeywood.gateway.controller import machines
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH
@@ -31,7 +33,7 @@
         }
         self.ours = {("POST", "news"): self.news, ("POST", "register"): self.register}
 
-    limits = config.Limits()  # callers here are machines, operators and our own programs
+    limits = Limits()  # callers here are machines, operators and our own programs
 
     async def __call__(self, scope, receive, send):
         peer = scope["client"][0]
@@ -79,11 +81,11 @@
 
     # operators
     async def replace(self, of, body, peer):
-        found, ver = await self.controller.orders.replace(config.read(body, peer).version, body, peer)
+        found, ver = await self.controller.orders.replace(read_configuration(body, peer).version, body, peer)
         return {"outcome": found, "ver": f"{ver:08x}"}
 
     async def read(self, of, body, peer):
-        return config.unpack(await self.controller.orders.configuration(peer), peer)
+        return packing.unpack(await self.controller.orders.configuration(peer), peer)
 
     async def start(self, of, body, peer, left=lambda: False):
         order = read_json(body, "rollouts.start", peer)
--- a/honeywood/gateway/controller/orders.py
+++ b/honeywood/gateway/controller/orders.py
@@ -4,9 +4,11 @@
 
 import asyncio
 
-from honeywood.gateway.configuration import config
-from honeywood.gateway.configuration import versions as held
+from honeywood.gateway.configuration import packing
+from honeywood.gateway.configuration import record as configuration_record
 from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.configuration.reader import read_configuration
+from honeywood.gateway.configuration.record import OrderOutcome
 from honeywood.gateway.rollout import record, transitions
 from honeywood.gateway.routing.endpoints import DRAINING, READY
 
@@ -60,26 +62,28 @@
         value = await self._read(READ, CONFIG, peer)
         if value is None:
             raise Wrong(READ, "none yet", peer, 404)
-        return value["text"]
+        return configuration_record.decode(value).text
 
     async def replace(self, version, raw, peer):
         """(outcome, version held) of an order; 412 where its number stands for another content."""
-        mark = held.digest(raw)
-        told, found, value = self.controller.store.stamp(CONFIG), None, None
+        digest = configuration_record.content_digest(raw)
+        told, found, current = self.controller.store.stamp(CONFIG), None, None
         if told is not None and told[0] >= version:  # likely a copy: a read is cheaper than a round
             value = await self._read(REPLACE, CONFIG, peer)
-            found = held.outcome(value, version, mark)
+            current = None if value is None else configuration_record.decode(value)
+            found = configuration_record.order_outcome(current, version, digest)
         if found is None:
-            text = config.pack(raw)
+            order = version, packing.pack(raw), digest
             value = await self._change(
-                REPLACE, CONFIG, lambda value: held.ordered(value, version, text, mark), peer
+                REPLACE, CONFIG, lambda value: configuration_record.update_stored(value, *order), peer
             )
-            found = held.outcome(value, version, mark)
-        if found != held.TAKEN:
-            self.say(found, ordered=f"{version:08x}", held=f"{value['ver']:08x}", digest=mark)
-        if found == held.OTHER:
+            current = configuration_record.decode(value)
+            found = configuration_record.order_outcome(current, version, digest)
+        if found is not OrderOutcome.ACCEPTED:
+            self.say(found.value, ordered=f"{version:08x}", held=f"{current.version:08x}", digest=digest)
+        if found is OrderOutcome.CONFLICT:
             raise Wrong(REPLACE, f"{version:08x} stands for another content; take a higher one", peer, 412)
-        return found, value["ver"]
+        return found, current.version
 
     async def order(self, svc, to_ver, over_s, peer, left=lambda: False):
         """The Rollout once it has begun, or that in which this order was taken before. `left` tells whether
@@ -113,9 +117,10 @@
         configuration, value = await asyncio.gather(
             self._read(START, CONFIG, peer), self._read(START, ROLLOUT + svc, peer)
         )
-        known = configuration is None or svc in config.read(config.unpack(configuration["text"])).services
-        if not known:
-            raise Wrong(START, f"svc {svc!r} is not known", peer)
+        if configuration is not None:
+            raw = packing.unpack(configuration_record.decode(configuration).text)
+            if svc not in read_configuration(raw).services:
+                raise Wrong(START, f"svc {svc!r} is not known", peer)
         return None if value is None else record.decode(value)
 
     def _alone(self, svc, ver):
--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -3,7 +3,8 @@
 from collections import Counter
 from random import Random
 
-from honeywood.gateway.configuration.config import for_proxies
+from honeywood.gateway.configuration import record as configuration_record
+from honeywood.gateway.configuration.packing import pack_for_proxies
 from honeywood.gateway.controller.app import App
 from honeywood.gateway.controller.contact import Contacts, disk_state
 from honeywood.gateway.controller.disk_health import CHECK_S
@@ -129,14 +130,15 @@
     def publish(self, key, value):
         """Tells of what a majority's disks hold."""
         if key == CONFIG and value is not None:
-            self.publish_configuration(value["ver"], value["text"])
+            current = configuration_record.decode(value)
+            self.publish_configuration(current.version, current.text)
         elif value is not None:
             self.store.put(key, [value["n"]], value)
 
     def publish_configuration(self, version, text):
         """Tells of a configuration, without the keys of its tenants."""
         if self.store.stamp(CONFIG) != [version]:
-            self.store.put(CONFIG, [version], for_proxies(text))
+            self.store.put(CONFIG, [version], pack_for_proxies(text))
 
     # what orders rest on
     async def hear_others(self):
--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -84,7 +84,7 @@
         if fields.get(b"content-length", b"0") != b"0" or b"transfer-encoding" in fields:
             return None
         route = self._route(scope, fields)
-        admission = self._admit(route, scope["headers"]) if route is not None and route.safe else None
+        admission = self._admit(route, scope["headers"]) if route is not None and route.idempotent else None
         if admission is None:
             return None
         return self.proxy.start(self._forward(scope, route, admission, fields, b""))
@@ -136,7 +136,9 @@
             admission,
         )
         response = await self.proxy.forwarder.forward(route, request)
-        if response.remainder is not None and route.safe:  # it may wait long for its turn to be passed on
+        if (
+            response.remainder is not None and route.idempotent
+        ):  # it may wait long for its turn to be passed on
             context.departure.subscribe(response.remainder.abandon)
         return response
 
--- a/honeywood/gateway/proxy/forwarding.py
+++ b/honeywood/gateway/proxy/forwarding.py
@@ -77,7 +77,7 @@
             told_ms = int(client_request.fields.get(b"x-deadline-ms", NO_DEADLINE_MS))
         except ValueError:
             return own_response(BAD_REQUEST, "x-deadline-ms is no number")
-        request = self._take(route, client_request, min(route.timeout, told_ms / 1000))
+        request = self._take(route, client_request, min(route.timeout_s, told_ms / 1000))
         self.open_requests.add(request)
         request.on_departure = partial(self._client_left, request)
         request.departure.subscribe(request.on_departure)
@@ -96,7 +96,7 @@
         if not request.finished:
             kind, stage = request.route.kind, self.sender.stage_of(request)
             self.counts[f"client left: {kind} {stage}"] += 1
-        if request.route.safe:
+        if request.route.idempotent:
             self.sender.abandon(request)
 
     def _unsubscribe(self, request):
@@ -124,7 +124,7 @@
         if request.departure.gone:
             return
         if response.status < FIRST_FAILURE:
-            late = self.clock() - request.received_at > request.route.target
+            late = self.clock() - request.received_at > request.route.latency_target_s
             self.counts["served late" if late else "served in time"] += 1
         self.counts["further sends"] += max(0, len(request.attempts) - 1)
         self.counts[f"answered {response.status}"] += 1
@@ -156,7 +156,7 @@
         """(seconds to wait for the attempts that are running, whether another may begin beside them then)."""
         now, until = self.clock(), request.deadline - ANSWER_EARLY_S
         hedge_s = max(HEDGE_LEAST_S, HEDGE_AFTER * self.endpoints.typical_latency(request.service))
-        may_hedge = request.route.safe and running == 1 and request.route.tries > 1
+        may_hedge = request.route.idempotent and running == 1 and request.route.max_attempts > 1
         is_hedge = may_hedge and now + hedge_s < until
         return (hedge_s if is_hedge else max(0, until - now)), is_hedge
 
@@ -208,4 +208,4 @@
     """Whether an attempt's answer is the request's: a success, or what can't be tried again."""
     if result.outcome is AttemptOutcome.SUCCESS:
         return True
-    return result.outcome is AttemptOutcome.FAILURE and not request.route.safe
+    return result.outcome is AttemptOutcome.FAILURE and not request.route.idempotent
--- a/honeywood/gateway/proxy/invariants.py
+++ b/honeywood/gateway/proxy/invariants.py
@@ -43,7 +43,7 @@
         """An attempt of `request` is about to be noted."""
         if request.departure.gone:
             self._violated(Violation.BEGUN_FOR_NOBODY, request.try_id.decode("latin-1"))
-        if not request.route.safe and request.may_have_run:
+        if not request.route.idempotent and request.may_have_run:
             self._violated(Violation.REPEATED, request.try_id.decode("latin-1"))
 
     def look(self, now: float) -> None:
@@ -60,7 +60,7 @@
     def _abandoned_work(self, now):
         for request, flights in self.proxy.forwarder.sender.flights.items():
             left_at = request.departure.left_at
-            if not request.route.safe or left_at is None or now - left_at <= ABANDONED_WITHIN_S:
+            if not request.route.idempotent or left_at is None or now - left_at <= ABANDONED_WITHIN_S:
                 continue
             if any(flight.attempt is not None for flight in flights):
                 yield Violation.WORK_FOR_NOBODY, request.try_id.decode("latin-1")
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -3,7 +3,9 @@
 import asyncio
 from random import Random
 
-from honeywood.gateway.configuration import config
+from honeywood.gateway.configuration.model import Limits
+from honeywood.gateway.configuration.packing import unpack
+from honeywood.gateway.configuration.reader import read_configuration
 from honeywood.gateway.dissemination.backoff import FIRST, Backoff
 from honeywood.gateway.dissemination.history import CUT, History
 from honeywood.gateway.dissemination.messages import Asker
@@ -47,7 +49,7 @@
         """`given` is what Program takes; `connect` opens connections to endpoints."""
         super().__init__(*given)
         s, self.app, self.random = self.settings, App(self), random or Random()
-        self.table, self.limits, self.config_at, self.server = None, config.Limits(), None, None
+        self.table, self.limits, self.config_at, self.server = None, Limits(), None, None
         self.endpoints, self.budgets, self.fleet = Endpoints(), {}, FleetSize(self.clock)
         self.stage = RolloutTrafficPolicy(
             self.endpoints, s.bounds["canary_share"], s.bounds["canary_slack"], self.fronts
@@ -115,7 +117,7 @@
         """A record has come, or has changed."""
         kind, _, name = key.partition("/")
         if kind == "config":
-            self.hear_config(config.read(config.unpack(value), hashed=True))
+            self.hear_config(read_configuration(unpack(value), hashed_keys=True))
         elif kind == "machine":
             self.hear_endpoint(name, value)
         elif kind == "rollout":
@@ -129,7 +131,7 @@
         self.config_at = self.config_at or self.clock()
         most = self.endpoints.max_connections
         most.clear()
-        most.update({name: service.max_conns for name, service in read.services.items()})
+        most.update({name: service.max_connections for name, service in read.services.items()})
         self.say("configuration")
 
     def hear_endpoint(self, id, value):
--- a/honeywood/gateway/proxy/sender.py
+++ b/honeywood/gateway/proxy/sender.py
@@ -117,7 +117,7 @@
         request, endpoint = flight.request, flight.endpoint
         while await self._connect(flight):
             now = self.clock()
-            if not request.route.safe:  # it couldn't be taken back
+            if not request.route.idempotent:  # it couldn't be taken back
                 request.departure.check(now)
             if self.policy.refusal(now, request, endpoint, True) is not None:
                 return False  # what changed while the connection came up counts
--- a/honeywood/gateway/rollout/comparison.py
+++ b/honeywood/gateway/rollout/comparison.py
@@ -83,7 +83,7 @@
 
 
 def _slowness_p_value(new: Counts, established: Counts) -> float:
-    """Return an answer is slow from the bin on that few of the established versions' answers reach."""
+    """Test the slow answers: those in bins that few of the established versions' answers reach."""
     first_slow_bin, slow_share = established.slow_from()
     slow, timed = sum(new.bins[first_slow_bin:]), sum(new.bins)
     established_timed = sum(established.bins)
--- a/honeywood/gateway/rollout/outcome_counters.py
+++ b/honeywood/gateway/rollout/outcome_counters.py
@@ -46,7 +46,7 @@
             latency_s /= MACHINE_LATENCY_SPREAD
         key = request.service, request.route.name, endpoint.version
         counter = self._counters.setdefault(key, Counts())
-        latency_bin = bisect_left(EDGES, latency_s / request.route.timeout)
+        latency_bin = bisect_left(EDGES, latency_s / request.route.timeout_s)
         counter.add(1, outcome is not AttemptOutcome.SUCCESS, 1, latency_bin)
 
     def reset(self, service: str) -> None:
--- a/honeywood/gateway/rollout/traffic_policy.py
+++ b/honeywood/gateway/rollout/traffic_policy.py
@@ -106,7 +106,7 @@
             return False
         if self._statuses.is_wide(request.service):
             return True
-        return request.route.safe and self._credit.covers_attempt(request.service, request.route.name)
+        return request.route.idempotent and self._credit.covers_attempt(request.service, request.route.name)
 
     def allows(self, now: float, request: PendingRequest, endpoint: Endpoint) -> bool:
         """Return whether a request may be sent to an endpoint."""
--- a/honeywood/gateway/routing/attempts.py
+++ b/honeywood/gateway/routing/attempts.py
@@ -75,7 +75,7 @@
     @property
     def refuse_at(self):
         """By when it is refused if it could be offered to no endpoint: its client may go on elsewhere."""
-        return self.received_at + REFUSE_BY * self.route.target
+        return self.received_at + REFUSE_BY * self.route.latency_target_s
 
 
 def connect_by(now, request):
@@ -120,13 +120,13 @@
             return Refusal.CLIENT_GONE
         if self._is_out_of_reach(now, request):
             return Refusal.UNREACHABLE
-        if now > request.deadline - max(LEAST_LEFT_S, LEAST_PART * request.route.target):
+        if now > request.deadline - max(LEAST_LEFT_S, LEAST_PART * request.route.latency_target_s):
             return Refusal.DEADLINE
         if not request.attempts:
             return None
-        if not request.route.safe and request.may_have_run:
+        if not request.route.idempotent and request.may_have_run:
             return Refusal.MAY_HAVE_RUN
-        if len(request.attempts) >= 2 * request.route.tries:
+        if len(request.attempts) >= 2 * request.route.max_attempts:
             return Refusal.TRIES
         return None if self.budget_of(request.service).allows(now, self.proxies()) else Refusal.BUDGET
 
@@ -155,7 +155,7 @@
             if attempt.endpoint is endpoint and attempt.outcome is AttemptOutcome.FAILURE:
                 return Refusal.FAILED_THERE
         asked = {attempt.endpoint.id for attempt in request.attempts} | {endpoint.id}
-        return Refusal.TRIES if len(asked) > request.route.tries else None
+        return Refusal.TRIES if len(asked) > request.route.max_attempts else None
 
     def _may_connect(self, endpoint):
         return endpoint.connections < self.connection_share(endpoint.service)
--- a/honeywood/gateway/routing/routes.py
+++ b/honeywood/gateway/routing/routes.py
@@ -7,7 +7,7 @@
     """The routes of one configuration, and its tenants by their keys: None where it has no tenants."""
 
     def __init__(self, config):
-        """The routes and services of a configuration.Config."""
+        """The routes and services of a Configuration."""
         self.version, self.hosts = config.version, {}
         for route in config.routes:
             self.hosts.setdefault(route.host.encode(), {})[route.prefix.encode()] = route
--- a/tests/gateway/socket_scene.py
+++ b/tests/gateway/socket_scene.py
@@ -6,7 +6,7 @@
 from ports import free_port
 from timeline import config
 
-from honeywood.gateway.configuration.config import for_proxies
+from honeywood.gateway.configuration.packing import pack_for_proxies
 from honeywood.gateway.configuration.settings import read
 from honeywood.gateway.proxy.program import Proxy
 from honeywood.gateway.rpc.server import HttpServer
@@ -149,7 +149,7 @@
 
     def configure(self, sent):
         """Brings a configuration into force as operators send it."""
-        self.proxy.hear("config", for_proxies(json.dumps(sent)))
+        self.proxy.hear("config", pack_for_proxies(json.dumps(sent)))
 
     def machine(self, script):
         """The machine that plays a script."""
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -5,7 +5,7 @@
 from timeline import machine
 from ward import each, test
 
-from honeywood.gateway.configuration.config import Config, Limits, Route
+from honeywood.gateway.configuration.model import Configuration, Limits, RequestKind, Route
 from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 from honeywood.gateway.routing.attempts import Attempt, AttemptPolicy, PendingRequest, connect_by
 from honeywood.gateway.routing.balancer import choose
@@ -16,7 +16,7 @@
 
 
 def route(kind="safe", tries=2, prefix="/p/"):
-    return Route("r", "h.example", prefix, kind, 0.6, 0.25, 0, tries, (("s", 1.0),))
+    return Route("r", "h.example", prefix, RequestKind(kind), 0.6, 0.25, 0, tries, (("s", 1.0),))
 
 
 class Scene:
@@ -186,7 +186,7 @@
 @test("the longest prefix of a host wins, whole segments only, whatever the host's case and port")
 def _():
     routes = (route(prefix="/a/"), route(prefix="/a/b/"), route(prefix="/"))
-    table = RouteTable(Config(1, routes, {}, Limits()))
+    table = RouteTable(Configuration(1, routes, {}, Limits()))
     found = [table.find(b"H.example:80", path) for path in (b"/a/b/c", b"/a/bc", b"/a", b"/a/%2F/..", b"")]
     assert [one and one.prefix for one in found] == ["/a/b/", "/a/", "/", "/a/", None]
     assert table.find(b"other.example", b"/a/") is None
--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -11,7 +11,7 @@
 from timeline import config, machine
 from ward import each, test
 
-from honeywood.gateway.configuration.config import Limits
+from honeywood.gateway.configuration.model import Limits
 from honeywood.gateway.proxy import responses, sender
 from honeywood.gateway.proxy.forwarding import ANSWER_EARLY_S, ClientRequest
 from honeywood.gateway.proxy.program import Proxy
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -8,16 +8,17 @@
 from timeline import World, config
 from ward import each, test
 
-from honeywood.gateway.configuration import config as configs
 from honeywood.gateway.configuration import settings as files
 from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.configuration.packing import pack, unpack
+from honeywood.gateway.configuration.reader import read_configuration
 from honeywood.gateway.controller import machines
 from honeywood.lab.emulator.boot import boot
 
 
 def refused(raw):
     try:
-        configs.read(raw if isinstance(raw, bytes) else json.dumps(raw).encode(), "op")
+        read_configuration(raw if isinstance(raw, bytes) else json.dumps(raw).encode(), "op")
     except Wrong as wrong:
         return str(wrong)
     return None
@@ -334,12 +335,12 @@
 def _():
     # Seen on the grown sites: 1,000 routes went as 290 KB of text over links that carry 300 KB a second.
     raw = json.dumps(config(7, routes=1400), separators=(",", ":")).encode()
-    packed = configs.pack(raw)
-    assert configs.unpack(packed) == raw and len(packed) < len(raw) / 8
-    assert configs.unpack(raw.decode()) == raw, "disks of before packing are read"
+    packed = pack(raw)
+    assert unpack(packed) == raw and len(packed) < len(raw) / 8
+    assert unpack(raw.decode()) == raw, "disks of before packing are read"
     for part in (packed[: len(packed) // 2 & ~3], packed[:-5], packed[4:], "%", ""):
         try:
-            configs.unpack(part, "peer")
+            unpack(part, "peer")
         except Wrong as wrong:
             assert "not whole" in str(wrong)
         else:
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -9,7 +9,7 @@
 
 from ward import each, test
 
-from honeywood.gateway.configuration import config
+from honeywood.gateway.configuration import packing
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.controller import machines
 from honeywood.gateway.controller.app import App
@@ -173,7 +173,7 @@
 async def own_board(self, of, body, peer):
     """A configuration is read from this controller's store."""
     held = self.controller.store.get("config")
-    return config.unpack(held) if held else b'{"ver":"00000000"}'
+    return packing.unpack(held) if held else b'{"ver":"00000000"}'
 
 
 async def own_state(self, of, body, peer, rollout=App.rollout):
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -5,10 +5,12 @@
 from timeline import World, config
 from ward import each, test
 
-from honeywood.gateway.configuration import versions as held
-from honeywood.gateway.configuration.config import unpack
 from honeywood.gateway.dissemination.messages import Answer
 from honeywood.gateway.configuration.outcome import Done
+from honeywood.gateway.configuration.packing import unpack
+from honeywood.gateway.configuration.record import (
+    content_digest,
+)
 from honeywood.gateway.controller.orders import Orders
 from honeywood.gateway.rollout import transitions
 from honeywood.gateway.rollout.record import RolloutState
@@ -524,7 +526,7 @@
     value = self.controller.store.get(key)
     if key != "config" or value is None:
         return value
-    mark = held.digest(unpack(value))
+    mark = content_digest(unpack(value))
     return {"ver": self.controller.store.stamp(key)[0], "text": value, "digest": mark, "past": []}
 
 
@@ -539,29 +541,3 @@
         raise AssertionError("nothing seen")
     finally:
         Orders._read = guarded
-
-
-@test("a number stands for the content that was noted first, in force or overtaken")
-def _():
-    noted = held.ordered(held.ordered(None, 5, "", "x"), 9, "the last", "z")
-    assert [held.outcome(noted, *order) for order in ((9, "z"), (9, "y"), (5, "x"), (5, "y"), (10, "z"))] == [
-        held.TAKEN,
-        held.OTHER,
-        held.OVERTAKEN,
-        held.OTHER,
-        None,
-    ]
-    late = held.ordered(noted, 7, "", "first")  # raced: 9 came before it
-    assert late["text"] == "the last" and held.ordered(late, 7, "", "second") is late
-    assert held.outcome(late, 7, "first") == held.OVERTAKEN and held.outcome(late, 7, "second") == held.OTHER
-
-
-@test("after a thousand orders the record is bounded, and no number below is confirmed for two by mistake")
-def _():
-    record = None
-    for version in range(1, 1001):
-        record = held.ordered(record, version, "", held.digest(f"{version}".encode()))
-    assert len(record["past"]) == held.MOST and len(json.dumps(record)) < 8000
-    assert held.outcome(record, 999, held.digest(b"999")) == held.OVERTAKEN
-    assert held.outcome(record, 999, "another") == held.OTHER
-    assert held.outcome(record, 3, "another") == held.OVERTAKEN  # far behind: acknowledged, changes nothing
--- a/tests/gateway/test_pinned_configuration.py
+++ b/tests/gateway/test_pinned_configuration.py
@@ -9,10 +9,10 @@
 
 from ward import each, test
 
-from honeywood.gateway.configuration import config as configuration
-from honeywood.gateway.configuration import settings, versions
+from honeywood.gateway.configuration import packing, record, settings
 from honeywood.gateway.configuration.check import address, read_json
 from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.configuration.reader import read_configuration
 from honeywood.gateway.configuration.tenants import hash_key
 
 RECORDED = json.loads((Path(__file__).parent / "recorded" / "configuration.json").read_text())
@@ -63,12 +63,15 @@
 
 def configuration_fields(raw, hashed=False):
     """The parts of a configuration by their keys in it."""
-    found = configuration.read(raw, "192.0.2.7", hashed)
+    found = read_configuration(raw, "192.0.2.7", hashed)
     limits = found.limits
     return {
         "ver": found.version,
         "routes": [_route_fields(route) for route in found.routes],
-        "svcs": [[name, one.name, one.health, one.max_conns] for name, one in found.services.items()],
+        "svcs": [
+            [name, one.name, one.health_check_path, one.max_connections]
+            for name, one in found.services.items()
+        ],
         "limits": [limits.header_bytes, limits.body_bytes, limits.header_s, limits.idle_s],
         "tenants": [[one.name, [key.hex() for key in one.key_hashes], one.priority] for one in found.tenants],
     }
@@ -80,11 +83,11 @@
         "vhost": route.host,
         "pfx": route.prefix,
         "kind": route.kind,
-        "may run twice": route.safe,
-        "timeout_s": route.timeout,
-        "target_s": route.target,
+        "may run twice": route.idempotent,
+        "timeout_s": route.timeout_s,
+        "target_s": route.latency_target_s,
         "prio": route.priority,
-        "tries": route.tries,
+        "tries": route.max_attempts,
         "split": [list(part) for part in route.split],
         "public": route.public,
     }
@@ -92,32 +95,33 @@
 
 def pack(raw):
     """A configuration's bytes as the text that is stored."""
-    return configuration.pack(raw)
+    return packing.pack(raw)
 
 
 def unpack(text):
     """The bytes of a stored text, as text."""
-    return configuration.unpack(text, "192.0.2.7").decode("latin-1")
+    return packing.unpack(text, "192.0.2.7").decode("latin-1")
 
 
 def packed_for_proxies(text):
     """What proxies get of a stored text."""
-    return configuration.for_proxies(text)
+    return packing.pack_for_proxies(text)
 
 
 def content_digest(raw):
     """The digest of a configuration's bytes."""
-    return versions.digest(raw)
+    return record.content_digest(raw)
 
 
 def order_outcome(stored, version, digest):
     """What an order has come to, as operators read it, or None."""
-    return versions.outcome(stored, version, digest)
+    current = None if stored is None else record.decode(stored)
+    return record.order_outcome(current, version, digest)
 
 
 def stored_after_order(stored, version, text, digest):
     """The stored record after an order."""
-    return versions.ordered(stored, version, text, digest)
+    return record.update_stored(stored, version, text, digest)
 
 
 def plain(value):
--- a/tests/gateway/test_pinned_rollout.py
+++ b/tests/gateway/test_pinned_rollout.py
@@ -9,7 +9,7 @@
 
 from ward import each, test
 
-from honeywood.gateway.configuration.config import Route
+from honeywood.gateway.configuration.model import RequestKind, Route
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.rollout import comparison, record, report, transitions
 from honeywood.gateway.rollout.allowance import ExposureAllowance
@@ -100,7 +100,7 @@
         self.stage = RolloutTrafficPolicy(self.endpoints, 0.1, 50, lambda: proxies)
         self.routes = {
             name: Route(name, "shop.example", f"/{name}/", kind, 0.8, 0.3, 0, 2, (("search", 1.0),))
-            for name, kind in (("read", "safe"), ("write", "unsafe"))
+            for name, kind in (("read", RequestKind.SAFE), ("write", RequestKind.UNSAFE))
         }
 
     def update_endpoint(self, now, id, value):
--- a/tests/gateway/test_rollouts.py
+++ b/tests/gateway/test_rollouts.py
@@ -6,7 +6,7 @@
 from timeline import World, machine
 from ward import each, test
 
-from honeywood.gateway.configuration.config import Route
+from honeywood.gateway.configuration.model import RequestKind, Route
 from honeywood.gateway.rollout import report, transitions
 from honeywood.gateway.rollout.evaluator import RolloutChange, RolloutEvaluator
 from honeywood.gateway.rollout.proxy_voter import ProxyVoter
@@ -32,7 +32,8 @@
         self.over_s, self.paces = over_s, paces  # times of machines beside each other, in turn
         self.draw, self.bad, self.rate, self.lag = random.Random(seed), bad, per_s, lag
         self.routes = [
-            Route(f"r{n}", "h", f"/{n}/", "safe", 0.6, 0.25, 0, 2, (("s", 1.0),)) for n in range(classes)
+            Route(f"r{n}", "h", f"/{n}/", RequestKind.SAFE, 0.6, 0.25, 0, 2, (("s", 1.0),))
+            for n in range(classes)
         ]
         self.fronts = []
         for _ in range(fronts):
@@ -206,7 +207,7 @@
     fleet = Fleet(good, 0, fronts=4)
     endpoints, stage = fleet.fronts[0]
     stage.update(0.0, replace(fleet.record, stage=WIDE, revision=2))
-    write = Route("w", "h", "/w/", "unsafe", 0.6, 0.25, 0, 2, (("s", 1.0),))
+    write = Route("w", "h", "/w/", RequestKind.UNSAFE, 0.6, 0.25, 0, 2, (("s", 1.0),))
     sends = [fleet.passed_on(0.0, endpoints, stage, route) for route in [write, *fleet.routes] * 100]
     vers = [taken.version for _, taken in sends]
     assert vers[:10] == ["v2"] * 10 and "v1" in vers[10:14] and 0 < vers[100:].count("v2") <= 10
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -7,8 +7,9 @@
 from timeline import World, config
 from ward import each, raises, test
 
-from honeywood.gateway.configuration import config as configuration
+from honeywood.gateway.configuration.packing import pack, pack_for_proxies, unpack
 from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.configuration.reader import read_configuration
 from honeywood.gateway.configuration.tenants import HASH_BYTES, Tenant, hash_key
 from honeywood.gateway.routing.tenants import TenantTable
 
@@ -42,7 +43,7 @@
 
 @test("a configuration with tenants is read: their names, priorities and the routes that are public")
 def _():
-    read = configuration.read(json.dumps(with_tenants(public=True)).encode())
+    read = read_configuration(json.dumps(with_tenants(public=True)).encode())
     assert {tenant.name: tenant.priority for tenant in read.tenants} == dict.fromkeys(KEYS, 1)
     assert [route.public for route in read.routes] == [True]
 
@@ -239,7 +240,7 @@
     sent = with_tenants()
     change(sent)
     with raises(Wrong) as refused:
-        configuration.read(json.dumps(sent).encode())
+        read_configuration(json.dumps(sent).encode())
     assert why in str(refused.raised)
     assert not any(key in str(refused.raised) for keys in KEYS.values() for key in keys)
 
@@ -248,7 +249,7 @@
 def _():
     sent = with_tenants(keys={"cuka620": [A, A], "seje681": []})
     sent["res"][2]["spec"]["quota"] = {"per_s": 5}
-    read = configuration.read(json.dumps(sent).encode())
+    read = read_configuration(json.dumps(sent).encode())
     assert [tenant.key_hashes for tenant in read.tenants] == [(hash_key(A.encode()),), ()]
 
 
@@ -272,7 +273,7 @@
         proxy = world.nodes["f"]
         assert proxy.table.version == 7 and proxy.table.tenants.find(A.encode()).name == b"cuka620"
         stores = [world.nodes[name].publisher.store.get("config") for name in ("a", "b", "c", "f")]
-        for text in map(configuration.unpack, stores):
+        for text in map(unpack, stores):
             assert not any(key.encode() in text for keys in KEYS.values() for key in keys)
     finally:
         world.close()
@@ -304,6 +305,6 @@
 @test("a kind of item whose letters are escaped is told to proxies without its keys too")
 def _():
     escaped = json.dumps(with_tenants()).replace('"tenants"', '"\\u0074enants"')
-    told = configuration.unpack(configuration.for_proxies(configuration.pack(escaped.encode())))
+    told = unpack(pack_for_proxies(pack(escaped.encode())))
     assert not any(key.encode() in told for keys in KEYS.values() for key in keys)
-    assert {tenant.name for tenant in configuration.read(told, hashed=True).tenants} == set(KEYS)
+    assert {tenant.name for tenant in read_configuration(told, hashed_keys=True).tenants} == set(KEYS)
