--- a/honeywood/gateway/configuration/reader.py
+++ b/honeywood/gateway/configuration/reader.py
@@ -83,16 +83,16 @@
         raise Wrong(where, "must be an object", peer)
     kind = need(entry, "type", str, where)
     header = need(entry, "hdr", dict, where)
-    known: dict[str, dict[str, Any]] = {
+    items_by_type: dict[str, dict[str, Any]] = {
         ROUTES: items.routes,
         SERVICES: items.services,
         LIMITS: items.limits,
         TENANTS: items.tenants,
     }
-    if kind not in known:
+    if kind not in items_by_type:
         raise Wrong(where, f"type {kind!r} is not known", peer)
     name = need(header, "name", str, where, "" if kind == LIMITS else None)
-    if name is None or name in known[kind]:
+    if name is None or name in items_by_type[kind]:
         raise Wrong(where, f"name {name!r} is missing or stands twice", peer)
     spec = need(entry, "spec", dict, where)
     where_in_item = f"{where} {name}"
@@ -144,16 +144,16 @@
 def _read_split(spec: dict[str, Any], where: str) -> tuple[WeightedService, ...]:
     if "split" not in spec:
         return (WeightedService(need(spec, "svc", str, where), 1.0),)
-    parts = need(spec, "split", list, where)
-    if not parts or not all(isinstance(part, dict) for part in parts) or "svc" in spec:
+    entries = need(spec, "split", list, where)
+    if not entries or not all(isinstance(entry, dict) for entry in entries) or "svc" in spec:
         raise Wrong(where, "split must be a list of services and weights, with no svc beside it")
     split = tuple(
-        WeightedService(need(part, "svc", str, where), need(part, "wt", float, where, least=0))
-        for part in parts
+        WeightedService(need(entry, "svc", str, where), need(entry, "wt", float, where, least=0))
+        for entry in entries
     )
-    if len({part.service for part in split}) != len(split):
+    if len({backend.service for backend in split}) != len(split):
         raise Wrong(where, "split names a service twice")
-    if not sum(part.weight for part in split) > 0:
+    if not sum(backend.weight for backend in split) > 0:
         raise Wrong(where, "split has no weight above 0")
     return split
 
@@ -186,7 +186,7 @@
         raise Wrong(OPERATION, "limits stand twice", peer)
     places = set()
     for route in items.routes.values():
-        unknown = [part.service for part in route.split if part.service not in items.services]
+        unknown = [backend.service for backend in route.split if backend.service not in items.services]
         if unknown:
             raise Wrong(OPERATION, f"route {route.name} names the unknown service {unknown[0]!r}", peer)
         if (route.host, route.prefix) in places:
--- a/honeywood/gateway/controller/rollout_loop.py
+++ b/honeywood/gateway/controller/rollout_loop.py
@@ -88,9 +88,11 @@
         known = [self.clock() - here.since] if here.revision == rollout.revision else []
         statuses = (report.decode(value).status(rollout.service) for _, value in self.store.under(COUNT))
         known += [
-            status.known_for_s
+            status.revision_age_s
             for status in statuses
-            if status is not None and status.revision == rollout.revision and status.known_for_s is not None
+            if status is not None
+            and status.revision == rollout.revision
+            and status.revision_age_s is not None
         ]
         return max(known, default=0.0)
 
@@ -118,6 +120,6 @@
         status = one.status(rollout.service)
         return (
             status is not None
-            and status.known_for_s is not None
+            and status.revision_age_s is not None
             and status.revision >= rollout.order_revision
         )
--- a/honeywood/gateway/rollout/evaluator.py
+++ b/honeywood/gateway/rollout/evaluator.py
@@ -92,8 +92,8 @@
         return None
 
     def _leave_wide(self, now: float, fraction: float, ended: float) -> RolloutChange | None:
-        settled = self._wide.check(now, True) >= MIN_WIDE_S
-        if settled and ended >= MIN_FULL_OUTCOMES or fraction >= MAX_WIDE_FRACTION:
+        is_stable = self._wide.check(now, True) >= MIN_WIDE_S
+        if is_stable and ended >= MIN_FULL_OUTCOMES or fraction >= MAX_WIDE_FRACTION:
             return RolloutChange(stage=RolloutStage.FULL)
         return None
 
--- a/honeywood/gateway/rollout/report.py
+++ b/honeywood/gateway/rollout/report.py
@@ -48,14 +48,14 @@
     """A proxy's status in one revision of a service's rollout.
 
     `pending` counts attempts in flight at endpoints whose version gets no more traffic, and one more while
-    the proxy still needs those endpoints. `known_for_s` is for how long it has known the revision, None once
+    the proxy still needs those endpoints. `revision_age_s` is the time since it got the revision, None once
     the rollout has ended. `vote` is None while there is too little to say.
     """
 
     revision: int
     pending: int
     vote: Vote | None = None
-    known_for_s: float | None = None
+    revision_age_s: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,12 +73,12 @@
 def encode(report: ProxyReport) -> dict[str, Any]:
     """Return the message of a report."""
     statuses = report.statuses or {}
-    active = {service: one for service, one in statuses.items() if one.known_for_s is not None}
+    active = {service: one for service, one in statuses.items() if one.revision_age_s is not None}
     return {
         "rows": [_encode_counts(one) for one in report.outcome_counts],
         "votes": {service: [one.revision, one.vote and one.vote.value] for service, one in active.items()},
         "left": {service: [one.revision, one.pending] for service, one in statuses.items()},
-        "known": {service: [one.revision, one.known_for_s] for service, one in active.items()},
+        "known": {service: [one.revision, one.revision_age_s] for service, one in active.items()},
     }
 
 
@@ -99,14 +99,14 @@
     Raises Wrong, which names the field, where it can't be used.
     """
     rows = need(value, "rows", list, OPERATION, peer=peer)
-    votes, pending, known = (
+    votes, pending, ages = (
         need(value, key, dict, OPERATION, peer=peer) for key in ("votes", "left", "known")
     )
     if any(len(row) != ROW_ITEMS for row in rows):
         raise Wrong(OPERATION, f"rows must have {ROW_ITEMS} items", peer)
     statuses = {
-        service: _decode_status(votes.get(service), pending.get(service), known.get(service))
-        for service in {**pending, **known}
+        service: _decode_status(votes.get(service), pending.get(service), ages.get(service))
+        for service in {**pending, **ages}
     }
     return ProxyReport(tuple(_decode_counts(row) for row in rows), statuses)
 
@@ -116,16 +116,14 @@
     return OutcomeCounts(service, route, version, failed, ended, tuple(latency_bins))
 
 
-def _decode_status(
-    vote: list[Any] | None, pending: list[Any] | None, known: list[Any] | None
-) -> RolloutStatus:
-    """Return the status out of its parts, of which `pending` or `known` is there."""
-    known_revision, known_for_s = known if known is not None else (0, None)
-    revision, count = pending or (known_revision, 0)
+def _decode_status(vote: list[Any] | None, pending: list[Any] | None, age: list[Any] | None) -> RolloutStatus:
+    """Return the status out of its parts, of which `pending` or `age` is there."""
+    age_revision, revision_age_s = age if age is not None else (0, None)
+    revision, count = pending or (age_revision, 0)
     _, choice = vote if vote is not None else (revision, None)
-    return RolloutStatus(revision, count, _decode_vote(choice), known_for_s)
+    return RolloutStatus(revision, count, _decode_vote(choice), revision_age_s)
 
 
 def _decode_vote(text: object) -> Vote | None:
-    """Return a vote that is not known counts as none: it neither promotes nor reverts a version."""
+    """Return the vote of a message; an unknown one is None, and neither promotes nor reverts."""
     return next((vote for vote in Vote if vote == text), None)
--- a/honeywood/gateway/rollout/traffic_policy.py
+++ b/honeywood/gateway/rollout/traffic_policy.py
@@ -55,10 +55,10 @@
 
     def update(self, now: float, rollout: Rollout) -> None:
         """Take a rollout's record; an older revision than the known one changes nothing."""
-        known = self._statuses.rollouts.get(rollout.service)
-        if known is not None and rollout.revision <= known.revision:
+        current = self._statuses.rollouts.get(rollout.service)
+        if current is not None and rollout.revision <= current.revision:
             return
-        if known is None or known.order_revision != rollout.order_revision:
+        if current is None or current.order_revision != rollout.order_revision:
             self._begin(now, rollout.service)
         self._statuses.rollouts[rollout.service] = rollout
 
@@ -93,7 +93,7 @@
         if allowance is not None:
             allowance.record_request(request.received_at, self.proxy_count())
 
-    def trial_has_room(self, now: float, request: PendingRequest) -> bool:
+    def trial_permits(self, now: float, request: PendingRequest) -> bool:
         """Return whether a request may be sent to the version on trial.
 
         It may within the allowance of the order, and outside the wide stage within its route's credit, where
@@ -102,7 +102,7 @@
         if not self._in_contact(now):
             return False
         rollout = self._statuses.rollouts.get(request.service)
-        if rollout is not None and rollout.active and not self._allowances[request.service].has_room:
+        if rollout is not None and rollout.active and not self._allowances[request.service].permits_attempt:
             return False
         if self._statuses.is_wide(request.service):
             return True
@@ -112,7 +112,7 @@
         """Return whether a request may be sent to an endpoint."""
         status = self.version_status(request.service, endpoint.version)
         if status is ON_TRIAL:
-            return self.trial_has_room(now, request)
+            return self.trial_permits(now, request)
         return status is ESTABLISHED
 
     def preference_groups(
@@ -123,7 +123,7 @@
         Endpoints on trial come first while there is room for them.
         """
         established, on_trial = self._by_status(now, request.service, endpoints)
-        if not on_trial or request.attempts or not self.trial_has_room(now, request):
+        if not on_trial or request.attempts or not self.trial_permits(now, request):
             return [established, on_trial]
         if self._statuses.is_wide(request.service):
             return [on_trial, established]
@@ -190,8 +190,8 @@
             return RolloutStatus(rollout.revision, self._pending(rollout))
         voter = self._voters.voter(now, rollout, self.proxy_count())
         vote = voter.vote(now, rollout, outcome_counts)
-        known_for_s = round(now - voter.started_at, 2)
-        return RolloutStatus(rollout.revision, self._pending(rollout), vote, known_for_s)
+        revision_age_s = round(now - voter.started_at, 2)
+        return RolloutStatus(rollout.revision, self._pending(rollout), vote, revision_age_s)
 
     def _pending(self, rollout: Rollout) -> int:
         """Return the attempts in flight at closed versions, and one more while others are needed."""
--- a/honeywood/gateway/rollout/trial_endpoints.py
+++ b/honeywood/gateway/rollout/trial_endpoints.py
@@ -30,9 +30,9 @@
     def select(self, service: str, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
         """Return the selected ones of a service's endpoints on trial."""
         ids = [endpoint.id for endpoint in endpoints]
-        known = self._selections.get(service)
-        if known is not None and known[0] == ids:
-            return known[1]
+        cached = self._selections.get(service)
+        if cached is not None and cached[0] == ids:
+            return cached[1]
         selected_ids = order(ids, service)[: max(1, ceil(self.share * len(ids)))]
         selected = [endpoint for endpoint in endpoints if endpoint.id in selected_ids]
         self._selections[service] = ids, selected
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -229,7 +229,7 @@
         lambda: [(polling, "POLL_S", 3.0), (Proxy, "listen", idle)],
         lambda: [(Store, "put", last_wins), (Store, "since", all_again)],
         lambda: [(RetryBudget, "allows", lambda self, now, fronts: True)],
-        lambda: [(RolloutTrafficPolicy, "trial_has_room", lambda self, now, ask: True)],
+        lambda: [(RolloutTrafficPolicy, "trial_permits", lambda self, now, ask: True)],
         lambda: [(Storage, "keep", unwritten)],
         lambda: [(App, "replace", by_number)],
         lambda: [(App, "start", once_only)],
--- a/tests/gateway/test_pinned_rollout.py
+++ b/tests/gateway/test_pinned_rollout.py
@@ -165,7 +165,7 @@
             allowance.record_attempt()
         else:
             allowance.record_request(*step)
-        found.append(allowance.has_room)
+        found.append(allowance.permits_attempt)
     return found
 
 
