--- a/tests/ci/known_red.py
+++ b/tests/ci/known_red.py
@@ -2,7 +2,7 @@
 `test | cause | issue`.
 
 A test is named by its file and what it is called there: `tests/trace/test_rules.py::test_name` for pytest,
-`tests/gateway/test_rollouts.py::description as written` for ward; all its cases are meant.
+`tests/gateway/rollout/test_evaluator.py::description as written` for ward; all its cases are meant.
 """
 
 from dataclasses import dataclass
