--- a/honeywood/gateway/configuration/packing.py
+++ b/honeywood/gateway/configuration/packing.py
@@ -8,7 +8,7 @@
 import zlib
 from binascii import a2b_base64, b2a_base64
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidConfiguration
 from honeywood.gateway.configuration.tenants import with_hashed_keys
 
 OPERATION = "config.replace"  # named in errors
@@ -26,7 +26,7 @@
 def unpack(text: str, peer: str = "") -> bytes:
     """Return the bytes that were packed.
 
-    Raises Wrong where the text is incomplete, or its bytes exceed MAX_UNPACKED_BYTES.
+    Raises InvalidConfiguration where the text is incomplete, or its bytes exceed MAX_UNPACKED_BYTES.
     """
     if text.startswith(UNPACKED_START):
         return text.encode()
@@ -34,9 +34,9 @@
         reader = zlib.decompressobj()
         raw = reader.decompress(a2b_base64(text), MAX_UNPACKED_BYTES)
     except (ValueError, zlib.error) as error:
-        raise Wrong(OPERATION, f"not whole: {error}", peer) from None
+        raise InvalidConfiguration(OPERATION, f"not whole: {error}", peer) from None
     if not reader.eof:
-        raise Wrong(OPERATION, "not whole or too long", peer)
+        raise InvalidConfiguration(OPERATION, "not whole or too long", peer)
     return raw
 
 
--- a/honeywood/gateway/configuration/reader.py
+++ b/honeywood/gateway/configuration/reader.py
@@ -17,7 +17,7 @@
     Service,
     WeightedService,
 )
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidConfiguration
 from honeywood.gateway.configuration.tenants import (
     TENANTS,
     check_keys_differ,
@@ -54,8 +54,8 @@
 def read_configuration(raw: bytes, peer: str = "", hashed_keys: bool = False) -> Configuration:
     """Return the configuration in bytes that came from `peer`.
 
-    With `hashed_keys` it is one that controllers pass on to proxies. Raises Wrong, which names the item and
-    the key, where it can't be used.
+    With `hashed_keys` it is one that controllers pass on to proxies. Raises InvalidInput, which names the
+    item and the key, where it can't be used.
     """
     table = read_json(raw, OPERATION, peer)
     version = read_version(table.get("ver"), peer)
@@ -70,17 +70,17 @@
 
 
 def read_version(text: object, peer: str = "") -> int:
-    """Return the number of a version's eight hexadecimal digits; raises Wrong where it is something else."""
+    """Return the number of a version's eight hexadecimal digits; raises InvalidConfiguration."""
     digits = text.lower() if isinstance(text, str) else ""
     if len(digits) != VERSION_DIGITS or not all(digit in HEX_DIGITS for digit in digits):
-        raise Wrong(OPERATION, f"ver: {text!r} is not eight hexadecimal digits", peer)
+        raise InvalidConfiguration(OPERATION, f"ver: {text!r} is not eight hexadecimal digits", peer)
     return int(digits, 16)
 
 
 def _read_item(entry: object, where: str, items: _Items, hashed_keys: bool, peer: str) -> None:
     """Read one item of a configuration into `items`."""
     if not isinstance(entry, dict):
-        raise Wrong(where, "must be an object", peer)
+        raise InvalidConfiguration(where, "must be an object", peer)
     kind = need(entry, "type", str, where)
     header = need(entry, "hdr", dict, where)
     items_by_type: dict[str, dict[str, Any]] = {
@@ -90,10 +90,10 @@
         TENANTS: items.tenants,
     }
     if kind not in items_by_type:
-        raise Wrong(where, f"type {kind!r} is not known", peer)
+        raise InvalidConfiguration(where, f"type {kind!r} is not known", peer)
     name = need(header, "name", str, where, "" if kind == LIMITS else None)
     if name is None or name in items_by_type[kind]:
-        raise Wrong(where, f"name {name!r} is missing or stands twice", peer)
+        raise InvalidConfiguration(where, f"name {name!r} is missing or stands twice", peer)
     spec = need(entry, "spec", dict, where)
     where_in_item = f"{where} {name}"
     if kind == ROUTES:
@@ -113,13 +113,13 @@
     prefix = need(spec, "pfx", str, where)
     kind = _read_kind(kind_text, where)
     if not (prefix.startswith("/") and prefix.endswith("/")):
-        raise Wrong(where, f"pfx {prefix!r} must begin and end with a slash")
+        raise InvalidConfiguration(where, f"pfx {prefix!r} must begin and end with a slash")
     host = need(spec, "vhost", str, where)
     if not host or host != host.strip():
-        raise Wrong(where, "vhost is empty or padded")
+        raise InvalidConfiguration(where, "vhost is empty or padded")
     timeout_s = need(spec, "timeout_s", float, where, least=0, most=MAX_ROUTE_TIME_S)
     if not timeout_s > 0:
-        raise Wrong(where, "timeout_s must be above 0")
+        raise InvalidConfiguration(where, "timeout_s must be above 0")
     return Route(
         name,
         host.lower(),
@@ -138,7 +138,7 @@
     try:
         return RequestKind(text)
     except ValueError:
-        raise Wrong(where, f"kind {text!r} is not one of {', '.join(RequestKind)}") from None
+        raise InvalidConfiguration(where, f"kind {text!r} is not one of {', '.join(RequestKind)}") from None
 
 
 def _read_split(spec: dict[str, Any], where: str) -> tuple[WeightedService, ...]:
@@ -146,15 +146,17 @@
         return (WeightedService(need(spec, "svc", str, where), 1.0),)
     entries = need(spec, "split", list, where)
     if not entries or not all(isinstance(entry, dict) for entry in entries) or "svc" in spec:
-        raise Wrong(where, "split must be a list of services and weights, with no svc beside it")
+        raise InvalidConfiguration(
+            where, "split must be a list of services and weights, with no svc beside it"
+        )
     split = tuple(
         WeightedService(need(entry, "svc", str, where), need(entry, "wt", float, where, least=0))
         for entry in entries
     )
     if len({backend.service for backend in split}) != len(split):
-        raise Wrong(where, "split names a service twice")
+        raise InvalidConfiguration(where, "split names a service twice")
     if not sum(backend.weight for backend in split) > 0:
-        raise Wrong(where, "split has no weight above 0")
+        raise InvalidConfiguration(where, "split has no weight above 0")
     return split
 
 
@@ -162,7 +164,7 @@
     protocol = need(spec, "proto", str, where, PROTOCOL)
     tls = need(spec, "tls", bool, where, False)
     if protocol != PROTOCOL or tls:
-        raise Wrong(where, "only proto h1 without tls is spoken")
+        raise InvalidConfiguration(where, "only proto h1 without tls is spoken")
     return Service(
         name,
         health_check_path=need(spec, "hc_path", str, where, "/"),
@@ -183,13 +185,15 @@
 def _check_routes(items: _Items, peer: str) -> None:
     """Check that routes name known services, and no two have the same host and prefix."""
     if len(items.limits) > 1:
-        raise Wrong(OPERATION, "limits stand twice", peer)
+        raise InvalidConfiguration(OPERATION, "limits stand twice", peer)
     places = set()
     for route in items.routes.values():
         unknown = [backend.service for backend in route.split if backend.service not in items.services]
         if unknown:
-            raise Wrong(OPERATION, f"route {route.name} names the unknown service {unknown[0]!r}", peer)
+            raise InvalidConfiguration(
+                OPERATION, f"route {route.name} names the unknown service {unknown[0]!r}", peer
+            )
         if (route.host, route.prefix) in places:
             reason = f"route {route.name}: {route.host}{route.prefix} is taken by another"
-            raise Wrong(OPERATION, reason, peer)
+            raise InvalidConfiguration(OPERATION, reason, peer)
         places.add((route.host, route.prefix))
--- a/honeywood/gateway/configuration/record.py
+++ b/honeywood/gateway/configuration/record.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidMessage
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -66,13 +66,13 @@
 def decode(value: dict[str, Any], peer: str = "") -> ConfigurationRecord:
     """Return the record of a stored form.
 
-    Raises Wrong, which names the field, where it can't be used.
+    Raises InvalidMessage, which names the field, where it can't be used.
     """
     history = need(value, "past", list, OPERATION, peer=peer)
     try:
         orders = tuple(PastOrder(version, digest) for version, digest in history)
     except (TypeError, ValueError):
-        raise Wrong(OPERATION, "past holds what is no version and digest", peer) from None
+        raise InvalidMessage(OPERATION, "past holds what is no version and digest", peer) from None
     return ConfigurationRecord(
         need(value, "ver", int, OPERATION, peer=peer),
         need(value, "text", str, OPERATION, peer=peer),
--- a/honeywood/gateway/configuration/tenants.py
+++ b/honeywood/gateway/configuration/tenants.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidConfiguration
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -45,27 +45,27 @@
 
 
 def read_tenant(name: str, spec: dict[str, Any], where: str) -> Tenant:
-    """Return a tenant as operators send it; raises Wrong, which never holds a key."""
+    """Return a tenant as operators send it; raises InvalidInput, which never holds a key."""
     keys = need(spec, KEYS, list, where)
     if not all(isinstance(key, str) and _is_header_value(key) for key in keys):
-        raise Wrong(where, f"{KEYS} holds what can't stand in a header")
+        raise InvalidConfiguration(where, f"{KEYS} holds what can't stand in a header")
     return _build_tenant(name, spec, where, [hash_key(key.encode()) for key in keys])
 
 
 def read_hashed_tenant(name: str, spec: dict[str, Any], where: str) -> Tenant:
-    """Return a tenant as controllers pass it on to proxies; raises Wrong where it can't be used."""
+    """Return a tenant as controllers pass it on to proxies; raises InvalidInput."""
     try:
         hashes = [bytes.fromhex(text) for text in need(spec, KEY_HASHES, list, where)]
     except (TypeError, ValueError):
-        raise Wrong(where, f"{KEY_HASHES} holds what is no hash") from None
+        raise InvalidConfiguration(where, f"{KEY_HASHES} holds what is no hash") from None
     if any(len(one) != HASH_BYTES for one in hashes):
-        raise Wrong(where, f"{KEY_HASHES} holds a hash of another length")
+        raise InvalidConfiguration(where, f"{KEY_HASHES} holds a hash of another length")
     return _build_tenant(name, spec, where, hashes)
 
 
 def _build_tenant(name: str, spec: dict[str, Any], where: str, hashes: list[bytes]) -> Tenant:
     if not _is_header_value(name):
-        raise Wrong(where, "the name can't stand in a header")
+        raise InvalidConfiguration(where, "the name can't stand in a header")
     priority = need(spec, PRIORITY, int, where, None, least=0, most=MAX_PRIORITY)
     return Tenant(name, tuple(dict.fromkeys(hashes)), priority)
 
@@ -76,13 +76,13 @@
 
 
 def check_keys_differ(tenants: Iterable[Tenant], where: str, peer: str = "") -> None:
-    """Raise Wrong where two tenants share a key."""
+    """Raise InvalidConfiguration where two tenants share a key."""
     owners: dict[bytes, str] = {}
     for tenant in tenants:
         for key_hash in tenant.key_hashes:
             owner = owners.setdefault(key_hash, tenant.name)
             if owner != tenant.name:
-                raise Wrong(where, f"tenants {owner} and {tenant.name} share a key", peer)
+                raise InvalidConfiguration(where, f"tenants {owner} and {tenant.name} share a key", peer)
 
 
 def with_hashed_keys(raw: bytes) -> bytes:
--- a/honeywood/gateway/controller/orders.py
+++ b/honeywood/gateway/controller/orders.py
@@ -6,9 +6,9 @@
 
 from honeywood.gateway.configuration import packing
 from honeywood.gateway.configuration import record as configuration_record
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.configuration.reader import read_configuration
 from honeywood.gateway.configuration.record import OrderOutcome
+from honeywood.gateway.errors import InvalidInput, NotFound, Unavailable, VersionConflict
 from honeywood.gateway.rollout import record, transitions
 from honeywood.gateway.routing.endpoints import DRAINING, READY
 
@@ -46,14 +46,14 @@
     async def _read(self, step, key, peer):
         found = await self.register.read(key)
         if not found.ok:
-            raise Wrong(step, found.why, peer, 503)
+            raise Unavailable(step, found.why, peer)
         self.publish(key, found.value)
         return found.value
 
     async def _change(self, step, key, change, peer):
         found = await self.register.change(key, change)
         if not found.ok:
-            raise Wrong(step, found.why, peer, 503)
+            raise Unavailable(step, found.why, peer)
         self.publish(key, found.value)
         return found.value
 
@@ -61,7 +61,7 @@
         """The newest configuration, packed; 404 where a majority holds none."""
         value = await self._read(READ, CONFIG, peer)
         if value is None:
-            raise Wrong(READ, "none yet", peer, 404)
+            raise NotFound(READ, "none yet", peer)
         return configuration_record.decode(value).text
 
     async def replace(self, version, raw, peer):
@@ -82,7 +82,8 @@
         if found is not OrderOutcome.ACCEPTED:
             self.say(found.value, ordered=f"{version:08x}", held=f"{current.version:08x}", digest=digest)
         if found is OrderOutcome.CONFLICT:
-            raise Wrong(REPLACE, f"{version:08x} stands for another content; take a higher one", peer, 412)
+            why = f"{version:08x} stands for another content; take a higher one"
+            raise VersionConflict(REPLACE, why, peer)
         return found, current.version
 
     async def order(self, svc, to_ver, over_s, peer, left=lambda: False):
@@ -90,7 +91,7 @@
         the caller has gone: nothing is begun for one who has."""
         came = self.clock()
         if self.late:
-            raise Wrong(START, "this controller stood still; the order may be an old one", peer, 503)
+            raise Unavailable(START, "this controller stood still; the order may be an old one", peer)
         held = await self._orderable(svc, peer)
         alone = await self._agreed_alone(svc, to_ver, peer)
         if transitions.was_reverted(held, to_ver):
@@ -98,9 +99,9 @@
 
         def begun(held):
             if left():
-                raise Wrong(START, "its caller has left", peer, 503)
+                raise Unavailable(START, "its caller has left", peer)
             if self.clock() - came > FRESH:
-                raise Wrong(START, "too late; it is no longer waited for", peer, 503)
+                raise Unavailable(START, "too late; it is no longer waited for", peer)
             since_s = 0.0 if held is None else self.controller.rollouts.since(held)
             still_alone = alone and self._alone(svc, to_ver)
             again_s = self.controller.settings.bounds["ack_s"] + AGAIN
@@ -120,7 +121,7 @@
         if configuration is not None:
             raw = packing.unpack(configuration_record.decode(configuration).text)
             if svc not in read_configuration(raw).services:
-                raise Wrong(START, f"svc {svc!r} is not known", peer)
+                raise InvalidInput(START, f"svc {svc!r} is not known", peer)
         return None if value is None else record.decode(value)
 
     def _alone(self, svc, ver):
@@ -135,12 +136,12 @@
         if not self._alone(svc, ver):
             return False
         if not await self.controller.hear_others():
-            raise Wrong(START, "too few other controllers told which machines they know", peer, 503)
+            raise Unavailable(START, "too few other controllers told which machines they know", peer)
         return self._alone(svc, ver)
 
     async def rollout(self, svc, peer):
         """The Rollout of a service; 404 where a majority holds none."""
         value = await self._read(ROLLOUT_READ, ROLLOUT + svc, peer)
         if value is None:
-            raise Wrong(ROLLOUT_READ, f"no rollout of {svc!r}", peer, 404)
+            raise NotFound(ROLLOUT_READ, f"no rollout of {svc!r}", peer)
         return record.decode(value)
--- a/honeywood/gateway/rollout/record.py
+++ b/honeywood/gateway/rollout/record.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidMessage
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -100,10 +100,10 @@
 def decode(value: object, peer: str = "") -> Rollout:
     """Return the rollout of a stored form that came from `peer`.
 
-    Raises Wrong, which names the field, where it can't be used.
+    Raises InvalidMessage, which names the field, where it can't be used.
     """
     if not isinstance(value, dict):
-        raise Wrong(OPERATION, f"must be a table, not {type(value).__name__}", peer)
+        raise InvalidMessage(OPERATION, f"must be a table, not {type(value).__name__}", peer)
     previous_orders, reverted_versions = (
         need(value, key, list, OPERATION, peer=peer) for key in ("past", "back")
     )
@@ -125,19 +125,19 @@
     try:
         return RolloutState(text)
     except ValueError:
-        raise Wrong(OPERATION, f"state {text!r} is not known", peer) from None
+        raise InvalidMessage(OPERATION, f"state {text!r} is not known", peer) from None
 
 
 def _decode_stage(text: str, peer: str) -> RolloutStage:
     try:
         return RolloutStage(text)
     except ValueError:
-        raise Wrong(OPERATION, f"stage {text!r} is not known", peer) from None
+        raise InvalidMessage(OPERATION, f"stage {text!r} is not known", peer) from None
 
 
 def _decode_previous_order(value: list[Any], peer: str) -> PreviousOrder:
     if len(value) != PREVIOUS_ORDER_ITEMS:
         reason = f"past has an order of {len(value)} items, not {PREVIOUS_ORDER_ITEMS}"
-        raise Wrong(OPERATION, reason, peer)
+        raise InvalidMessage(OPERATION, reason, peer)
     version, duration_s, age_s = value
     return PreviousOrder(version, duration_s, age_s)
--- a/honeywood/gateway/rollout/report.py
+++ b/honeywood/gateway/rollout/report.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidMessage
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -96,14 +96,14 @@
 def decode(value: dict[str, Any], peer: str = "") -> ProxyReport:
     """Return the report of a message that came from `peer`.
 
-    Raises Wrong, which names the field, where it can't be used.
+    Raises InvalidMessage, which names the field, where it can't be used.
     """
     rows = need(value, "rows", list, OPERATION, peer=peer)
     votes, pending, ages = (
         need(value, key, dict, OPERATION, peer=peer) for key in ("votes", "left", "known")
     )
     if any(len(row) != ROW_ITEMS for row in rows):
-        raise Wrong(OPERATION, f"rows must have {ROW_ITEMS} items", peer)
+        raise InvalidMessage(OPERATION, f"rows must have {ROW_ITEMS} items", peer)
     statuses = {
         service: _decode_status(votes.get(service), pending.get(service), ages.get(service))
         for service in {**pending, **ages}
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -6,11 +6,8 @@
 from ward import each, test
 
 from honeywood.gateway.dissemination.messages import Answer
-from honeywood.gateway.configuration.outcome import Done
 from honeywood.gateway.configuration.packing import unpack
-from honeywood.gateway.configuration.record import (
-    content_digest,
-)
+from honeywood.gateway.configuration.record import content_digest
 from honeywood.gateway.controller.orders import Orders
 from honeywood.gateway.rollout import transitions
 from honeywood.gateway.rollout.record import RolloutState
@@ -480,7 +477,7 @@
 
         async def old(ip, port, hold):
             world.loop.now += 20.0  # all stand still while the answer lies there
-            return Done(Answer("", 0, in_quorum=True))
+            return Answer("", 0, in_quorum=True)
 
         controller.peers.subscriber.ask = front.poller.ask = old
         world.loop.run_until_complete(controller.peers.poll("b"))
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -8,8 +8,8 @@
 from ward import each, raises, test
 
 from honeywood.gateway.configuration.packing import pack, pack_for_proxies, unpack
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.configuration.reader import read_configuration
+from honeywood.gateway.errors import InvalidInput
 from honeywood.gateway.configuration.tenants import HASH_BYTES, Tenant, hash_key
 from honeywood.gateway.routing.tenants import TenantTable
 
@@ -239,7 +239,7 @@
 ):
     sent = with_tenants()
     change(sent)
-    with raises(Wrong) as refused:
+    with raises(InvalidInput) as refused:
         read_configuration(json.dumps(sent).encode())
     assert why in str(refused.raised)
     assert not any(key in str(refused.raised) for keys in KEYS.values() for key in keys)
