--- a/honeywood/gateway/rollout/comparison.py
+++ b/honeywood/gateway/rollout/comparison.py
@@ -2,7 +2,7 @@
 
 Each test is one-sided, of the null hypothesis that the new version's share of failures (or of slow answers)
 exceeds the established one's by no more than a margin: a two-proportion z-test with unpooled variance, or
-the exact binomial tail where few failures are expected (honeywood/judge/cut.py).
+the exact binomial tail where few failures are expected (release_analysis/multiple_testing.py).
 
 Many routes are tested at a time, so the p-values go through the procedure of Benjamini and Hochberg,
 "Controlling the False Discovery Rate: a Practical and Powerful Approach to Multiple Testing", Journal of the
@@ -15,8 +15,13 @@
 
 from dataclasses import dataclass
 
-from honeywood.judge.counts import Counts, summed
-from honeywood.judge.cut import FAIL_MARGIN, LEAST, sorted_cut, trails
+from honeywood.release_analysis.multiple_testing import (
+    FAILURE_MARGIN,
+    MIN_OUTCOMES,
+    benjamini_hochberg,
+    inferiority_p_value,
+)
+from honeywood.release_analysis.outcome_statistics import OutcomeStatistics, column_sums
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -26,7 +31,7 @@
 
 SLOW_SHARE_MARGIN = 0.10  # by which the share of slow answers may exceed the established one
 MIN_NEW_OUTCOMES = 5  # of the new version on a route before it is tested
-MIN_ESTABLISHED_OUTCOMES = LEAST  # of the established versions
+MIN_ESTABLISHED_OUTCOMES = MIN_OUTCOMES  # of the established versions
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -40,10 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PooledCounts:
-    """Counts by route over all proxies, of the new version and of all others together."""
+    """OutcomeStatistics by route over all proxies, of the new version and of all others together."""
 
-    new: dict[str, Counts]
-    established: dict[str, Counts]
+    new: dict[str, OutcomeStatistics]
+    established: dict[str, OutcomeStatistics]
 
 
 def pool(outcome_counts: Iterable[OutcomeCounts], service: str, version: str) -> PooledCounts:
@@ -53,9 +58,9 @@
         if one.service != service:
             continue
         by_route = pooled.new if one.version == version else pooled.established
-        counts = by_route.setdefault(one.route, Counts())
+        counts = by_route.setdefault(one.route, OutcomeStatistics())
         counts.add(one.ended, one.failed, 0, 0)
-        counts.bins = summed((counts.bins, one.latency_bins))
+        counts.bins = column_sums((counts.bins, one.latency_bins))
     return pooled
 
 
@@ -78,19 +83,21 @@
     return results
 
 
-def _failure_p_value(new: Counts, established: Counts) -> float:
-    return trails(new.failed, new.ended, established.failed, established.ended, FAIL_MARGIN)
+def _failure_p_value(new: OutcomeStatistics, established: OutcomeStatistics) -> float:
+    return inferiority_p_value(new.failed, new.ended, established.failed, established.ended, FAILURE_MARGIN)
 
 
-def _slowness_p_value(new: Counts, established: Counts) -> float:
+def _slowness_p_value(new: OutcomeStatistics, established: OutcomeStatistics) -> float:
     """Test the slow answers: those in bins that few of the established versions' answers reach."""
     first_slow_bin, slow_share = established.slow_from()
     slow, timed = sum(new.bins[first_slow_bin:]), sum(new.bins)
     established_timed = sum(established.bins)
-    return trails(slow, timed, slow_share * established_timed, established_timed, SLOW_SHARE_MARGIN)
+    return inferiority_p_value(
+        slow, timed, slow_share * established_timed, established_timed, SLOW_SHARE_MARGIN
+    )
 
 
 def rejections(results: list[TestResult], level: float) -> list[TestResult]:
     """Return the results that are rejected together at the false discovery rate `level`."""
-    rejected = sorted_cut([result.p_value for result in results], level)
+    rejected = benjamini_hochberg([result.p_value for result in results], level)
     return [results[index] for index in rejected]
--- a/honeywood/gateway/rollout/evaluator.py
+++ b/honeywood/gateway/rollout/evaluator.py
@@ -9,7 +9,7 @@
 from honeywood.gateway.rollout.record import RolloutStage, RolloutState
 from honeywood.gateway.rollout.rejection import RejectionMonitor
 from honeywood.gateway.rollout.report import Vote
-from honeywood.judge.cut import LEAST
+from honeywood.release_analysis.multiple_testing import MIN_OUTCOMES
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 MIN_FULL_OUTCOMES = 25  # none of them rejected, before all traffic goes to the version without a bound
 MIN_WIDE_S = 0.6  # seconds of the wide stage before that: slow answers end last, so the first ones flatter
 MAX_WIDE_FRACTION = 0.85  # after it few outcomes mean few requests, and no want of allowance
-MIN_DONE_OUTCOMES = LEAST  # before the established endpoints are given up
+MIN_DONE_OUTCOMES = MIN_OUTCOMES  # before the established endpoints are given up
 MIN_DONE_FRACTION = 0.9  # after it a version with fewer outcomes is done as well
 MIN_DRAINED_S = 0.4  # seconds for which all proxies must have left the established endpoints
 
--- a/honeywood/gateway/rollout/outcome_counters.py
+++ b/honeywood/gateway/rollout/outcome_counters.py
@@ -7,7 +7,7 @@
 from honeywood.gateway.rollout.record import RolloutStage
 from honeywood.gateway.rollout.report import OutcomeCounts
 from honeywood.gateway.routing.outcomes import AttemptOutcome
-from honeywood.judge.counts import EDGES, Counts
+from honeywood.release_analysis.outcome_statistics import LATENCY_BIN_EDGES, OutcomeStatistics
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         """Nothing is counted."""
-        self._counters: dict[tuple[str, str, str], Counts] = {}
+        self._counters: dict[tuple[str, str, str], OutcomeStatistics] = {}
 
     def record(
         self,
@@ -45,8 +45,8 @@
         if endpoint.version == rollout.version and rollout.stage is RolloutStage.TRIAL:
             latency_s /= MACHINE_LATENCY_SPREAD
         key = request.service, request.route.name, endpoint.version
-        counter = self._counters.setdefault(key, Counts())
-        latency_bin = bisect_left(EDGES, latency_s / request.route.timeout_s)
+        counter = self._counters.setdefault(key, OutcomeStatistics())
+        latency_bin = bisect_left(LATENCY_BIN_EDGES, latency_s / request.route.timeout_s)
         counter.add(1, outcome is not AttemptOutcome.SUCCESS, 1, latency_bin)
 
     def reset(self, service: str) -> None:
--- a/honeywood/gateway/rollout/proxy_voter.py
+++ b/honeywood/gateway/rollout/proxy_voter.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from honeywood.gateway.rollout.comparison import count_ended
-from honeywood.gateway.rollout.rejection import FALSE_DISCOVERY_RATE, RejectionMonitor
+from honeywood.gateway.rollout.rejection import RejectionMonitor
 from honeywood.gateway.rollout.report import Vote
-from honeywood.judge.cut import LEAST
+from honeywood.release_analysis.multiple_testing import FALSE_DISCOVERY_RATE, MIN_OUTCOMES
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -14,7 +14,6 @@
     from honeywood.gateway.rollout.record import Rollout
     from honeywood.gateway.rollout.report import OutcomeCounts
 
-MIN_OUTCOMES = LEAST  # of the version before a vote for it
 MAX_WAIT_S = 3.0  # seconds after which a proxy with fewer outcomes votes as well
 
 
--- a/honeywood/gateway/rollout/rejection.py
+++ b/honeywood/gateway/rollout/rejection.py
@@ -4,7 +4,7 @@
 
 from honeywood.gateway.rollout.comparison import compare, pool, rejections
 from honeywood.gateway.rollout.condition_timer import ConditionTimer
-from honeywood.judge.cut import Q
+from honeywood.release_analysis.multiple_testing import FALSE_DISCOVERY_RATE
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -13,7 +13,6 @@
     from honeywood.gateway.rollout.record import Rollout
     from honeywood.gateway.rollout.report import OutcomeCounts
 
-FALSE_DISCOVERY_RATE = Q  # the level of the tests
 CONFIRMATION_S = 1.0  # seconds for which a rejection must stand before it is confirmed
 
 
--- a/honeywood/gateway/rollout/report.py
+++ b/honeywood/gateway/rollout/report.py
@@ -32,7 +32,7 @@
 class OutcomeCounts:
     """How attempts of one route ended at one version.
 
-    `latency_bins` counts the attempts by latency, in the bins of honeywood/judge/counts.py.
+    `latency_bins` counts the attempts by latency, in the bins of release_analysis/outcome_statistics.py.
     """
 
     service: str
