--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -21,7 +21,7 @@
 from timeline import config  # noqa: E402
 
 from honeywood.gateway.configuration.model import Limits  # noqa: E402
-from honeywood.gateway.configuration.settings import read  # noqa: E402
+from honeywood.gateway.configuration.settings import read_settings  # noqa: E402
 from honeywood.gateway.proxy.program import Proxy  # noqa: E402
 from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of  # noqa: E402
 from honeywood.gateway.rpc.connection import Connection, end_to_end  # noqa: E402
@@ -108,7 +108,7 @@
 
 async def work(count, pipe):
     port = pipe.recv()
-    proxy = Proxy(read(boot("127.0.0.1", bear=0, ports=(18180, 18181, 18182, 7000, 7010))))
+    proxy = Proxy(read_settings(boot("127.0.0.1", bear=0, ports=(18180, 18181, 18182, 7000, 7010))))
     proxy.hear("config", json.dumps(config(5)))
     for n in range(4):
         proxy.hear(
--- /dev/null
+++ b/honeywood/gateway/configuration/addresses.py
@@ -0,0 +1,42 @@
+"""Numeric addresses in settings and messages. Host names are refused: nothing resolves them."""
+
+from __future__ import annotations
+
+import socket
+from typing import NamedTuple
+
+from honeywood.gateway.errors import InvalidInput
+
+PORT_END = 1 << 16
+MAX_PORT_DIGITS = 6  # read of a port, however long its text is
+
+
+class Address(NamedTuple):
+    """An IPv4 address and a TCP port."""
+
+    ip: str
+    port: int
+
+
+def parse_ipv4(text: str, where: str, peer: str = "") -> str:
+    """Return a numeric IPv4 address as it came.
+
+    Raises InvalidInput, which names `where` it stands and the peer that sent it.
+    """
+    try:
+        socket.inet_pton(socket.AF_INET, text)
+    except (OSError, TypeError, ValueError):
+        raise InvalidInput(where, f"{text!r} is no numeric IPv4 address", peer) from None
+    return text
+
+
+def parse_address(text: object, where: str, peer: str = "") -> Address:
+    """Return the address in a text "ip:port".
+
+    Raises InvalidInput, which names `where` it stands and the peer that sent it.
+    """
+    ip, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
+    is_port = port.isascii() and port.isdecimal() and 0 < int(port[:MAX_PORT_DIGITS]) < PORT_END
+    if not (colon and is_port):
+        raise InvalidInput(where, f"{text!r} is no address and port", peer)
+    return Address(parse_ipv4(ip, where, peer), int(port))
--- a/honeywood/gateway/configuration/settings.py
+++ b/honeywood/gateway/configuration/settings.py
@@ -1,86 +1,169 @@
-"""The settings file of a process, read and checked. Unknown fields are skipped."""
+"""The settings file of a process, read and checked. Fields that are not known are skipped."""
+
+from __future__ import annotations
 
 import tomllib
-from dataclasses import dataclass
+from dataclasses import dataclass, fields
+from typing import NamedTuple
 
-from honeywood.gateway.configuration.check import address, ipv4, need
+from honeywood.gateway.configuration.addresses import PORT_END, Address, parse_address, parse_ipv4
+from honeywood.gateway.configuration.check import need
 from honeywood.gateway.errors import InvalidSettings
 
-BOUNDS = (
-    "reuse_s",
-    "contact_s",
-    "ack_s",
-    "sync_s",
-    "drain_s",
-    "grace_s",
-    "lost_s",
-    "apply_s",
-    "retry_ratio",
-    "retry_win_s",
-    "retry_slack",
-    "canary_share",
-    "canary_slack",
-    "rollback_s",
-)
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from typing import Any
+
+OPERATION = "settings"  # named in errors
+DEFAULT_MAX_OPEN_FILES = 1024
+DEFAULT_MEMORY_MB = 256.0
+DEFAULT_HEARTBEAT_INTERVAL_S = 1.5
+DEFAULT_LINK_MBPS = 1000.0
+BYTES_PER_MEGABIT = 125_000
+
+
+class PortRange(NamedTuple):
+    """The ports for traffic between processes of ours, from the first to the last."""
+
+    first: int
+    last: int
+
+
+@dataclass(frozen=True, slots=True)
+class ListenAddresses:
+    """The addresses at which a process is called from outside, by their names in the file.
+
+    Each property raises InvalidSettings where the file has no such address.
+    """
+
+    addresses: dict[str, Address]
+
+    @property
+    def http(self) -> Address:
+        """The address for clients."""
+        return self._of("http")
+
+    @property
+    def ready(self) -> Address:
+        """The address at which the platform asks whether the process is ready."""
+        return self._of("ready")
+
+    @property
+    def ctl(self) -> Address:
+        """The address for machines and operators."""
+        return self._of("ctl")
+
+    def _of(self, name: str) -> Address:
+        try:
+            return self.addresses[name]
+        except KeyError:
+            raise InvalidSettings(f"{OPERATION}: listen", f"{name} is missing") from None
+
+
+@dataclass(frozen=True, slots=True)
+class Bounds:
+    """The figures of the rules that are in force, named as in the file; `_s` are seconds."""
+
+    reuse_s: float
+    contact_s: float
+    ack_s: float
+    sync_s: float
+    drain_s: float
+    grace_s: float
+    lost_s: float
+    apply_s: float
+    retry_ratio: float
+    retry_win_s: float
+    retry_slack: float
+    canary_share: float
+    canary_slack: float
+    rollback_s: float
+
+
+BOUND_NAMES = tuple(bound.name for bound in fields(Bounds))
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """One process's settings. Times are seconds, addresses (ip, port), `bounds` the figures of the rules."""
+    """One process's settings; `seeds` are addresses of controllers."""
 
     node: str
     role: str
     ip: str
     zone: str
-    seeds: list
-    fresh: bool
-    datadir: str
-    ports: tuple
-    listen: dict
-    bounds: dict
-    bear: int  # counted machines that may be lost at once
-    nofile: int
-    mem_mb: float
-    beat_s: float
-    link: float  # bytes a second that the machine's link carries
+    seeds: tuple[Address, ...]
+    fresh: bool  # whether the whole system starts for the first time
+    data_directory: str
+    port_range: PortRange
+    listen: ListenAddresses
+    bounds: Bounds
+    tolerated_failures: int  # counted machines that may be lost at once
+    max_open_files: int
+    memory_mb: float
+    heartbeat_interval_s: float
+    link_bytes_per_s: float  # that the machine's link carries
 
     @property
-    def proxy_port(self):
-        """Where proxies listen for each other."""
-        return self.ports[0]
+    def proxy_port(self) -> int:
+        """The port at which proxies listen for each other."""
+        return self.port_range.first
 
     @property
-    def controller_port(self):
-        """Where controllers listen for each other and for proxies."""
-        return self.ports[0] + 1
+    def controller_port(self) -> int:
+        """The port at which controllers listen for each other and for proxies."""
+        return self.port_range.first + 1
 
 
-def read(text):
-    """Settings out of the file's text; raises errors.InvalidSettings naming the key."""
-    where = "settings"
+def read_settings(text: str) -> Settings:
+    """Return the settings in a file's text; raises InvalidInput, which names the key."""
     try:
         table = tomllib.loads(text)
-    except (tomllib.TOMLDecodeError, RecursionError) as wrong:
-        raise InvalidSettings(where, f"no TOML: {wrong}") from None
-    ports = need(table, "port_range", list, where)
-    if len(ports) != 2 or not all(type(p) is int and 0 < p < 65536 for p in ports) or ports[1] <= ports[0]:
-        raise InvalidSettings(where, "port_range must be two ports, the first the lower")
-    listen, given = need(table, "listen", dict, where, {}), need(table, "bounds", dict, where)
-    limits, tolerate = need(table, "limits", dict, where, {}), need(table, "tolerate", dict, where, {})
+    except (tomllib.TOMLDecodeError, RecursionError) as error:
+        raise InvalidSettings(OPERATION, f"no TOML: {error}") from None
+    port_range = _read_port_range(table)
+    listen = need(table, "listen", dict, OPERATION, {})
+    bounds = need(table, "bounds", dict, OPERATION)
+    limits = need(table, "limits", dict, OPERATION, {})
+    tolerate = need(table, "tolerate", dict, OPERATION, {})
+    in_limits = f"{OPERATION}: limits"
     return Settings(
-        node=need(table, "node", str, where),
-        role=need(table, "role", str, where),
-        ip=ipv4(need(table, "ip", str, where), f"{where}: ip"),
-        zone=need(table, "zone", str, where),
-        seeds=[address(seed, f"{where}: seeds") for seed in need(table, "seeds", list, where)],
-        fresh=need(table, "fresh", bool, where, False),
-        datadir=need(table, "datadir", str, where, ""),
-        ports=tuple(ports),
-        listen={key: address(value, f"{where}: listen.{key}") for key, value in listen.items()},
-        bounds={key: need(given, key, float, f"{where}: bounds", least=0) for key in BOUNDS},
-        bear=need(tolerate, "machines", int, f"{where}: tolerate", 0, least=0),
-        nofile=need(limits, "nofile", int, f"{where}: limits", 1024, least=64),
-        mem_mb=need(limits, "mem_mb", float, f"{where}: limits", 256.0, least=1),
-        beat_s=need(table, "beat_s", float, where, 1.5, least=0.01),
-        link=need(limits, "link_mbps", float, f"{where}: limits", 1000.0, least=0.01) * 125_000,
+        node=need(table, "node", str, OPERATION),
+        role=need(table, "role", str, OPERATION),
+        ip=parse_ipv4(need(table, "ip", str, OPERATION), f"{OPERATION}: ip"),
+        zone=need(table, "zone", str, OPERATION),
+        seeds=tuple(
+            parse_address(seed, f"{OPERATION}: seeds") for seed in need(table, "seeds", list, OPERATION)
+        ),
+        fresh=need(table, "fresh", bool, OPERATION, False),
+        data_directory=need(table, "datadir", str, OPERATION, ""),
+        port_range=port_range,
+        listen=_read_listen(listen),
+        bounds=_read_bounds(bounds),
+        tolerated_failures=need(tolerate, "machines", int, f"{OPERATION}: tolerate", 0, least=0),
+        max_open_files=need(limits, "nofile", int, in_limits, DEFAULT_MAX_OPEN_FILES, least=64),
+        memory_mb=need(limits, "mem_mb", float, in_limits, DEFAULT_MEMORY_MB, least=1),
+        heartbeat_interval_s=need(
+            table, "beat_s", float, OPERATION, DEFAULT_HEARTBEAT_INTERVAL_S, least=0.01
+        ),
+        link_bytes_per_s=BYTES_PER_MEGABIT
+        * need(limits, "link_mbps", float, in_limits, DEFAULT_LINK_MBPS, least=0.01),
     )
+
+
+def _read_port_range(table: dict[str, Any]) -> PortRange:
+    ports = need(table, "port_range", list, OPERATION)
+    are_ports = len(ports) == 2 and all(type(port) is int and 0 < port < PORT_END for port in ports)
+    if not are_ports or ports[1] <= ports[0]:
+        raise InvalidSettings(OPERATION, "port_range must be two ports, the first the lower")
+    return PortRange(*ports)
+
+
+def _read_listen(table: dict[str, Any]) -> ListenAddresses:
+    return ListenAddresses(
+        {name: parse_address(text, f"{OPERATION}: listen.{name}") for name, text in table.items()}
+    )
+
+
+def _read_bounds(table: dict[str, Any]) -> Bounds:
+    where = f"{OPERATION}: bounds"
+    return Bounds(**{name: need(table, name, float, where, least=0) for name in BOUND_NAMES})
--- a/honeywood/gateway/controller/machines.py
+++ b/honeywood/gateway/controller/machines.py
@@ -1,6 +1,7 @@
 """What machines tell of themselves, as records. Pure."""
 
-from honeywood.gateway.configuration.check import address, need
+from honeywood.gateway.configuration.addresses import parse_address
+from honeywood.gateway.configuration.check import need
 from honeywood.gateway.errors import InvalidInput
 from honeywood.gateway.dissemination import departed
 from honeywood.gateway.dissemination.history import History
@@ -28,7 +29,7 @@
     state = need(body, "state", str, STEP, peer=peer)
     if state not in (READY, DRAINING):
         raise InvalidInput(STEP, f"state {state!r} is not known", peer)
-    ip, port = address(need(body, "addr", str, STEP, peer=peer), f"{STEP}: addr", peer)
+    ip, port = parse_address(need(body, "addr", str, STEP, peer=peer), f"{STEP}: addr", peer)
     return [need(body, "seq", int, STEP, least=0, most=LAST - 1, peer=peer), 0], {
         "svc": need(body, "svc", str, STEP, peer=peer),
         "ip": ip,
--- a/honeywood/gateway/controller/membership_loop.py
+++ b/honeywood/gateway/controller/membership_loop.py
@@ -32,7 +32,7 @@
         if self.disk is not DiskState.WORKS:
             return  # the others see to it
         bounds = self.settings.bounds
-        soon_s, late_s = bounds["contact_s"], LATE * (bounds["contact_s"] + bounds["sync_s"])
+        soon_s, late_s = bounds.contact_s, LATE * (bounds.contact_s + bounds.sync_s)
         states, now = self.contacts.states(), self.clock()
         found = replacement(self.register.here, self.settings.ip, states, now, soon_s, late_s)
         if found:
--- a/honeywood/gateway/controller/orders.py
+++ b/honeywood/gateway/controller/orders.py
@@ -104,7 +104,7 @@
                 raise Unavailable(START, "too late; it is no longer waited for", peer)
             since_s = 0.0 if held is None else self.controller.rollouts.since(held)
             still_alone = alone and self._alone(svc, to_ver)
-            again_s = self.controller.settings.bounds["ack_s"] + AGAIN
+            again_s = self.controller.settings.bounds.ack_s + AGAIN
             return transitions.start_rollout(held, svc, to_ver, over_s, since_s, again_s, still_alone)
 
         change = lambda value: transitions.update_stored(value, begun)  # noqa: E731
--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -42,13 +42,17 @@
         super().__init__(*given)
         s, self.random, clock = self.settings, random or Random(), self.clock
         self.app, incarnation = App(self), self.store_incarnation()
-        self.publisher = Publisher(incarnation, self.on_record, self.on_ask, s.link, needed=still_counted)
+        self.publisher = Publisher(
+            incarnation, self.on_record, self.on_ask, s.link_bytes_per_s, needed=still_counted
+        )
         self.store, self.epochs = self.publisher.store, EpochClock()
         self.local = LocalRecords(self.store, int(self.life, 16), self.is_local)
         self.register = Register(s, PagedCaller(self.caller), self.random, self.say, disk)
         self.register_responder = PagedResponder(self.register.serve, clock)
         self.orders = Orders(self)
-        self.contacts = Contacts(s.ip, self.store.life, clock(), s.bear, lambda: self.register.members)
+        self.contacts = Contacts(
+            s.ip, self.store.life, clock(), s.tolerated_failures, lambda: self.register.members
+        )
         self.peers = PeerPolling(
             s, self.publisher, self.caller, self.random, self.contacts, self.disk_state, clock, self.loop
         )
@@ -57,7 +61,13 @@
         )
         self.replication = Replication(self.store, self.contacts, clock)
         self.machine_loop = MachineLoop(
-            self.store, s.beat_s, self.register, self.contacts, self.replication, clock, self.say
+            self.store,
+            s.heartbeat_interval_s,
+            self.register,
+            self.contacts,
+            self.replication,
+            clock,
+            self.say,
         )
         self.machines = self.machine_loop.machines
         self.fleet = Fleet(s.ip, self.store, self.contacts, self.local.tell)
@@ -194,12 +204,12 @@
         s = self.settings
         await self.register.open()
         server = HttpServer(self.app)
-        await server.open([s.listen["ctl"], (s.ip, s.controller_port)])
+        await server.open([s.listen.ctl, (s.ip, s.controller_port)])
         await self.open_metrics(server)
         self.say("started", role=s.role)
         self.begin()
         await self.until_stopped()
-        await server.close(s.bounds["grace_s"] - 1.0)
+        await server.close(s.bounds.grace_s - 1.0)
         self.say("stopped")
 
     def begin(self):
--- a/honeywood/gateway/program.py
+++ b/honeywood/gateway/program.py
@@ -12,7 +12,7 @@
 import structlog
 
 from honeywood.gateway.errors import GatewayError
-from honeywood.gateway.configuration.settings import read
+from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.metrics import CONTENT_TYPE, Figures, render
 from honeywood.gateway.metrics import PATH as METRICS_PATH
 from honeywood.gateway.rpc.asgi import answer
@@ -56,7 +56,7 @@
         try:
             self.changed = os.stat(self.path).st_mtime_ns
             with open(self.path, encoding="utf-8") as file:
-                return read(file.read())
+                return read_settings(file.read())
         except (OSError, UnicodeDecodeError, GatewayError) as wrong:
             print(json.dumps({"event": "settings", "why": f"{self.path}: {wrong}"}), flush=True)
             raise SystemExit(2) from None
@@ -81,7 +81,7 @@
                 return
             self.changed = changed
             with open(self.path, encoding="utf-8") as file:
-                self.found([ip for ip, _ in read(file.read()).seeds])
+                self.found([ip for ip, _ in read_settings(file.read()).seeds])
             self.say("settings read again")
         except (OSError, UnicodeDecodeError, GatewayError) as wrong:
             self.say("settings not taken", 5.0, why=str(wrong))
--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -34,7 +34,7 @@
         """`proxy` is the program."""
         self.proxy, self.refusals = proxy, Counter()  # refusals by reason
         self.relaying = 0  # long answers that are being passed on
-        self.ready_port = proxy.settings.listen["ready"][1]
+        self.ready_port = proxy.settings.listen.ready.port
         self.news_port = proxy.settings.proxy_port
 
     @property
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -53,14 +53,14 @@
         self.table, self.limits, self.config_at, self.server = None, Limits(), None, None
         self.endpoints, self.budgets, self.fleet = Endpoints(), {}, FleetSize(self.clock)
         self.stage = RolloutTrafficPolicy(
-            self.endpoints, s.bounds["canary_share"], s.bounds["canary_slack"], self.fronts
+            self.endpoints, s.bounds.canary_share, s.bounds.canary_slack, self.fronts
         )
         self.pool, self.tasks = ConnectionPool(self.clock, connect), set()
         self.policy = AttemptPolicy(self.budget_of, self.fronts, self.stage, self.endpoints.max_connections)
         parts = self.endpoints, self.policy, self.stage, self.pool, self.budget_of
         self.invariants = InvariantChecks(self, self.on_violation)
         self.forwarder = Forwarder(self.clock, self.random, s.zone, *parts, self.invariants.attempt_begins)
-        self.publisher = Publisher(self.store_incarnation(), self.hear, rate=s.link)
+        self.publisher = Publisher(self.store_incarnation(), self.hear, rate=s.link_bytes_per_s)
         store, backoff = self.publisher.store, Backoff(self.random, BACKOFF_MOST_S)
         self.history, self.doubted_at = History(store), None
         self.counts = CountRecords(self.stage, self.clock, s.node, self.life, store)
@@ -99,9 +99,7 @@
         """A service's RetryBudget."""
         if service not in self.budgets:
             bounds = self.settings.bounds
-            self.budgets[service] = RetryBudget(
-                bounds["retry_ratio"], bounds["retry_slack"], bounds["retry_win_s"]
-            )
+            self.budgets[service] = RetryBudget(bounds.retry_ratio, bounds.retry_slack, bounds.retry_win_s)
         return self.budgets[service]
 
     def fronts(self):
@@ -212,7 +210,7 @@
         if self.stopping.is_set() or self.table is None:
             return False
         if not self.met_majority:  # the configuration may be that of a controller cut off from the others
-            if self.clock() - self.config_at < self.settings.bounds["contact_s"]:
+            if self.clock() - self.config_at < self.settings.bounds.contact_s:
                 return False
             self.say("ready without a controller that hears a majority", SAY_AGAIN_S)
         known = self.table.services <= set(self.endpoints.by_service)
@@ -283,14 +281,14 @@
         """Serves until the platform says to stop; then what is at work ends within the grace."""
         s = self.settings
         self.server = HttpServer(self.app)
-        await self.server.open([s.listen["http"], s.listen["ready"], (s.ip, s.proxy_port)])
+        await self.server.open([s.listen.http, s.listen.ready, (s.ip, s.proxy_port)])
         await self.open_metrics(self.server)
         self.say("started", role=s.role)
         self.begin()
         await self.until_stopped()
         self.say("stopping")
         await asyncio.sleep(UNREADY_SEEN_S)
-        await self.server.close(s.bounds["grace_s"] - UNREADY_SEEN_S - STOP_MARGIN_S)
+        await self.server.close(s.bounds.grace_s - UNREADY_SEEN_S - STOP_MARGIN_S)
         self.say("stopped")
 
     def begin(self):
--- a/honeywood/gateway/register/rebuild.py
+++ b/honeywood/gateway/register/rebuild.py
@@ -62,7 +62,7 @@
         """The seeds of the first start agree on the first members; any 2 bear + 1 will do."""
         now = asyncio.get_running_loop().time()
         self.began = now if self.began is None else self.began
-        ip, seeds, size = self.settings.ip, self.epochs.members, 2 * self.settings.bear + 1
+        ip, seeds, size = self.settings.ip, self.epochs.members, 2 * self.settings.tolerated_failures + 1
         rank = seeds.index(ip) if ip in seeds else len(seeds)
         if len(known) >= size and now - self.began >= rank * FOUND_S:
             await self._agree(sorted(known)[:size])
--- a/honeywood/gateway/register/replica.py
+++ b/honeywood/gateway/register/replica.py
@@ -20,7 +20,7 @@
 
 
 class Register:
-    """This disk and the way to the others. `settings.bear` disks may be lost at once, so 2 bear + 1 count."""
+    """This disk and the way to the others; of 2 n + 1 that count n = `settings.tolerated_failures` may be lost."""
 
     def __init__(self, settings, caller, random, say, disk):
         self.settings = settings
--- a/honeywood/gateway/register/storage.py
+++ b/honeywood/gateway/register/storage.py
@@ -33,7 +33,7 @@
         """Reads the disk; one that can't be read or synced now is opened later, not taken for empty."""
         while self.disk is None:
             try:
-                self.disk = await self._on_disk(self.make_disk, self.settings.datadir)
+                self.disk = await self._on_disk(self.make_disk, self.settings.data_directory)
             except OSError as wrong:
                 self.say("disk not opened", 5.0, why=str(wrong))
                 await asyncio.sleep(REOPEN_S)
--- a/honeywood/lab/emulator/boot.py
+++ b/honeywood/lab/emulator/boot.py
@@ -2,7 +2,8 @@
 
 from dataclasses import replace
 
-from honeywood.gateway.configuration.settings import read
+from honeywood.gateway.configuration.addresses import Address
+from honeywood.gateway.configuration.settings import ListenAddresses, read_settings
 
 
 AIM_S, DEADLINE_S = 0.25, 0.8  # of requests in worlds
@@ -63,8 +64,7 @@
 
 def settings(node, controllers=(), **more):
     """The settings of a node in a world: its net has no addresses, nodes' names stand for them."""
-    found = read(boot(node, ip="127.0.0.1", data=node, **more))
-    seeds = [(name, PORTS[2]) for name in controllers]
-    return replace(
-        found, ip=node, seeds=seeds, listen={key: (node, at[1]) for key, at in found.listen.items()}
-    )
+    found = read_settings(boot(node, ip="127.0.0.1", data=node, **more))
+    seeds = tuple(Address(name, PORTS[2]) for name in controllers)
+    listen = {key: Address(node, at.port) for key, at in found.listen.addresses.items()}
+    return replace(found, ip=node, seeds=seeds, listen=ListenAddresses(listen))
--- a/tests/gateway/socket_scene.py
+++ b/tests/gateway/socket_scene.py
@@ -7,7 +7,7 @@
 from timeline import config
 
 from honeywood.gateway.configuration.packing import pack_for_proxies
-from honeywood.gateway.configuration.settings import read
+from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.proxy.program import Proxy
 from honeywood.gateway.rpc.server import HttpServer
 from honeywood.lab.emulator.boot import boot
@@ -129,14 +129,14 @@
     async def __aenter__(self):
         text = boot("127.0.0.1", bear=0, ports=(free_port(), free_port(), free_port(), 7000, 7010))
         quiet = type("Quiet", (Proxy,), {"say": lambda *said, **more: None})
-        self.proxy = quiet(read(text))
+        self.proxy = quiet(read_settings(text))
         self.configure(self.configuration())
         self.machines = []
         for n, script in enumerate(self.scripts):
             machine = await self.machine(script).open()
             self.machines.append(machine)
             self.note(n, "ready")
-        self.port = self.proxy.settings.listen["http"][1]
+        self.port = self.proxy.settings.listen.http.port
         self.server = self.proxy.server = HttpServer(self.proxy.app)
         await self.server.open([("127.0.0.1", self.port)])
         return self
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -8,9 +8,9 @@
 from timeline import World, config
 from ward import each, test
 
-from honeywood.gateway.configuration import settings as files
 from honeywood.gateway.configuration.packing import pack, unpack
 from honeywood.gateway.configuration.reader import read_configuration
+from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.controller import machines
 from honeywood.gateway.errors import InvalidInput
 from honeywood.gateway.rpc.statuses import status_of
@@ -292,9 +292,9 @@
         "listen.ready",
     ),
 ):
-    assert files.read(GOOD).bear == 1
+    assert read_settings(GOOD).tolerated_failures == 1
     try:
-        files.read(GOOD.replace(was, made))
+        read_settings(GOOD.replace(was, made))
     except InvalidInput as wrong:
         assert named in str(wrong) and "settings" in str(wrong)
     else:
@@ -303,7 +303,7 @@
 
 @test("fields of settings that are not known are skipped")
 def _():
-    assert files.read(GOOD + "\n[news]\nx = 1\n").node == "n"
+    assert read_settings(GOOD + "\n[news]\nx = 1\n").node == "n"
 
 
 @test("settings that change are read again: seeds are taken over, what can't be used leaves all as it was")
@@ -316,7 +316,7 @@
 
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "boot.toml")
-        proxy = type("Quiet", (Proxy,), {"say": lambda *said, **more: None})(files.read(GOOD))
+        proxy = type("Quiet", (Proxy,), {"say": lambda *said, **more: None})(read_settings(GOOD))
         proxy.path, proxy.changed = path, 0
         for at, (text, known) in enumerate(
             (
--- a/tests/gateway/test_pinned_configuration.py
+++ b/tests/gateway/test_pinned_configuration.py
@@ -9,9 +9,11 @@
 
 from ward import each, test
 
-from honeywood.gateway.configuration import packing, record, settings
-from honeywood.gateway.configuration.check import address, read_json
+from honeywood.gateway.configuration import packing, record
+from honeywood.gateway.configuration.addresses import parse_address
+from honeywood.gateway.configuration.check import read_json
 from honeywood.gateway.configuration.reader import read_configuration
+from honeywood.gateway.configuration.settings import BOUND_NAMES, read_settings
 from honeywood.gateway.configuration.tenants import hash_key
 from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.rpc.statuses import status_of
@@ -37,7 +39,7 @@
 
 def settings_fields(text):
     """The fields of a settings file by their keys in it; those worked out stand under `derived`."""
-    found = settings.read(text)
+    found = read_settings(text)
     return {
         "node": found.node,
         "role": found.role,
@@ -45,16 +47,16 @@
         "zone": found.zone,
         "seeds": [list(seed) for seed in found.seeds],
         "fresh": found.fresh,
-        "datadir": found.datadir,
-        "port_range": list(found.ports),
-        "listen": {key: list(at) for key, at in found.listen.items()},
-        "bounds": dict(found.bounds),
-        "tolerate.machines": found.bear,
-        "limits.nofile": found.nofile,
-        "limits.mem_mb": found.mem_mb,
-        "beat_s": found.beat_s,
+        "datadir": found.data_directory,
+        "port_range": list(found.port_range),
+        "listen": {key: list(at) for key, at in found.listen.addresses.items()},
+        "bounds": {name: getattr(found.bounds, name) for name in BOUND_NAMES},
+        "tolerate.machines": found.tolerated_failures,
+        "limits.nofile": found.max_open_files,
+        "limits.mem_mb": found.memory_mb,
+        "beat_s": found.heartbeat_interval_s,
         "derived": {
-            "link_bytes_per_s": found.link,
+            "link_bytes_per_s": found.link_bytes_per_s,
             "proxy_port": found.proxy_port,
             "controller_port": found.controller_port,
         },
@@ -187,7 +189,7 @@
 @test("address {number} is read, or refused, as recorded")
 def _(number=numbered("addresses")):
     case = RECORDED["addresses"][number]
-    found = result_or_error(lambda: list(address(case["text"], "settings: seeds", "192.0.2.7")))
+    found = result_or_error(lambda: list(parse_address(case["text"], "settings: seeds", "192.0.2.7")))
     assert plain(found) == plain(case["found"])
 
 
--- a/tests/gateway/test_pinned_proxy.py
+++ b/tests/gateway/test_pinned_proxy.py
@@ -35,7 +35,7 @@
 from ward import each, test
 
 from honeywood.gateway.configuration.packing import pack_for_proxies
-from honeywood.gateway.configuration.settings import read
+from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.proxy.program import Proxy
 from honeywood.gateway.routing.attempts import Refusal
 from honeywood.gateway.routing.outcomes import AttemptOutcome
@@ -60,7 +60,7 @@
     now = asyncio.get_running_loop().time
     began_at = now()
     clock = (lambda: began_at) if frozen else now
-    proxy = quiet(read(text), None, clock, lambda: 1.7e9, random=Random(1))
+    proxy = quiet(read_settings(text), None, clock, lambda: 1.7e9, random=Random(1))
     proxy.server = HttpServer(proxy.app)
     return proxy
 
@@ -69,7 +69,7 @@
     """Opens all listeners of a proxy."""
     s = proxy.settings
     proxy.metrics_port = free_port()
-    await proxy.server.open([s.listen["http"], s.listen["ready"], (s.ip, s.proxy_port)])
+    await proxy.server.open([s.listen.http, s.listen.ready, (s.ip, s.proxy_port)])
     await proxy.open_metrics(proxy.server)
 
 
@@ -320,7 +320,7 @@
 
 def port_of(proxy: Proxy, name: str) -> int:
     s = proxy.settings
-    return {"proxies": s.proxy_port, "metrics": proxy.metrics_port}.get(name) or s.listen[name][1]
+    return {"proxies": s.proxy_port, "metrics": proxy.metrics_port}.get(name) or s.listen.addresses[name].port
 
 
 async def play(case: Case) -> dict[str, list[str]]:
--- a/tests/gateway/test_pinned_register.py
+++ b/tests/gateway/test_pinned_register.py
@@ -15,7 +15,7 @@
 
 from ward import each, test
 
-from honeywood.gateway.configuration.settings import read as read_settings
+from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.errors import CallRefused, GatewayError
 from honeywood.gateway.register import requests
 from honeywood.gateway.register.disk import Disk
--- a/tests/gateway/test_pinned_rpc.py
+++ b/tests/gateway/test_pinned_rpc.py
@@ -18,7 +18,7 @@
 from ward import each, test
 
 from honeywood.gateway.configuration.model import Limits
-from honeywood.gateway.configuration.settings import read
+from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.controller.program import Controller
 from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.proxy.program import Proxy
@@ -131,7 +131,7 @@
 def make_program(role: str, folder: str) -> tuple[Any, dict[str, int]]:
     """A controller or proxy that runs no loops, and its ports by what comes in there."""
     ports = [free_port() for _ in range(4)]
-    settings = read(boot("127.0.0.1", data=folder, ports=(*ports, ports[3] + 3)))
+    settings = read_settings(boot("127.0.0.1", data=folder, ports=(*ports, ports[3] + 3)))
     program = {"controller": Controller, "proxy": Proxy}[role]
     made = type("Quiet", (program,), {"say": lambda *said, **more: None})(settings)
     inside = settings.controller_port if role == "controller" else settings.proxy_port
