--- a/honeywood/balancer/decisions/balancer.py
+++ b/honeywood/balancer/decisions/balancer.py
@@ -11,7 +11,6 @@
 from honeywood.balancer.decisions.admission import Admission
 from honeywood.balancer.decisions.arrivals import Arrivals
 from honeywood.balancer.decisions.build_selection import BuildSelection
-from honeywood.balancer.decisions.warm_up import WarmUpBudget
 from honeywood.balancer.decisions.concurrency_limit import ConcurrencyLimit
 from honeywood.balancer.decisions.limits import TIMER_PERIOD
 from honeywood.balancer.decisions.list_watch import ListWatch
@@ -19,6 +18,7 @@
 from honeywood.balancer.decisions.send_policy import SendPolicy
 from honeywood.balancer.decisions.server_groups import ServerGroups
 from honeywood.balancer.decisions.server_selection import ServerSelection
+from honeywood.balancer.decisions.warm_up import WarmUpBudget
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
--- a/honeywood/balancer/decisions/server_selection.py
+++ b/honeywood/balancer/decisions/server_selection.py
@@ -19,9 +19,9 @@
     from random import Random
 
     from honeywood.balancer.decisions.arrivals import Arrivals
-    from honeywood.balancer.decisions.warm_up import WarmUpBudget
     from honeywood.balancer.decisions.send_policy import SendPolicy
     from honeywood.balancer.decisions.server_groups import ServerGroups
+    from honeywood.balancer.decisions.warm_up import WarmUpBudget
     from honeywood.balancer.interface import Host
     from honeywood.balancer.model import Attempt, Rpc, Server, Time
     from honeywood.balancer.settings import Settings
--- a/honeywood/cli/check.py
+++ b/honeywood/cli/check.py
@@ -18,10 +18,10 @@
 @click.option("--json", "plain", is_flag=True, help="Print the operator file's values as JSON.")
 def command(config, operator, out, plain):
     """Says what is wrong with a configuration and an operator file; ends with 2 where anything is."""
-    from honeywood.operator.read import read, write_compiled
-    from honeywood.operator.rules import BadFile
     from honeywood.balancer import configuration
     from honeywood.balancer.sections import InvalidConfiguration
+    from honeywood.operator.read import read, write_compiled
+    from honeywood.operator.rules import BadFile
 
     config = config or os.environ.get("ROUTER_CONFIG")
     operator = operator or os.environ.get("ROUTER_OPERATOR")
--- a/honeywood/gateway/dissemination/chunk.py
+++ b/honeywood/gateway/dissemination/chunk.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.errors import InvalidMessage
 from honeywood.gateway.dissemination.record import PATH, Record, stamp_of
+from honeywood.gateway.errors import InvalidMessage
 
 
 def mark(text):
--- a/honeywood/gateway/dissemination/subscriber.py
+++ b/honeywood/gateway/dissemination/subscriber.py
@@ -3,9 +3,9 @@
 import asyncio
 from dataclasses import replace
 
-from honeywood.gateway.errors import CallFailed, GatewayError
 from honeywood.gateway.dissemination.messages import Answer, Ask
 from honeywood.gateway.dissemination.record import PATH
+from honeywood.gateway.errors import CallFailed, GatewayError
 
 MARGIN_S = 0.5  # seconds that an answer may take besides those that it is held
 
--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -6,9 +6,9 @@
 import httpcore
 
 from honeywood.gateway.configuration.check import read_json
-from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.proxy.forwarding import ClientRequest
 from honeywood.gateway.proxy.responses import (
     BAD_REQUEST,
@@ -35,7 +35,7 @@
         """`proxy` is the program."""
         self.proxy, self.refusals = proxy, Counter()  # refusals by reason
         self.relaying = 0  # long answers that are being passed on
-        self.ready_port = proxy.settings.listen["ready"][1]
+        self.ready_port = proxy.settings.listen.ready.port
         self.news_port = proxy.settings.proxy_port
 
     @property
@@ -85,7 +85,7 @@
         if fields.get(b"content-length", b"0") != b"0" or b"transfer-encoding" in fields:
             return None
         route = self._route(scope, fields)
-        admission = self._admit(route, scope["headers"]) if route is not None and route.safe else None
+        admission = self._admit(route, scope["headers"]) if route is not None and route.idempotent else None
         if admission is None:
             return None
         return self.proxy.start(self._forward(scope, route, admission, fields, b""))
@@ -137,7 +137,9 @@
             admission,
         )
         response = await self.proxy.forwarder.forward(route, request)
-        if response.remainder is not None and route.safe:  # it may wait long for its turn to be passed on
+        if (
+            response.remainder is not None and route.idempotent
+        ):  # it may wait long for its turn to be passed on
             context.disconnect.subscribe(response.remainder.abandon)
         return response
 
--- a/honeywood/gateway/proxy/sender.py
+++ b/honeywood/gateway/proxy/sender.py
@@ -117,7 +117,7 @@
         request, endpoint = flight.request, flight.endpoint
         while await self._connect(flight):
             now = self.clock()
-            if not request.route.safe:  # it couldn't be taken back
+            if not request.route.idempotent:  # it couldn't be taken back
                 request.disconnect.check(now)
             if self.policy.refusal(now, request, endpoint, True) is not None:
                 return False  # what changed while the connection came up counts
@@ -180,7 +180,7 @@
             self.endpoints.record_abandoned(now, flight.endpoint, now - flight.sent_at)
             return AttemptResult(AttemptOutcome.ABANDONED)
         flight.attempt.outcome = outcome = self._outcome(flight, now)
-        self.stage.ended(now, flight.request, flight.endpoint, outcome, now - flight.sent_at)
+        self.stage.record_outcome(now, flight.request, flight.endpoint, outcome, now - flight.sent_at)
         if outcome is AttemptOutcome.INVALID:  # what belongs to this request may still come: it ends there
             flight.connection.close()
         if flight.request.finished and isinstance(flight.reply, Reply) and flight.reply.remainder is not None:
--- a/honeywood/gateway/rpc/asgi.py
+++ b/honeywood/gateway/rpc/asgi.py
@@ -13,7 +13,7 @@
 
     from uvicorn._types import ASGIReceiveCallable, ASGISendCallable
 
-    from honeywood.gateway.configuration.config import Limits
+    from honeywood.gateway.configuration.model import Limits
     from honeywood.gateway.rpc.headers import HeaderField
 
     Scope: TypeAlias = MutableMapping[str, Any]  # its values differ by key, as the specification says
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -8,8 +8,9 @@
 from timeline import World, config
 from ward import each, test
 
-from honeywood.gateway.configuration import config as configs
-from honeywood.gateway.configuration import settings as files
+from honeywood.gateway.configuration.packing import pack, unpack
+from honeywood.gateway.configuration.reader import read_configuration
+from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.controller import machines
 from honeywood.gateway.errors import InvalidInput
 from honeywood.gateway.rpc.statuses import status_of
@@ -18,7 +19,7 @@
 
 def refused(raw):
     try:
-        configs.read(raw if isinstance(raw, bytes) else json.dumps(raw).encode(), "op")
+        read_configuration(raw if isinstance(raw, bytes) else json.dumps(raw).encode(), "op")
     except InvalidInput as wrong:
         return str(wrong)
     return None
@@ -291,9 +292,9 @@
         "listen.ready",
     ),
 ):
-    assert files.read(GOOD).bear == 1
+    assert read_settings(GOOD).tolerated_failures == 1
     try:
-        files.read(GOOD.replace(was, made))
+        read_settings(GOOD.replace(was, made))
     except InvalidInput as wrong:
         assert named in str(wrong) and "settings" in str(wrong)
     else:
@@ -302,7 +303,7 @@
 
 @test("fields of settings that are not known are skipped")
 def _():
-    assert files.read(GOOD + "\n[news]\nx = 1\n").node == "n"
+    assert read_settings(GOOD + "\n[news]\nx = 1\n").node == "n"
 
 
 @test("settings that change are read again: seeds are taken over, what can't be used leaves all as it was")
@@ -315,7 +316,7 @@
 
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "boot.toml")
-        proxy = type("Quiet", (Proxy,), {"say": lambda *said, **more: None})(files.read(GOOD))
+        proxy = type("Quiet", (Proxy,), {"say": lambda *said, **more: None})(read_settings(GOOD))
         proxy.path, proxy.changed = path, 0
         for at, (text, known) in enumerate(
             (
@@ -335,12 +336,12 @@
 def _():
     # Seen on the grown sites: 1,000 routes went as 290 KB of text over links that carry 300 KB a second.
     raw = json.dumps(config(7, routes=1400), separators=(",", ":")).encode()
-    packed = configs.pack(raw)
-    assert configs.unpack(packed) == raw and len(packed) < len(raw) / 8
-    assert configs.unpack(raw.decode()) == raw, "disks of before packing are read"
+    packed = pack(raw)
+    assert unpack(packed) == raw and len(packed) < len(raw) / 8
+    assert unpack(raw.decode()) == raw, "disks of before packing are read"
     for part in (packed[: len(packed) // 2 & ~3], packed[:-5], packed[4:], "%", ""):
         try:
-            configs.unpack(part, "peer")
+            unpack(part, "peer")
         except InvalidInput as wrong:
             assert "not whole" in str(wrong)
         else:
