--- a/benchmarks/disk.py
+++ b/benchmarks/disk.py
@@ -16,7 +16,7 @@
 sys.path[:0] = [os.path.join(os.path.dirname(__file__), "..")]
 
 from honeywood.gateway.dissemination.history import MOST  # noqa: E402
-from honeywood.gateway.register.disk import Disk  # noqa: E402
+from honeywood.gateway.register.row_store import RowStore  # noqa: E402
 
 CONFIG, NOTE, PUTS = 60_000, 180, 50
 
@@ -42,7 +42,7 @@
     puts = cost(change, PUTS)
     disk.close()
     opened = []
-    opens = cost(lambda: opened.append(Disk(folder)), 5)
+    opens = cost(lambda: opened.append(RowStore(folder)), 5)
     size = sum(os.path.getsize(os.path.join(folder, name)) for name in os.listdir(folder))
     print(
         f"{what:32} put {puts[0]:6.2f} ms {puts[1] / 1e3:7.0f} kB read {puts[2] / 1e3:6.0f} kB written;"
@@ -53,7 +53,7 @@
 
 
 def main(folder):
-    draw, disk = random.Random(1), Disk(folder)
+    draw, disk = random.Random(1), RowStore(folder)
     count = [0]
 
     def text():
--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -11,7 +11,7 @@
 from honeywood.gateway.controller import machines
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH
-from honeywood.gateway.register import replica as register
+from honeywood.gateway.register.fields import PATH as REGISTER_PATH
 from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of
 
 MOST = 8 << 20  # bytes of a call's body
@@ -105,4 +105,4 @@
         return replace(answer, **self.controller.beside(ask.who)).encode()
 
     async def register(self, of, body, peer):
-        return await self.controller.register_responder(read_json(body, register.PATH, peer), peer)
+        return await self.controller.register_responder(read_json(body, REGISTER_PATH, peer), peer)
--- a/honeywood/gateway/controller/membership_loop.py
+++ b/honeywood/gateway/controller/membership_loop.py
@@ -2,7 +2,7 @@
 told, and a member that can't be used is replaced."""
 
 from honeywood.gateway.controller.disk_health import DiskHealth
-from honeywood.gateway.register.membership import DiskState, replacement
+from honeywood.gateway.register.membership_rules import DiskState, replacement
 
 LATE = 3.0  # times contact_s and sync_s together that a member can't be used before a spare that was there
 # all the time takes its place
--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -20,9 +20,9 @@
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.metrics import Figures
 from honeywood.gateway.program import COUNTS, Program
-from honeywood.gateway.register.disk import Disk
+from honeywood.gateway.register.row_store import RowStore
 from honeywood.gateway.register.paging import PagedCaller, PagedResponder
-from honeywood.gateway.register.replica import Register
+from honeywood.gateway.register.register import Register
 from honeywood.gateway.rpc.server import HttpServer
 
 CONTROLLER = "bourse/"  # before a controller's address: that there is one
@@ -36,7 +36,7 @@
 class Controller(Program):
     """One controller: the parts are made in the order in which they rest on each other."""
 
-    def __init__(self, *given, random=None, disk=Disk):
+    def __init__(self, *given, random=None, disk=RowStore):
         """`disk` makes the disk out of its folder; chance may be handed in."""
         super().__init__(*given)
         s, self.random, clock = self.settings, random or Random(), self.clock
--- a/honeywood/gateway/register/acceptor.py
+++ b/honeywood/gateway/register/acceptor.py
@@ -3,31 +3,31 @@
 What must hold: a ballot below the promised one is refused; a row is on disk before it is told of.
 """
 
-from honeywood.gateway.register.replies import Accepted, Promise, Refusal, Shown
-from honeywood.gateway.register.row import EMPTY, NEVER, Row
+from honeywood.gateway.register.replies import Accepted, Promise, BallotConflict, RowView
+from honeywood.gateway.register.row import EMPTY_ROW, NO_BALLOT, Row
 
 
 def prepare(row, ballot):
     """The row after a promise and the reply; the row is None where nothing changed."""
-    promised, accepted, value = row or EMPTY
+    promised, accepted, value = row or EMPTY_ROW
     if ballot <= promised:
-        return None, Refusal(promised)
+        return None, BallotConflict(promised)
     return Row(ballot, accepted, value), Promise(accepted, value)
 
 
 def accept(row, ballot, value):
     """The row after a value was accepted and the reply; the row is None where the ballot is refused."""
-    promised = (row or EMPTY).promised
+    promised = (row or EMPTY_ROW).promised
     if ballot < promised:
-        return None, Refusal(promised)
+        return None, BallotConflict(promised)
     return Row(ballot, ballot, value), Accepted()
 
 
 def shown(row):
     """What a read is told of a row: `sure` where it may count as accepted here, even if it is a copy, since
     nothing higher has been promised."""
-    promised, accepted, value = row or EMPTY
-    return Shown(accepted, value, accepted in (promised, NEVER))
+    promised, accepted, value = row or EMPTY_ROW
+    return RowView(accepted, value, accepted in (promised, NO_BALLOT))
 
 
 def known_lives(told):
@@ -46,7 +46,7 @@
     rows = {}
     for pull in pulls:
         for key, (promised, accepted, value) in pull.items():
-            held = rows.get(key, EMPTY)
+            held = rows.get(key, EMPTY_ROW)
             if accepted > held.accepted:
                 held = Row(held.promised, accepted, value)
             rows[key] = Row(max(held.promised, promised), held.accepted, held.value)
--- a/honeywood/gateway/register/service.py
+++ b/honeywood/gateway/register/acceptor_service.py
@@ -5,25 +5,25 @@
 
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.register import acceptor
-from honeywood.gateway.register import membership as members
+from honeywood.gateway.register import membership_rules
 from honeywood.gateway.register import requests as asked
 from honeywood.gateway.register.fields import PATH
-from honeywood.gateway.register.peers import STEP_S
+from honeywood.gateway.register.peer_client import STEP_S
 from honeywood.gateway.register.replies import (
-    ChunkHeld,
-    ChunkTold,
+    ChunkStored,
+    ChunkFetched,
     Fenced,
-    Noted,
-    PullReply,
+    Acknowledged,
+    TransferStateReply,
     ReadReply,
-    Shown,
-    SurveyReply,
-    ValueWanted,
+    RowView,
+    ReadAllReply,
+    ValueMissing,
 )
-from honeywood.gateway.register.row import EMPTY
-from honeywood.gateway.register.values import Inline, Reference
+from honeywood.gateway.register.row import EMPTY_ROW
+from honeywood.gateway.register.values import InlineValue, ValueReference
 
-WRITES = (asked.Prepare, asked.Accept, asked.Pull)  # steps that wait for the disk
+WRITES = (asked.Prepare, asked.Accept, asked.TransferState)  # steps that wait for the disk
 
 
 class AcceptorService:
@@ -38,9 +38,9 @@
             asked.StoreChunk: self._store_chunk,
             asked.FetchChunk: self._fetch_chunk,
             asked.Read: self._read,
-            asked.Survey: self._survey,
-            asked.Pull: self._pull,
-            asked.Told: self._told,
+            asked.ReadAll: self._survey,
+            asked.TransferState: self._pull,
+            asked.AnnounceConfiguration: self._told,
         }
 
     async def serve(self, request, peer):
@@ -58,20 +58,20 @@
             del self.waiting[turn]
 
     async def _answer(self, request, peer):
-        if not (self.epochs.sound or isinstance(request, asked.Told)):
+        if not (self.epochs.sound or isinstance(request, asked.AnnounceConfiguration)):
             raise Wrong(PATH, "this disk was lost and is not rebuilt", peer, 503)
         return await self.answers[type(request)](request)
 
     def _fenced(self, epoch):
         """The reply to a step of an epoch that isn't this disk's, or that is over."""
         here = self.epochs.here
-        if members.takes(here, self.settings.ip, epoch):
+        if membership_rules.accepts_epoch(here, self.settings.ip, epoch):
             return None
         return Fenced({"next": None, **(here["next"] or here)})
 
     async def _told(self, request):
         await self.epochs.follow(request.members)
-        return Noted()
+        return Acknowledged()
 
     async def _prepare(self, request):
         async with self.epochs.lock:
@@ -87,28 +87,28 @@
         async with self.epochs.lock:
             if fenced := self._fenced(request.epoch):
                 return fenced
-            row = self.storage.rows.get(request.key, EMPTY)
+            row = self.storage.rows.get(request.key, EMPTY_ROW)
             found, value = self.lookup.find(request.value)
             if not found and request.ballot >= row.promised:
-                return ValueWanted(self.lookup.held(request.value))
+                return ValueMissing(self.lookup.held(request.value))
             row, reply = acceptor.accept(row, request.ballot, value)
             if row is not None:
                 await self.storage.keep({request.key: row})
-                if isinstance(request.value, Reference):
+                if isinstance(request.value, ValueReference):
                     self.lookup.store.drop(request.value)
             return replace(reply, lives=self.storage.lives())
 
     async def _store_chunk(self, request):
-        return ChunkHeld(self.lookup.take(request.chunk))
+        return ChunkStored(self.lookup.take(request.chunk))
 
     async def _fetch_chunk(self, request):
-        return ChunkTold(self.lookup.chunk(request.value, request.start, request.size))
+        return ChunkFetched(self.lookup.chunk(request.value, request.start, request.size))
 
     def _shown(self, key, known):
         """A row as a read is told of it, without a value that whoever asks has."""
         row = acceptor.shown(self.storage.rows.get(key))
         value = None if row.accepted == known else self.lookup.carried(key)
-        return Shown(row.accepted, value, row.sure)
+        return RowView(row.accepted, value, row.sure)
 
     async def _read(self, request):
         row = self._shown(request.key, request.known)
@@ -118,7 +118,7 @@
         if fenced := self._fenced(request.epoch):
             return fenced
         rows = {key: self._shown(key, request.known.get(key)) for key in self.storage.registers()}
-        return SurveyReply(rows, self.storage.lives())
+        return ReadAllReply(rows, self.storage.lives())
 
     async def _pull(self, request):
         if request.seal:
@@ -127,9 +127,13 @@
             await self.storage.note_life(request.ip, request.life)
             rows = {}
             for key, row in self.storage.registers().items():
-                if request.bare and key != members.SUCCESSOR:
+                if request.bare and key != membership_rules.SUCCESSOR_KEY:
                     continue
                 left_out = request.known.get(key) == row.accepted
-                value = Inline(row.value) if key == members.SUCCESSOR else self.lookup.carried(key)
+                value = (
+                    InlineValue(row.value)
+                    if key == membership_rules.SUCCESSOR_KEY
+                    else self.lookup.carried(key)
+                )
                 rows[key] = row._replace(value=None if left_out else value)  # the rules look at who follows
-            return PullReply(rows, self.storage.lives(), self.epochs.here)
+            return TransferStateReply(rows, self.storage.lives(), self.epochs.here)
--- a/honeywood/gateway/register/files.py
+++ b/honeywood/gateway/register/file_operations.py
@@ -8,7 +8,7 @@
 PIECE = 1 << 16  # bytes read at a time
 
 
-class Files:
+class FileOperations:
     """lmdb's files, small ones beside them, and their folder. All raise OSError or lmdb.Error."""
 
     def open(self, path, read_only):
--- a/honeywood/gateway/register/rebuild.py
+++ b/honeywood/gateway/register/membership_manager.py
@@ -6,18 +6,18 @@
 
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.register import acceptor
-from honeywood.gateway.register import membership as members
-from honeywood.gateway.register.proposer import FIRST
-from honeywood.gateway.register.requests import Pull
-from honeywood.gateway.register.row import EMPTY
-from honeywood.gateway.register.storage import BORN, LIVES, MEMBERS
-from honeywood.gateway.register.values import Inline, Reference
+from honeywood.gateway.register import membership_rules
+from honeywood.gateway.register.proposal import FIRST_INCARNATION
+from honeywood.gateway.register.requests import TransferState
+from honeywood.gateway.register.row import EMPTY_ROW
+from honeywood.gateway.register.persistent_state import BORN, LIVES, MEMBERS
+from honeywood.gateway.register.values import InlineValue, ValueReference
 
 WHOLE_S = 1.5  # seconds a peer has to tell all rows
 FOUND_S = 0.3  # seconds by which the seeds found after each other
 
 
-class Rebuild:
+class MembershipManager:
     """Brings this controller's disk to where it counts."""
 
     def __init__(self, settings, say, storage, epochs, peers, rounds):
@@ -31,9 +31,13 @@
         if BORN in storage.rows:
             epochs.sound, epochs.here = True, storage.rows[MEMBERS]
         elif self.settings.fresh:
-            seeds = {"epoch": members.START, "members": [ip for ip, _ in self.settings.seeds], "next": None}
+            seeds = {
+                "epoch": membership_rules.BOOTSTRAP_EPOCH,
+                "members": [ip for ip, _ in self.settings.seeds],
+                "next": None,
+            }
             try:
-                await storage.keep({BORN: FIRST, MEMBERS: seeds})
+                await storage.keep({BORN: FIRST_INCARNATION, MEMBERS: seeds})
                 epochs.sound, epochs.here = True, seeds
             except Wrong as wrong:  # taken for a lost one until it can be written to
                 self.say("register not begun", why=str(wrong))
@@ -49,7 +53,7 @@
                 await epochs.follow(epochs.newer)
             if not epochs.sound:
                 await self._join(known)
-            elif epochs.epoch == members.START and not epochs.newer:
+            elif epochs.epoch == membership_rules.BOOTSTRAP_EPOCH and not epochs.newer:
                 await self._found(known)
             elif epochs.settled:
                 return  # what it waited for came by another way, while `follow` had the lock
@@ -81,7 +85,7 @@
         def first(held):
             return held if held and held["epoch"] >= following["epoch"] else following
 
-        found = await self.rounds.change(members.SUCCESSOR, first)
+        found = await self.rounds.change(membership_rules.SUCCESSOR_KEY, first)
         if found.ok:
             await self.epochs.follow(found.value)
             self.peers.tell([*self.epochs.members, *found.value["members"]])
@@ -93,12 +97,12 @@
 
         def taken(ip, pull):
             self.epochs.note(pull.members["next"] or pull.members)
-            rows = {key: _uncarried(row, held.get(key, EMPTY)) for key, row in pull.rows.items()}
+            rows = {key: _uncarried(row, held.get(key, EMPTY_ROW)) for key, row in pull.rows.items()}
             pulls[ip] = replace(pull, rows=rows)
             found[:] = take(pulls)
             return bool(found)
 
-        asked = Pull(self.settings.ip, known=self.storage.accepted(), **more)
+        asked = TransferState(self.settings.ip, known=self.storage.accepted(), **more)
         await self.peers.ask_all(ips, asked, taken, WHOLE_S)
         return found, pulls
 
@@ -107,7 +111,7 @@
         time: what there is of it stays, and the next pull goes on from there."""
         rows = acceptor.rebuilt([pull.rows for pull in counted])
         for key, row in rows.items():
-            if not isinstance(row.value, Reference):
+            if not isinstance(row.value, ValueReference):
                 continue
             told = {ip: pull.rows.get(key) for ip, pull in pulls.items()}
             holders = [ip for ip, one in told.items() if one is not None and one.accepted == row.accepted]
@@ -122,7 +126,10 @@
         here = self.epochs.here
         asked = {*here["members"], *here["next"]["members"]}
         found, pulls = await self._pull(
-            asked, lambda pulls: members.moves(here, pulls), life=FIRST, seal=here["next"]
+            asked,
+            lambda pulls: membership_rules.transition_quorum(here, pulls),
+            life=FIRST_INCARNATION,
+            seal=here["next"],
         )
         if not found:
             return False
@@ -131,7 +138,7 @@
             return True
         async with self.epochs.lock:
             lives = acceptor.known_lives([self.storage.lives(), *(pull.lives for pull in found)])
-            await self.epochs.enter(members.entered(here["next"]), rows, **{LIVES: lives})
+            await self.epochs.enter(membership_rules.enter(here["next"]), rows, **{LIVES: lives})
         self.peers.tell(self.epochs.members)
         return True
 
@@ -141,12 +148,12 @@
         ip, ips, epochs = self.settings.ip, known - {self.settings.ip}, self.epochs
 
         def take(pulls):
-            here, enough = members.joins(ip, pulls, not epochs.sound)
+            here, enough = membership_rules.join_quorum(ip, pulls, not epochs.sound)
             return [here, enough] if enough else []
 
         life = self.storage.born if epochs.sound else None
         if life is None:
-            found, _ = await self._pull(ips, take, life=FIRST, bare=True)
+            found, _ = await self._pull(ips, take, life=FIRST_INCARNATION, bare=True)
             if not found:
                 return
             life = acceptor.next_life(ip, [pull.lives for pull in found[1]])
@@ -169,4 +176,4 @@
     """A row that was pulled, with its value; a large one stays a reference."""
     if row.value is None and row.accepted == mine.accepted:
         return row._replace(value=mine.value)  # it was left out
-    return row._replace(value=row.value.value) if isinstance(row.value, Inline) else row
+    return row._replace(value=row.value.value) if isinstance(row.value, InlineValue) else row
--- a/honeywood/gateway/register/membership.py
+++ b/honeywood/gateway/register/membership_rules.py
@@ -13,12 +13,12 @@
 from enum import StrEnum
 from math import inf
 
-from honeywood.gateway.register.proposer import current
+from honeywood.gateway.register.proposal import current
 
-START = 0
+BOOTSTRAP_EPOCH = 0
 STAYED = 0.75  # times `soon` that a newcomer is in contact before it takes a place
 SILENT = "silent"  # why a member is replaced, where it isn't for its disk
-SUCCESSOR = "successor"  # the register with which an epoch agrees on the next one: {"epoch", "members"}
+SUCCESSOR_KEY = "successor"  # the register with which an epoch agrees on the next one: {"epoch", "members"}
 
 
 def majority(here):
@@ -26,24 +26,24 @@
     return len(here["members"]) // 2 + 1
 
 
-def takes(here, ip, epoch):
+def accepts_epoch(here, ip, epoch):
     """Whether the disk of `ip` takes a step of `epoch`."""
     return here["epoch"] == epoch and here["next"] is None and ip in here["members"]
 
 
-def sealed(here, following):
+def seal(here, following):
     """The disk's configuration once the next one is agreed; None where nothing changes."""
     if here["next"] is None and here["epoch"] + 1 == following["epoch"]:
         return {**here, "next": following}
     return None
 
 
-def entered(following):
+def enter(following):
     """The configuration of a disk that enters the next epoch."""
     return {"epoch": following["epoch"], "members": following["members"], "next": None}
 
 
-def moves(here, pulls):
+def transition_quorum(here, pulls):
     """Of {ip: pull} those of a majority of this epoch's members, all sealed or gone on to the next epoch;
     empty while there are too few. For a disk in this epoch: it never was in the next (see `joins`)."""
     after = {
@@ -72,19 +72,19 @@
 
 def _followed(pull):
     """Whether a next configuration may have been agreed, as far as the disk told of it."""
-    accepted = (pull.rows.get(SUCCESSOR) or (None, None, None))[2]
+    accepted = (pull.rows.get(SUCCESSOR_KEY) or (None, None, None))[2]
     epoch = pull.members["epoch"]
     return _leaves(pull, epoch) or accepted is not None and accepted["epoch"] > epoch
 
 
-def joins(ip, pulls, lost):
+def join_quorum(ip, pulls, lost):
     """For a disk that was lost, is new, or stayed behind: the newest configuration that is told, and out of
     {ip: pull} those of its members, but the disk itself, that are in it: a majority of it, or none.
 
     A `lost` disk takes up no epoch that may be over: it may have been in the next one, and what it agreed to
     there would be missing when it entered that with what the members of this one tell."""
     here = max((pull.members for pull in pulls.values()), key=lambda one: one["epoch"], default=None)
-    if here is None or here["epoch"] == START:
+    if here is None or here["epoch"] == BOOTSTRAP_EPOCH:
         return None, []
     inside = {
         one: pull
--- a/honeywood/gateway/register/epochs.py
+++ b/honeywood/gateway/register/membership_state.py
@@ -3,11 +3,11 @@
 
 import asyncio
 
-from honeywood.gateway.register import membership as members
-from honeywood.gateway.register.storage import MEMBERS
+from honeywood.gateway.register import membership_rules
+from honeywood.gateway.register.persistent_state import MEMBERS
 
 
-class Epochs:
+class MembershipState:
     """`here` is the configuration this disk goes by, `newer` one further on that was told, `sound` whether
     the disk holds all that it ever told others; `lock` orders what is written."""
 
@@ -24,12 +24,12 @@
     @property
     def epoch(self):
         """The number of this epoch."""
-        return self.here["epoch"] if self.here else members.START
+        return self.here["epoch"] if self.here else membership_rules.BOOTSTRAP_EPOCH
 
     @property
     def founded(self):
         """Whether this disk takes part in an epoch whose members were agreed on."""
-        return self.sound and self.epoch > members.START
+        return self.sound and self.epoch > membership_rules.BOOTSTRAP_EPOCH
 
     @property
     def settled(self):
@@ -40,7 +40,11 @@
     def counts(self):
         """Whether this disk takes steps of its epoch, as far as it knows the newest one: one that refuses to
         write down what follows is out of it all the same."""
-        return self.sound and not self.newer and members.takes(self.here, self.settings.ip, self.epoch)
+        return (
+            self.sound
+            and not self.newer
+            and membership_rules.accepts_epoch(self.here, self.settings.ip, self.epoch)
+        )
 
     @property
     def newest(self):
@@ -50,19 +54,24 @@
     def note(self, told):
         """Remembers the newest configuration that is told, if this disk is not there yet."""
         known = max(self.epoch, self.here["next"]["epoch"] if self.here and self.here["next"] else 0)
-        if told["epoch"] > max(known, self.newer["epoch"] if self.newer else members.START):
+        if told["epoch"] > max(
+            known, self.newer["epoch"] if self.newer else membership_rules.BOOTSTRAP_EPOCH
+        ):
             self.newer = {"epoch": told["epoch"], "members": told["members"]}
 
     async def follow(self, following):
         """Takes over an agreed configuration: it is entered at once where nothing was before, else this disk
         takes no more steps of its epoch; one further on is noted."""
         async with self.lock:
-            first = self.epoch == members.START and following["epoch"] == members.START + 1
+            first = (
+                self.epoch == membership_rules.BOOTSTRAP_EPOCH
+                and following["epoch"] == membership_rules.BOOTSTRAP_EPOCH + 1
+            )
             if self.sound and first:
-                await self.enter(members.entered(following))
-            elif self.sound and (sealed := members.sealed(self.here, following)):
-                await self.storage.keep({MEMBERS: sealed})
-                self.here = sealed
+                await self.enter(membership_rules.enter(following))
+            elif self.sound and (seal := membership_rules.seal(self.here, following)):
+                await self.storage.keep({MEMBERS: seal})
+                self.here = seal
                 self._arrived(following["epoch"])
             self.note(following)
 
--- a/honeywood/gateway/register/parts.py
+++ b/honeywood/gateway/register/pages.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerPart:
+class Page:
     """The characters `part` of an answer, from `at` on, of `of` in all; `mark` is the hash of the whole."""
 
     part: str
@@ -53,7 +53,7 @@
         return cls(fields.take("part", str), *place, fields.take("mark", str), fields.take("sum", int))
 
 
-class PartSender:
+class PageSender:
     """Answers that are being told."""
 
     def __init__(self):
@@ -65,7 +65,7 @@
         begun, marked, text = self.open.get(question, (0.0, None, ""))
         if not have or have[0] != marked or now - begun > KEPT:
             return None
-        return AnswerPart.cut(marked, text, have[1]).encode()
+        return Page.cut(marked, text, have[1]).encode()
 
     def begin(self, now, question, answer):
         """The answer, or where it is long its first part."""
@@ -77,10 +77,10 @@
         self.open[question] = now, marked, text
         while len(self.open) > OPEN:
             del self.open[next(iter(self.open))]
-        return AnswerPart.cut(marked, text, 0).encode()
+        return Page.cut(marked, text, 0).encode()
 
 
-class PartReceiver:
+class PageReceiver:
     """Answers that are being heard, each by its question."""
 
     def __init__(self):
@@ -99,7 +99,7 @@
             self.open.pop(question, None)
             return answer
         marked, text = self.open.get(question, (None, ""))
-        part = AnswerPart.decode(Fields(answer, "part of an answer", peer))
+        part = Page.decode(Fields(answer, "part of an answer", peer))
         if not part.sound:
             return None
         if part.at == 0:
--- a/honeywood/gateway/register/paging.py
+++ b/honeywood/gateway/register/paging.py
@@ -4,7 +4,7 @@
 import json
 
 from honeywood.gateway.configuration.outcome import Done, Failed, Wrong
-from honeywood.gateway.register.parts import PartReceiver, PartSender
+from honeywood.gateway.register.pages import PageReceiver, PageSender
 
 LONG = ("pull", "survey")  # steps whose answers may be long
 STEP = 0.8  # seconds for a part
@@ -22,7 +22,7 @@
     on its way. A survey stands for a read, and counts only what was answered after it began."""
 
     def __init__(self, caller):
-        self.caller, self.hearer, self.calls = caller, PartReceiver(), 0
+        self.caller, self.hearer, self.calls = caller, PageReceiver(), 0
 
     async def call(self, ip, port, path, body, within, again=False):
         """Done with the whole answer, or Failed."""
@@ -59,7 +59,7 @@
     """This disk's side: `serve(ask, peer)` gives the whole answer."""
 
     def __init__(self, serve, clock):
-        self.serve, self.clock, self.teller = serve, clock, PartSender()
+        self.serve, self.clock, self.teller = serve, clock, PageSender()
 
     async def __call__(self, ask, peer):
         """The answer, or the part of it that comes next."""
--- a/honeywood/gateway/register/peers.py
+++ b/honeywood/gateway/register/peer_client.py
@@ -5,13 +5,13 @@
 from honeywood.gateway.configuration.outcome import Done, Wrong
 from honeywood.gateway.register.fields import PATH
 from honeywood.gateway.register.replies import Fenced
-from honeywood.gateway.register.requests import Told, decode_reply, encode_request
+from honeywood.gateway.register.requests import AnnounceConfiguration, decode_reply, encode_request
 
 STEP_S = 0.8  # seconds a peer has for one step
 REFUSED_S = 0.1  # seconds that a ballot waits for further answers after one disk has refused it
 
 
-class Peers:
+class PeerClient:
     """The way to the others. `epochs` says which configuration this disk goes by, `serve` is its own side."""
 
     def __init__(self, settings, caller, epochs, serve):
@@ -63,6 +63,6 @@
 
     def tell(self, ips):
         """Sends this disk's configuration to whoever may not know it; nothing rests on its arrival."""
-        told = Told(self.epochs.newest)
+        told = AnnounceConfiguration(self.epochs.newest)
         for ip in {*ips} - {self.settings.ip}:
             asyncio.ensure_future(self.call(ip, told))
--- a/honeywood/gateway/register/storage.py
+++ b/honeywood/gateway/register/persistent_state.py
@@ -5,7 +5,7 @@
 
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.register.fields import PATH
-from honeywood.gateway.register.proposer import FIRST
+from honeywood.gateway.register.proposal import FIRST_INCARNATION
 from honeywood.gateway.register.row import row_from_disk
 
 BORN, MEMBERS = "born", "members"  # rows beside the registers: this disk's life; its configuration;
@@ -19,7 +19,7 @@
     return key not in BESIDE and not key.startswith(NOTES)
 
 
-class Storage:
+class PersistentState:
     """The rows of a disk, as they are on it; one thread writes them."""
 
     def __init__(self, settings, make_disk, say):
@@ -74,10 +74,10 @@
 
     def lives(self):
         """How often each disk has begun anew, as far as this one knows, where that was more than once."""
-        own = {self.settings.ip: self.born} if self.born > FIRST else {}
+        own = {self.settings.ip: self.born} if self.born > FIRST_INCARNATION else {}
         return {**self.rows.get(LIVES, {}), **own}
 
     async def note_life(self, ip, life):
         """Remembers the later life of a lost disk."""
-        if life > self.lives().get(ip, FIRST):
+        if life > self.lives().get(ip, FIRST_INCARNATION):
             await self.keep({LIVES: {**self.rows.get(LIVES, {}), ip: life}})
--- a/honeywood/gateway/register/proposer.py
+++ b/honeywood/gateway/register/proposer.py
@@ -1,67 +1,102 @@
-"""The proposer of CASPaxos: a change of one key's value, prepare and accept with a majority each. Pure:
-replies are fed in.
-
-A reply carries `lives`: how often each disk has begun anew, as far as its sender knows, its own among them.
-What a disk told before it was lost counts no more as soon as another reply tells of its newer life: the disk
-has asked the others for their rows since, perhaps before they heard what it had answered to.
-"""
-
-from honeywood.gateway.register.row import NEVER
-
-FIRST = 1  # the life of a disk that was never lost
-
-
-def current(replies):
-    """Of {ip: reply} those whose disk is not known, by any of them, to have begun anew since."""
-    newest = {}
-    for reply in replies.values():
-        for ip, life in reply.lives.items():
-            newest[ip] = max(life, newest.get(ip, FIRST))
-    return [reply for ip, reply in replies.items() if reply.lives.get(ip, FIRST) == newest.get(ip, FIRST)]
-
-
-class Proposal:
-    """One ballot's way. `change` takes the value held (or None) and gives the one to hold."""
-
-    def __init__(self, ballot, majority, change):
-        self.ballot, self.majority, self.change = ballot, majority, change
-        self.promises, self.accepts, self.refused = {}, {}, NEVER
-        self.latest = self.value = None
-
-    def _enough(self, ip, reply, kept):
-        if not reply.ok:
-            self.refused = max(self.refused, reply.promised)
-            return ()
-        kept[ip] = reply
-        counted = current(kept)
-        return counted if len(counted) >= self.majority else ()
-
-    def promised(self, ip, reply):
-        """Takes a reply to prepare; whether a majority has promised, and `latest` is the promise that told
-        the value to go on from."""
-        counted = self._enough(ip, reply, self.promises)
-        if counted:
-            self.latest = max(counted, key=lambda one: one.accepted)
-        return bool(counted)
-
-    @property
-    def holders(self):
-        """The disks that told the value to go on from."""
-        return [ip for ip, reply in self.promises.items() if reply.accepted == self.latest.accepted]
-
-    def propose(self, held):
-        """Takes the value that `latest` told of; the value to be accepted."""
-        self.value = self.change(held)
-        return self.value
-
-    def accepted(self, ip, reply):
-        """Takes a reply to accept; whether a majority holds the value now."""
-        return bool(self._enough(ip, reply, self.accepts))
-
-
-def agreed(rows, majority):
-    """A row that a majority holds under one ballot, out of rows of different disks, or None. Rows that aren't
-    `sure` don't count: a disk that was rebuilt holds copies of what it never accepted, beside the promises of
-    others, and a later ballot may have been promised where nobody knew of the copied one."""
-    ballots = [row.accepted for row in rows if row.sure]
-    return next((row for row in rows if ballots.count(row.accepted) >= majority), None)
+"""Rounds: a change of one key's value by ballots until one wins, over all members' disks."""
+
+import asyncio
+
+from honeywood.gateway.configuration.outcome import Done, Failed
+from honeywood.gateway.register import membership_rules
+from honeywood.gateway.register.proposal import Proposal
+from honeywood.gateway.register.replies import ValueMissing
+from honeywood.gateway.register.requests import Accept, Prepare
+from honeywood.gateway.register.row import EMPTY_ROW, NO_BALLOT, Ballot
+from honeywood.gateway.register.values import ValueReference
+
+PATIENCE_S = 0.6  # seconds in which a change begins again: its caller goes elsewhere after 1 s
+PAUSE_S = 0.02  # seconds, by chance up to twice, after a ballot that lost; it doubles up to
+LONGEST_PAUSE_S = 0.16  # seconds
+VALUE_S = 3.0  # seconds that a round waits for a large value, which is carried on after them
+NONE_YET = Failed("register", "this disk takes no part yet", "", 503)
+NO_MAJORITY = Failed("register", "no majority answers", "", 503)
+OTHERS_FIRST = Failed("register", "other changes came first", "", 503)
+VALUE_LATE = Failed("register", "the value has not been carried here yet", "", 503)
+
+
+class RetryDeadline:
+    """Until when a change begins again after a lost ballot: time in which a large value was carried counts
+    little, since it is there for the next ballot."""
+
+    def __init__(self, now):
+        self.until, self.latest = now + PATIENCE_S, now + PATIENCE_S + VALUE_S
+
+    def carried(self, seconds):
+        """Takes note of the time that a value was on its way."""
+        self.until = min(self.until + seconds, self.latest)
+
+
+class Proposer:
+    """The proposer of this controller."""
+
+    def __init__(self, settings, random, epochs, storage, lookup, peers, transfer):
+        self.settings, self.random, self.epochs, self.storage = settings, random, epochs, storage
+        self.lookup, self.peers, self.transfer = lookup, peers, transfer
+        self.count = 0  # the highest count of a ballot that this controller knows of
+
+    async def change(self, key, change):
+        """Done with the value that a majority's disks hold after `change`, or Failed."""
+        loop, pause = asyncio.get_running_loop(), PAUSE_S
+        patience = RetryDeadline(loop.time())
+        while self.epochs.sound and self.epochs.here:
+            here = self.epochs.here
+            self.count = max(self.count, self.storage.rows.get(key, EMPTY_ROW).promised.count) + 1
+            turn = Proposal(Ballot(self.count, self.settings.ip), membership_rules.majority(here), change)
+            found = await self._ballot(key, turn, here, patience)
+            if found.ok:
+                return found
+            if turn.refused != NO_BALLOT:
+                self.count, found = max(self.count, turn.refused.count), OTHERS_FIRST
+            if loop.time() >= patience.until:
+                return found
+            await asyncio.sleep(pause * (1 + self.random.random()))
+            pause = min(2 * pause, LONGEST_PAUSE_S)
+        return NONE_YET
+
+    async def _ballot(self, key, turn, here, patience):
+        """One ballot: prepare, the value to go on from, accept."""
+        prepare = Prepare(key, turn.ballot, here["epoch"])
+        if not await self.peers.ask_all(here["members"], prepare, turn.promised):
+            return NO_MAJORITY
+        loop = asyncio.get_running_loop()
+        began = loop.time()
+        found, held = await self.resolve(turn.latest.value, turn.holders)
+        patience.carried(loop.time() - began)
+        if not found:
+            return VALUE_LATE
+        value = turn.propose(held)
+        accept = Accept(key, turn.ballot, here["epoch"], self.lookup.hold(value))
+        if not isinstance(accept.value, ValueReference):
+            done = await self.peers.ask_all(here["members"], accept, turn.accepted)
+        else:
+            began, offer = loop.time(), self._offer(self.lookup.store.text(loop.time(), accept.value))
+            done = await self.peers.ask_all(here["members"], accept, turn.accepted, call=offer, most=VALUE_S)
+            patience.carried(loop.time() - began)
+        return Done(value) if done else NO_MAJORITY
+
+    def _offer(self, text):
+        """The call that has a member accept a large value, which is brought there if it wants it."""
+
+        async def offer(ip, accept):
+            reply = await self.peers.call(ip, accept)
+            if not (reply.ok and isinstance(reply.value, ValueMissing)):
+                return reply
+            if not await self.transfer.push(ip, accept.key, accept.value, text, reply.value.held):
+                return VALUE_LATE
+            reply = await self.peers.call(ip, accept)
+            return VALUE_LATE if reply.ok and isinstance(reply.value, ValueMissing) else reply
+
+        return offer
+
+    async def resolve(self, value, holders, within=VALUE_S):
+        """(whether the value is here, the value), of one that `holders` told of: if need be it is fetched."""
+        found, whole = self.lookup.find(value)
+        if not found and await self.transfer.fetch(value, holders, within):
+            found, whole = self.lookup.find(value)
+        return found, whole
--- a/honeywood/gateway/register/reads.py
+++ b/honeywood/gateway/register/reader.py
@@ -2,16 +2,16 @@
 
 from honeywood.gateway.configuration.outcome import Done
 from honeywood.gateway.register import acceptor
-from honeywood.gateway.register import membership as members
-from honeywood.gateway.register.proposer import agreed, current
-from honeywood.gateway.register.requests import Read, Survey
-from honeywood.gateway.register.rounds import NO_MAJORITY, VALUE_LATE
-from honeywood.gateway.register.row import EMPTY
+from honeywood.gateway.register import membership_rules
+from honeywood.gateway.register.proposal import agreed, current
+from honeywood.gateway.register.requests import Read, ReadAll
+from honeywood.gateway.register.proposer import NO_MAJORITY, VALUE_LATE
+from honeywood.gateway.register.row import EMPTY_ROW
 
-NOT_HELD = acceptor.shown(EMPTY)
+NOT_HELD = acceptor.shown(EMPTY_ROW)
 
 
-class Reads:
+class Reader:
     """The reader of this controller; `rounds` settles what is in doubt."""
 
     def __init__(self, epochs, storage, peers, rounds):
@@ -20,12 +20,12 @@
     async def read(self, key):
         """Done with the value of one key that a majority agreed on at some moment since the call (or None);
         one in doubt is settled by a round."""
-        here, mine = self.epochs.here, self.storage.rows.get(key, EMPTY)
+        here, mine = self.epochs.here, self.storage.rows.get(key, EMPTY_ROW)
         replies = await self._replies(here, Read(key, mine.accepted, here["epoch"]))
         if not replies:
             return NO_MAJORITY
         rows = {ip: reply.row for ip, reply in replies.items()}
-        row = agreed(list(rows.values()), members.majority(here))
+        row = agreed(list(rows.values()), membership_rules.majority(here))
         if row is None:
             return await self.rounds.change(key, lambda held: held)
         if row.accepted == mine.accepted:
@@ -42,9 +42,9 @@
             """Whether no key needs a round: who is behind takes the others' word, over slow links too."""
             keys = {key for reply in counted.values() for key in reply.rows}
             told = [list(_rows(counted, key).values()) for key in keys]
-            return all(agreed(rows, members.majority(here)) for rows in told)
+            return all(agreed(rows, membership_rules.majority(here)) for rows in told)
 
-        replies = await self._replies(here, Survey(known, here["epoch"]), enough)
+        replies = await self._replies(here, ReadAll(known, here["epoch"]), enough)
         if not replies:
             return NO_MAJORITY
         found = {}
@@ -54,14 +54,17 @@
                 found[key] = settled.value
             elif settled != VALUE_LATE:
                 return settled
-        following = found.pop(members.SUCCESSOR, None)
+        following = found.pop(membership_rules.SUCCESSOR_KEY, None)
         if following:
             await self.epochs.follow(following)
         return Done(found)
 
     async def _settled(self, key, rows, known, here):
         """Done with the value that the rows of a majority agree on, or that a round finds."""
-        row, mine = agreed(list(rows.values()), members.majority(here)), self.storage.rows.get(key, EMPTY)
+        row, mine = (
+            agreed(list(rows.values()), membership_rules.majority(here)),
+            self.storage.rows.get(key, EMPTY_ROW),
+        )
         if row is not None and row.accepted != known:
             found, value = await self._value(rows, row)
             return Done(value) if found else VALUE_LATE
@@ -84,10 +87,10 @@
 
         def take(ip, reply):
             replies[ip] = reply
-            return len(counted()) >= members.majority(here) and enough(counted())
+            return len(counted()) >= membership_rules.majority(here) and enough(counted())
 
         await self.peers.ask_all(here["members"], request, take)
-        return counted() if len(counted()) >= members.majority(here) else {}
+        return counted() if len(counted()) >= membership_rules.majority(here) else {}
 
 
 def _rows(replies, key):
--- a/honeywood/gateway/register/replica.py
+++ b/honeywood/gateway/register/register.py
@@ -1,20 +1,20 @@
 """The register: this controller's disk and its way to the others, as one object for the program.
 
-Its parts: service.py answers others (acceptor), rounds.py changes (proposer), reads.py reads, rebuild.py
+Its parts: acceptor_service.py answers others, proposer.py changes, reader.py reads, membership_manager.py
 brings a disk to where it counts.
 """
 
 from honeywood.gateway.configuration.outcome import Wrong
-from honeywood.gateway.register.epochs import Epochs
+from honeywood.gateway.register.membership_state import MembershipState
 from honeywood.gateway.register.fields import PATH
-from honeywood.gateway.register.peers import Peers
-from honeywood.gateway.register.reads import Reads
-from honeywood.gateway.register.rebuild import Rebuild
+from honeywood.gateway.register.peer_client import PeerClient
+from honeywood.gateway.register.reader import Reader
+from honeywood.gateway.register.membership_manager import MembershipManager
 from honeywood.gateway.register.requests import decode_request, encode_reply
-from honeywood.gateway.register.rounds import NONE_YET, Rounds
-from honeywood.gateway.register.service import AcceptorService
-from honeywood.gateway.register.storage import Storage
-from honeywood.gateway.register.transfer import ValueTransfer
+from honeywood.gateway.register.proposer import NONE_YET, Proposer
+from honeywood.gateway.register.acceptor_service import AcceptorService
+from honeywood.gateway.register.persistent_state import PersistentState
+from honeywood.gateway.register.value_transfer import ValueTransfer
 from honeywood.gateway.register.value_lookup import ValueLookup
 from honeywood.gateway.register.value_store import ValueStore
 
@@ -24,17 +24,17 @@
 
     def __init__(self, settings, caller, random, say, disk):
         self.settings = settings
-        self.storage = Storage(settings, disk, say)
-        self.epochs = Epochs(settings, self.storage, say)
+        self.storage = PersistentState(settings, disk, say)
+        self.epochs = MembershipState(settings, self.storage, say)
         self.lookup = ValueLookup(self.storage, ValueStore())
         self.service = AcceptorService(settings, self.storage, self.epochs, self.lookup)
-        self.peers = Peers(settings, caller, self.epochs, self.service.serve)
+        self.peers = PeerClient(settings, caller, self.epochs, self.service.serve)
         self.transfer = ValueTransfer(self.lookup, self.peers.call)
-        self.rounds = Rounds(
+        self.rounds = Proposer(
             settings, random, self.epochs, self.storage, self.lookup, self.peers, self.transfer
         )
-        self.reads = Reads(self.epochs, self.storage, self.peers, self.rounds)
-        self.rebuild = Rebuild(settings, say, self.storage, self.epochs, self.peers, self.rounds)
+        self.reads = Reader(self.epochs, self.storage, self.peers, self.rounds)
+        self.rebuild = MembershipManager(settings, say, self.storage, self.epochs, self.peers, self.rounds)
 
     @property
     def rows(self):
--- a/honeywood/gateway/register/replies.py
+++ b/honeywood/gateway/register/replies.py
@@ -8,11 +8,11 @@
 
 from honeywood.gateway.register.fields import Fields
 from honeywood.gateway.register.row import Ballot, Row
-from honeywood.gateway.register.values import Chunk, decode_carried, encode_carried
+from honeywood.gateway.register.values import ValueChunk, decode_carried, encode_carried
 
 
 @dataclass(frozen=True, slots=True)
-class Shown:
+class RowView:
     """What a read is told of a row; `sure` where it counts as accepted on this disk. The value is left out
     where whoever asks has it."""
 
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
+class BallotConflict:
     """A higher ballot has been promised."""
 
     promised: Ballot
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ValueWanted:
+class ValueMissing:
     """Nothing was accepted: of the value that was referred to only `held` characters are here."""
 
     held: int
@@ -105,17 +105,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ChunkHeld(ValueWanted):
+class ChunkStored(ValueMissing):
     """How many characters of a value are here after a part of it came."""
 
     kind: ClassVar = "chunk held"
 
 
 @dataclass(frozen=True, slots=True)
-class ChunkTold:
+class ChunkFetched:
     """A part of a value; None where the value is not here."""
 
-    chunk: Chunk | None
+    chunk: ValueChunk | None
     kind: ClassVar = "chunk"
 
     def encode(self):
@@ -125,7 +125,7 @@
     @classmethod
     def decode(cls, fields):
         """The reply in fields of a message."""
-        return cls(Chunk.decode(fields.within("chunk")) if fields.table.get("chunk") else None)
+        return cls(ValueChunk.decode(fields.within("chunk")) if fields.table.get("chunk") else None)
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,7 +149,7 @@
 class ReadReply:
     """One row."""
 
-    row: Shown
+    row: RowView
     lives: dict
     kind: ClassVar = "read"
 
@@ -160,11 +160,11 @@
     @classmethod
     def decode(cls, fields):
         """The reply in fields of a message."""
-        return cls(Shown.decode(fields.within("row")), fields.lives())
+        return cls(RowView.decode(fields.within("row")), fields.lives())
 
 
 @dataclass(frozen=True, slots=True)
-class SurveyReply:
+class ReadAllReply:
     """All rows, by key."""
 
     rows: dict
@@ -178,11 +178,11 @@
     @classmethod
     def decode(cls, fields):
         """The reply in fields of a message."""
-        return cls({key: Shown.decode(row) for key, row in fields.each("rows")}, fields.lives())
+        return cls({key: RowView.decode(row) for key, row in fields.each("rows")}, fields.lives())
 
 
 @dataclass(frozen=True, slots=True)
-class PullReply:
+class TransferStateReply:
     """All rows with their promises, their values as carried, and the configuration of the one who tells."""
 
     rows: dict
@@ -209,7 +209,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Noted:
+class Acknowledged:
     """What was told is noted."""
 
     kind: ClassVar = "noted"
--- a/honeywood/gateway/register/requests.py
+++ b/honeywood/gateway/register/requests.py
@@ -10,7 +10,7 @@
 from honeywood.gateway.register import replies
 from honeywood.gateway.register.fields import FORM, Fields
 from honeywood.gateway.register.row import Ballot
-from honeywood.gateway.register.values import Chunk, Reference, decode_carried, encode_carried
+from honeywood.gateway.register.values import ValueChunk, ValueReference, decode_carried, encode_carried
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +21,7 @@
     ballot: Ballot
     epoch: int
     step: ClassVar = "prepare"
-    answers: ClassVar = (replies.Promise, replies.Refusal, replies.Fenced)
+    answers: ClassVar = (replies.Promise, replies.BallotConflict, replies.Fenced)
 
     def encode(self):
         """As JSON."""
@@ -42,7 +42,7 @@
     epoch: int
     value: Any
     step: ClassVar = "accept"
-    answers: ClassVar = (replies.Accepted, replies.Refusal, replies.ValueWanted, replies.Fenced)
+    answers: ClassVar = (replies.Accepted, replies.BallotConflict, replies.ValueMissing, replies.Fenced)
 
     def encode(self):
         """As JSON."""
@@ -62,9 +62,9 @@
 class StoreChunk:
     """Hands over a part of a value that is to be accepted."""
 
-    chunk: Chunk
+    chunk: ValueChunk
     step: ClassVar = "store chunk"
-    answers: ClassVar = (replies.ChunkHeld,)
+    answers: ClassVar = (replies.ChunkStored,)
 
     def encode(self):
         """As JSON."""
@@ -73,18 +73,18 @@
     @classmethod
     def decode(cls, fields):
         """The request in fields of a message."""
-        return cls(Chunk.decode(fields.within("chunk")))
+        return cls(ValueChunk.decode(fields.within("chunk")))
 
 
 @dataclass(frozen=True, slots=True)
 class FetchChunk:
     """Asks for a part of a value that was told of by reference."""
 
-    value: Reference
+    value: ValueReference
     start: int
     size: int
     step: ClassVar = "fetch chunk"
-    answers: ClassVar = (replies.ChunkTold,)
+    answers: ClassVar = (replies.ChunkFetched,)
 
     def encode(self):
         """As JSON."""
@@ -94,7 +94,7 @@
     def decode(cls, fields):
         """The request in fields of a message."""
         start, size = fields.take("start", int, least=0), fields.take("size", int, least=1)
-        return cls(Reference.decode(fields.within("value")), start, size)
+        return cls(ValueReference.decode(fields.within("value")), start, size)
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,13 +118,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Survey:
+class ReadAll:
     """Asks for all rows; values are left out where the ballot is the `known` one."""
 
     known: dict
     epoch: int
     step: ClassVar = "survey"
-    answers: ClassVar = (replies.SurveyReply, replies.Fenced)
+    answers: ClassVar = (replies.ReadAllReply, replies.Fenced)
 
     def encode(self):
         """As JSON."""
@@ -137,7 +137,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pull:
+class TransferState:
     """Asks for all rows with their promises (`bare`: just who follows), once the `life` of the disk of `ip`
     is noted and the epoch is sealed that the configuration `seal` follows."""
 
@@ -147,7 +147,7 @@
     bare: bool = False
     seal: dict | None = None
     step: ClassVar = "pull"
-    answers: ClassVar = (replies.PullReply,)
+    answers: ClassVar = (replies.TransferStateReply,)
 
     def encode(self):
         """As JSON."""
@@ -163,12 +163,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class AnnounceConfiguration:
     """Tells of the newest configuration that is known."""
 
     members: dict
     step: ClassVar = "told"
-    answers: ClassVar = (replies.Noted,)
+    answers: ClassVar = (replies.Acknowledged,)
 
     def encode(self):
         """As JSON."""
@@ -180,7 +180,10 @@
         return cls(fields.within("members").successor())
 
 
-REQUESTS = {one.step: one for one in (Prepare, Accept, StoreChunk, FetchChunk, Read, Survey, Pull, Told)}
+REQUESTS = {
+    one.step: one
+    for one in (Prepare, Accept, StoreChunk, FetchChunk, Read, ReadAll, TransferState, AnnounceConfiguration)
+}
 
 
 def encode_request(request):
--- a/honeywood/gateway/register/row.py
+++ b/honeywood/gateway/register/row.py
@@ -14,18 +14,18 @@
     name: str
 
 
-NEVER = Ballot(0, "")
+NO_BALLOT = Ballot(0, "")
 
 
 class Row(NamedTuple):
     """The highest ballot `promised`, the one under which `value` was `accepted`, and the value itself."""
 
-    promised: Ballot = NEVER
-    accepted: Ballot = NEVER
+    promised: Ballot = NO_BALLOT
+    accepted: Ballot = NO_BALLOT
     value: Any = None
 
 
-EMPTY = Row()
+EMPTY_ROW = Row()
 
 
 def row_from_disk(raw):
--- a/honeywood/gateway/register/disk.py
+++ b/honeywood/gateway/register/row_store.py
@@ -24,20 +24,20 @@
 
 import lmdb
 
-from honeywood.gateway.register.files import PIECE, Files
+from honeywood.gateway.register.file_operations import PIECE, FileOperations
 
 END, SUM = ".mdb", ".sum"
 MOST = 64  # bytes of the text beside a file
 SPARE = 64  # pages that a file may have beyond twice its live ones
 
 
-class Disk:
+class RowStore:
     """A folder with the register; used by one thread. Raises OSError."""
 
     def __init__(self, folder, calls=None):
         """`calls` makes the disk's calls; tests hand in one that loses power at them or refuses them."""
         self.folder, self.held, self.last, self.files = folder, {}, {}, [None, None]
-        self.calls, self.place, self.failed = calls or Files(), 0, []
+        self.calls, self.place, self.failed = calls or FileOperations(), 0, []
         os.makedirs(folder, exist_ok=True)
         stems = {name.partition(".")[0] for name in os.listdir(folder)}
         self.made = max((int(stem) for stem in stems if stem.isdigit()), default=0)
--- a/honeywood/gateway/register/value_lookup.py
+++ b/honeywood/gateway/register/value_lookup.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from honeywood.gateway.register.values import Inline, Reference, carried, text_of
+from honeywood.gateway.register.values import InlineValue, ValueReference, carried, text_of
 
 
 class ValueLookup:
@@ -21,14 +21,14 @@
         if ballot != row.accepted:
             found = carried(row.value)
             # a small value is not kept twice: an empty note says that it goes inline
-            self.known[key] = row.accepted, found if isinstance(found, Reference) else None
-        return found if found is not None else Inline(row.value)
+            self.known[key] = row.accepted, found if isinstance(found, ValueReference) else None
+        return found if found is not None else InlineValue(row.value)
 
     def find(self, value):
         """(whether the value is here, the value), of what was carried."""
         if value is None:
             return True, None
-        if isinstance(value, Inline):
+        if isinstance(value, InlineValue):
             return True, value.value
         row = self._row_of(value)
         if row is not None:
@@ -71,7 +71,7 @@
     def hold(self, value):
         """How a value that is to be proposed is carried; a large one is kept here until it is accepted."""
         how = carried(value)
-        if isinstance(how, Reference):
+        if isinstance(how, ValueReference):
             self.store.hold(asyncio.get_running_loop().time(), text_of(value))
         return how
 
--- a/honeywood/gateway/register/value_store.py
+++ b/honeywood/gateway/register/value_store.py
@@ -6,7 +6,7 @@
 import json
 from dataclasses import dataclass, field
 
-from honeywood.gateway.register.values import Chunk, Reference, reference_to
+from honeywood.gateway.register.values import ValueChunk, ValueReference, reference_to
 
 STAGED_VALUES = 4  # of more, the one that was used longest ago goes
 EXPECTED_S = 1.0  # seconds in which the next part of a value that is handed over comes
@@ -17,7 +17,7 @@
 class StagedValue:
     """A value of which `held` characters are there."""
 
-    reference: Reference
+    reference: ValueReference
     used_at: float
     parts: list = field(default_factory=list)
     held: int = 0
@@ -81,7 +81,7 @@
     def chunk(self, now, reference, start, size):
         """A part of a whole value, or None."""
         text = self.text(now, reference)
-        return None if text is None or start >= len(text) else Chunk.cut(reference, text, start, size)
+        return None if text is None or start >= len(text) else ValueChunk.cut(reference, text, start, size)
 
     def value(self, now, reference):
         """(whether the value is whole, the value)."""
--- a/honeywood/gateway/register/transfer.py
+++ b/honeywood/gateway/register/value_transfer.py
@@ -9,7 +9,7 @@
 from collections import defaultdict
 
 from honeywood.gateway.register.requests import FetchChunk, StoreChunk
-from honeywood.gateway.register.values import LARGEST_CHUNK, Chunk
+from honeywood.gateway.register.values import LARGEST_CHUNK, ValueChunk
 
 SMALLEST_CHUNK = 1 << 12  # characters; 30,000 B/s carry it in 140 ms
 FIRST_CHUNK = (
@@ -82,7 +82,7 @@
             if self.wanted.get((ip, key)) != reference.digest:
                 return False
             reply = await self._part(
-                ip, lambda size, held=held: StoreChunk(Chunk.cut(reference, text, held, size))
+                ip, lambda size, held=held: StoreChunk(ValueChunk.cut(reference, text, held, size))
             )
             after = reply.value.held if reply.ok else held
             failed = 0 if after > held else failed + 1
--- a/honeywood/gateway/register/values.py
+++ b/honeywood/gateway/register/values.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Inline:
+class InlineValue:
     """A value that stands in the message itself."""
 
     value: Any
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reference:
+class ValueReference:
     """A value by the hash and the length, in characters, of its text."""
 
     digest: str
@@ -47,10 +47,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Chunk:
+class ValueChunk:
     """A part of a value's text, from the character `start` on."""
 
-    reference: Reference
+    reference: ValueReference
     start: int
     text: str
     checksum: int
@@ -83,7 +83,7 @@
         if len(text) > LARGEST_CHUNK:
             raise fields.wrong("text is too long")
         start, checksum = fields.take("start", int, least=0), fields.take("checksum", int)
-        return cls(Reference.decode(fields), start, text, checksum)
+        return cls(ValueReference.decode(fields), start, text, checksum)
 
 
 def text_of(value):
@@ -93,7 +93,7 @@
 
 def reference_to(text):
     """The reference to the value of a text."""
-    return Reference(blake2b(text.encode(), digest_size=DIGEST_CHARACTERS // 2).hexdigest(), len(text))
+    return ValueReference(blake2b(text.encode(), digest_size=DIGEST_CHARACTERS // 2).hexdigest(), len(text))
 
 
 def carried(value):
@@ -101,7 +101,7 @@
     if value is None:
         return None
     text = text_of(value)
-    return Inline(value) if len(text) <= INLINE_CHARACTERS else reference_to(text)
+    return InlineValue(value) if len(text) <= INLINE_CHARACTERS else reference_to(text)
 
 
 def encode_carried(value):
@@ -114,4 +114,4 @@
     if fields.table.get(name) is None:
         return None
     inside = fields.within(name)
-    return Inline(inside.table["inline"]) if "inline" in inside.table else Reference.decode(inside)
+    return InlineValue(inside.table["inline"]) if "inline" in inside.table else ValueReference.decode(inside)
--- a/honeywood/lab/model/ballots.py
+++ b/honeywood/lab/model/ballots.py
@@ -3,9 +3,9 @@
 from dataclasses import replace
 
 from honeywood.gateway.register import acceptor
-from honeywood.gateway.register import membership as members
-from honeywood.gateway.register.proposer import Proposal, agreed, current
-from honeywood.gateway.register.replies import ReadReply, Refusal
+from honeywood.gateway.register import membership_rules
+from honeywood.gateway.register.proposal import Proposal, agreed, current
+from honeywood.gateway.register.replies import ReadReply, BallotConflict
 from honeywood.gateway.register.row import Ballot
 from honeywood.lab.model.state import (
     ACCEPT,
@@ -44,7 +44,7 @@
                 disk = state.disks[one]
                 if writer.ways[one] == OUT and disk.sound:
                     here = self.model.configuration(disk.epoch, disk.sealed)
-                    if members.takes(here, one, writer.epoch):
+                    if membership_rules.accepts_epoch(here, one, writer.epoch):
                         yield f"{writer.step} of {place} at {one}", self._reaches(state, place, one)
                 elif writer.ways[one] == COMING:
                     yield f"answer of {one} to {place}", self._taken(state, place, one)
@@ -80,7 +80,7 @@
 
     def _again(self, state, place):
         writer = state.writers[place]
-        refused = [reply.promised.count for reply in writer.answers if isinstance(reply, Refusal)]
+        refused = [reply.promised.count for reply in writer.answers if isinstance(reply, BallotConflict)]
         ballot = Ballot(max([writer.ballot.count, *refused]) + 1, writer.ballot.name)
         return state.with_writer(place, self.begun(state.agreed, ballot, writer.again - 1))
 
@@ -92,8 +92,8 @@
             here = self.model.configuration(disk.epoch, disk.sealed) if disk.sound else None
             if here is None or one in [reply[0] for reply in reading.replies]:
                 continue
-            if members.takes(here, one, reading.epoch):
-                after = self._shown(state, reading, one, members.majority(here))
+            if membership_rules.accepts_epoch(here, one, reading.epoch):
+                after = self._shown(state, reading, one, membership_rules.majority(here))
                 if after is not None:
                     yield f"{one} tells the reader", after
 
--- a/honeywood/lab/model/epochs.py
+++ b/honeywood/lab/model/epochs.py
@@ -4,10 +4,10 @@
 from itertools import combinations
 
 from honeywood.gateway.register import acceptor
-from honeywood.gateway.register import membership as members
-from honeywood.gateway.register.proposer import FIRST
-from honeywood.gateway.register.replies import PullReply
-from honeywood.gateway.register.row import EMPTY, NEVER, Row
+from honeywood.gateway.register import membership_rules
+from honeywood.gateway.register.proposal import FIRST_INCARNATION
+from honeywood.gateway.register.replies import TransferStateReply
+from honeywood.gateway.register.row import EMPTY_ROW, NO_BALLOT, Row
 from honeywood.lab.model.state import Disk, put_at
 
 KEY = "key"  # the register's one key
@@ -44,8 +44,8 @@
         here = self.model.configuration(disk.epoch, disk.sealed) if disk.sound else None
         rows = {KEY: disk.row}
         if disk.follows:
-            rows[members.SUCCESSOR] = Row(NEVER, NEVER, {"epoch": disk.epoch + 1})
-        return PullReply(rows, dict(enumerate(disk.known(own))), here)
+            rows[membership_rules.SUCCESSOR_KEY] = Row(NO_BALLOT, NO_BALLOT, {"epoch": disk.epoch + 1})
+        return TransferStateReply(rows, dict(enumerate(disk.known(own))), here)
 
     def _pulls(self, state, one, ask):
         """Pulls by `one`, each after what `ask` puts on the disk that is asked."""
@@ -68,11 +68,11 @@
 
     def _entered(self, state, one, here, pulls):
         disk, places = state.disks[one], self.model.places
-        held = acceptor.rebuilt([{KEY: pull.rows[KEY]} for pull in pulls]).get(KEY, EMPTY)
+        held = acceptor.rebuilt([{KEY: pull.rows[KEY]} for pull in pulls]).get(KEY, EMPTY_ROW)
         known = [pull.lives for pull in pulls]
         lives = acceptor.known_lives(known + ([dict(enumerate(disk.lives))] if disk.sound else []))
         entered = Disk(
-            tuple(lives.get(place, FIRST) for place in places),
+            tuple(lives.get(place, FIRST_INCARNATION) for place in places),
             life=disk.life,
             row=held,
             synced=held,
@@ -92,7 +92,7 @@
             return replace(told, sealed=told.sealed or told.epoch == epoch)
 
         yield from self._pulls(state, one, sealing)
-        enough = members.moves(self.model.configuration(epoch, True), self._told(disk))
+        enough = membership_rules.transition_quorum(self.model.configuration(epoch, True), self._told(disk))
         if enough:
             yield f"{one} moves on", self._entered(state, one, self.model.configuration(epoch + 1), enough)
 
@@ -101,7 +101,9 @@
         others = [(other, told) for other, told in enumerate(state.disks) if told.sound]
         for count in range(2, len(others) + 1):
             for some in combinations(others, count):
-                _, enough = members.joins(one, {other: self._pull(told, other) for other, told in some}, True)
+                _, enough = membership_rules.join_quorum(
+                    one, {other: self._pull(told, other) for other, told in some}, True
+                )
                 if enough:
                     life = acceptor.next_life(one, [pull.lives for pull in enough])
                     yield (
@@ -120,6 +122,6 @@
             return replace(told, lives=lives)
 
         yield from self._pulls(state, one, noting)
-        here, enough = members.joins(one, self._told(disk), True)
+        here, enough = membership_rules.join_quorum(one, self._told(disk), True)
         if here is not None:
             yield f"{one} is rebuilt", self._entered(state, one, here, enough)
--- a/honeywood/lab/model/power.py
+++ b/honeywood/lab/model/power.py
@@ -14,8 +14,8 @@
 
 import lmdb
 
-from honeywood.gateway.register.disk import Disk
-from honeywood.gateway.register.files import Files
+from honeywood.gateway.register.row_store import RowStore
+from honeywood.gateway.register.file_operations import FileOperations
 from honeywood.lab.model.platter import GONE, KEPT, MIXED, Platter
 
 POWER, KILL, HANG = "power", "kill", "hang"  # ends: after a call; in one that never comes back
@@ -26,7 +26,7 @@
     """The process is gone; no handler of the program's runs."""
 
 
-class Calls(Files):
+class Calls(FileOperations):
     """Files whose calls meet what `plan`, a dict by the call's number, says."""
 
     def __init__(self, folder, platter, plan):
@@ -57,7 +57,7 @@
             return super().open(path, True)
 
         def opened():
-            self.opened.append(Files.open(self, path, False))
+            self.opened.append(FileOperations.open(self, path, False))
             return self.opened[-1]
 
         return self.call(opened, opened, refusal=lmdb.DiskError)
@@ -66,8 +66,8 @@
         """Writes rows; a full disk takes some of them."""
         some = dict(list(rows.items())[: len(rows) // 2])
         self.call(
-            lambda: Files.commit(self, env, rows),
-            lambda: Files.commit(self, env, some),
+            lambda: FileOperations.commit(self, env, rows),
+            lambda: FileOperations.commit(self, env, some),
             refusal=lmdb.DiskError,
         )
 
@@ -75,7 +75,7 @@
         """Syncs an environment's file."""
 
         def synced():
-            Files.sync(self, env)
+            FileOperations.sync(self, env)
             self.synced(env.path())
 
         self.call(synced, grows=False, refusal=lmdb.DiskError)
@@ -97,7 +97,7 @@
 
     def remove(self, path):
         """Removes a file; a loss of power may bring it back."""
-        self.call(lambda: Files.remove(self, path), grows=False)
+        self.call(lambda: FileOperations.remove(self, path), grows=False)
 
     def settle(self, path):
         """Syncs a file that was found, or the names in a folder."""
@@ -132,7 +132,7 @@
     return plan
 
 
-def life(folder, draw, states, platter, plan, how, disk=Disk):
+def life(folder, draw, states, platter, plan, how, disk=RowStore):
     """One life on `folder`: the states that may be found after it, and how many calls it made. What is found
     must be one of `states`: all that ended puts wrote, with at most one later attempt that was refused."""
     calls = Calls(folder, platter, plan)
@@ -177,7 +177,7 @@
     return {key: row and row[0] for key, row in state.items()}
 
 
-def history(seed, lives=5, disk=Disk, plans=drawn):
+def history(seed, lives=5, disk=RowStore, plans=drawn):
     """Lives one after the other, each ended by its plan, the last one whole; AssertionError where a row is
     lost. How many calls there were that met trouble."""
     draw, folder = random.Random(seed), tempfile.mkdtemp()
@@ -193,7 +193,7 @@
         shutil.rmtree(folder, ignore_errors=True)
 
 
-def every_call(seed, how, what=POWER, disk=Disk):
+def every_call(seed, how, what=POWER, disk=RowStore):
     """One life of a script, with `what` at each of its calls in turn, power lost at the end of the life where
     it is not at that call; how many calls there are."""
     last = 0
--- a/honeywood/lab/model/register.py
+++ b/honeywood/lab/model/register.py
@@ -17,8 +17,8 @@
 from dataclasses import replace
 from itertools import combinations
 
-from honeywood.gateway.register.proposer import FIRST
-from honeywood.gateway.register.row import EMPTY, Ballot, Row
+from honeywood.gateway.register.proposal import FIRST_INCARNATION
+from honeywood.gateway.register.row import EMPTY_ROW, Ballot, Row
 from honeywood.lab.model.ballots import BallotSteps
 from honeywood.lab.model.epochs import EpochSteps
 from honeywood.lab.model.state import TOLD, Disk, State
@@ -53,10 +53,10 @@
         self.chain, self.before = chain, first if on else None
         self.places = tuple(range(max(place for one in chain for place in one) + 1))
         self.ballots, self.epochs = BallotSteps(self), EpochSteps(self)
-        row = EMPTY if first is None else Row(BEFORE, BEFORE, first)
+        row = EMPTY_ROW if first is None else Row(BEFORE, BEFORE, first)
         disks = tuple(
-            Disk((FIRST,) * len(self.places), row=held, synced=held)
-            for held in (row if on is None or place in on else EMPTY for place in self.places)
+            Disk((FIRST_INCARNATION,) * len(self.places), row=held, synced=held)
+            for held in (row if on is None or place in on else EMPTY_ROW for place in self.places)
         )
         writers = tuple(self.ballots.begun(1, Ballot(2, str(place)), again) for place in range(len(changes)))
         self.start = State(disks, writers, wipes, powers, reads=reads)
--- a/honeywood/lab/model/state.py
+++ b/honeywood/lab/model/state.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 from dataclasses import replace as _replaced
 
-from honeywood.gateway.register.proposer import FIRST
-from honeywood.gateway.register.row import EMPTY, Ballot, Row
+from honeywood.gateway.register.proposal import FIRST_INCARNATION
+from honeywood.gateway.register.row import EMPTY_ROW, Ballot, Row
 
 OUT, COMING, TAKEN = "out", "coming", "taken"  # a step's request; its answer on its way; its answer taken
 PREPARE, ACCEPT, TOLD = "prepare", "accept", "told"
@@ -17,9 +17,9 @@
 
     lives: tuple
     sound: bool = True
-    life: int = FIRST
-    row: Row = EMPTY
-    synced: Row = EMPTY
+    life: int = FIRST_INCARNATION
+    row: Row = EMPTY_ROW
+    synced: Row = EMPTY_ROW
     epoch: int = 1
     sealed: bool = False
     follows: bool = False
--- a/tests/gateway/test_disk.py
+++ b/tests/gateway/test_disk.py
@@ -7,9 +7,9 @@
 from timeline import World
 from ward import each, test
 
-from honeywood.gateway.register.disk import Disk
-from honeywood.gateway.register.files import Files
-from honeywood.gateway.register.storage import BORN
+from honeywood.gateway.register.row_store import RowStore
+from honeywood.gateway.register.file_operations import FileOperations
+from honeywood.gateway.register.persistent_state import BORN
 from honeywood.lab.model import power
 from honeywood.lab.model.power import (
     DOUBT,
@@ -64,7 +64,7 @@
                     raise OSError(5, "refused")
 
         calls = Once(folder, platter, {})
-        disk = Disk(folder, calls)
+        disk = RowStore(folder, calls)
         disk.put({"k": "first"})
         disk.put({"k": "second"})
         calls.plan[refused] = True
@@ -76,7 +76,7 @@
         for path, content in calls.left:  # the removals are lost with power
             with open(path, "wb") as file:
                 file.write(content)
-        assert Disk(folder).rows() == {"k": "ended"} and calls.left
+        assert RowStore(folder).rows() == {"k": "ended"} and calls.left
 
 
 @test("what an open found is still there when power is lost right after it")
@@ -88,20 +88,20 @@
             draw, platter = random.Random(seed), Platter()
             calls = power.Calls(folder, platter, {6 + seed % 5: HANG})
             try:
-                disk = Disk(folder, calls)
+                disk = RowStore(folder, calls)
                 for put in range(3):
                     disk.put({"k": put})
             except power.Lost:
                 calls.close()
-            found = Disk(folder, power.Calls(folder, platter, {})).rows()
+            found = RowStore(folder, power.Calls(folder, platter, {})).rows()
             platter.power(folder, draw, GONE)
-            assert Disk(folder).rows() == found
+            assert RowStore(folder).rows() == found
 
 
 @test("a full disk refuses, holds what it held, leaves nothing behind and goes on when there is room")
 def _():
     # Each refused put left a file behind that took up room itself.
-    class Full(Files):
+    class Full(FileOperations):
         full = False
 
         def write(self, path, text):
@@ -111,7 +111,7 @@
 
     with tempfile.TemporaryDirectory() as folder:
         calls = Full()
-        disk = Disk(folder, calls)
+        disk = RowStore(folder, calls)
         for put in range(3):
             disk.put({"k": put})
         calls.full, refused = True, 0
@@ -124,7 +124,7 @@
         calls.full = False
         disk.put({"l": 1})
         disk.close()
-        assert Disk(folder).rows() == {"k": 2, "l": 1}
+        assert RowStore(folder).rows() == {"k": 2, "l": 1}
 
 
 def size(folder):
@@ -134,14 +134,14 @@
 @test("after thousands of changes and rows that came and went the files are as small as after ten")
 def _():
     with tempfile.TemporaryDirectory() as folder:
-        disk, sizes, draw = Disk(folder), [], random.Random(1)
+        disk, sizes, draw = RowStore(folder), [], random.Random(1)
         for put in range(3000):
             disk.put({"k": "x" * draw.randrange(60_000), f"m{put}": "y" * 200, f"m{put - 40}": None})
             if put in (50, 2999):
                 sizes.append(size(folder))
         disk.close()
         assert sizes[1] < 2 * sizes[0] and sizes[1] < 1 << 20, sizes
-        assert len(Disk(folder).rows()) == 41
+        assert len(RowStore(folder).rows()) == 41
 
 
 @test("a controller that starts while its disk refuses opens it later, and has lost nothing")
@@ -165,13 +165,13 @@
         world.close()
 
 
-class Alone(Disk):
+class Alone(RowStore):
     """Writes to its two files in turn without the rows of the write before."""
 
     last = property(lambda self: {}, lambda self, rows: None)
 
 
-class Same(Disk):
+class Same(RowStore):
     """Numbers only those attempts that ended."""
 
     def put(self, rows):
@@ -182,7 +182,7 @@
             raise
 
 
-class Unsettled(Disk):
+class Unsettled(RowStore):
     def _settle(self, name):
         pass
 
@@ -207,7 +207,7 @@
         "a sync of what was found",
         "a sync of the folder",
     ),
-    disk=each(Alone, Disk, Same, Unsettled, Disk),
+    disk=each(Alone, RowStore, Same, Unsettled, RowStore),
     calls=each(power.Calls, Unsynced, power.Calls, power.Calls, Nameless),
 ):
     # Mutations: histories that can't see them would prove nothing.
@@ -223,5 +223,3 @@
     finally:
         power.Calls = guarded
     assert lost
-
-
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -20,8 +20,8 @@
 from honeywood.gateway.proxy.program import Proxy
 from honeywood.gateway.proxy.responses import own_response
 from honeywood.gateway.proxy.sender import AttemptSender
-from honeywood.gateway.register import membership as members
-from honeywood.gateway.register.storage import Storage
+from honeywood.gateway.register import membership_rules
+from honeywood.gateway.register.persistent_state import PersistentState
 from honeywood.gateway.rollout import record
 from honeywood.gateway.rollout.stage import Stage
 from honeywood.gateway.routing.attempts import AttemptPolicy
@@ -138,7 +138,7 @@
     self.rows.update(rows)
 
 
-async def without_rollouts(self, rows, keep=Storage.keep):
+async def without_rollouts(self, rows, keep=PersistentState.keep):
     """Rollouts are kept in memory alone."""
     await keep(self, {key: row for key, row in rows.items() if "rollout/" not in key})
     self.rows.update(rows)
@@ -230,19 +230,19 @@
         lambda: [(Store, "put", last_wins), (Store, "since", all_again)],
         lambda: [(RetryBudget, "allows", lambda self, now, fronts: True)],
         lambda: [(Stage, "room", lambda self, now, ask: True)],
-        lambda: [(Storage, "keep", unwritten)],
+        lambda: [(PersistentState, "keep", unwritten)],
         lambda: [(App, "replace", by_number)],
         lambda: [(App, "start", once_only)],
         lambda: [(App, "read", own_board)],
         lambda: [(App, "rollout", own_state)],
-        lambda: [(members, "majority", lambda here: len(here["members"]))],
+        lambda: [(membership_rules, "majority", lambda here: len(here["members"]))],
         lambda: [(App, "start", unlooked)],
         lambda: [(record, "start", forgetful)],
-        lambda: [(Storage, "keep", unwritten)],
-        lambda: [(Storage, "keep", unwritten)],
-        lambda: [(Storage, "keep", without_rollouts)],
+        lambda: [(PersistentState, "keep", unwritten)],
+        lambda: [(PersistentState, "keep", unwritten)],
+        lambda: [(PersistentState, "keep", without_rollouts)],
         lambda: unrefused("state"),
-        lambda: [(members, "majority", lambda here: len(here["members"]))],
+        lambda: [(membership_rules, "majority", lambda here: len(here["members"]))],
         lambda: [(Proxy, "listen", gives_up), (Proxy, "poll", idle)],
         lambda: [(App, "leave", unheeded), (machines, "beat", always_ready)],
         lambda: [(RouteTable, "__init__", three_routes)],
--- a/tests/gateway/test_model.py
+++ b/tests/gateway/test_model.py
@@ -6,10 +6,10 @@
 from ward import each, test
 
 from honeywood.gateway.register import acceptor
-from honeywood.gateway.register import membership as members
-from honeywood.gateway.register import proposer as round
+from honeywood.gateway.register import membership_rules
+from honeywood.gateway.register import proposal as proposal_rules
 from honeywood.gateway.register.replies import Accepted
-from honeywood.gateway.register.row import EMPTY, Row
+from honeywood.gateway.register.row import EMPTY_ROW, Row
 from honeywood.lab.model import ballots
 from honeywood.lab.model.explore import explore, follow, walk
 from honeywood.lab.model.register import FIVE, REPLACED, THREE, outcomes, versions
@@ -40,13 +40,13 @@
 
 
 def empty(pulls):
-    return {"key": EMPTY}
+    return {"key": EMPTY_ROW}
 
 
 @test("without {guard} the search finds what is lost")
 def _(
     guard=each("lives", "refused promises", "the rows of others", "syncs before answers"),
-    place=each(round, acceptor, acceptor, None),
+    place=each(proposal_rules, acceptor, acceptor, None),
     name=each("current", "accept", "rebuilt", ""),
     without=each(all_count, forgetful, empty, None),
     model=each(versions, versions, versions, versions),
@@ -186,7 +186,7 @@
     return guarded_joins(ip, pulls, False)
 
 
-guarded_rebuilt, guarded_joins = acceptor.rebuilt, members.joins
+guarded_rebuilt, guarded_joins = acceptor.rebuilt, membership_rules.join_quorum
 WRITER = {"count": 1, "again": 1, "chain": REPLACED}
 WRITERS = {**WRITER, "count": 2}
 
@@ -200,8 +200,8 @@
         "promises taken along",
         "a lost disk's wait for an epoch that may be over",
     ),
-    place=each(members, members, acceptor, acceptor, members),
-    name=each("takes", "moves", "rebuilt", "rebuilt", "joins"),
+    place=each(membership_rules, membership_rules, acceptor, acceptor, membership_rules),
+    name=each("accepts_epoch", "transition_quorum", "rebuilt", "rebuilt", "join_quorum"),
     without=each(any_epoch, new_ones, lambda pulls: {}, unpromised, any_time),
     model=each(versions, told, told, versions, versions),
     more=each(WRITER, {}, {}, WRITERS, WRITER),
--- a/tests/gateway/test_pinned_register.py
+++ b/tests/gateway/test_pinned_register.py
@@ -18,10 +18,10 @@
 from honeywood.gateway.configuration.outcome import Done, Failed, Wrong
 from honeywood.gateway.configuration.settings import read as read_settings
 from honeywood.gateway.register import requests
-from honeywood.gateway.register.disk import Disk
+from honeywood.gateway.register.row_store import RowStore
 from honeywood.gateway.register.paging import PagedCaller, PagedResponder
-from honeywood.gateway.register.replica import Register
-from honeywood.gateway.register.storage import row_from_disk
+from honeywood.gateway.register.register import Register
+from honeywood.gateway.register.persistent_state import row_from_disk
 from honeywood.lab.emulator.boot import boot
 
 RECORDED = Path(__file__).parent / "recorded"
@@ -104,7 +104,7 @@
 
 def rows_on(folder):
     """The rows in a folder, as JSON values by key."""
-    disk = Disk(folder)
+    disk = RowStore(folder)
     try:
         return disk.rows()
     finally:
@@ -374,7 +374,7 @@
     async def play():
         net = Net()
         settings = settings_of("127.0.0.1", False, copy)
-        register = register_with(settings, net.caller("127.0.0.1"), Disk)
+        register = register_with(settings, net.caller("127.0.0.1"), RowStore)
         await register.open()
         assert state_of(register) == before["state"]
         assert sorted(kept_heartbeats(register)) == sorted(before["heartbeats"])
--- a/tests/gateway/test_register.py
+++ b/tests/gateway/test_register.py
@@ -10,11 +10,11 @@
 from honeywood.gateway.configuration.outcome import Done
 from honeywood.gateway.controller.contact import Contacts
 from honeywood.gateway.register import acceptor, values
-from honeywood.gateway.register.membership import DiskState, PeerState, Replacement, replacement
-from honeywood.gateway.register.rebuild import Rebuild
-from honeywood.gateway.register.replies import Accepted, Refusal
+from honeywood.gateway.register.membership_rules import DiskState, PeerState, Replacement, replacement
+from honeywood.gateway.register.membership_manager import MembershipManager
+from honeywood.gateway.register.replies import Accepted, BallotConflict
 from honeywood.gateway.register.row import Ballot, Row
-from honeywood.gateway.register.storage import BORN
+from honeywood.gateway.register.persistent_state import BORN
 
 
 def played(*charts):
@@ -249,7 +249,7 @@
 @test("without the guard {guard} the histories lose something")
 def _(
     guard=each("against amnesia", "of promises"),
-    place=each(Rebuild, acceptor),
+    place=each(MembershipManager, acceptor),
     name=each("_join", "accept"),
     without=each(careless, forgetful),
     play=each(faulty, racing),
@@ -268,7 +268,7 @@
 def _(op=each("prepare", "accept")):
     row, lower = Row(Ballot(5, "b"), Ballot(3, "a"), "held"), Ballot(5, "a")
     found = acceptor.prepare(row, lower) if op == "prepare" else acceptor.accept(row, lower, "new")
-    assert found == (None, Refusal(Ballot(5, "b")))
+    assert found == (None, BallotConflict(Ballot(5, "b")))
 
 
 # members
@@ -313,11 +313,11 @@
 @test("without agreement they found two")
 def _():
     # Mutation: each takes the members that it proposes for agreed.
-    guarded, Rebuild._agree = Rebuild._agree, alone
+    guarded, MembershipManager._agree = MembershipManager._agree, alone
     try:
         assert len({tuple(one["members"]) for one in founded_apart()}) > 1
     finally:
-        Rebuild._agree = guarded
+        MembershipManager._agree = guarded
 
 
 REPLACED = """
--- a/tests/gateway/test_register_parts.py
+++ b/tests/gateway/test_register_parts.py
@@ -9,8 +9,8 @@
 
 from honeywood.gateway.configuration.outcome import Done
 from honeywood.gateway.register import paging as whole
-from honeywood.gateway.register import parts, transfer, values
-from honeywood.gateway.register.parts import KEPT, OPEN, PART, PartReceiver, PartSender
+from honeywood.gateway.register import pages, value_transfer, values
+from honeywood.gateway.register.pages import KEPT, OPEN, PART, PageReceiver, PageSender
 from honeywood.lab.emulator.boot import BOUNDS
 
 LONG = {"rows": {f"k{n}": [[n, "a"], [n, "a"], "x" * 1000] for n in range(300)}}
@@ -29,8 +29,8 @@
 
 @test("a long answer comes in parts and is whole; a short one comes at once")
 def _():
-    assert gone_on(PartSender(), PartReceiver()) == LONG
-    assert PartSender().begin(0.0, "q", {"a": 1}) == {"a": 1} == PartReceiver().take("q", {"a": 1})
+    assert gone_on(PageSender(), PageReceiver()) == LONG
+    assert PageSender().begin(0.0, "q", {"a": 1}) == {"a": 1} == PageReceiver().take("q", {"a": 1})
 
 
 def spoiler(draw):
@@ -55,7 +55,7 @@
 @test("parts that are lost, damaged, cut, told twice or of another answer change nothing")
 def _():
     for seed in range(50):
-        assert gone_on(PartSender(), PartReceiver(), spoil=spoiler(random.Random(seed)), most=400) == LONG
+        assert gone_on(PageSender(), PageReceiver(), spoil=spoiler(random.Random(seed)), most=400) == LONG
 
 
 @test("an answer that is no part and no whole is a failed call that names field and peer")
@@ -71,11 +71,11 @@
 
 @test("an answer that changed, or is kept no more, begins anew; no more than so many are kept")
 def _():
-    teller, hearer = PartSender(), PartReceiver()
+    teller, hearer = PageSender(), PageReceiver()
     hearer.take("q", teller.begin(0.0, "q", LONG))
     assert teller.go_on(KEPT + 1.0, "q", hearer.have("q")) is None
     teller.begin(0.0, "q", {**LONG, "more": 1})
-    assert teller.go_on(0.0, "q", hearer.have("q")) is None and gone_on(PartSender(), hearer) == LONG
+    assert teller.go_on(0.0, "q", hearer.have("q")) is None and gone_on(PageSender(), hearer) == LONG
     for n in range(3 * OPEN):
         hearer.take(n, teller.begin(0.0, n, LONG))
     assert len(teller.open) == OPEN == len(hearer.open)
@@ -139,9 +139,9 @@
 def _():
     # Mutation, and what was: an answer that doesn't fit a step's time is thrown away and asked for again.
     whole_at_once = {
-        parts: {"PART": 1 << 30},
+        pages: {"PART": 1 << 30},
         values: {"LARGEST_CHUNK": 1 << 30},
-        transfer: {"FIRST_CHUNK": 1 << 30, "SMALLEST_CHUNK": 1 << 30},
+        value_transfer: {"FIRST_CHUNK": 1 << 30, "SMALLEST_CHUNK": 1 << 30},
     }
     kept = {module: {name: vars(module)[name] for name in names} for module, names in whole_at_once.items()}
     try:
--- a/tests/gateway/test_register_values.py
+++ b/tests/gateway/test_register_values.py
@@ -11,10 +11,16 @@
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.register import replies, requests, values
 from honeywood.gateway.register.row import Ballot, Row
-from honeywood.gateway.register.transfer import FIRST_CHUNK, SMALLEST_CHUNK, ChunkSize
+from honeywood.gateway.register.value_transfer import FIRST_CHUNK, SMALLEST_CHUNK, ChunkSize
 from honeywood.gateway.register.value_lookup import ValueLookup
 from honeywood.gateway.register.value_store import STAGED_S, STAGED_VALUES, ValueStore
-from honeywood.gateway.register.values import LARGEST_CHUNK, Chunk, Inline, Reference, reference_to
+from honeywood.gateway.register.values import (
+    LARGEST_CHUNK,
+    ValueChunk,
+    InlineValue,
+    ValueReference,
+    reference_to,
+)
 
 LARGE, OTHER = "large", "other"  # keys
 
@@ -32,19 +38,19 @@
 
 
 def cut(start, size=10_000):
-    return Chunk.cut(REFERENCE, TEXT, start, size)
+    return ValueChunk.cut(REFERENCE, TEXT, start, size)
 
 
 def spoilt(draw, chunk):
     """A part that was damaged, cut, moved, or is one of another value."""
     return draw.choice(
         (
-            Chunk(chunk.reference, chunk.start, chunk.text[:-1], chunk.checksum),
-            Chunk(chunk.reference, chunk.start, "#" + chunk.text[1:], chunk.checksum),
-            Chunk(chunk.reference, chunk.start, chunk.text, chunk.checksum + 1),
-            Chunk(chunk.reference, chunk.start + 1, chunk.text, chunk.checksum),
-            Chunk(Reference(REFERENCE.digest, 70_000), chunk.start, chunk.text, chunk.checksum),
-            Chunk(Reference("0" * 32, REFERENCE.length), chunk.start, chunk.text, chunk.checksum),
+            ValueChunk(chunk.reference, chunk.start, chunk.text[:-1], chunk.checksum),
+            ValueChunk(chunk.reference, chunk.start, "#" + chunk.text[1:], chunk.checksum),
+            ValueChunk(chunk.reference, chunk.start, chunk.text, chunk.checksum + 1),
+            ValueChunk(chunk.reference, chunk.start + 1, chunk.text, chunk.checksum),
+            ValueChunk(ValueReference(REFERENCE.digest, 70_000), chunk.start, chunk.text, chunk.checksum),
+            ValueChunk(ValueReference("0" * 32, REFERENCE.length), chunk.start, chunk.text, chunk.checksum),
             cut(draw.randrange(len(TEXT))),
         )
     )
@@ -67,7 +73,7 @@
     store, wrong = ValueStore(), TEXT[:-5] + "#" + TEXT[-4:]
     held = 0
     while held < len(wrong):
-        after = store.take(0.0, Chunk.cut(REFERENCE, wrong, held, 10_000))
+        after = store.take(0.0, ValueChunk.cut(REFERENCE, wrong, held, 10_000))
         if after <= held:
             break
         held = after
@@ -102,22 +108,26 @@
 
 BALLOT, REPLY_LIVES = Ballot(3, "a"), {"b": 2}
 CONFIGURATION = {"epoch": 2, "members": ["a", "b"], "next": {"epoch": 3, "members": ["a", "c"]}}
-SHOWN = replies.Shown(BALLOT, Inline({"n": 1}), True)
+SHOWN = replies.RowView(BALLOT, InlineValue({"n": 1}), True)
 MESSAGES = [
-    (requests.Prepare("k", BALLOT, 2), [
-        replies.Promise(BALLOT, REFERENCE, REPLY_LIVES),
-        replies.Refusal(BALLOT, REPLY_LIVES),
-        replies.Fenced(CONFIGURATION),
-    ]),
-    (requests.Accept("k", BALLOT, 2, REFERENCE), [replies.Accepted(REPLY_LIVES), replies.ValueWanted(7)]),
-    (requests.StoreChunk(cut(5)), [replies.ChunkHeld(9)]),
-    (requests.FetchChunk(REFERENCE, 0, 9), [replies.ChunkTold(cut(9)), replies.ChunkTold(None)]),
+    (
+        requests.Prepare("k", BALLOT, 2),
+        [
+            replies.Promise(BALLOT, REFERENCE, REPLY_LIVES),
+            replies.BallotConflict(BALLOT, REPLY_LIVES),
+            replies.Fenced(CONFIGURATION),
+        ],
+    ),
+    (requests.Accept("k", BALLOT, 2, REFERENCE), [replies.Accepted(REPLY_LIVES), replies.ValueMissing(7)]),
+    (requests.StoreChunk(cut(5)), [replies.ChunkStored(9)]),
+    (requests.FetchChunk(REFERENCE, 0, 9), [replies.ChunkFetched(cut(9)), replies.ChunkFetched(None)]),
     (requests.Read("k", BALLOT, 2), [replies.ReadReply(SHOWN, REPLY_LIVES)]),
-    (requests.Told({"epoch": 3, "members": ["a"]}), [replies.Noted()]),
-    (requests.Survey({"k": BALLOT}, 2), [replies.SurveyReply({"k": SHOWN}, REPLY_LIVES)]),
-    (requests.Pull("a", 1, {"k": BALLOT}, True, {"epoch": 3, "members": ["a"]}), [
-        replies.PullReply({"k": Row(BALLOT, BALLOT, REFERENCE)}, REPLY_LIVES, CONFIGURATION)
-    ]),
+    (requests.AnnounceConfiguration({"epoch": 3, "members": ["a"]}), [replies.Acknowledged()]),
+    (requests.ReadAll({"k": BALLOT}, 2), [replies.ReadAllReply({"k": SHOWN}, REPLY_LIVES)]),
+    (
+        requests.TransferState("a", 1, {"k": BALLOT}, True, {"epoch": 3, "members": ["a"]}),
+        [replies.TransferStateReply({"k": Row(BALLOT, BALLOT, REFERENCE)}, REPLY_LIVES, CONFIGURATION)],
+    ),
 ]
 
 
@@ -161,7 +171,9 @@
         serve = register.serve(old, "b")
         why = refused(lambda: world.loop.run_until_complete(serve))
         assert "with b" in why and "form 1" in why and register.rows == before
-        assert "op" not in requests.encode_request(requests.Told({}))  # which the earlier one asks for first
+        assert "op" not in requests.encode_request(
+            requests.AnnounceConfiguration({})
+        )  # which the earlier one asks for first
     finally:
         world.close()
 
--- a/tests/gateway/test_review.py
+++ b/tests/gateway/test_review.py
@@ -6,7 +6,7 @@
 from ward import test
 
 from honeywood.gateway.register import acceptor
-from honeywood.gateway.register.proposer import Proposal, agreed
+from honeywood.gateway.register.proposal import Proposal, agreed
 from honeywood.gateway.register.row import Ballot
 
 
