--- /dev/null
+++ b/tests/gateway/register/test_acceptor_service.py
@@ -0,0 +1,34 @@
+"""A disk's answers to requests."""
+
+import asyncio
+
+from timeline import World
+from ward import test
+
+
+@test("behind a disk that hangs steps are refused at once, the loop goes on, and all is well after it")
+def _():
+    # They queued for the lock, each of them held until the disk came back, however long that took.
+    world = World()
+    try:
+        world.play("""
+          at   | a     | b     | c
+          0    | start | start | start
+          1    | put 5 |       |
+        """)
+        world.run(2.0)
+        world.disk("c", 10_000.0)  # a sync takes 20 s
+        for version in range(6, 70):
+            world.say("ab"[version % 2], f"put {version}")
+            world.run(world.loop.time() + 0.2)
+        register = world.nodes["c"].register
+        assert len(world.acked) > 50 and 0 < len(register.service.waiting_since) < 10
+        assert sum("serve" in repr(task) for task in asyncio.all_tasks(world.loop)) < 20
+        world.disk("c", 1.0)
+        world.run(45.0)
+        world.say("a", "put 99")
+        world.run(47.0)
+        assert world.version("c") == 99 and register.storage.registers["config"].value["ver"] == 99
+        assert not register.service.waiting_since
+    finally:
+        world.close()
--- /dev/null
+++ b/tests/gateway/register/test_persistent_state.py
@@ -0,0 +1,26 @@
+"""What a controller's disk stores."""
+
+
+from timeline import World
+from ward import test
+
+
+@test("a controller that starts while its disk refuses opens it later, and has lost nothing")
+def _():
+    world = World()
+    try:
+        world.play("""
+          at   | a     | b     | c
+          0    | start | start | start
+          1    | put 5 |       |
+          2    | refuse, kill |  |
+        """)
+        world.fresh = False
+        world.start("a")
+        world.run(3.0)
+        assert "a" not in world.nodes
+        world.disk("a", 1.0)
+        world.run(5.0)
+        assert world.version("a") == 5 and world.nodes["a"].register.storage.incarnation == 1
+    finally:
+        world.close()
--- a/tests/gateway/test_disk.py
+++ b/tests/gateway/register/test_row_store.py
@@ -1,14 +1,13 @@
-"""The register's files: what a put that ended wrote is found by every later open, whatever met the calls."""
+"""The register's files: what a put that returned wrote is found by every later open."""
 
 import os
 import random
 import tempfile
 
-from timeline import World
 from ward import each, test
 
-from honeywood.gateway.register.row_store import RowStore
 from honeywood.gateway.register.file_operations import FileOperations
+from honeywood.gateway.register.row_store import RowStore
 from honeywood.lab.model import power
 from honeywood.lab.model.power import (
     DOUBT,
@@ -143,27 +142,6 @@
         assert len(RowStore(folder).rows()) == 41
 
 
-@test("a controller that starts while its disk refuses opens it later, and has lost nothing")
-def _():
-    world = World()
-    try:
-        world.play("""
-          at   | a     | b     | c
-          0    | start | start | start
-          1    | put 5 |       |
-          2    | refuse, kill |  |
-        """)
-        world.fresh = False
-        world.start("a")
-        world.run(3.0)
-        assert "a" not in world.nodes
-        world.disk("a", 1.0)
-        world.run(5.0)
-        assert world.version("a") == 5 and world.nodes["a"].register.storage.incarnation == 1
-    finally:
-        world.close()
-
-
 class Alone(RowStore):
     """Writes to its two files in turn without the rows of the write before."""
 
