--- a/honeywood/gateway/register/acceptor_service.py
+++ b/honeywood/gateway/register/acceptor_service.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.register import acceptor, membership_rules
+from honeywood.gateway.register.errors import DiskLost, DiskStalled
 from honeywood.gateway.register.message_fields import PATH
 from honeywood.gateway.register.peer_client import REQUEST_TIMEOUT_S
 from honeywood.gateway.register.replies import (
@@ -62,15 +62,16 @@
     async def serve(self, request: Request, peer: str) -> Reply:
         """Return the reply to a request of `peer`.
 
-        Raises Wrong where the disk was lost or refuses. Nothing queues behind a disk that hangs: a request
-        that needs it is refused at once while an earlier one has waited for longer than its sender does.
+        Raises DiskUnavailable. Nothing queues behind a disk that hangs: a
+        request that needs it is refused at once while an earlier one has waited for longer than its sender
+        does.
         """
         if not isinstance(request, WRITING_REQUESTS):
             return await self._serve(request, peer)
         now, waiter = asyncio.get_running_loop().time(), object()
         oldest = next(iter(self.waiting_since.values()), now)
         if now - oldest > REQUEST_TIMEOUT_S:
-            raise Wrong(PATH, "the disk hangs", peer, 503)
+            raise DiskStalled(PATH, "the disk hangs", peer)
         self.waiting_since[waiter] = now
         try:
             return await self._serve(request, peer)
@@ -81,7 +82,7 @@
         if isinstance(request, AnnounceConfiguration):
             return await self._announce_configuration(request)
         if not self._membership.intact:
-            raise Wrong(PATH, "this disk was lost and is not rebuilt", peer, 503)
+            raise DiskLost(PATH, "this disk was lost and is not rebuilt", peer)
         match request:
             case Prepare():
                 return await self._prepare(request)
--- a/honeywood/gateway/register/membership_manager.py
+++ b/honeywood/gateway/register/membership_manager.py
@@ -1,182 +1,232 @@
-"""How a disk comes to count: the first members are agreed on, a lost disk is rebuilt from the others, and
-each disk goes on from one epoch to the next. The rules are in membership.py."""
+"""Brings this controller's disk into the newest epoch, and agrees on new members (see membership_rules.py)."""
+
+from __future__ import annotations
 
 import asyncio
-from dataclasses import replace
+from contextlib import suppress
 
-from honeywood.gateway.configuration.outcome import Wrong
-from honeywood.gateway.register import acceptor
 from honeywood.gateway.register import membership_rules
-from honeywood.gateway.register.incarnations import FIRST_INCARNATION, merge_incarnations, next_incarnation
+from honeywood.gateway.register.errors import DiskUnavailable, RegisterUnavailable, ValueUnavailable
+from honeywood.gateway.register.incarnations import (
+    FIRST_INCARNATION,
+    merge_incarnations,
+    next_incarnation,
+)
 from honeywood.gateway.register.membership_configuration import MembershipConfiguration
+from honeywood.gateway.register.membership_rules import BOOTSTRAP_EPOCH, JoinQuorum
 from honeywood.gateway.register.requests import TransferState
-from honeywood.gateway.register.row import EMPTY_ROW, Row
 from honeywood.gateway.register.state_update import StateUpdate
-from honeywood.gateway.register.values import InlineValue, ValueReference
 
-WHOLE_S = 1.5  # seconds a peer has to tell all rows
-FOUND_S = 0.3  # seconds by which the seeds found after each other
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Mapping, Sequence
+
+    from honeywood.gateway.configuration.settings import Settings
+    from honeywood.gateway.register.json_value import JsonValue
+    from honeywood.gateway.register.membership_state import MembershipState
+    from honeywood.gateway.register.peer_client import PeerClient
+    from honeywood.gateway.register.persistent_state import PersistentState
+    from honeywood.gateway.register.proposer import Proposer
+    from honeywood.gateway.register.replies import TransferStateReply
+    from honeywood.gateway.register.state_transfer import StateTransfer
+
+BOOTSTRAP_STAGGER_S = 0.3
+"""By which the seeds propose the first members after each other."""
+
+BLOCKED_LOG_INTERVAL_S = 5.0
 
 
 class MembershipManager:
-    """Brings this controller's disk to where it counts."""
-
-    def __init__(self, settings, say, storage, epochs, peers, rounds):
-        self.settings, self.say, self.storage, self.epochs = settings, say, storage, epochs
-        self.peers, self.rounds, self.began = peers, rounds, None
-
-    async def begin(self):
-        """Opens the disk: sound if it has taken part before or all begins anew; else it was lost."""
-        storage, epochs = self.storage, self.epochs
-        await storage.open()
-        if storage.incarnation is not None:
-            epochs.intact, epochs.configuration = True, storage.configuration
-        elif self.settings.fresh:
-            seeds = tuple(ip for ip, _ in self.settings.seeds)
-            first = MembershipConfiguration(membership_rules.BOOTSTRAP_EPOCH, seeds)
+    """Opens this controller's disk, keeps it in the newest epoch, and proposes members."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        say: Callable[..., None],
+        state: PersistentState,
+        membership: MembershipState,
+        peers: PeerClient,
+        proposer: Proposer,
+        transfer: StateTransfer,
+    ) -> None:
+        """`settings` name the seeds and how many members may fail at once."""
+        self._settings, self._say, self._state, self._membership = settings, say, state, membership
+        self._peers, self._proposer, self._transfer = peers, proposer, transfer
+        self._bootstrap_started_at: float | None = None
+
+    async def open(self) -> None:
+        """Open the disk.
+
+        It is intact if it took part before, or if the whole system starts for the first time; else it was
+        lost.
+        """
+        state, membership = self._state, self._membership
+        await state.open()
+        if state.incarnation is not None:
+            membership.restore()
+        elif self._settings.fresh:
             try:
-                await storage.write(StateUpdate(incarnation=FIRST_INCARNATION, configuration=first))
-                epochs.intact, epochs.configuration = True, first
-            except Wrong as wrong:  # taken for a lost one until it can be written to
-                self.say("register not begun", why=str(wrong))
-        told = {"sound": epochs.intact, "rows": len(storage.registers)}
-        self.say("register", **told, epoch=epochs.epoch, members=epochs.members)
-
-    async def settle(self, known):
-        """Brings this disk to where it counts, as far as the controllers `known` allow it now."""
-        epochs = self.epochs
-        known = {*known, *epochs.members, *(epochs.pending.members if epochs.pending else ())}
+                await membership.initialize(tuple(ip for ip, _ in self._settings.seeds))
+            except DiskUnavailable as error:  # taken for a lost one until it can be written to
+                self._say("register not initialized", why=str(error))
+        self._say(
+            "register opened",
+            intact=membership.intact,
+            rows=len(state.registers),
+            epoch=membership.epoch,
+            members=membership.members,
+        )
+
+    async def synchronize(self, known: Iterable[str]) -> None:
+        """Bring this disk into the newest epoch, as far as the controllers `known` allow it now."""
+        membership = self._membership
+        ips = {*known, *membership.members}
+        if membership.pending is not None:
+            ips.update(membership.pending.members)
         try:
-            if epochs.pending:
-                await epochs.adopt(epochs.pending)
-            if not epochs.intact:
-                await self._join(known)
-            elif epochs.epoch == membership_rules.BOOTSTRAP_EPOCH and not epochs.pending:
-                await self._found(known)
-            elif epochs.is_synchronized:
-                return  # what it waited for came by another way, while `adopt` had the lock
-            elif epochs.pending or not await self._move():
-                await self._join(known)
-        except Wrong as wrong:
-            self.say("register waits for its disk", 5.0, why=str(wrong))
-
-    async def _found(self, known):
-        """The seeds of the first start agree on the first members; any 2 bear + 1 will do."""
+            if membership.pending is not None:
+                await membership.adopt(membership.pending)
+            await self._advance(ips)
+        except DiskUnavailable as error:
+            self._say("register blocked by disk", every=BLOCKED_LOG_INTERVAL_S, why=str(error))
+
+    async def _advance(self, ips: set[str]) -> None:
+        """Take the next step towards the newest epoch."""
+        membership = self._membership
+        if not membership.intact:
+            await self._join(ips)
+        elif membership.epoch == BOOTSTRAP_EPOCH and membership.pending is None:
+            await self._bootstrap(ips)
+        elif membership.is_synchronized:
+            return  # the next epoch came by another way, while `adopt` waited for the lock
+        elif membership.pending is not None or not await self._enter_successor():
+            await self._join(ips)
+
+    async def _bootstrap(self, ips: set[str]) -> None:
+        """Propose the first members, any 2 f + 1 of those known, where f may fail at once.
+
+        The seeds propose after each other, in their order.
+        """
         now = asyncio.get_running_loop().time()
-        self.began = now if self.began is None else self.began
-        ip, seeds, size = self.settings.ip, self.epochs.members, 2 * self.settings.bear + 1
+        if self._bootstrap_started_at is None:
+            self._bootstrap_started_at = now
+        ip, seeds = self._settings.ip, self._membership.members
+        size = 2 * self._settings.bear + 1
         rank = seeds.index(ip) if ip in seeds else len(seeds)
-        if len(known) >= size and now - self.began >= rank * FOUND_S:
-            await self._agree(sorted(known)[:size])
-
-    async def replace(self, lost, spare):
-        """Has `spare` take the place of the member `lost`, if nobody changes the members meanwhile."""
-        found = await self._agree(sorted({*self.epochs.members, spare} - {lost}))
-        if found.ok:
-            self.say("members", lost=lost, spare=spare, **found.value)
-        return found
-
-    async def _agree(self, wanted):
-        """The members of the next epoch, agreed by a majority of this one's; the first that are, stay."""
-        following = MembershipConfiguration(self.epochs.epoch + 1, tuple(wanted))
-
-        def first(held):
-            return held if held and held["epoch"] >= following.epoch else following.encode_members()
-
-        found = await self.rounds.change(membership_rules.SUCCESSOR_KEY, first)
-        if found.ok:
-            agreed = MembershipConfiguration.from_stored(found.value)
-            await self.epochs.adopt(agreed)
-            self.peers.tell([*self.epochs.members, *agreed.members])
-        return found
-
-    async def _pull(self, ips, take, **more):
-        """Asks for all that others hold until `take` of the pulls by ip finds enough; what it found."""
-        pulls, found, held = {}, [], self.storage.registers
-
-        def taken(ip, pull):
-            self.epochs.learn(pull.configuration.successor or pull.configuration)
-            rows = {key: _uncarried(row, held.get(key, EMPTY_ROW)) for key, row in pull.rows.items()}
-            pulls[ip] = replace(pull, rows=rows)
-            found[:] = take(pulls)
-            return bool(found)
-
-        asked = TransferState(self.settings.ip, known=self.storage.accepted_ballots(), **more)
-        await self.peers.ask_all(ips, asked, taken, WHOLE_S)
-        return found, pulls
-
-    async def _rows(self, counted, pulls):
-        """The rows out of those that count, with their whole values; None where one can't be brought here in
-        time: what there is of it stays, and the next pull goes on from there."""
-        merged, rows = acceptor.merge_rows([pull.rows for pull in counted]), {}
-        for key, row in merged.items():
-            if not isinstance(row.value, ValueReference):
-                rows[key] = Row(row.promised, row.accepted, row.value and row.value.value)
-                continue
-            told = {ip: pull.rows.get(key) for ip, pull in pulls.items()}
-            holders = [ip for ip, one in told.items() if one is not None and one.accepted == row.accepted]
-            found, value = await self.rounds.resolve(row.value, holders)
-            if not found:
-                return None
-            rows[key] = Row(row.promised, row.accepted, value)
-        return rows
-
-    async def _move(self):
-        """From the sealed configuration on to the next, with what a majority of its members holds."""
-        here = self.epochs.configuration
-        asked = {*here.members, *here.successor.members}
-        found, pulls = await self._pull(
-            asked,
-            lambda pulls: membership_rules.transition_quorum(here, pulls),
-            incarnation=FIRST_INCARNATION,
-            seal=here.successor,
-        )
-        if not found:
+        if len(ips) >= size and now - self._bootstrap_started_at >= rank * BOOTSTRAP_STAGGER_S:
+            with suppress(RegisterUnavailable):
+                await self._agree(sorted(ips)[:size])
+
+    async def replace_member(self, member: str, spare: str) -> MembershipConfiguration:
+        """Have `spare` take the place of `member`, unless other members are agreed on meanwhile.
+
+        Returns the configuration that was agreed on. Raises RegisterUnavailable, or DiskRefused.
+        """
+        agreed = await self._agree(sorted({*self._membership.members, spare} - {member}))
+        self._say("member replaced", member=member, spare=spare, **agreed.encode_members())
+        return agreed
+
+    async def _agree(self, members: Sequence[str]) -> MembershipConfiguration:
+        """Return the next configuration once a majority of this epoch has agreed on one.
+
+        `members` are proposed; what was agreed on before stays.
+        """
+        proposed = MembershipConfiguration(self._membership.epoch + 1, tuple(members))
+
+        def keep_agreed(current: JsonValue) -> JsonValue:
+            is_agreed = current and current["epoch"] >= proposed.epoch
+            return current if is_agreed else proposed.encode_members()
+
+        value = await self._proposer.change(membership_rules.SUCCESSOR_KEY, keep_agreed)
+        agreed = MembershipConfiguration.from_stored(value)
+        await self._membership.adopt(agreed)
+        self._peers.announce_configuration([*self._membership.members, *agreed.members])
+        return agreed
+
+    async def _enter_successor(self) -> bool:
+        """Enter the configuration that follows the sealed one, with the rows of a majority of the latter.
+
+        Returns False where too few replied; True also where a value is still on its way.
+        """
+        sealed = self._membership.configuration
+        successor = sealed.successor
+        assert successor is not None, "the configuration is sealed"
+
+        def select(replies: Mapping[str, TransferStateReply]) -> JoinQuorum | None:
+            quorum = membership_rules.transition_quorum(sealed, replies)
+            return JoinQuorum(membership_rules.enter(successor), quorum) if quorum else None
+
+        known = self._state.accepted_ballots()
+        request = TransferState(self._settings.ip, FIRST_INCARNATION, known, seal=successor)
+        collected = await self._transfer.collect({*sealed.members, *successor.members}, request, select)
+        if collected is None:
             return False
-        rows = await self._rows(found, pulls)
-        if rows is None:
+        try:
+            rows = await self._transfer.complete_rows(collected)
+        except ValueUnavailable:
             return True
-        async with self.epochs.lock:
-            lives = merge_incarnations([self.storage.incarnations(), *(pull.incarnations for pull in found)])
-            after = membership_rules.enter(here.successor)
-            await self.epochs.enter(StateUpdate(registers=rows, configuration=after, peer_incarnations=lives))
-        self.peers.tell(self.epochs.members)
+        async with self._membership.lock:
+            incarnations = self._merged_incarnations(collected.quorum)
+            configuration = collected.quorum.configuration
+            update = StateUpdate(rows, configuration=configuration, peer_incarnations=incarnations)
+            await self._membership.enter(update)
+        self._peers.announce_configuration(self._membership.members)
         return True
 
-    async def _join(self, known):
-        """Takes up the newest configuration with what a majority of its members holds, itself not counted. A
-        lost disk first asks for a life of its own, and has them note it before they tell all."""
-        ip, ips, epochs = self.settings.ip, known - {self.settings.ip}, self.epochs
-
-        def take(pulls):
-            found = membership_rules.join_quorum(ip, pulls, not epochs.intact)
-            return [found.configuration, found.replies] if found else []
-
-        life = self.storage.incarnation if epochs.intact else None
-        if life is None:
-            found, _ = await self._pull(ips, take, incarnation=FIRST_INCARNATION, successor_only=True)
-            if not found:
-                return
-            life = next_incarnation(ip, [pull.incarnations for pull in found[1]])
-        found, pulls = await self._pull(ips, take, incarnation=life)
-        if not found or epochs.intact and found[0].epoch <= epochs.epoch:
+    async def _join(self, known: set[str]) -> None:
+        """Enter the newest configuration with the rows of a majority of its members, this disk not counted."""
+        ips = known - {self._settings.ip}
+        incarnation = await self._joining_incarnation(ips)
+        if incarnation is None:
+            return
+        request = TransferState(self._settings.ip, incarnation, self._state.accepted_ballots())
+        collected = await self._transfer.collect(ips, request, self._select_join_quorum)
+        if collected is None or not self._is_newer(collected.quorum.configuration):
             return
-        here, counted = found
-        rows = await self._rows(counted, pulls)
-        if rows is None:
+        try:
+            rows = await self._transfer.complete_rows(collected)
+        except ValueUnavailable:
             return
-        async with epochs.lock:
-            own = [self.storage.incarnations()] if epochs.intact else []
-            lives = merge_incarnations([*own, *(pull.incarnations for pull in counted)])
-            await epochs.enter(
-                StateUpdate(registers=rows, configuration=here, peer_incarnations=lives, incarnation=life)
+        async with self._membership.lock:
+            update = StateUpdate(
+                rows,
+                configuration=collected.quorum.configuration,
+                incarnation=incarnation,
+                peer_incarnations=self._merged_incarnations(collected.quorum),
             )
-        told_by = len(counted)
-        self.say("rebuilt", rows=len(rows), told_by=told_by, disk_life=life, counts=epochs.is_voter)
-
+            await self._membership.enter(update)
+        self._say(
+            "disk rebuilt",
+            rows=len(rows),
+            sources=len(collected.quorum.replies),
+            incarnation=incarnation,
+            voter=self._membership.is_voter,
+        )
 
-def _uncarried(row, mine):
-    """A row that was pulled, with its value; a large one stays a reference."""
-    if row.value is None and row.accepted == mine.accepted and mine.value is not None:
-        return row._replace(value=InlineValue(mine.value))  # it was left out
-    return row
+    async def _joining_incarnation(self, ips: set[str]) -> int | None:
+        """Return the incarnation with which this disk joins; None where too few others replied.
+
+        A lost disk starts the next one after those that the others know of. They record it before they send
+        their rows.
+        """
+        if self._membership.intact:
+            return self._state.incarnation
+        known = self._state.accepted_ballots()
+        request = TransferState(self._settings.ip, FIRST_INCARNATION, known, successor_only=True)
+        collected = await self._transfer.collect(ips, request, self._select_join_quorum)
+        if collected is None:
+            return None
+        incarnations = [reply.incarnations for reply in collected.quorum.replies]
+        return next_incarnation(self._settings.ip, incarnations)
+
+    def _select_join_quorum(self, replies: Mapping[str, TransferStateReply]) -> JoinQuorum | None:
+        is_lost = not self._membership.intact
+        return membership_rules.join_quorum(self._settings.ip, replies, is_lost)
+
+    def _is_newer(self, configuration: MembershipConfiguration) -> bool:
+        return not self._membership.intact or configuration.epoch > self._membership.epoch
+
+    def _merged_incarnations(self, quorum: JoinQuorum) -> dict[str, int]:
+        """Return the incarnations that a quorum knows of, and this disk if it is intact."""
+        own = [self._state.incarnations()] if self._membership.intact else []
+        return merge_incarnations([*own, *(reply.incarnations for reply in quorum.replies)])
--- a/honeywood/gateway/register/membership_state.py
+++ b/honeywood/gateway/register/membership_state.py
@@ -5,6 +5,7 @@
 import asyncio
 
 from honeywood.gateway.register import membership_rules
+from honeywood.gateway.register.incarnations import FIRST_INCARNATION
 from honeywood.gateway.register.membership_configuration import MembershipConfiguration
 from honeywood.gateway.register.membership_rules import BOOTSTRAP_EPOCH
 from honeywood.gateway.register.state_update import StateUpdate
@@ -71,6 +72,20 @@
         """The newest configuration that this disk has agreed to, without its successor."""
         return self.configuration.successor or self.configuration
 
+    def restore(self) -> None:
+        """Go by what this disk stores, which took part before."""
+        assert self._state.configuration is not None, "a disk that took part stores its configuration"
+        self.configuration, self.intact = self._state.configuration, True
+
+    async def initialize(self, seeds: tuple[str, ...]) -> None:
+        """Store the epoch of the seeds on a disk of a system that starts for the first time.
+
+        Raises DiskRefused.
+        """
+        configuration = MembershipConfiguration(BOOTSTRAP_EPOCH, seeds)
+        await self._state.write(StateUpdate(incarnation=FIRST_INCARNATION, configuration=configuration))
+        self.configuration, self.intact = configuration, True
+
     def learn(self, configuration: MembershipConfiguration) -> None:
         """Remember a configuration that is newer than all that are known here."""
         newest_known = max(self.newest.epoch, self.pending.epoch if self.pending else BOOTSTRAP_EPOCH)
@@ -78,7 +93,7 @@
             self.pending = configuration.without_successor()
 
     async def adopt(self, successor: MembershipConfiguration) -> None:
-        """Take over an agreed configuration; raise Wrong where the disk refuses.
+        """Take over an agreed configuration; raise DiskRefused.
 
         It is entered at once where this disk was in no epoch before; else the disk seals its epoch. A
         configuration further on is remembered.
@@ -105,16 +120,16 @@
     async def enter(self, update: StateUpdate) -> None:
         """Store the update's configuration with all that belongs to it; the disk is intact then.
 
-        The caller holds the lock. Raises Wrong where the disk refuses.
+        The caller holds the lock. Raises DiskRefused.
         """
         assert update.configuration is not None, "an epoch is entered with its configuration"
         await self._state.write(update)
         self.configuration, self.intact = update.configuration, True
         self._drop_pending(self.epoch)
         self._say(
-            "entered",
+            "epoch entered",
             epoch=self.epoch,
             members=self.members,
-            counts=self.is_voter,
+            voter=self.is_voter,
             rows=len(update.registers),
         )
--- a/honeywood/gateway/register/message_fields.py
+++ b/honeywood/gateway/register/message_fields.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidInput, InvalidMessage
 from honeywood.gateway.register.row import Ballot
 
 TYPE_CHECKING = False
@@ -36,9 +36,9 @@
         self._name = name
         self._peer = peer
 
-    def error(self, reason: str) -> Wrong:
+    def error(self, reason: str) -> InvalidMessage:
         """Return the error to raise about this message."""
-        return Wrong(PATH, f"{self._name}: {reason}", self._peer)
+        return InvalidMessage(PATH, f"{self._name}: {reason}", self._peer)
 
     def has(self, name: str) -> bool:
         """Return whether there is a field `name` that isn't null."""
@@ -57,8 +57,8 @@
         """Return the field `name`, which must be of type `kind` and within the bounds given."""
         try:
             value: T = need(self._table, name, kind, PATH, least=least, most=most)
-        except Wrong as wrong:
-            raise self.error(wrong.failed.why) from None
+        except InvalidInput as error:
+            raise self.error(error.reason) from None
         return value
 
     def object(self, name: str) -> MessageFields:
--- a/honeywood/gateway/register/pages.py
+++ b/honeywood/gateway/register/pages.py
@@ -1,116 +1,165 @@
-"""Long answers in parts, so that none is longer than a slow link carries in one step's time. Pure.
+"""Long answers in pages, none longer than a slow link carries in one request's time. Pure.
 
-Who asks says what it has of an answer, and is told what comes next of that same answer: to whoever asks, all
-parts together are one answer that was long on its way. Each part is checked by its sum, the whole by its
-mark. An answer that is no longer kept, or was never begun, begins anew.
+The asker says how much of an answer it has, and gets the next page of that same answer; all pages together
+are one answer that was long on its way. Each page has a checksum, the whole answer a digest. An answer that
+is no longer kept starts anew.
 """
 
+from __future__ import annotations
+
 import json
 import zlib
 from _blake2 import blake2b  # hashlib would bring OpenSSL
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from honeywood.gateway.register.message_fields import MessageFields
 
-PART = 1 << 14  # characters of a part; 30,000 B/s carry it in 0.55 s, less than a step has
-OPEN = 8  # answers that are kept to be gone on with; of more, the oldest goes
-KEPT = 10.0  # seconds for which one is kept after it was begun
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Hashable, Mapping
+
+    from honeywood.gateway.register.json_value import JsonValue
+
+PAGE_CHARACTERS = 1 << 14
+"""30,000 B/s carry them in 0.55 s, less than a request may take."""
+
+MAX_OPEN_ANSWERS = 8
+"""Of more, the oldest is discarded."""
+
+ANSWER_TTL_S = 10.0
+"""For which an answer is kept after its first page was sent."""
+
+PAGE_FIELD = "part"
+"""The field that tells a page from a complete answer."""
 
 
-def _mark(text):
+def _digest(text: str) -> str:
     return blake2b(text.encode(), digest_size=16).hexdigest()
 
 
+class PagePosition(NamedTuple):
+    """How much of an answer is there: its digest and the number of characters."""
+
+    digest: str
+    characters: int
+
+
 @dataclass(frozen=True, slots=True)
 class Page:
-    """The characters `part` of an answer, from `at` on, of `of` in all; `mark` is the hash of the whole."""
+    """The part `text` of an answer, from the character `start` on, of `length` in all."""
 
-    part: str
-    at: int
-    of: int
-    mark: str
-    sum: int
+    text: str
+    start: int
+    length: int
+    digest: str
+    checksum: int
 
     @classmethod
-    def cut(cls, mark, text, at):
-        """The part of a text from `at` on."""
-        part = text[at : at + PART]
-        return cls(part, at, len(text), mark, zlib.crc32(part.encode()))
+    def from_answer(cls, digest: str, answer: str, start: int) -> Page:
+        """Return the page of an answer's text from `start` on."""
+        text = answer[start : start + PAGE_CHARACTERS]
+        return cls(text, start, len(answer), digest, zlib.crc32(text.encode()))
 
     @property
-    def sound(self):
-        """Whether the part is as it was cut."""
-        return zlib.crc32(self.part.encode()) == self.sum
-
-    def encode(self):
-        """As JSON."""
-        return {"part": self.part, "at": self.at, "of": self.of, "mark": self.mark, "sum": self.sum}
+    def is_intact(self) -> bool:
+        """Whether the text has its checksum."""
+        return zlib.crc32(self.text.encode()) == self.checksum
+
+    def encode(self) -> dict[str, JsonValue]:
+        """Return the JSON form."""
+        return {
+            PAGE_FIELD: self.text,
+            "at": self.start,
+            "of": self.length,
+            "mark": self.digest,
+            "sum": self.checksum,
+        }
 
     @classmethod
-    def decode(cls, fields):
-        """The part in fields of a message."""
-        place = fields.take("at", int, least=0), fields.take("of", int, least=0)
-        return cls(fields.take("part", str), *place, fields.take("mark", str), fields.take("sum", int))
+    def decode(cls, fields: MessageFields) -> Page:
+        """Return the page in the fields of a message."""
+        start, length = fields.take("at", int, least=0), fields.take("of", int, least=0)
+        text, digest = fields.take(PAGE_FIELD, str), fields.take("mark", str)
+        return cls(text, start, length, digest, fields.take("sum", int))
+
+
+@dataclass(frozen=True, slots=True)
+class _OpenAnswer:
+    started_at: float
+    digest: str
+    text: str
 
 
 class PageSender:
-    """Answers that are being told."""
+    """Answers that are being sent, by the question to which they are."""
 
-    def __init__(self):
-        self.open = {}
+    def __init__(self) -> None:
+        """Start with none."""
+        self.open: dict[Hashable, _OpenAnswer] = {}
 
-    def go_on(self, now, question, have):
-        """The next part of what the one who asks `question` has begun to hear, or None. `have` is [mark,
-        characters], or empty."""
-        begun, marked, text = self.open.get(question, (0.0, None, ""))
-        if not have or have[0] != marked or now - begun > KEPT:
+    def next_page(self, now: float, question: Hashable, position: PagePosition | None) -> Page | None:
+        """Return the next page for an asker that has got to `position`, None where there is none."""
+        answer = self.open.get(question)
+        if answer is None or position is None or position.digest != answer.digest:
+            return None
+        if now - answer.started_at > ANSWER_TTL_S:
             return None
-        return Page.cut(marked, text, have[1]).encode()
+        return Page.from_answer(answer.digest, answer.text, position.characters)
 
-    def begin(self, now, question, answer):
-        """The answer, or where it is long its first part."""
+    def start(self, now: float, question: Hashable, answer: JsonValue) -> Page | None:
+        """Return the first page of a long answer, None for one that is short enough to be sent whole."""
         text = json.dumps(answer, separators=(",", ":"))
-        if len(text) <= PART:
-            return answer
+        if len(text) <= PAGE_CHARACTERS:
+            return None
         self.open.pop(question, None)
-        marked = _mark(text)
-        self.open[question] = now, marked, text
-        while len(self.open) > OPEN:
-            del self.open[next(iter(self.open))]
-        return Page.cut(marked, text, 0).encode()
+        digest = _digest(text)
+        self.open[question] = _OpenAnswer(now, digest, text)
+        _discard_oldest(self.open)
+        return Page.from_answer(digest, text, 0)
 
 
 class PageReceiver:
-    """Answers that are being heard, each by its question."""
-
-    def __init__(self):
-        self.open = {}
-
-    def have(self, question):
-        """What is said when asking: [mark, characters], or nothing yet."""
-        marked, text = self.open.get(question, (None, ""))
-        return [marked, len(text)] if marked else []
-
-    def take(self, question, answer, peer=""):
-        """Takes an answer or a part of one: the whole answer once it is there, else None; Wrong where it is
-        neither. A part that is damaged or doesn't go on where the last one ended changes nothing, a first one
-        begins anew."""
-        if "part" not in answer:
+    """Answers that are being received, by the question to which they are."""
+
+    def __init__(self) -> None:
+        """Start with none."""
+        self.open: dict[Hashable, tuple[str, str]] = {}
+
+    def position(self, question: Hashable) -> PagePosition | None:
+        """Return how much of an answer is here, None where nothing is."""
+        digest, text = self.open.get(question, ("", ""))
+        return PagePosition(digest, len(text)) if digest else None
+
+    def add(
+        self, question: Hashable, answer: Mapping[str, JsonValue], peer: str = ""
+    ) -> Mapping[str, JsonValue] | None:
+        """Take an answer or a page of one; return the complete answer once it is here.
+
+        A page that is damaged or doesn't start where the last one ended changes nothing; a first page starts
+        anew. Raises InvalidMessage for what is no page.
+        """
+        if PAGE_FIELD not in answer:
             self.open.pop(question, None)
             return answer
-        marked, text = self.open.get(question, (None, ""))
-        part = Page.decode(MessageFields(answer, "part of an answer", peer))
-        if not part.sound:
+        page = Page.decode(MessageFields(answer, "part of an answer", peer))
+        if not page.is_intact:
             return None
-        if part.at == 0:
+        digest, text = self.open.get(question, ("", ""))
+        if page.start == 0:
             text = ""
-        elif part.mark != marked or part.at != len(text):
+        elif page.digest != digest or page.start != len(text):
             return None
-        text += part.part
-        self.open[question] = part.mark, text
-        while len(self.open) > OPEN:
-            del self.open[next(iter(self.open))]
-        if len(text) < part.of:
+        text += page.text
+        self.open[question] = page.digest, text
+        _discard_oldest(self.open)
+        if len(text) < page.length:
             return None
         del self.open[question]
-        return json.loads(text) if _mark(text) == part.mark else None
+        complete: Mapping[str, JsonValue] | None = json.loads(text) if _digest(text) == page.digest else None
+        return complete
+
+
+def _discard_oldest(answers: dict[Hashable, JsonValue]) -> None:
+    while len(answers) > MAX_OPEN_ANSWERS:
+        del answers[next(iter(answers))]
--- a/honeywood/gateway/register/persistent_state.py
+++ b/honeywood/gateway/register/persistent_state.py
@@ -5,7 +5,7 @@
 import asyncio
 from concurrent.futures import Executor, ThreadPoolExecutor
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.register.errors import DiskRefused
 from honeywood.gateway.register.incarnations import FIRST_INCARNATION
 from honeywood.gateway.register.message_fields import PATH
 from honeywood.gateway.register.state_update import HeartbeatRecord, StateUpdate
@@ -35,6 +35,8 @@
 REOPEN_INTERVAL_S = 0.3
 """Until a disk that couldn't be opened is tried again."""
 
+OPEN_LOG_INTERVAL_S = 5.0
+
 
 class PersistentState:
     """What a disk stores. It changes only once a write is durable, or when the disk is opened.
@@ -64,17 +66,17 @@
             try:
                 self.store = await self._on_disk(self._open_store, self._folder)
             except OSError as error:
-                self._say("disk not opened", 5.0, why=str(error))
+                self._say("disk open failed", every=OPEN_LOG_INTERVAL_S, why=str(error))
                 await asyncio.sleep(REOPEN_INTERVAL_S)
         self.apply(StateUpdate.decode(await self._on_disk(self.store.rows)))
 
     async def write(self, update: StateUpdate) -> None:
-        """Write an update durably, then apply it; raise Wrong where the disk refuses."""
+        """Write an update durably, then apply it; raise DiskRefused."""
         assert self.store is not None, "the disk was not opened"
         try:
             await self._on_disk(self.store.put, update.encode())
         except OSError as error:
-            raise Wrong(PATH, f"the disk refuses: {error}", self.local_ip, 503) from None
+            raise DiskRefused(PATH, f"the disk refuses: {error}", self.local_ip) from None
         self.apply(update)
 
     def apply(self, update: StateUpdate) -> None:
--- a/honeywood/gateway/register/proposer.py
+++ b/honeywood/gateway/register/proposer.py
@@ -1,106 +1,160 @@
-"""Rounds: a change of one key's value by ballots until one wins, over all members' disks."""
+"""Changes of one key's value: ballots over the members' disks until one wins."""
+
+from __future__ import annotations
 
 import asyncio
 
-from honeywood.gateway.configuration.outcome import Done, Failed
 from honeywood.gateway.register import membership_rules
+from honeywood.gateway.register.errors import (
+    ConcurrentChange,
+    NotBootstrapped,
+    QuorumUnavailable,
+    RegisterUnavailable,
+    ValueUnavailable,
+)
 from honeywood.gateway.register.proposal import Proposal
-from honeywood.gateway.register.replies import ValueMissing
+from honeywood.gateway.register.replies import Accepted, BallotConflict, Promise, ValueMissing
 from honeywood.gateway.register.requests import Accept, Prepare
+from honeywood.gateway.register.retry_deadline import RetryDeadline
 from honeywood.gateway.register.row import EMPTY_ROW, NO_BALLOT, Ballot
+from honeywood.gateway.register.value_transfer import VALUE_TIMEOUT_S
 from honeywood.gateway.register.values import ValueReference
 
-PATIENCE_S = 0.6  # seconds in which a change begins again: its caller goes elsewhere after 1 s
-PAUSE_S = 0.02  # seconds, by chance up to twice, after a ballot that lost; it doubles up to
-LONGEST_PAUSE_S = 0.16  # seconds
-VALUE_S = 3.0  # seconds that a round waits for a large value, which is carried on after them
-NONE_YET = Failed("register", "this disk takes no part yet", "", 503)
-NO_MAJORITY = Failed("register", "no majority answers", "", 503)
-OTHERS_FIRST = Failed("register", "other changes came first", "", 503)
-VALUE_LATE = Failed("register", "the value has not been carried here yet", "", 503)
-
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable
+    from random import Random
 
-class RetryDeadline:
-    """Until when a change begins again after a lost ballot: time in which a large value was carried counts
-    little, since it is there for the next ballot."""
+    from honeywood.gateway.configuration.settings import Settings
+    from honeywood.gateway.register.json_value import JsonValue
+    from honeywood.gateway.register.membership_configuration import MembershipConfiguration
+    from honeywood.gateway.register.membership_state import MembershipState
+    from honeywood.gateway.register.peer_client import PeerClient
+    from honeywood.gateway.register.persistent_state import PersistentState
+    from honeywood.gateway.register.replies import Reply
+    from honeywood.gateway.register.value_lookup import ValueLookup
+    from honeywood.gateway.register.value_transfer import ValueTransfer
 
-    def __init__(self, now):
-        self.until, self.latest = now + PATIENCE_S, now + PATIENCE_S + VALUE_S
+INITIAL_BACKOFF_S = 0.02
+"""After a ballot that lost, randomly up to twice as long; it doubles up to MAX_BACKOFF_S."""
 
-    def carried(self, seconds):
-        """Takes note of the time that a value was on its way."""
-        self.until = min(self.until + seconds, self.latest)
+MAX_BACKOFF_S = 0.16
 
 
 class Proposer:
-    """The proposer of this controller."""
-
-    def __init__(self, settings, random, epochs, storage, lookup, peers, transfer):
-        self.settings, self.random, self.epochs, self.storage = settings, random, epochs, storage
-        self.lookup, self.peers, self.transfer = lookup, peers, transfer
-        self.count = 0  # the highest count of a ballot that this controller knows of
-
-    async def change(self, key, change):
-        """Done with the value that a majority's disks hold after `change`, or Failed."""
-        loop, pause = asyncio.get_running_loop(), PAUSE_S
-        patience = RetryDeadline(loop.time())
-        while self.epochs.intact:
-            here = self.epochs.configuration
-            self.count = max(self.count, self.storage.registers.get(key, EMPTY_ROW).promised.counter) + 1
-            turn = Proposal(Ballot(self.count, self.settings.ip), membership_rules.majority(here))
-            found = await self._ballot(key, turn, change, here, patience)
-            if found.ok:
-                return found
-            if turn.highest_conflict != NO_BALLOT:
-                self.count, found = max(self.count, turn.highest_conflict.counter), OTHERS_FIRST
-            if loop.time() >= patience.until:
-                return found
-            await asyncio.sleep(pause * (1 + self.random.random()))
-            pause = min(2 * pause, LONGEST_PAUSE_S)
-        return NONE_YET
-
-    async def _ballot(self, key, turn, change, here, patience):
-        """One ballot: prepare, the value to go on from, accept."""
-        prepare = Prepare(key, turn.ballot, here.epoch)
-        if not await self.peers.ask_all(here.members, prepare, turn.on_prepare_reply):
-            return NO_MAJORITY
+    """The proposer of this controller; `highest_counter` is the highest of a ballot that it knows of."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        random: Random,
+        membership: MembershipState,
+        state: PersistentState,
+        lookup: ValueLookup,
+        peers: PeerClient,
+        transfer: ValueTransfer,
+    ) -> None:
+        """`random` draws the backoff."""
+        self._local_ip, self._random = settings.ip, random
+        self._membership, self._state, self._lookup = membership, state, lookup
+        self._peers, self._transfer = peers, transfer
+        self.highest_counter = 0
+
+    async def change(self, key: str, update: Callable[[JsonValue], JsonValue]) -> JsonValue:
+        """Return the value that a majority has accepted after `update` mapped the current value to it.
+
+        `update` is called once a ballot and may raise; that ends the change. Raises RegisterUnavailable
+        where no ballot won in time; the last ballot's value may be accepted all the same.
+        """
+        loop, backoff_s = asyncio.get_running_loop(), INITIAL_BACKOFF_S
+        deadline = RetryDeadline(loop.time())
+        while self._membership.intact:
+            configuration = self._membership.configuration
+            proposal = Proposal(self._next_ballot(key), membership_rules.majority(configuration))
+            failure: RegisterUnavailable
+            try:
+                current = await self._prepare(key, proposal, configuration, deadline)
+                value = update(current)
+                await self._accept(key, value, proposal, configuration, deadline)
+                return value
+            except (QuorumUnavailable, ValueUnavailable) as error:
+                failure = error
+            if proposal.highest_conflict != NO_BALLOT:
+                self.highest_counter = max(self.highest_counter, proposal.highest_conflict.counter)
+                failure = ConcurrentChange()
+            if loop.time() >= deadline.at:
+                raise failure
+            await asyncio.sleep(backoff_s * (1 + self._random.random()))
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
+        raise NotBootstrapped
+
+    def _next_ballot(self, key: str) -> Ballot:
+        promised = self._state.registers.get(key, EMPTY_ROW).promised
+        self.highest_counter = max(self.highest_counter, promised.counter) + 1
+        return Ballot(self.highest_counter, self._local_ip)
+
+    async def _prepare(
+        self, key: str, proposal: Proposal, configuration: MembershipConfiguration, deadline: RetryDeadline
+    ) -> JsonValue:
+        """Have a majority promise the ballot; return the key's current value."""
+
+        def on_reply(ip: str, reply: Reply) -> bool:
+            return isinstance(reply, Promise | BallotConflict) and proposal.on_prepare_reply(ip, reply)
+
+        request = Prepare(key, proposal.ballot, configuration.epoch)
+        if not await self._peers.call_all(configuration.members, request, on_reply):
+            raise QuorumUnavailable
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        found, held = await self.resolve(turn.latest_promise.value, turn.value_sources)
-        patience.carried(loop.time() - began)
-        if not found:
-            return VALUE_LATE
-        value = change(held)
-        accept = Accept(key, turn.ballot, here.epoch, self.lookup.add_proposed(value))
-        if not isinstance(accept.value, ValueReference):
-            done = await self.peers.ask_all(here.members, accept, turn.on_accept_reply)
+        started_at = loop.time()
+        try:
+            return await self._transfer.resolve(proposal.latest_promise.value, proposal.value_sources)
+        finally:
+            deadline.extend(loop.time() - started_at)
+
+    async def _accept(
+        self,
+        key: str,
+        value: JsonValue,
+        proposal: Proposal,
+        configuration: MembershipConfiguration,
+        deadline: RetryDeadline,
+    ) -> None:
+        """Have a majority accept the value under the ballot."""
+
+        def on_reply(ip: str, reply: Reply) -> bool:
+            return isinstance(reply, Accepted | BallotConflict) and proposal.on_accept_reply(ip, reply)
+
+        request = Accept(key, proposal.ballot, configuration.epoch, self._lookup.add_proposed(value))
+        if not isinstance(request.value, ValueReference):
+            accepted = await self._peers.call_all(configuration.members, request, on_reply)
         else:
-            began, offer = loop.time(), self._offer(self.lookup.store.text(loop.time(), accept.value))
-            done = await self.peers.ask_all(
-                here.members, accept, turn.on_accept_reply, call=offer, most=VALUE_S
+            loop = asyncio.get_running_loop()
+            started_at = loop.time()
+            call = self._call_with_value(request, request.value)
+            accepted = await self._peers.call_all(
+                configuration.members, request, on_reply, call=call, timeout_s=VALUE_TIMEOUT_S
             )
-            patience.carried(loop.time() - began)
-        return Done(value) if done else NO_MAJORITY
-
-    def _offer(self, text):
-        """The call that has a member accept a large value, which is brought there if it wants it."""
-
-        async def offer(ip, accept):
-            reply = await self.peers.call(ip, accept)
-            if not (reply.ok and isinstance(reply.value, ValueMissing)):
+            deadline.extend(loop.time() - started_at)
+        if not accepted:
+            raise QuorumUnavailable
+
+    def _call_with_value(
+        self, request: Accept, reference: ValueReference
+    ) -> Callable[[str], Awaitable[Reply]]:
+        """Return the call that has a member accept a large value, which is pushed where it is missing."""
+        text = self._lookup.store.text(asyncio.get_running_loop().time(), reference)
+        assert text is not None, "a proposed value was put into the store"
+
+        async def call(ip: str) -> Reply:
+            reply = await self._peers.call(ip, request)
+            if not isinstance(reply, ValueMissing):
                 return reply
-            if not await self.transfer.push(
-                ip, accept.key, accept.value, text, reply.value.received_characters
-            ):
-                return VALUE_LATE
-            reply = await self.peers.call(ip, accept)
-            return VALUE_LATE if reply.ok and isinstance(reply.value, ValueMissing) else reply
-
-        return offer
-
-    async def resolve(self, value, holders, within=VALUE_S):
-        """(whether the value is here, the value), of one that `holders` told of: if need be it is fetched."""
-        complete = self.lookup.find(value)
-        if complete is None and await self.transfer.fetch(value, holders, within):
-            complete = self.lookup.find(value)
-        return complete is not None, complete and complete.value
+            received = reply.received_characters
+            if not await self._transfer.push(ip, request.key, reference, text, received):
+                raise ValueUnavailable
+            reply = await self._peers.call(ip, request)
+            if isinstance(reply, ValueMissing):
+                raise ValueUnavailable
+            return reply
+
+        return call
--- a/honeywood/gateway/register/reader.py
+++ b/honeywood/gateway/register/reader.py
@@ -1,101 +1,140 @@
-"""Reads: what a majority of the members' disks agrees on, without a ballot where nothing is in doubt."""
+"""Reads: what a majority of the members' disks has accepted, without a ballot where that is clear."""
+
+from __future__ import annotations
 
-from honeywood.gateway.configuration.outcome import Done
 from honeywood.gateway.register import membership_rules
 from honeywood.gateway.register.agreement import find_agreed_view
+from honeywood.gateway.register.errors import QuorumUnavailable, ValueUnavailable
 from honeywood.gateway.register.incarnations import current_replies
 from honeywood.gateway.register.membership_configuration import MembershipConfiguration
-from honeywood.gateway.register.replies import RowView
+from honeywood.gateway.register.replies import ReadAllReply, ReadReply, RowView
 from honeywood.gateway.register.requests import Read, ReadAll
-from honeywood.gateway.register.proposer import NO_MAJORITY, VALUE_LATE
 from honeywood.gateway.register.row import EMPTY_ROW, NO_BALLOT
 
-NOT_HELD = RowView(NO_BALLOT, None, True)
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping
+    from typing import TypeVar
+
+    from honeywood.gateway.register.json_value import JsonValue
+    from honeywood.gateway.register.membership_state import MembershipState
+    from honeywood.gateway.register.peer_client import PeerClient
+    from honeywood.gateway.register.persistent_state import PersistentState
+    from honeywood.gateway.register.proposer import Proposer
+    from honeywood.gateway.register.replies import Reply
+    from honeywood.gateway.register.row import Ballot
+    from honeywood.gateway.register.value_transfer import ValueTransfer
+
+    R = TypeVar("R", ReadReply, ReadAllReply)
+
+EMPTY_VIEW = RowView(NO_BALLOT, None, True)
+"""Of a key that a disk has no row of."""
 
 
 class Reader:
-    """The reader of this controller; `rounds` settles what is in doubt."""
-
-    def __init__(self, epochs, storage, peers, rounds):
-        self.epochs, self.storage, self.peers, self.rounds = epochs, storage, peers, rounds
-
-    async def read(self, key):
-        """Done with the value of one key that a majority agreed on at some moment since the call (or None);
-        one in doubt is settled by a round."""
-        here, mine = self.epochs.configuration, self.storage.registers.get(key, EMPTY_ROW)
-        replies = await self._replies(here, Read(key, mine.accepted, here.epoch))
-        if not replies:
-            return NO_MAJORITY
-        rows = {ip: reply.row for ip, reply in replies.items()}
-        row = find_agreed_view(list(rows.values()), membership_rules.majority(here))
-        if row is None:
-            return await self.rounds.change(key, lambda held: held)
-        if row.accepted == mine.accepted:
-            return Done(mine.value)
-        found, value = await self._value(rows, row)
-        return Done(value) if found else VALUE_LATE
-
-    async def survey(self):
-        """Done with the values that a majority agrees on, by key; those in doubt are settled by a round. A
-        large one that could not be brought here in time is left out until it could."""
-        here, known = self.epochs.configuration, self.storage.accepted_ballots()
-
-        def enough(counted):
-            """Whether no key needs a round: who is behind takes the others' word, over slow links too."""
-            keys = {key for reply in counted.values() for key in reply.rows}
-            told = [list(_rows(counted, key).values()) for key in keys]
-            return all(find_agreed_view(rows, membership_rules.majority(here)) for rows in told)
-
-        replies = await self._replies(here, ReadAll(known, here.epoch), enough)
-        if not replies:
-            return NO_MAJORITY
-        found = {}
+    """The reader of this controller; a key on which no majority agrees is decided by a ballot."""
+
+    def __init__(
+        self,
+        membership: MembershipState,
+        state: PersistentState,
+        peers: PeerClient,
+        proposer: Proposer,
+        transfer: ValueTransfer,
+    ) -> None:
+        """`transfer` fetches values that this disk doesn't have."""
+        self._membership, self._state, self._peers = membership, state, peers
+        self._proposer, self._transfer = proposer, transfer
+
+    async def read(self, key: str) -> JsonValue:
+        """Return the value, or None, that a majority had accepted at some moment since the call.
+
+        Raises RegisterUnavailable.
+        """
+        configuration = self._membership.configuration
+        local = self._state.registers.get(key, EMPTY_ROW)
+        request = Read(key, local.accepted, configuration.epoch)
+        replies = await self._replies_of_majority(configuration, request, ReadReply)
+        views = {ip: reply.row for ip, reply in replies.items()}
+        view = find_agreed_view(views.values(), membership_rules.majority(configuration))
+        if view is None:
+            return await self._proposer.change(key, _unchanged)
+        if view.accepted == local.accepted:
+            return local.value
+        return await self._value(view, views)
+
+    async def read_all(self) -> dict[str, JsonValue]:
+        """Return the values that a majority has accepted, by key.
+
+        A large value that was not transferred here in time is left out until it was. Raises
+        RegisterUnavailable; DiskRefused where the next configuration was read and can't be stored.
+        """
+        configuration, known = self._membership.configuration, self._state.accepted_ballots()
+        majority = membership_rules.majority(configuration)
+
+        def is_decided(replies: Mapping[str, ReadAllReply]) -> bool:
+            """Whether no key needs a ballot: a disk that is behind takes over what the others agree on."""
+            keys = {key for reply in replies.values() for key in reply.rows}
+            return all(find_agreed_view(_views(replies, key).values(), majority) for key in keys)
+
+        request = ReadAll(known, configuration.epoch)
+        replies = await self._replies_of_majority(configuration, request, ReadAllReply, is_decided)
+        values = {}
         for key in {key for reply in replies.values() for key in reply.rows}:
-            settled = await self._settled(key, _rows(replies, key), known.get(key), here)
-            if settled.ok:
-                found[key] = settled.value
-            elif settled != VALUE_LATE:
-                return settled
-        following = found.pop(membership_rules.SUCCESSOR_KEY, None)
-        if following:
-            await self.epochs.adopt(MembershipConfiguration.from_stored(following))
-        return Done(found)
-
-    async def _settled(self, key, rows, known, here):
-        """Done with the value that the rows of a majority agree on, or that a round finds."""
-        row, mine = (
-            find_agreed_view(list(rows.values()), membership_rules.majority(here)),
-            self.storage.registers.get(key, EMPTY_ROW),
-        )
-        if row is not None and row.accepted != known:
-            found, value = await self._value(rows, row)
-            return Done(value) if found else VALUE_LATE
-        if row is not None and mine.accepted == known:
-            return Done(mine.value)
-        return await self.rounds.change(key, lambda held: held)
-
-    async def _value(self, rows, row):
-        holders = [ip for ip, one in rows.items() if one.accepted == row.accepted]
-        return await self.rounds.resolve(row.value, holders)
-
-    async def _replies(self, here, request, enough=lambda counted: True):
-        """The replies of a majority of an epoch's members by address, or none; all of them while it is not
-        `enough`."""
-        replies = {}
-
-        def take(ip, reply):
-            replies[ip] = reply
-            return len(current_replies(replies)) >= membership_rules.majority(here) and enough(
-                current_replies(replies)
-            )
-
-        await self.peers.ask_all(here.members, request, take)
-        return (
-            current_replies(replies)
-            if len(current_replies(replies)) >= membership_rules.majority(here)
-            else {}
-        )
-
-
-def _rows(replies, key):
-    return {ip: reply.rows.get(key, NOT_HELD) for ip, reply in replies.items()}
+            try:
+                values[key] = await self._decided_value(key, _views(replies, key), known.get(key), majority)
+            except ValueUnavailable:
+                continue
+        successor = values.pop(membership_rules.SUCCESSOR_KEY, None)
+        if successor:
+            await self._membership.adopt(MembershipConfiguration.from_stored(successor))
+        return values
+
+    async def _decided_value(
+        self, key: str, views: Mapping[str, RowView], known: Ballot | None, majority: int
+    ) -> JsonValue:
+        """Return the value on which a majority agrees, or that a ballot decides."""
+        view, local = find_agreed_view(views.values(), majority), self._state.registers.get(key, EMPTY_ROW)
+        if view is not None and view.accepted != known:
+            return await self._value(view, views)
+        if view is not None and local.accepted == known:
+            return local.value
+        return await self._proposer.change(key, _unchanged)
+
+    async def _value(self, view: RowView, views: Mapping[str, RowView]) -> JsonValue:
+        sources = [ip for ip, one in views.items() if one.accepted == view.accepted]
+        return await self._transfer.resolve(view.value, sources)
+
+    async def _replies_of_majority(
+        self,
+        configuration: MembershipConfiguration,
+        request: Read | ReadAll,
+        reply_type: type[R],
+        is_enough: Callable[[Mapping[str, R]], bool] = lambda replies: True,
+    ) -> dict[str, R]:
+        """Return the replies of a majority of the members, by address; raise QuorumUnavailable.
+
+        More than a majority are waited for while what there is isn't enough.
+        """
+        replies: dict[str, R] = {}
+        majority = membership_rules.majority(configuration)
+
+        def on_reply(ip: str, reply: Reply) -> bool:
+            if isinstance(reply, reply_type):
+                replies[ip] = reply
+            current = current_replies(replies)
+            return len(current) >= majority and is_enough(current)
+
+        await self._peers.call_all(configuration.members, request, on_reply)
+        current = current_replies(replies)
+        if len(current) < majority:
+            raise QuorumUnavailable
+        return current
+
+
+def _unchanged(value: JsonValue) -> JsonValue:
+    return value
+
+
+def _views(replies: Mapping[str, ReadAllReply], key: str) -> dict[str, RowView]:
+    return {ip: reply.rows.get(key, EMPTY_VIEW) for ip, reply in replies.items()}
--- a/honeywood/gateway/register/requests.py
+++ b/honeywood/gateway/register/requests.py
@@ -219,7 +219,7 @@
 
 
 def decode_request(table: Mapping[str, JsonValue], peer: str) -> Request:
-    """Return the request that `peer` sent; raise Wrong where it is of another format, unknown, or invalid."""
+    """Return the request that `peer` sent; raise InvalidMessage where it can't be read."""
     fields = MessageFields(table, "request", peer)
     message_format = table.get("form", 1)
     if message_format != MESSAGE_FORMAT:
@@ -237,7 +237,7 @@
 
 
 def decode_reply(request: Request, table: Mapping[str, JsonValue], peer: str) -> replies.Reply:
-    """Return the reply of `peer` to a request; raise Wrong where it is none to it, or invalid."""
+    """Return the reply of `peer` to a request; raise InvalidMessage where it is none to it, or invalid."""
     fields = MessageFields(table, f"reply to {request.step}", peer)
     kind = fields.take("reply", str)
     for reply in request.reply_types:
--- a/tests/gateway/register/test_acceptor_service.py
+++ b/tests/gateway/register/test_acceptor_service.py
@@ -22,13 +22,13 @@
             world.say("ab"[version % 2], f"put {version}")
             world.run(world.loop.time() + 0.2)
         register = world.nodes["c"].register
-        assert len(world.acked) > 50 and 0 < len(register.service.waiting_since) < 10
+        assert len(world.acked) > 50 and 0 < len(register.acceptor.waiting_since) < 10
         assert sum("serve" in repr(task) for task in asyncio.all_tasks(world.loop)) < 20
         world.disk("c", 1.0)
         world.run(45.0)
         world.say("a", "put 99")
         world.run(47.0)
-        assert world.version("c") == 99 and register.storage.registers["config"].value["ver"] == 99
-        assert not register.service.waiting_since
+        assert world.version("c") == 99 and register.state.registers["config"].value["ver"] == 99
+        assert not register.acceptor.waiting_since
     finally:
         world.close()
--- a/tests/gateway/register/test_chunk_size.py
+++ b/tests/gateway/register/test_chunk_size.py
@@ -3,7 +3,7 @@
 
 from ward import test
 
-from honeywood.gateway.register.value_transfer import FIRST_CHUNK, SMALLEST_CHUNK, ChunkSize
+from honeywood.gateway.register.chunk_size import FIRST_CHUNK_CHARACTERS, MIN_CHUNK_CHARACTERS, ChunkSize
 from honeywood.gateway.register.values import (
     MAX_CHUNK_CHARACTERS,
 )
@@ -12,12 +12,12 @@
 @test("parts grow on a quick link, shrink on a slow one and after one that didn't arrive, within bounds")
 def _():
     size = ChunkSize()
-    assert size.size == FIRST_CHUNK
-    size.took(0.8, False)
-    assert size.size == FIRST_CHUNK // 2
+    assert size.characters == FIRST_CHUNK_CHARACTERS
+    size.record(0.8, False)
+    assert size.characters == FIRST_CHUNK_CHARACTERS // 2
     for _ in range(9):
-        size.took(0.5, True)
-    assert size.size == SMALLEST_CHUNK
+        size.record(0.5, True)
+    assert size.characters == MIN_CHUNK_CHARACTERS
     for _ in range(9):
-        size.took(0.01, True)
-    assert size.size == MAX_CHUNK_CHARACTERS
+        size.record(0.01, True)
+    assert size.characters == MAX_CHUNK_CHARACTERS
--- a/tests/gateway/register/test_membership_manager.py
+++ b/tests/gateway/register/test_membership_manager.py
@@ -5,7 +5,6 @@
 from timeline import World, config
 from ward import each, test
 
-from honeywood.gateway.configuration.outcome import Done
 from honeywood.gateway.register.membership_configuration import MembershipConfiguration
 from honeywood.gateway.register.membership_manager import MembershipManager
 
@@ -38,8 +37,9 @@
 
 
 async def alone(self, wanted):
-    await self.epochs.adopt(MembershipConfiguration(self.epochs.epoch + 1, tuple(wanted)))
-    return Done(None)
+    configuration = MembershipConfiguration(self._membership.epoch + 1, tuple(wanted))
+    await self._membership.adopt(configuration)
+    return configuration
 
 
 @test("without agreement they found two")
@@ -86,7 +86,7 @@
           11   | = 4   | = 4     | = 4   | = 4
         """)
         assert configurations(world) == [counts] * 4
-        assert [world.nodes[name].register.is_voter for name in "abcd"] == [True, True, False, True]
+        assert [world.nodes[name].register.membership.is_voter for name in "abcd"] == [True, True, False, True]
     finally:
         world.close()
 
@@ -126,7 +126,7 @@
         began = world.loop.time()
 
         def look():
-            if not found and "a" in world.nodes and world.nodes["a"].register.is_voter:
+            if not found and "a" in world.nodes and world.nodes["a"].register.membership.is_voter:
                 found.append(world.loop.time() - began)
 
         world.run(8.0, look)
@@ -155,7 +155,7 @@
             world.wipe("b")
             world.start("b")
             world.run(at + 0.5)
-            assert not any(world.nodes[name].register.intact for name in "ab")
+            assert not any(world.nodes[name].register.membership.intact for name in "ab")
     finally:
         world.close()
 
@@ -238,8 +238,8 @@
         refusing(world, "c", 23.5)  # of 21 s: three times contact_s and sync_s together
         assert [one.epoch for one in configurations(world)] == [1] * 4
         world.run(26.0)
-        assert [world.nodes[name].register.configuration for name in "abd"] == [after] * 3
-        assert not world.nodes["c"].register.is_synchronized and not world.nodes["c"].register.is_voter
+        assert [world.nodes[name].register.membership.configuration for name in "abd"] == [after] * 3
+        assert not world.nodes["c"].register.membership.is_synchronized and not world.nodes["c"].register.membership.is_voter
         world.play("""
           at   | a    | b     | d
           26.1 | kill |       |
@@ -249,7 +249,7 @@
         world.disk("c", 1.0)
         world.start("a")
         world.run(30.0)
-        assert configurations(world) == [after] * 4 and not world.nodes["c"].register.is_voter
+        assert configurations(world) == [after] * 4 and not world.nodes["c"].register.membership.is_voter
     finally:
         world.close()
 
@@ -284,8 +284,8 @@
         world.fresh = False
         world.start("c")
         world.run(3.006)  # its disk is open
-        assert not world.nodes["c"].register.intact
+        assert not world.nodes["c"].register.membership.intact
         refusing(world, "c", 26.0)
-        assert [world.nodes[name].register.epoch for name in "abd"] == [2] * 3
+        assert [world.nodes[name].register.membership.epoch for name in "abd"] == [2] * 3
     finally:
         world.close()
--- a/tests/gateway/register/test_pages.py
+++ b/tests/gateway/register/test_pages.py
@@ -5,60 +5,68 @@
 
 from ward import test
 
-from honeywood.gateway.register.pages import KEPT, OPEN, PageReceiver, PageSender
+from honeywood.gateway.register.pages import (
+    ANSWER_TTL_S,
+    MAX_OPEN_ANSWERS,
+    PageReceiver,
+    PageSender,
+)
 
 LONG = {"rows": {f"k{n}": [[n, "a"], [n, "a"], "x" * 1000] for n in range(300)}}
 
 
-def gone_on(teller, hearer, now=0.0, spoil=lambda part: part, most=100):
-    """Asks until the answer is whole; None where it isn't after `most` asks."""
-    for _ in range(most):
-        have = hearer.have("q")
-        part = teller.go_on(now, "q", have) or teller.begin(now, "q", LONG)
-        found = hearer.take("q", spoil(json.loads(json.dumps(part))))
-        if found is not None:
-            return found
+def received(sender, receiver, now=0.0, spoil=lambda page: page, limit=100):
+    """Asks until the answer is complete; None where it isn't after `limit` pages."""
+    for _ in range(limit):
+        position = receiver.position("q")
+        page = sender.next_page(now, "q", position) or sender.start(now, "q", LONG)
+        answer = receiver.add("q", spoil(json.loads(json.dumps(page.encode()))))
+        if answer is not None:
+            return answer
     return None
 
 
-@test("a long answer comes in parts and is whole; a short one comes at once")
+@test("a long answer comes in pages and is complete; a short one is sent whole")
 def _():
-    assert gone_on(PageSender(), PageReceiver()) == LONG
-    assert PageSender().begin(0.0, "q", {"a": 1}) == {"a": 1} == PageReceiver().take("q", {"a": 1})
+    assert received(PageSender(), PageReceiver()) == LONG
+    assert PageSender().start(0.0, "q", {"a": 1}) is None
+    assert PageReceiver().add("q", {"a": 1}) == {"a": 1}
 
 
 def spoiler(draw):
-    told = []
+    sent = []
 
-    def spoil(part):
-        told.append(dict(part))
+    def spoil(page):
+        sent.append(dict(page))
         what = draw.randrange(6)
         if what == 0:
-            return {**part, "part": part["part"][:-1]}
+            return {**page, "part": page["part"][:-1]}
         if what == 1:
-            return {**part, "part": part["part"].replace("x", "y", 1)}
+            return {**page, "part": page["part"].replace("x", "y", 1)}
         if what == 2:
-            return draw.choice(told)
+            return draw.choice(sent)
         if what == 3:
-            return {**part, "mark": "another"}
-        return part
+            return {**page, "mark": "another"}
+        return page
 
     return spoil
 
 
-@test("parts that are lost, damaged, cut, told twice or of another answer change nothing")
+@test("pages that are lost, damaged, cut, sent twice or of another answer change nothing")
 def _():
     for seed in range(50):
-        assert gone_on(PageSender(), PageReceiver(), spoil=spoiler(random.Random(seed)), most=400) == LONG
+        spoil = spoiler(random.Random(seed))
+        assert received(PageSender(), PageReceiver(), spoil=spoil, limit=400) == LONG
 
 
-@test("an answer that changed, or is kept no more, begins anew; no more than so many are kept")
+@test("an answer that changed, or is kept no more, starts anew; no more than so many are kept")
 def _():
-    teller, hearer = PageSender(), PageReceiver()
-    hearer.take("q", teller.begin(0.0, "q", LONG))
-    assert teller.go_on(KEPT + 1.0, "q", hearer.have("q")) is None
-    teller.begin(0.0, "q", {**LONG, "more": 1})
-    assert teller.go_on(0.0, "q", hearer.have("q")) is None and gone_on(PageSender(), hearer) == LONG
-    for n in range(3 * OPEN):
-        hearer.take(n, teller.begin(0.0, n, LONG))
-    assert len(teller.open) == OPEN == len(hearer.open)
+    sender, receiver = PageSender(), PageReceiver()
+    receiver.add("q", sender.start(0.0, "q", LONG).encode())
+    assert sender.next_page(ANSWER_TTL_S + 1.0, "q", receiver.position("q")) is None
+    sender.start(0.0, "q", {**LONG, "more": 1})
+    assert sender.next_page(0.0, "q", receiver.position("q")) is None
+    assert received(PageSender(), receiver) == LONG
+    for n in range(3 * MAX_OPEN_ANSWERS):
+        receiver.add(n, sender.start(0.0, n, LONG).encode())
+    assert len(sender.open) == MAX_OPEN_ANSWERS == len(receiver.open)
--- a/tests/gateway/register/test_persistent_state.py
+++ b/tests/gateway/register/test_persistent_state.py
@@ -21,6 +21,6 @@
         assert "a" not in world.nodes
         world.disk("a", 1.0)
         world.run(5.0)
-        assert world.version("a") == 5 and world.nodes["a"].register.storage.incarnation == 1
+        assert world.version("a") == 5 and world.nodes["a"].register.state.incarnation == 1
     finally:
         world.close()
--- a/tests/gateway/register/test_proposer.py
+++ b/tests/gateway/register/test_proposer.py
@@ -12,10 +12,10 @@
 
     async def change():
         register, began = world.nodes["b"].register, world.loop.time()
-        register.rounds.count = 0
-        register.storage.registers.pop("config", None)  # its first ballot is below what c has promised
-        found = await register.change("config", lambda held: {**held, "past": []})
-        took.append((found.ok, world.loop.time() - began))
+        register.proposer.highest_counter = 0
+        register.state.registers.pop("config", None)  # its first ballot is below what c has promised
+        changed = await register.change("config", lambda held: {**held, "past": []})
+        took.append((changed["past"] == [], world.loop.time() - began))
 
     try:
         for name in "abc":
--- a/tests/gateway/register/test_register.py
+++ b/tests/gateway/register/test_register.py
@@ -136,7 +136,7 @@
 
 async def careless(self, known):
     members = MembershipConfiguration(1, tuple(sorted(known)))
-    await self.epochs.enter(StateUpdate(configuration=members, incarnation=1))
+    await self._membership.enter(StateUpdate(configuration=members, incarnation=1))
 
 
 def forgetful(row, ballot, value):
--- a/tests/gateway/register/test_requests.py
+++ b/tests/gateway/register/test_requests.py
@@ -6,7 +6,7 @@
 from timeline import World
 from ward import test
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.register import replies, requests, values
 from honeywood.gateway.register.membership_configuration import MembershipConfiguration
 from honeywood.gateway.register.row import Ballot
@@ -63,7 +63,7 @@
 
 def stored(register):
     """All that a register's disk stores."""
-    state = register.storage
+    state = register.state
     metadata = state.configuration, state.incarnation, dict(state.peer_incarnations)
     return dict(state.registers), dict(state.heartbeats), metadata
 
@@ -71,7 +71,7 @@
 def refused(work):
     try:
         work()
-    except Wrong as wrong:
+    except GatewayError as wrong:
         return str(wrong)
     raise AssertionError("it was taken")
 
--- a/tests/gateway/register/test_state_transfer.py
+++ b/tests/gateway/register/test_state_transfer.py
@@ -7,7 +7,7 @@
 from timeline import World, config
 from ward import each, test
 
-from honeywood.gateway.register import pages, value_transfer, values
+from honeywood.gateway.register import chunk_size, pages, values
 from honeywood.lab.emulator.boot import BOUNDS
 
 
@@ -19,7 +19,7 @@
     async def carry(self, source, target, path, raw, *more):
         await asyncio.sleep(len(raw) / self.rate)
         found = await super().carry(source, target, path, raw, *more)
-        await asyncio.sleep(len(json.dumps(found.value)) / self.rate)
+        await asyncio.sleep(len(json.dumps(found)) / self.rate)
         return found
 
 
@@ -52,7 +52,7 @@
         while world.loop.time() - began < 30.0:
             world.run(world.loop.time() + 0.1)
             node = world.nodes.get("c")
-            if node and node.register.intact and world.version("c") == changes:
+            if node and node.register.membership.intact and world.version("c") == changes:
                 return world.loop.time() - began
         return None
     finally:
@@ -69,9 +69,9 @@
 def _():
     # Mutation, and what was: an answer that doesn't fit a step's time is thrown away and asked for again.
     whole_at_once = {
-        pages: {"PART": 1 << 30},
+        pages: {"PAGE_CHARACTERS": 1 << 30},
         values: {"MAX_CHUNK_CHARACTERS": 1 << 30},
-        value_transfer: {"FIRST_CHUNK": 1 << 30, "SMALLEST_CHUNK": 1 << 30},
+        chunk_size: {"FIRST_CHUNK_CHARACTERS": 1 << 30, "MIN_CHUNK_CHARACTERS": 1 << 30},
     }
     kept = {module: {name: vars(module)[name] for name in names} for module, names in whole_at_once.items()}
     try:
--- a/tests/gateway/register/test_value_transfer.py
+++ b/tests/gateway/register/test_value_transfer.py
@@ -26,8 +26,8 @@
             changes(world, "a", OTHER, len(others) + len(taken), others)
             world.run(world.loop.time() + 0.25)
             taken.add(held(world, "c", OTHER))
-        assert told and told[0][1].ok and told[0][0] < 0.7, told  # a and b are a majority
-        assert all(found.ok for _, found in others)
+        assert told and told[0][1] and told[0][0] < 0.7, told  # a and b are a majority
+        assert all(succeeded for _, succeeded in others)
         world.run(world.loop.time() + 2.0)
         assert [held(world, name, LARGE) for name in "abc"] == [value] * 3
         return world.loop.time() - 2.0 - began, len(taken), max(took for took, _ in others)
@@ -76,9 +76,9 @@
         for _ in range(8):
             changes(world, "a", LARGE, value, told)
             world.run(world.loop.time() + 4.0)
-            if told and told[-1][1].ok:
+            if told and told[-1][1]:
                 break
-        assert told[-1][1].ok, told
+        assert told[-1][1], told
         world.run(world.loop.time() + 6.0)
         assert [held(world, name, LARGE) for name in "abc"] == [value] * 3
     finally:
@@ -96,8 +96,8 @@
         register = world.nodes["c"].register
 
         async def look():
-            found = await register.change(LARGE, lambda held: held)
-            told.append(found.value == (await register.read(LARGE)).value == value)
+            changed = await register.change(LARGE, lambda held: held)
+            told.append(changed == await register.read(LARGE) == value)
 
         world.processes["c"].run(look())
         world.run(15.0)
@@ -113,7 +113,7 @@
         world.cut("c", "ab")
         changes(world, "a", LARGE, value, told)
         world.run(world.loop.time() + 3.0)
-        assert told[0][1].ok and held(world, "c", LARGE) is None
+        assert told[0][1] and held(world, "c", LARGE) is None
         world.join()
 
         async def look():
@@ -121,7 +121,7 @@
 
         world.processes["c"].run(look())
         world.run(world.loop.time() + 4.0)
-        assert told[-1].ok and told[-1].value == value and world.longest < MAX_CHUNK_CHARACTERS + 1000
+        assert told[-1] == value and world.longest < MAX_CHUNK_CHARACTERS + 1000
     finally:
         world.close()
 
@@ -149,11 +149,11 @@
     try:
         changes(world, "a", LARGE, {"n": 1}, told)
         world.run(3.0)
-        assert told.pop()[1].ok
+        assert told.pop()[1]
         world.kill("b")
         changes(world, "a", LARGE, value, told)
         carry_on(world, after, reference_to(values.canonical_text(value)))
-        acked = bool(told) and told[0][1].ok
+        acked = bool(told) and told[0][1]
         world.kill(who)
         world.run(world.loop.time() + 0.5)
         stored = world.disks[who][LARGE][2]
@@ -166,7 +166,7 @@
         for _ in range(6):
             changes(world, "a", LARGE, value, told)
             world.run(world.loop.time() + 4.0)
-        assert found[0][1].ok and told[-1][1].ok, told
+        assert found[0][1] and told[-1][1], told
         assert [held(world, name, LARGE) for name in "abc"] == [value] * 3
     finally:
         world.close()
--- a/tests/gateway/register_histories.py
+++ b/tests/gateway/register_histories.py
@@ -59,7 +59,7 @@
             elif what == "kill":
                 world.kill(name)
             elif what == "wipe" and (
-                lost is None or lost in world.nodes and world.nodes[lost].register.intact
+                lost is None or lost in world.nodes and world.nodes[lost].register.membership.intact
             ):
                 world.wipe(name)
                 lost = name
@@ -106,4 +106,4 @@
 
 
 def configurations(world):
-    return [world.nodes[name].register.configuration for name in sorted(world.nodes)]
+    return [world.nodes[name].register.membership.configuration for name in sorted(world.nodes)]
--- a/tests/gateway/slow_link.py
+++ b/tests/gateway/slow_link.py
@@ -7,6 +7,8 @@
 
 from timeline import World
 
+from honeywood.gateway.register.errors import RegisterUnavailable
+
 
 def large(length, seed=1):
     """A value whose text has about so many characters."""
@@ -43,7 +45,7 @@
         if found.exception() is not None:
             size = 200
         else:
-            size = len(json.dumps(found.result().value))
+            size = len(json.dumps(found.result()))
         self.longest = max(self.longest, size)
         await asyncio.sleep(max(self.queue((end, end == target), size) for end in ends))
         if answer is not None and not answer.done():
@@ -63,16 +65,20 @@
 
 
 def changes(world, name, key, value, told):
-    """Has a controller change a key to a value; `told` gets (seconds, outcome)."""
+    """Has a controller change a key to a value; `told` gets (seconds, whether it succeeded)."""
 
     async def change():
         began = world.loop.time()
-        found = await world.nodes[name].register.change(key, lambda held: value)
-        told.append((world.loop.time() - began, found))
+        try:
+            await world.nodes[name].register.change(key, lambda held: value)
+        except RegisterUnavailable:
+            told.append((world.loop.time() - began, False))
+        else:
+            told.append((world.loop.time() - began, True))
 
     world.processes[name].run(change())
 
 
 def held(world, name, key):
-    row = world.nodes[name].register.storage.registers.get(key)
+    row = world.nodes[name].register.state.registers.get(key)
     return row and row.value
--- a/tests/gateway/test_history.py
+++ b/tests/gateway/test_history.py
@@ -5,7 +5,7 @@
 from timeline import World
 from ward import test
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import Unavailable
 from honeywood.gateway.controller.machine_records import MachineRecords
 from honeywood.gateway.controller.machines import DEPARTED_ROW, Machines
 from honeywood.gateway.dissemination.history import KEEP, MOST, History
@@ -56,7 +56,7 @@
         world.run(KEEP + 7.0)
         assert not any(told(world, name, "m") for name in "abcf")
         assert "m" not in world.nodes["b"].machines.heard
-        kept = list(world.nodes["a"].register.storage.heartbeats)
+        kept = list(world.nodes["a"].register.state.heartbeats)
         assert kept == [DEPARTED_ROW + departed.key_of("m")], "its name alone stays on disk"
     finally:
         world.close()
@@ -159,7 +159,7 @@
             writes.append(changed)
             await gate.wait()
             if len(writes) == 1:
-                raise Wrong("register", "the disk refuses", "a", 503)
+                raise Unavailable("register", "the disk refuses", "a")
 
         notes, found = MachineRecords(write), []
         for n in range(50):
@@ -170,7 +170,8 @@
         assert len(writes) == 1 and len(asyncio.all_tasks()) <= 53
         gate.set()
         done = await asyncio.gather(*found, return_exceptions=True)
-        assert len(writes) == 2 and len(writes[1]) == 50 and isinstance(done[0], Wrong) and done[-1] is None
+        assert len(writes) == 2 and len(writes[1]) == 50
+        assert isinstance(done[0], Unavailable) and done[-1] is None
 
     asyncio.run(play())
 
--- a/tests/gateway/test_pinned_register.py
+++ b/tests/gateway/test_pinned_register.py
@@ -15,14 +15,17 @@
 
 from ward import each, test
 
-from honeywood.gateway.configuration.outcome import Done, Failed, Wrong
 from honeywood.gateway.configuration.settings import read as read_settings
+from honeywood.gateway.errors import CallRefused, GatewayError
 from honeywood.gateway.register import requests
 from honeywood.gateway.register.row_store import RowStore
-from honeywood.gateway.register.paging import PagedCaller, PagedResponder
+from honeywood.gateway.register.errors import RegisterUnavailable
+from honeywood.gateway.register.paged_caller import PagedCaller
+from honeywood.gateway.register.paged_responder import PagedResponder
 from honeywood.gateway.register.register import Register
 from honeywood.gateway.register.row import row_from_json
 from honeywood.gateway.register.state_update import HeartbeatRecord
+from honeywood.gateway.rpc.statuses import status_of
 from honeywood.lab.emulator.boot import boot
 
 RECORDED = Path(__file__).parent / "recorded"
@@ -46,44 +49,47 @@
 
 
 def use_executor(register, executor):
-    register.storage.executor = executor
+    register.state.executor = executor
 
 
 def answer_of(body):
     """What a caller gives for the JSON of an answer."""
-    return Done(body)
+    return body
 
 
 def failure_of(peer, operation, reason, status):
     """What a caller gives for a call that was answered with another status."""
-    return Failed("/register", f"{operation}: {reason}", peer, status)
+    raise CallRefused("/register", f"{operation}: {reason}", peer, status)
 
 
 def error_of(error):
     """[operation, reason, peer, status] of an error that a served request ended with."""
-    return [error.failed.step, error.failed.why, error.failed.peer, error.failed.status]
+    return [error.operation, error.reason, error.peer, status_of(error)]
 
 
-SERVE_ERRORS = Wrong
+SERVE_ERRORS = GatewayError
 
 
 async def outcome_of(operation):
     """["value", it], or ["failed", reason, status] of change, read and the like."""
-    found = await operation
-    return ["value", found.value] if found.ok else ["failed", found.why, found.status]
+    try:
+        return ["value", await operation]
+    except RegisterUnavailable as error:
+        return ["failed", error.reason, status_of(error)]
 
 
 async def all_values(register):
-    found = await outcome_of(register.survey())
+    found = await outcome_of(register.read_all())
     return ["value", sorted(found[1].items())] if found[0] == "value" else found
 
 
 async def synchronize(register, known):
-    await register.settle(known)
+    await register.manager.synchronize(known)
 
 
 async def replace_member(register, lost, spare):
-    return await outcome_of(register.replace(lost, spare))
+    found = await outcome_of(register.manager.replace_member(lost, spare))
+    return ["value", found[1].encode_members()] if found[0] == "value" else found
 
 
 async def keep_heartbeats(register, records):
@@ -92,17 +98,18 @@
 
 
 def kept_heartbeats(register):
-    return [[id, *record] for id, record in register.storage.heartbeats.items()]
+    return [[id, *record] for id, record in register.state.heartbeats.items()]
 
 
 def close_files(register):
-    register.storage.store.close()
+    register.state.store.close()
 
 
 def state_of(register):
     """What the register tells the program of itself."""
-    members = list(register.members)
-    return [register.epoch, members, register.intact, register.is_synchronized, register.is_voter]
+    membership = register.membership
+    members = list(membership.members)
+    return [membership.epoch, members, membership.intact, membership.is_synchronized, membership.is_voter]
 
 
 def rows_on(folder):
@@ -225,7 +232,7 @@
     async def start(self, ip, fresh=True):
         register = register_with(settings_of(ip, fresh), self.caller(ip), RowsInMemory(self.kept))
         use_executor(register, AtOnce())
-        await register.open()
+        await register.manager.open()
         self.registers[ip], self.responders[ip] = register, paged(register, self)
         return register
 
@@ -378,7 +385,7 @@
         net = Net()
         settings = settings_of("127.0.0.1", False, copy)
         register = register_with(settings, net.caller("127.0.0.1"), RowStore)
-        await register.open()
+        await register.manager.open()
         assert state_of(register) == before["state"]
         assert sorted(kept_heartbeats(register)) == sorted(before["heartbeats"])
         await keep_heartbeats(register, {"new": [[1, 0], {"state": "ready"}]})
