--- a/honeywood/gateway/register/membership_manager.py
+++ b/honeywood/gateway/register/membership_manager.py
@@ -1,4 +1,4 @@
-"""Brings this controller's disk into the newest epoch, and agrees on new members (see membership_rules.py)."""
+"""Brings this controller's disk into the newest epoch, and agrees on members (see membership_rules.py)."""
 
 from __future__ import annotations
 
@@ -174,7 +174,7 @@
         return True
 
     async def _join(self, known: set[str]) -> None:
-        """Enter the newest configuration with the rows of a majority of its members, this disk not counted."""
+        """Enter the newest configuration with the rows of a majority of its other members."""
         ips = known - {self._settings.ip}
         incarnation = await self._joining_incarnation(ips)
         if incarnation is None:
--- a/tests/gateway/register/test_membership_manager.py
+++ b/tests/gateway/register/test_membership_manager.py
@@ -86,7 +86,8 @@
           11   | = 4   | = 4     | = 4   | = 4
         """)
         assert configurations(world) == [counts] * 4
-        assert [world.nodes[name].register.membership.is_voter for name in "abcd"] == [True, True, False, True]
+        memberships = [world.nodes[name].register.membership for name in "abcd"]
+        assert [membership.is_voter for membership in memberships] == [True, True, False, True]
     finally:
         world.close()
 
@@ -239,7 +240,8 @@
         assert [one.epoch for one in configurations(world)] == [1] * 4
         world.run(26.0)
         assert [world.nodes[name].register.membership.configuration for name in "abd"] == [after] * 3
-        assert not world.nodes["c"].register.membership.is_synchronized and not world.nodes["c"].register.membership.is_voter
+        membership = world.nodes["c"].register.membership
+        assert not membership.is_synchronized and not membership.is_voter
         world.play("""
           at   | a    | b     | d
           26.1 | kill |       |
