--- a/tests/gateway/test_dissemination_links.py
+++ b/tests/gateway/test_dissemination_links.py
@@ -8,7 +8,6 @@
 from timeline import World, config
 from ward import each, test
 
-from honeywood.gateway.errors import CallFailed
 from honeywood.gateway.dissemination.backoff import FIRST, Backoff
 from honeywood.gateway.dissemination.chunk import ChunkCollector, Progress
 from honeywood.gateway.dissemination.link_pacer import LEAST, MOST, SHARE, LinkPacer, answer_bytes
@@ -17,6 +16,7 @@
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.dissemination.subscriber import Subscriber
+from honeywood.gateway.errors import CallFailed
 from honeywood.gateway.rollout.report import Ballot, Report, Tally
 from honeywood.lab.emulator.world import Loop
 
--- a/tests/gateway/test_invariants.py
+++ b/tests/gateway/test_invariants.py
@@ -12,7 +12,6 @@
 from honeywood.gateway.proxy.sender import AttemptSender
 from honeywood.gateway.routing.attempts import AttemptPolicy
 
-
 LOOKS, LOOK_S = 150, 0.02  # a busy machine may take long to bring a fault about
 
 
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -8,8 +8,8 @@
 from ward import each, raises, test
 
 from honeywood.gateway.configuration import config as configuration
-from honeywood.gateway.errors import InvalidInput
 from honeywood.gateway.configuration.tenants import HASH_BYTES, Tenant, hash_key
+from honeywood.gateway.errors import InvalidInput
 from honeywood.gateway.routing.tenants import TenantTable
 
 KEYS = {"cuka620": ["48wuakn2ftimaj3nr26t", "ta828m82thhkmgjqnirt"], "seje681": ["9f3kq0z7m1xw5c8v2b6n"]}
@@ -114,7 +114,7 @@
         (b"X-Tenant: seje681, other",),
         (b"Connection: x-tenant", b"X-Tenant: seje681"),
         (b"Connection: x-api-key",),
-    )
+    ),
 ):
     async def work():
         async with TenantScene([ok]) as scene:
