--- a/tests/gateway/test_pinned_controller.py
+++ b/tests/gateway/test_pinned_controller.py
@@ -15,7 +15,7 @@
 
 from ward import each, test
 
-from honeywood.gateway.register.disk import Disk
+from honeywood.gateway.register.row_store import RowStore
 from honeywood.gateway.rpc.asgi import CONTEXT, RequestContext
 from honeywood.gateway.rpc.departure import ClientDeparture
 from honeywood.lab.emulator.world import World
@@ -78,7 +78,7 @@
         self.folder = folder
 
     def _disk(self):
-        return lambda name: Disk(f"{self.folder}/{name}")
+        return lambda name: RowStore(f"{self.folder}/{name}")
 
 
 # Playing what was recorded.
