--- a/honeywood/gateway/register/__init__.py
+++ b/honeywood/gateway/register/__init__.py
@@ -1,4 +1,4 @@
-"""The register: versions on a majority of disks, changed by ballots, with no log and no leader.
+"""The replicated register: keys whose values a majority of disks agrees on by CASPaxos, with no log or leader.
 
-Start reading at acceptor.py and proposer.py (rules, pure), then row_store.py and register.py.
+Start reading at acceptor.py and proposal.py (the rules, pure), then row_store.py and register.py.
 """
--- a/honeywood/gateway/register/errors.py
+++ b/honeywood/gateway/register/errors.py
@@ -15,10 +15,10 @@
 
 
 class NotBootstrapped(RegisterUnavailable):
-    """This disk takes part in no epoch yet."""
+    """The disk takes part in no epoch yet."""
 
     def __init__(self) -> None:
-        """The error names no peer."""
+        """Name no peer."""
         super().__init__(OPERATION, "this disk takes no part yet")
 
 
@@ -26,7 +26,7 @@
     """Fewer than a majority of the members answered in time."""
 
     def __init__(self) -> None:
-        """The error names no peer."""
+        """Name no peer."""
         super().__init__(OPERATION, "no majority answers")
 
 
@@ -34,7 +34,7 @@
     """Other proposers' ballots won until the time for the change was up."""
 
     def __init__(self) -> None:
-        """The error names no peer."""
+        """Name no peer."""
         super().__init__(OPERATION, "other changes came first")
 
 
@@ -42,12 +42,12 @@
     """A large value was not transferred in time; its transfer goes on."""
 
     def __init__(self) -> None:
-        """The error names no peer."""
+        """Name no peer."""
         super().__init__(OPERATION, "the value has not been carried here yet")
 
 
 class DiskUnavailable(Unavailable):
-    """This controller's disk can't be used now."""
+    """The disk of this controller can't be used now."""
 
 
 class DiskRefused(DiskUnavailable):
--- a/honeywood/gateway/register/membership_manager.py
+++ b/honeywood/gateway/register/membership_manager.py
@@ -49,7 +49,7 @@
         proposer: Proposer,
         transfer: StateTransfer,
     ) -> None:
-        """`settings` name the seeds and how many members may fail at once."""
+        """Take the seeds, and how many members may fail at once, from `settings`."""
         self._settings, self._say, self._state, self._membership = settings, say, state, membership
         self._peers, self._proposer, self._transfer = peers, proposer, transfer
         self._bootstrap_started_at: float | None = None
--- a/honeywood/gateway/register/paged_responder.py
+++ b/honeywood/gateway/register/paged_responder.py
@@ -1,4 +1,4 @@
-"""This controller's side of calls whose answers may be long: these are sent page by page."""
+"""The answering side of calls whose answers may be long: these are sent page by page."""
 
 from __future__ import annotations
 
--- a/honeywood/gateway/register/persistent_state.py
+++ b/honeywood/gateway/register/persistent_state.py
@@ -1,4 +1,4 @@
-"""This controller's disk as the program sees it: what is stored, with a copy in memory."""
+"""The disk of this controller as the program sees it: what is stored, with a copy in memory."""
 
 from __future__ import annotations
 
--- a/honeywood/gateway/register/retry_deadline.py
+++ b/honeywood/gateway/register/retry_deadline.py
@@ -16,7 +16,7 @@
     """
 
     def __init__(self, now: float) -> None:
-        """The change starts now."""
+        """Start the change now."""
         self.at = now + CHANGE_TIMEOUT_S
         self._latest = self.at + VALUE_TIMEOUT_S
 
--- a/honeywood/gateway/register/value_transfer.py
+++ b/honeywood/gateway/register/value_transfer.py
@@ -54,9 +54,9 @@
     async def resolve(self, carried: CarriedValue, sources: Sequence[str]) -> JsonValue:
         """Return a carried value, fetched from the `sources` if need be; raise ValueUnavailable."""
         complete = self._lookup.find(carried)
-        if complete is None and isinstance(carried, ValueReference):
-            if await self._fetch_within(carried, sources, VALUE_TIMEOUT_S):
-                complete = self._lookup.find(carried)
+        if isinstance(carried, ValueReference) and complete is None:
+            is_here = await self._fetch_within(carried, sources, VALUE_TIMEOUT_S)
+            complete = self._lookup.find(carried) if is_here else None
         if complete is None:
             raise ValueUnavailable
         return complete.value
--- a/honeywood/gateway/register/values.py
+++ b/honeywood/gateway/register/values.py
@@ -90,7 +90,7 @@
     def is_intact(self) -> bool:
         """Whether the text has its checksum and lies within the value."""
         end = self.start + len(self.text)
-        return 0 < len(self.text) and end <= self.reference.length and self._has_checksum
+        return len(self.text) > 0 and end <= self.reference.length and self._has_checksum
 
     @property
     def _has_checksum(self) -> bool:
