--- a/honeywood/gateway/register/state_transfer.py
+++ b/honeywood/gateway/register/state_transfer.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, replace
 
 from honeywood.gateway.register import acceptor
-from honeywood.gateway.register.row import EMPTY_ROW, Row
 from honeywood.gateway.register.replies import TransferredRow, TransferStateReply
+from honeywood.gateway.register.row import EMPTY_ROW, Row
 from honeywood.gateway.register.values import InlineValue
 
 TYPE_CHECKING = False
