--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -21,9 +21,10 @@
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.metrics import Figures
 from honeywood.gateway.program import COUNTS, Program
-from honeywood.gateway.register.disk import Disk
-from honeywood.gateway.register.paging import PagedCaller, PagedResponder
-from honeywood.gateway.register.replica import Register
+from honeywood.gateway.register.row_store import RowStore
+from honeywood.gateway.register.paged_caller import PagedCaller
+from honeywood.gateway.register.paged_responder import PagedResponder
+from honeywood.gateway.register.register import Register
 from honeywood.gateway.rpc.server import HttpServer
 
 CONTROLLER = "bourse/"  # before a controller's address: that there is one
@@ -37,7 +38,7 @@
 class Controller(Program):
     """One controller: the parts are made in the order in which they rest on each other."""
 
-    def __init__(self, *given, random=None, disk=Disk):
+    def __init__(self, *given, random=None, disk=RowStore):
         """`disk` makes the disk out of its folder; chance may be handed in."""
         super().__init__(*given)
         s, self.random, clock = self.settings, random or Random(), self.clock
@@ -51,7 +52,7 @@
         self.register_responder = PagedResponder(self.register.serve, clock)
         self.orders = Orders(self)
         self.contacts = Contacts(
-            s.ip, self.store.life, clock(), s.tolerated_failures, lambda: self.register.members
+            s.ip, self.store.life, clock(), s.tolerated_failures, lambda: self.register.membership.members
         )
         self.peers = PeerPolling(
             s, self.publisher, self.caller, self.random, self.contacts, self.disk_state, clock, self.loop
@@ -165,7 +166,7 @@
         self.local.refresh()
         if self.store.prune():
             told = {key.removeprefix(CONTROLLER) for key, _ in self.store.under(CONTROLLER)}
-            self.peers.forget_others(told | {*self.register.members} | self.contacts.vouching(now))
+            self.peers.forget_others(told | {*self.register.membership.members} | self.contacts.vouching(now))
 
     async def count(self):
         """A line of what stands now."""
@@ -177,10 +178,10 @@
             told=dict(self.publisher.told),
             called=dict(self.caller.bytes_by_path),
             joined=self.in_quorum,
-            sound=self.register.sound,
+            sound=self.register.membership.intact,
             disk=self.disk_state().value,
-            epoch=self.register.epoch,
-            counts=self.register.counts,
+            epoch=self.register.membership.epoch,
+            counts=self.register.membership.is_voter,
             refused=self.app.refused.total(),
             **self.app.refused,
         )
@@ -191,8 +192,8 @@
         stamp = self.store.stamp(CONFIG)
         gauges = {
             "in_quorum": self.in_quorum,
-            "register_synced": self.register.sound,
-            "epoch": self.register.epoch,
+            "register_synced": self.register.membership.intact,
+            "epoch": self.register.membership.epoch,
             "config_version": stamp[0] if stamp else 0,
             "proxies": len(self.fleet.proxies),
             **{f"machines_{state}": count for state, count in states.items()},
@@ -202,7 +203,7 @@
     async def run(self):
         """Runs until it is stopped."""
         s = self.settings
-        await self.register.open()
+        await self.register.manager.open()
         server = HttpServer(self.app)
         await server.open([s.listen.ctl, (s.ip, s.controller_port)])
         await self.open_metrics(server)
@@ -216,7 +217,7 @@
         """Starts the loops."""
         s = self.settings
         self.local.tell(f"{CONTROLLER}{s.ip}", s.node)
-        self.machines.recall(self.register.notes)
+        self.machines.recall(self.register.state.heartbeats)
         self.peers.start()
         self.loop(self.membership.settle, SETTLE_S)
         self.loop(self.membership.survey, SURVEY_S)
--- /dev/null
+++ b/honeywood/gateway/register/membership_manager.py
@@ -0,0 +1,232 @@
+"""Brings this controller's disk into the newest epoch, and agrees on members (see membership_rules.py)."""
+
+from __future__ import annotations
+
+import asyncio
+from contextlib import suppress
+
+from honeywood.gateway.register import membership_rules
+from honeywood.gateway.register.errors import DiskUnavailable, RegisterUnavailable, ValueUnavailable
+from honeywood.gateway.register.incarnations import (
+    FIRST_INCARNATION,
+    merge_incarnations,
+    next_incarnation,
+)
+from honeywood.gateway.register.membership_configuration import MembershipConfiguration
+from honeywood.gateway.register.membership_rules import BOOTSTRAP_EPOCH, JoinQuorum
+from honeywood.gateway.register.requests import TransferState
+from honeywood.gateway.register.state_update import StateUpdate
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Mapping, Sequence
+
+    from honeywood.gateway.configuration.settings import Settings
+    from honeywood.gateway.register.json_value import JsonValue
+    from honeywood.gateway.register.membership_state import MembershipState
+    from honeywood.gateway.register.peer_client import PeerClient
+    from honeywood.gateway.register.persistent_state import PersistentState
+    from honeywood.gateway.register.proposer import Proposer
+    from honeywood.gateway.register.replies import TransferStateReply
+    from honeywood.gateway.register.state_transfer import StateTransfer
+
+BOOTSTRAP_STAGGER_S = 0.3
+"""By which the seeds propose the first members after each other."""
+
+BLOCKED_LOG_INTERVAL_S = 5.0
+
+
+class MembershipManager:
+    """Opens this controller's disk, keeps it in the newest epoch, and proposes members."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        say: Callable[..., None],
+        state: PersistentState,
+        membership: MembershipState,
+        peers: PeerClient,
+        proposer: Proposer,
+        transfer: StateTransfer,
+    ) -> None:
+        """Take the seeds, and how many members may fail at once, from `settings`."""
+        self._settings, self._say, self._state, self._membership = settings, say, state, membership
+        self._peers, self._proposer, self._transfer = peers, proposer, transfer
+        self._bootstrap_started_at: float | None = None
+
+    async def open(self) -> None:
+        """Open the disk.
+
+        It is intact if it took part before, or if the whole system starts for the first time; else it was
+        lost.
+        """
+        state, membership = self._state, self._membership
+        await state.open()
+        if state.incarnation is not None:
+            membership.restore()
+        elif self._settings.fresh:
+            try:
+                await membership.initialize(tuple(ip for ip, _ in self._settings.seeds))
+            except DiskUnavailable as error:  # taken for a lost one until it can be written to
+                self._say("register not initialized", why=str(error))
+        self._say(
+            "register opened",
+            intact=membership.intact,
+            rows=len(state.registers),
+            epoch=membership.epoch,
+            members=membership.members,
+        )
+
+    async def synchronize(self, known: Iterable[str]) -> None:
+        """Bring this disk into the newest epoch, as far as the controllers `known` allow it now."""
+        membership = self._membership
+        ips = {*known, *membership.members}
+        if membership.pending is not None:
+            ips.update(membership.pending.members)
+        try:
+            if membership.pending is not None:
+                await membership.adopt(membership.pending)
+            await self._advance(ips)
+        except DiskUnavailable as error:
+            self._say("register blocked by disk", every=BLOCKED_LOG_INTERVAL_S, why=str(error))
+
+    async def _advance(self, ips: set[str]) -> None:
+        """Take the next step towards the newest epoch."""
+        membership = self._membership
+        if not membership.intact:
+            await self._join(ips)
+        elif membership.epoch == BOOTSTRAP_EPOCH and membership.pending is None:
+            await self._bootstrap(ips)
+        elif membership.is_synchronized:
+            return  # the next epoch came by another way, while `adopt` waited for the lock
+        elif membership.pending is not None or not await self._enter_successor():
+            await self._join(ips)
+
+    async def _bootstrap(self, ips: set[str]) -> None:
+        """Propose the first members, any 2 f + 1 of those known, where f may fail at once.
+
+        The seeds propose after each other, in their order.
+        """
+        now = asyncio.get_running_loop().time()
+        if self._bootstrap_started_at is None:
+            self._bootstrap_started_at = now
+        ip, seeds = self._settings.ip, self._membership.members
+        size = 2 * self._settings.tolerated_failures + 1
+        rank = seeds.index(ip) if ip in seeds else len(seeds)
+        if len(ips) >= size and now - self._bootstrap_started_at >= rank * BOOTSTRAP_STAGGER_S:
+            with suppress(RegisterUnavailable):
+                await self._agree(sorted(ips)[:size])
+
+    async def replace_member(self, member: str, spare: str) -> MembershipConfiguration:
+        """Have `spare` take the place of `member`, unless other members are agreed on meanwhile.
+
+        Returns the configuration that was agreed on. Raises RegisterUnavailable, or DiskRefused.
+        """
+        agreed = await self._agree(sorted({*self._membership.members, spare} - {member}))
+        self._say("member replaced", member=member, spare=spare, **agreed.encode_members())
+        return agreed
+
+    async def _agree(self, members: Sequence[str]) -> MembershipConfiguration:
+        """Return the next configuration once a majority of this epoch has agreed on one.
+
+        `members` are proposed; what was agreed on before stays.
+        """
+        proposed = MembershipConfiguration(self._membership.epoch + 1, tuple(members))
+
+        def keep_agreed(current: JsonValue) -> JsonValue:
+            is_agreed = current and current["epoch"] >= proposed.epoch
+            return current if is_agreed else proposed.encode_members()
+
+        value = await self._proposer.change(membership_rules.SUCCESSOR_KEY, keep_agreed)
+        agreed = MembershipConfiguration.from_stored(value)
+        await self._membership.adopt(agreed)
+        self._peers.announce_configuration([*self._membership.members, *agreed.members])
+        return agreed
+
+    async def _enter_successor(self) -> bool:
+        """Enter the configuration that follows the sealed one, with the rows of a majority of the latter.
+
+        Returns False where too few replied; True also where a value is still on its way.
+        """
+        sealed = self._membership.configuration
+        successor = sealed.successor
+        assert successor is not None, "the configuration is sealed"
+
+        def select(replies: Mapping[str, TransferStateReply]) -> JoinQuorum | None:
+            quorum = membership_rules.transition_quorum(sealed, replies)
+            return JoinQuorum(membership_rules.enter(successor), quorum) if quorum else None
+
+        known = self._state.accepted_ballots()
+        request = TransferState(self._settings.ip, FIRST_INCARNATION, known, seal=successor)
+        collected = await self._transfer.collect({*sealed.members, *successor.members}, request, select)
+        if collected is None:
+            return False
+        try:
+            rows = await self._transfer.complete_rows(collected)
+        except ValueUnavailable:
+            return True
+        async with self._membership.lock:
+            incarnations = self._merged_incarnations(collected.quorum)
+            configuration = collected.quorum.configuration
+            update = StateUpdate(rows, configuration=configuration, peer_incarnations=incarnations)
+            await self._membership.enter(update)
+        self._peers.announce_configuration(self._membership.members)
+        return True
+
+    async def _join(self, known: set[str]) -> None:
+        """Enter the newest configuration with the rows of a majority of its other members."""
+        ips = known - {self._settings.ip}
+        incarnation = await self._joining_incarnation(ips)
+        if incarnation is None:
+            return
+        request = TransferState(self._settings.ip, incarnation, self._state.accepted_ballots())
+        collected = await self._transfer.collect(ips, request, self._select_join_quorum)
+        if collected is None or not self._is_newer(collected.quorum.configuration):
+            return
+        try:
+            rows = await self._transfer.complete_rows(collected)
+        except ValueUnavailable:
+            return
+        async with self._membership.lock:
+            update = StateUpdate(
+                rows,
+                configuration=collected.quorum.configuration,
+                incarnation=incarnation,
+                peer_incarnations=self._merged_incarnations(collected.quorum),
+            )
+            await self._membership.enter(update)
+        self._say(
+            "disk rebuilt",
+            rows=len(rows),
+            sources=len(collected.quorum.replies),
+            incarnation=incarnation,
+            voter=self._membership.is_voter,
+        )
+
+    async def _joining_incarnation(self, ips: set[str]) -> int | None:
+        """Return the incarnation with which this disk joins; None where too few others replied.
+
+        A lost disk starts the next one after those that the others know of. They record it before they send
+        their rows.
+        """
+        if self._membership.intact:
+            return self._state.incarnation
+        known = self._state.accepted_ballots()
+        request = TransferState(self._settings.ip, FIRST_INCARNATION, known, successor_only=True)
+        collected = await self._transfer.collect(ips, request, self._select_join_quorum)
+        if collected is None:
+            return None
+        incarnations = [reply.incarnations for reply in collected.quorum.replies]
+        return next_incarnation(self._settings.ip, incarnations)
+
+    def _select_join_quorum(self, replies: Mapping[str, TransferStateReply]) -> JoinQuorum | None:
+        is_lost = not self._membership.intact
+        return membership_rules.join_quorum(self._settings.ip, replies, is_lost)
+
+    def _is_newer(self, configuration: MembershipConfiguration) -> bool:
+        return not self._membership.intact or configuration.epoch > self._membership.epoch
+
+    def _merged_incarnations(self, quorum: JoinQuorum) -> dict[str, int]:
+        """Return the incarnations that a quorum knows of, and this disk if it is intact."""
+        own = [self._state.incarnations()] if self._membership.intact else []
+        return merge_incarnations([*own, *(reply.incarnations for reply in quorum.replies)])
