--- a/honeywood/balancer/program/operator_switches.py
+++ b/honeywood/balancer/program/operator_switches.py
@@ -14,35 +14,35 @@
     from typing import Any
 
     from honeywood.balancer.configuration import Configuration
-    from honeywood.operator.rules import Operator
+    from honeywood.operator.operator_file import OperatorFile
     from honeywood.trace.recorder import Recorder
 
 MAX_CALLS = 16  # of a recorder: its own looks and the one stop
 LAST_BLOCKS_S = 5.0  # in which what was recorded last is written, at a stop
 
 
-def read_operator_file(environ: Mapping[str, str]) -> Operator | None:
+def read_operator_file(environ: Mapping[str, str]) -> OperatorFile | None:
     """The operator file that ROUTER_OPERATOR names, None without one. Raises InvalidConfiguration."""
     path = environ.get("ROUTER_OPERATOR")
     if not path:
         return None
-    from honeywood.operator.read import read
-    from honeywood.operator.rules import BadFile
+    from honeywood.operator.operator_file import InvalidOperatorFile
+    from honeywood.operator.reader import read
 
     try:
         return read(path)
-    except BadFile as error:
+    except InvalidOperatorFile as error:
         raise InvalidConfiguration(str(error)) from None
 
 
 def make_recorder(
-    operator: Operator | None,
+    operator: OperatorFile | None,
     configuration: Configuration,
     log: Any,
     fail: Callable[[str, BaseException], Any],
 ) -> Recorder | None:
     """The recorder of traces, None where the operator file has no trace block."""
-    block = operator.block("trace") if operator else None
+    block = operator.trace if operator else None
     if not block:
         return None
     from honeywood.trace.call_recorder import CallRecorder
--- a/honeywood/cli/check.py
+++ b/honeywood/cli/check.py
@@ -18,8 +18,8 @@
 @click.option("--json", "plain", is_flag=True, help="Print the operator file's values as JSON.")
 def command(config, operator, out, plain):
     """Says what is wrong with a configuration and an operator file; ends with 2 where anything is."""
-    from honeywood.operator.read import read, write_compiled
-    from honeywood.operator.rules import BadFile
+    from honeywood.operator.reader import read, write_compiled
+    from honeywood.operator.operator_file import BLOCKS_KEY, InvalidOperatorFile, compiled
     from honeywood.balancer import configuration
     from honeywood.balancer.sections import InvalidConfiguration
 
@@ -36,10 +36,10 @@
     if operator:
         try:
             found = read(operator)
-            values = found.values
+            values = compiled(found)[BLOCKS_KEY]
             if out:
                 write_compiled(found, out)
-        except BadFile as bad:
+        except InvalidOperatorFile as bad:
             wrong.append(str(bad))
     elif out:
         raise click.UsageError("--compile: no operator file is named")
--- a/honeywood/lab/world.py
+++ b/honeywood/lab/world.py
@@ -8,7 +8,7 @@
 import time
 from pathlib import Path
 
-from honeywood.operator.read import read, write_compiled
+from honeywood.operator.reader import read, write_compiled
 from honeywood.standins.peer import health
 from honeywood.standins.release import Discovery, Platform, Worker
 
--- a/honeywood/operator/__init__.py
+++ b/honeywood/operator/__init__.py
@@ -1,4 +1,4 @@
-"""The operator file (HCL): what other installations switch on beyond the platform's own configuration.
+"""The operator file (HCL): what it switches on, read, checked and given defaults in one place.
 
-Start with rules.py, which says what may stand in it; read.py brings it in, from HCL or compiled.
+Start with operator_file.py, its blocks and keys; reader.py reads files, keys.py the values of keys.
 """
--- /dev/null
+++ b/honeywood/operator/operator_file.py
@@ -0,0 +1,120 @@
+"""What may stand in an operator file: its blocks, their keys, defaults and checks. Free of I/O.
+
+A block that stands in the file switches its subsystem on. Unknown blocks and keys are errors: a misspelt
+bound that is silently passed over would be found on the day it is needed.
+"""
+
+from __future__ import annotations
+
+from dataclasses import asdict, dataclass
+from difflib import get_close_matches
+
+from honeywood.operator.keys import Key, choice, count, duration, field_names, size, text
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+    from typing import Any
+
+COMPILED_VERSION = 1  # of the compiled form; another is refused
+VERSION_KEY, BLOCKS_KEY = "honeywood_operator", "blocks"
+BLOCKS = {
+    "trace": {
+        "folder": Key(text, None),
+        "most_bytes": Key(size, "1GB", "1MB"),
+        "longest_age": Key(duration, "14d", "1m"),
+        "file_bytes": Key(size, "64MB", "64KB"),
+        "file_age": Key(duration, "1h", "1s"),
+        "block_age": Key(duration, "1s", "10ms", "1m"),
+        "sync": Key(choice("never", "file", "block"), "file"),
+        "queue": Key(count, 20_000, 100, 1_000_000),
+        "customer_fields": Key(field_names, ["x-tenant-id"]),
+        "parcel_fields": Key(field_names, ["x-route-key", "idempotency-key"]),
+    },
+}
+
+
+class InvalidOperatorFile(ValueError):  # noqa: N818 - named for what went wrong
+    """An operator file that cannot be used; the text names file, block and key."""
+
+
+@dataclass(frozen=True, slots=True)
+class TraceBlock:
+    """Where and how a balancer records a trace. Attributes are named as the keys of the block."""
+
+    folder: str
+    most_bytes: int  # of all files in it
+    longest_age: int  # of a file that is kept; tenths of a millisecond, as all ages
+    file_bytes: int
+    file_age: int
+    block_age: int
+    sync: str  # "never", after each "file" or "block"
+    queue: int  # records that wait to be written, at the most
+    customer_fields: list[str]  # header fields, the first there is names the customer
+    parcel_fields: list[str]
+
+
+@dataclass(frozen=True, slots=True)
+class OperatorFile:
+    """What a file switches on; None is off."""
+
+    trace: TraceBlock | None = None
+
+
+def parse(raw: Mapping[str, Any], path: str) -> OperatorFile:
+    """What was read of the file at `path`: {block: [{key: value}]}. Raises InvalidOperatorFile."""
+    found = {}
+    for name, bodies in raw.items():
+        if name not in BLOCKS:
+            raise InvalidOperatorFile(f"{path}: {name}: unknown block{_nearest(name, list(BLOCKS))}")
+        if not isinstance(bodies, list) or not all(isinstance(body, dict) for body in bodies):
+            raise InvalidOperatorFile(f"{path}: {name}: is a value, not a block: write {name} {{ ... }}")
+        if len(bodies) > 1:
+            raise InvalidOperatorFile(f"{path}: {name}: stands there {len(bodies)} times")
+        found[name] = _parse_block(bodies[0], f"{path}: {name}", BLOCKS[name])
+    return _operator_file(found)
+
+
+def compiled(file: OperatorFile) -> dict[str, Any]:
+    """The compiled form, as JSON has it: it needs no HCL library to be read."""
+    blocks = {"trace": asdict(file.trace)} if file.trace else {}
+    return {VERSION_KEY: COMPILED_VERSION, BLOCKS_KEY: blocks}
+
+
+def from_compiled(raw: Any, path: str) -> OperatorFile:
+    """A compiled file, which another version may have written. Raises InvalidOperatorFile.
+
+    Each key must be known here, and none may lack. They were checked when it was compiled.
+    """
+    if not isinstance(raw, dict) or raw.get(VERSION_KEY) != COMPILED_VERSION:
+        raise InvalidOperatorFile(f"{path}: compiled by another version: compile it anew")
+    blocks = raw.get(BLOCKS_KEY)
+    for name, values in blocks.items() if isinstance(blocks, dict) else [(BLOCKS_KEY, None)]:
+        if not isinstance(values, dict) or set(values) != set(BLOCKS.get(name, ())):
+            raise InvalidOperatorFile(f"{path}: {name}: compiled by another version: compile it anew")
+    return _operator_file(blocks)
+
+
+def _operator_file(blocks: Any) -> OperatorFile:
+    return OperatorFile(**{"trace": TraceBlock(**blocks["trace"])} if "trace" in blocks else {})
+
+
+def _parse_block(body: Mapping[str, Any], path: str, keys: Mapping[str, Key]) -> dict[str, Any]:
+    for name in body:
+        if name not in keys:
+            raise InvalidOperatorFile(f"{path}: {name}: unknown key{_nearest(name, list(keys))}")
+    values = {}
+    for name, key in keys.items():
+        if name not in body and key.default is None:
+            raise InvalidOperatorFile(f"{path}: {name}: missing")
+        try:
+            values[name] = key.value(body.get(name, key.default))
+        except ValueError as error:
+            raise InvalidOperatorFile(f"{path}: {name}: {error}") from None
+    return values
+
+
+def _nearest(name: str, known: list[str]) -> str:
+    """The end of a message about an unknown name."""
+    matches = get_close_matches(name, known, 1, 0.5)
+    return f"; the nearest known is {matches[0]!r}" if matches else f"; known are {', '.join(known)}"
--- a/tests/operator/test_operator.py
+++ b/tests/operator/test_operator.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from honeywood.operator.read import read, write_compiled
-from honeywood.operator.rules import BadFile
+from honeywood.operator.reader import read, write_compiled
+from honeywood.operator.operator_file import InvalidOperatorFile
 
 GOOD = 'trace {\n  folder = "/var/trace"\n  block_age = "250ms"\n  most_bytes = "1.5GB"\n}\n'
 
@@ -20,10 +20,10 @@
 
 
 def test_units_and_defaults(tmp_path):
-    block = read(given(tmp_path, GOOD)).block("trace")
+    block = read(given(tmp_path, GOOD)).trace
     assert (block.folder, block.block_age, block.most_bytes) == ("/var/trace", 2500, 1_500_000_000)
     assert block.file_age == 36_000_000 and block.sync == "file"
-    assert read(given(tmp_path, "# nothing is switched on\n")).block("trace") is None
+    assert read(given(tmp_path, "# nothing is switched on\n")).trace is None
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
 )
 def test_what_is_wrong_is_named(tmp_path, text, said):
     """A misspelt bound that is silently passed over is found on the day it is needed."""
-    with pytest.raises(BadFile) as wrong:
+    with pytest.raises(InvalidOperatorFile) as wrong:
         read(given(tmp_path, text))
     assert said.replace("not compiled by this", "compiled by another") in str(wrong.value)
     assert str(wrong.value).startswith(str(tmp_path))
@@ -61,13 +61,13 @@
     out = str(tmp_path / "compiled.json")
     write_compiled(read(given(tmp_path, GOOD)), out)
     code = (
-        "import sys; sys.modules['hcl2'] = None; from honeywood.operator.read import read; "
-        f"print(read({out!r}).block('trace').block_age)"
+        "import sys; sys.modules['hcl2'] = None; from honeywood.operator.reader import read; "
+        f"print(read({out!r}).trace.block_age)"
     )
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "2500\n"
     raw = json.loads((tmp_path / "compiled.json").read_text())
     raw["blocks"]["trace"]["later"] = 1
-    with pytest.raises(BadFile, match="trace: compiled by another version"):
+    with pytest.raises(InvalidOperatorFile, match="trace: compiled by another version"):
         read(given(tmp_path, json.dumps(raw)))
 
 
@@ -83,7 +83,7 @@
 
 def test_operator_files_under_deploy_start_as_they_stand(pytestconfig):
     for path in (pytestconfig.rootpath / "deploy").glob("*.hcl"):
-        assert read(path).values, path
+        assert read(path).trace, path
 
 
 def test_check_and_version(tmp_path):
