--- a/honeywood/trace/call_recorder.py
+++ b/honeywood/trace/call_recorder.py
@@ -1,14 +1,14 @@
 """What a balancer records: the calls between the decisions and their host, as records in a bounded queue.
 
 It listens and changes nothing: all calls come on the decisions' thread and cost it some microseconds each. A
-balancer that is faster than the disk loses records, never RPCs; rules/keeping.py says which.
+balancer that is faster than the disk loses records, never RPCs; rules/load_shedding.py says which.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-from honeywood.trace.rules.keeping import Intake
+from honeywood.trace.rules.load_shedding import LoadShedding
 from honeywood.trace.schema import (
     ABORTED,
     ANSWER,
@@ -74,9 +74,9 @@
     ) -> None:
         """`unix_start` is 1970 on the host's clock; the fields are header fields of requests."""
         self.queue: deque[tuple[Time, int, int, tuple[Any, ...]]] = deque()
-        self.intake, self.unix_start = Intake(capacity), unix_start
+        self.shedding, self.unix_start = LoadShedding(capacity), unix_start
         self._customer_fields, self._parcel_fields = customer_fields, parcel_fields
-        self._always_taken = self.intake.from_asides
+        self._always_admitted = self.shedding.secondary_limit
         # What was considered for an RPC since its last attempt.
         self._rpc: Rpc | None = None
         self._considered: list[tuple[str, int]] = []
@@ -85,7 +85,7 @@
 
     def drop_note(self, now: Time, why: str) -> tuple[tuple[Time, int, int, tuple[Any, ...]], ...]:
         """What was lost so far, as a record; () where nothing was."""
-        records, rpcs = self.intake.dropped()
+        records, rpcs = self.shedding.take_losses()
         return ((now - self.unix_start, 0, DROPPED.number, (records, rpcs, why)),) if records else ()
 
     # The reasons of decisions.
@@ -236,9 +236,11 @@
     # Its own.
     def put(self, now: Time, kind: Kind, values: tuple[Any, ...], recorded: int = 1) -> bool:
         """Whether a record was taken into the queue; `recorded` is 0 where its RPC's arrival was not."""
-        held = len(self.queue)
+        queued = len(self.queue)
         # What is taken in any case is not asked for: this is done five times an RPC.
-        if (held < self._always_taken and recorded) or self.intake.takes(kind.number, held, recorded):
+        if (queued < self._always_admitted and recorded) or self.shedding.admits(
+            kind.number, queued, bool(recorded)
+        ):
             self.queue.append((now - self.unix_start, 0, kind.number, values))
             return True
         return False
@@ -274,6 +276,7 @@
 def _first_field(request: Any, fields: Sequence[str]) -> str:
     """The first of these header fields that a request has, cut to what a trace may hold; "" without one."""
     for field in fields:
-        if value := request.get(field):
-            return value[:MOST_TEXT] if len(value) > MOST_TEXT else value
+        value: str | None = request.get(field)
+        if value:
+            return value[:MOST_TEXT]
     return ""
--- a/honeywood/trace/cutting.py
+++ b/honeywood/trace/cutting.py
@@ -2,7 +2,7 @@
 
 from itertools import islice
 
-from honeywood.trace.rules.keeping import BLOCK_RECORDS
+from honeywood.trace.rules.write_schedule import MAX_BLOCK_RECORDS
 from honeywood.trace.sources import sources
 
 
@@ -30,7 +30,7 @@
     writer.close()
 
 
-def write_all(writer, records, progress, size=BLOCK_RECORDS):
+def write_all(writer, records, progress, size=MAX_BLOCK_RECORDS):
     """Writes records as blocks of one size; returns how many there were."""
     records, count = iter(records), 0
     while block := [tuple(record) for record in islice(records, size)]:
--- a/honeywood/trace/recorder.py
+++ b/honeywood/trace/recorder.py
@@ -1,151 +1,191 @@
-"""Writes what a front's calls holds to files in a folder, on a thread of its own; the front never waits for
-it."""
+"""Writes what a call recorder queues to files in a folder, on a thread of its own; nobody waits for it."""
+
+from __future__ import annotations
 
 import fcntl
 import os
 import secrets
 import time
+from contextlib import suppress
 
 from honeywood.trace import writer
-from honeywood.trace.rules.keeping import BLOCK_RECORDS, Recording, to_delete
+from honeywood.trace.rules.retention import TraceFile, files_to_delete
+from honeywood.trace.rules.write_schedule import MAX_BLOCK_RECORDS, WriteSchedule
 from honeywood.trace.schema import Unfit
 
-LOOKS = 1000  # tenths of a ms: the queue is looked at so often, at a block's age if sooner
-COLUMNS = 4  # are packed, at some 0.2 ms each, before other threads go on
-ENDING = ".trace"
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping, Sequence
+    from typing import Any
+
+    from honeywood.balancer.transport.mailbox import Mailbox
+    from honeywood.operator.operator_file import TraceBlock
+    from honeywood.trace.call_recorder import CallRecorder
+
+CHECK_INTERVAL = 1000  # tenths of a ms between looks at the queue, a block's age if that is less
+COLUMNS_PER_YIELD = 4  # are packed, at some 0.2 ms each, before other threads go on
+NS_PER_TENTH_OF_MS = 100_000
+FILE_SUFFIX = ".trace"
 
 
 class Recorder:
-    """`given`: the trace block of the operator file. `mailbox` is one with a thread, made by the caller, as
-    are `clock` (now in tenths of a ms) and `log`. `about` describes the front in each file's header."""
-
-    def __init__(self, given, calls, about, name, mailbox, clock, log):
-        self.given, self.calls, self.log, self.clock, self.mailbox = given, calls, log, clock, mailbox
-        self.run = secrets.token_hex(8)
-        self.about, self.name = {**about, "run": self.run}, "".join(c if c.isalnum() else "_" for c in name)
-        self.recording = Recording(given.block_age, given.file_bytes, given.file_age)
-        self.file = self.writer = self.opened = None
-        self.sequence, self.ended = 0, False
-        self.every = min(LOOKS, given.block_age)
-
-    def start(self):
-        self.mailbox.post(self.look)
+    """Ends files by age and size, deletes old ones, and outlives a full disk."""
+
+    def __init__(
+        self,
+        settings: TraceBlock,
+        calls: CallRecorder,
+        about: Mapping[str, Any],
+        name: str,
+        mailbox: Mailbox,
+        clock: Callable[[], int],
+        log: Any,
+    ) -> None:
+        """`about` describes the balancer in each file's header, `name` begins the files' names.
+
+        `mailbox` is one with a thread that is not started yet; `clock` tells tenths of a millisecond.
+        """
+        self._settings, self.calls, self._log, self._clock = settings, calls, log, clock
+        self.mailbox = mailbox
+        self._run = secrets.token_hex(8)
+        self._about = {**about, "run": self._run}
+        self._name = "".join(character if character.isalnum() else "_" for character in name)
+        self._schedule = WriteSchedule(settings.block_age, settings.file_bytes, settings.file_age)
+        self.file: Any = None  # the one that is written
+        self._writer: Any = None
+        self._opened_at = 0
+        self._sequence, self._stopped = 0, False
+        self._interval = min(CHECK_INTERVAL, settings.block_age)
+
+    def start(self) -> None:
+        """Begin to write."""
+        self.mailbox.post(self._on_timer)
         self.mailbox.start()
 
-    def look(self):
-        if not self.ended:
-            self.mailbox.after(self.every, self.look)
-            self.go_on(self.clock())
-
-    def go_on(self, now, all=False):
-        queue, start = self.calls.queue, self.calls.unix_start
-        while queue and (all or self.recording.block_due(len(queue), queue[0][0] + start, now)):
-            waiting = [queue.popleft() for _ in range(min(len(queue), BLOCK_RECORDS))]
-            if self.recording.may_write(now):
-                self.write(now, waiting)
+    def stop(self) -> None:
+        """Write what is queued and end the file; posted to the mailbox by the life cycle."""
+        self._stopped = True
+        self.write_due(self._clock(), everything=True)
+        if self._writer:
+            try:
+                self._close()
+            except OSError as error:
+                self._log.error("trace_stopped", what=str(error), lost=0)
+
+    def write_due(self, now: int, everything: bool = False) -> None:
+        """Write the blocks that are due, or all that is queued."""
+        queue, unix_start = self.calls.queue, self.calls.unix_start
+        while queue and (
+            everything or self._schedule.block_is_due(len(queue), queue[0][0] + unix_start, now)
+        ):
+            records = [queue.popleft() for _ in range(min(len(queue), MAX_BLOCK_RECORDS))]
+            if self._schedule.may_write(now):
+                self._write(now, records)
             else:
-                self.calls.intake.lost += len(waiting)
+                self.calls.shedding.lost += len(records)
 
-    def write(self, now, waiting):
+    def _on_timer(self) -> None:
+        if not self._stopped:
+            self.mailbox.after(self._interval, self._on_timer)
+            self.write_due(self._clock())
+
+    def _write(self, now: int, records: Sequence[Any]) -> None:
         try:
-            if self.writer and self.recording.file_due(self.writer.size, self.opened, now):
-                self.close()
-            if not self.writer:
-                self.open(now)
-            self.pack([*self.calls.drop_note(now, "queue, disk or unfit"), *waiting])
-            if self.given.sync == "block":
-                self.writer.sync()
-            if self.recording.wrote():
-                self.log.info("trace_goes_on", file=self.file.name)
-        except OSError as wrong:
-            self.calls.intake.lost += len(waiting)
-            self.give_up()
-            if self.recording.failed(now):
-                self.log.error("trace_stopped", what=str(wrong), lost=self.calls.intake.lost)
-
-    def pack(self, waiting):
-        """Writes a block; a record that no trace may hold (a server's name of a megabyte) is left out and
-        counted, and costs no other its place."""
+            if self._writer and self._schedule.file_is_due(self._writer.size, self._opened_at, now):
+                self._close()
+            if not self._writer:
+                self._open(now)
+            self._write_block([*self.calls.drop_note(now, "queue, disk or unfit"), *records])
+            if self._settings.sync == "block":
+                self._writer.sync()
+            if self._schedule.on_success():
+                self._log.info("trace_goes_on", file=self.file.name)
+        except OSError as error:
+            self.calls.shedding.lost += len(records)
+            self._abandon_file()
+            if self._schedule.on_failure(now):
+                self._log.error("trace_stopped", what=str(error), lost=self.calls.shedding.lost)
+
+    def _write_block(self, records: Sequence[Any]) -> None:
+        """Write a block.
+
+        A record that no trace may hold (a server's name of a megabyte) is left out and counted, and costs no
+        other its place.
+        """
         try:
-            self.writer.block(waiting, GiveWay())
+            self._writer.block(records, ThreadYield())
         except Unfit:
-            half = len(waiting) // 2
+            half = len(records) // 2
             if not half:
-                self.calls.intake.lost += 1
+                self.calls.shedding.lost += 1
                 return
-            self.pack(waiting[:half])
-            self.pack(waiting[half:])
-
-    def open(self, now):
-        self.sequence += 1
-        os.makedirs(self.given.folder, exist_ok=True)
-        self.clear()
-        path = os.path.join(self.given.folder, f"{self.name}-{self.run}-{self.sequence:06d}{ENDING}")
-        about = {**self.about, "sequence": self.sequence, "created": time.time_ns() // 100_000}
-        self.writer, self.opened = writer.create(path, about), now
-        self.file = self.writer.file
-        fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)  # no other front takes it for an old one
-
-    def clear(self):
-        """Deletes what is too old or too much, of this front's name only, and nothing that is being
-        written."""
-        files = []
-        with os.scandir(self.given.folder) as entries:
-            for entry in entries:
-                if entry.name.startswith(f"{self.name}-") and entry.name.endswith(ENDING):
-                    stat = entry.stat()
-                    files.append((entry.name, stat.st_size, stat.st_mtime_ns // 100_000))
-        for name in to_delete(
-            files,
-            time.time_ns() // 100_000,
-            self.given.most_bytes,
-            self.given.longest_age,
-            self.given.file_bytes,
+            self._write_block(records[:half])
+            self._write_block(records[half:])
+
+    def _open(self, now: int) -> None:
+        self._sequence += 1
+        os.makedirs(self._settings.folder, exist_ok=True)
+        self._delete_old()
+        name = f"{self._name}-{self._run}-{self._sequence:06d}{FILE_SUFFIX}"
+        created = time.time_ns() // NS_PER_TENTH_OF_MS
+        about = {**self._about, "sequence": self._sequence, "created": created}
+        self._writer = writer.create(os.path.join(self._settings.folder, name), about)
+        self.file, self._opened_at = self._writer.file, now
+        fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)  # no other balancer takes it for an old one
+
+    def _delete_old(self) -> None:
+        """Delete what is too old or too much, of this balancer's name only, and nothing that is written."""
+        settings = self._settings
+        files = [
+            TraceFile(entry.name, entry.stat().st_size, entry.stat().st_mtime_ns // NS_PER_TENTH_OF_MS)
+            for entry in self._own_files()
+        ]
+        now = time.time_ns() // NS_PER_TENTH_OF_MS
+        for name in files_to_delete(
+            files, now, settings.most_bytes, settings.longest_age, settings.file_bytes
         ):
-            path = os.path.join(self.given.folder, name)
-            try:
-                with open(path, "rb") as file:
-                    fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-                    os.remove(path)
-            except (BlockingIOError, FileNotFoundError):
-                pass  # another process writes it, or has just deleted it
-
-    def close(self):
-        self.writer.close()
-        if self.given.sync != "never":
-            self.writer.sync()
+            path = os.path.join(settings.folder, name)
+            # Another process writes it, or has just deleted it.
+            with suppress(BlockingIOError, FileNotFoundError), open(path, "rb") as file:
+                fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+                os.remove(path)
+
+    def _own_files(self) -> list[os.DirEntry[str]]:
+        with os.scandir(self._settings.folder) as entries:
+            return [
+                entry
+                for entry in entries
+                if entry.name.startswith(f"{self._name}-") and entry.name.endswith(FILE_SUFFIX)
+            ]
+
+    def _close(self) -> None:
+        self._writer.close()
+        if self._settings.sync != "never":
+            self._writer.sync()
         self.file.close()
-        self.writer = self.file = None
+        self._writer = self.file = None
 
-    def give_up(self):
-        """After a failed write the file ends with its last whole block."""
+    def _abandon_file(self) -> None:
+        """After a failed write the file ends with its last complete block."""
         if self.file:
-            try:
+            with suppress(OSError):  # what the failed write left is given back all the same
                 self.file.close()
-            except OSError:
-                pass  # what the failed write left is given back all the same
-        self.writer = self.file = None
-
-    def stop(self):
-        """Writes what waits and ends the file; posted to the mailbox by the life cycle."""
-        self.ended = True
-        now = self.clock()
-        self.go_on(now, all=True)
-        if self.writer:
-            try:
-                self.close()
-            except OSError as wrong:
-                self.log.error("trace_stopped", what=str(wrong), lost=0)
+        self._writer = self.file = None
+
 
+class ThreadYield:
+    """Lets other threads go on after every few columns.
 
-class GiveWay:
-    """Lets other threads go on after every few columns: the interpreter switches seldom by itself in this
-    program, and they would wait until a block is packed, 10 ms and more."""
+    The interpreter switches seldom by itself in this program, and they would wait until a block is packed,
+    10 ms and more.
+    """
 
-    def __init__(self):
-        self.columns = 0
+    def __init__(self) -> None:
+        """No column is packed yet."""
+        self._columns = 0
 
-    def __call__(self):
-        self.columns += 1
-        if self.columns % COLUMNS == 0:
+    def __call__(self) -> None:
+        """A column is packed."""
+        self._columns += 1
+        if self._columns % COLUMNS_PER_YIELD == 0:
             time.sleep(0)
--- a/honeywood/trace/sample.py
+++ b/honeywood/trace/sample.py
@@ -7,7 +7,7 @@
 import numpy
 
 from honeywood.balancer.model import SECOND, AttemptResult, ReleaseState
-from honeywood.trace.rules.keeping import BLOCK_RECORDS
+from honeywood.trace.rules.write_schedule import MAX_BLOCK_RECORDS
 from honeywood.trace.schema import (
     ABORTED,
     ANSWER,
@@ -36,7 +36,7 @@
 
 
 def blocks(records, seed):
-    """Lists of records (time, source, kind, values), BLOCK_RECORDS each but the last, `records` in all."""
+    """Lists of records, each MAX_BLOCK_RECORDS long but the last; `records` in all."""
     chance = numpy.random.default_rng(seed)
     rpcs = max(1, int(records / AN_RPC))
     waiting, done, first, given = [*opening()], 0, 1, 0
@@ -49,8 +49,8 @@
         # What is later than the next chunk's first may still be overtaken.
         ripe = next((at for at, record in enumerate(waiting) if record[0] >= until), len(waiting))
         at = 0
-        while (ripe - at >= BLOCK_RECORDS or given + ripe - at >= records) and given < records:
-            block = waiting[at : at + min(BLOCK_RECORDS, records - given)]
+        while (ripe - at >= MAX_BLOCK_RECORDS or given + ripe - at >= records) and given < records:
+            block = waiting[at : at + min(MAX_BLOCK_RECORDS, records - given)]
             yield block
             given += len(block)
             at += len(block)
--- a/honeywood/trace/verifying.py
+++ b/honeywood/trace/verifying.py
@@ -7,7 +7,7 @@
 from honeywood.trace.reader import Reader
 from honeywood.trace.rules.lives import Following
 from honeywood.trace.schema import Unreadable
-from honeywood.trace.writer import write_whole
+from honeywood.trace.writer import write_fully
 
 MOST_TOLD = 20
 
@@ -60,7 +60,7 @@
         os.ftruncate(file.fileno(), end)
         file.seek(end)
         for part in format.ending(reader.seed, end, entries):
-            write_whole(file, part)
+            write_fully(file, part)
         os.fsync(file.fileno())
     torn = f", {reader.torn} bytes of a torn tail cut off" if reader.torn else ""
     return f"index of {len(entries)} blocks written{torn}"
--- a/honeywood/trace/writer.py
+++ b/honeywood/trace/writer.py
@@ -1,5 +1,7 @@
 """Writes one trace file: blocks as they come, index and trailer at the end."""
 
+from __future__ import annotations
+
 import os
 import secrets
 
@@ -7,65 +9,90 @@
 from honeywood.trace.rules.selection import Entry
 from honeywood.trace.schema import KINDS, MAJOR, MINOR
 
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping, Sequence
+    from typing import Any
+
+    from honeywood.trace.schema import Kind
 
-def write_whole(file, data):
-    """Writes all of it to an unbuffered file: the kernel may take less at a time."""
+
+def write_fully(file: Any, data: bytes) -> None:
+    """Write all of it to an unbuffered file: the kernel may take less at a time."""
     rest = memoryview(data)
     while rest:
         rest = rest[file.write(rest) :]
 
 
 class Writer:
-    """Appends to `file`, unbuffered and opened by the caller for writing alone; the first bytes are written
-    at once. After an exception (OSError of a write) nothing more may be written: what is there ends with the
-    last whole block, and a reader cuts off the rest. `about` goes into the header."""
-
-    def __init__(self, file, about, kinds=KINDS, version=(MAJOR, MINOR)):
-        self.file, self.kinds, self.entries = file, kinds, []
+    """Appends to a file that is unbuffered and opened by the caller for writing alone.
+
+    After an exception (OSError of a write) nothing more may be written: what is there ends with the last
+    complete block, and a reader cuts off the rest.
+    """
+
+    def __init__(
+        self,
+        file: Any,
+        about: Mapping[str, Any],
+        kinds: Mapping[int, Kind] = KINDS,
+        version: tuple[int, int] = (MAJOR, MINOR),
+    ) -> None:
+        """The header, with `about`, is written at once."""
+        self.file, self.kinds = file, kinds
+        self.entries: list[tuple[int, int, Entry]] = []  # offset, size and index entry of each block
         self.seed = secrets.randbits(64)
         self.size = 0
-        self.put(format.header({**about, "seed": self.seed}, *version))
+        self._put(format.header({**about, "seed": self.seed}, *version))
 
-    def put(self, data):
-        write_whole(self.file, data)
-        self.size += len(data)
+    def block(self, records: Sequence[Any], between: Callable[[], Any] | None = None) -> None:
+        """Write records (time, source, kind, values) as one block.
 
-    def block(self, records, between=None):
-        """Records (time, source, kind, values) as one block; raises Unfit, with nothing written. `between` is
-        called between columns."""
+        Raises Unfit, with nothing written. `between` is called between columns.
+        """
         data, entry = format.block(self.seed, len(self.entries), records, self.kinds, between)
-        self.add(data, entry)
+        self._add(data, entry)
+
+    def copy(self, entry: Entry, start: bytes, body: bytes) -> None:
+        """Write a block of another file, as it is packed there.
 
-    def copy(self, entry, start, body):
-        """A block of another file, as it is packed there: its head is made anew, its body is not unpacked."""
+        Its head is made anew, its body is not unpacked.
+        """
         entry = Entry.unpacked(entry.packed())
         entry.number = len(self.entries)
-        self.add(format.headed(self.seed, start, entry, body), entry)
-
-    def add(self, data, entry):
-        at = self.size
-        self.put(data)
-        self.entries.append((at, len(data), entry))
+        self._add(format.headed(self.seed, start, entry, body), entry)
 
-    def sync(self):
+    def sync(self) -> None:
+        """Have the disk hold what is written."""
         os.fsync(self.file.fileno())
 
-    def close(self):
-        """Ends the file with its index. Without it a reader goes through the whole file once."""
+    def close(self) -> None:
+        """End the file with its index. Without it a reader goes through the whole file once."""
         for data in format.ending(self.seed, self.size, self.entries):
-            self.put(data)
+            self._put(data)
 
+    def _put(self, data: bytes) -> None:
+        write_fully(self.file, data)
+        self.size += len(data)
+
+    def _add(self, data: bytes, entry: Entry) -> None:
+        offset = self.size
+        self._put(data)
+        self.entries.append((offset, len(data), entry))
 
-def private(path, flags):
-    return os.open(path, flags, 0o600)
 
+def create(path: str | os.PathLike[str], about: Mapping[str, Any]) -> Writer:
+    """A writer of a new file, which only its owner may read: identifiers stand in it in clear.
 
-def create(path, about):
-    """Writer of a new file; one that is there already is never written to (FileExistsError). Only its owner
-    may read it: identifiers stand in it in clear."""
-    file = open(path, "xb", buffering=0, opener=private)
+    Raises FileExistsError: one that is there already is never written to.
+    """
+    file = open(path, "xb", buffering=0, opener=_open_private)
     try:
         return Writer(file, about)
     except BaseException:
         file.close()
         raise
+
+
+def _open_private(path: str, flags: int) -> int:
+    return os.open(path, flags, 0o600)
