--- a/honeywood/balancer/decisions/admission.py
+++ b/honeywood/balancer/decisions/admission.py
@@ -4,7 +4,7 @@
 
 from math import inf
 
-from honeywood.balancer.decisions.limits import OVERDUE_SHARE, UNRESPONSIVE_AFTER, TIMER_PERIOD
+from honeywood.balancer.decisions.limits import OVERDUE_SHARE, TIMER_PERIOD, UNRESPONSIVE_AFTER
 from honeywood.balancer.decisions.retry_budget import RetryBudget
 from honeywood.balancer.model import AttemptResult, GiveUpReason
 
--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -5,14 +5,17 @@
 from dataclasses import replace
 from urllib.parse import parse_qs
 
-from honeywood.gateway.configuration import config
+from honeywood.gateway.configuration import packing
 from honeywood.gateway.configuration.check import need, read_json
-from honeywood.gateway.errors import GatewayError, NotFound, PayloadTooLarge
+from honeywood.gateway.configuration.model import Limits
+from honeywood.gateway.configuration.reader import read_configuration
 from honeywood.gateway.controller import machines
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH
+from honeywood.gateway.errors import GatewayError, NotFound, PayloadTooLarge
 from honeywood.gateway.register import replica as register
-from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of
+from honeywood.gateway.rpc.asgi import read_body, send_response
+from honeywood.gateway.rpc.request_context import CONTEXT
 from honeywood.gateway.rpc.statuses import status_of
 
 MOST = 8 << 20  # bytes of a call's body
@@ -32,7 +35,11 @@
         }
         self.ours = {("POST", "news"): self.news, ("POST", "register"): self.register}
 
-    limits = config.Limits()  # callers here are machines, operators and our own programs
+    limits = Limits()  # callers here are machines, operators and our own programs
+
+    def begin_early(self, scope):
+        """Nothing is begun early: the calls of one connection are answered one after the other."""
+        return None
 
     async def __call__(self, scope, receive, send):
         peer = scope["client"][0]
@@ -46,14 +53,14 @@
         try:
             if call is None:
                 raise NotFound("dispatch", f"no such call: {scope['method']} {scope['path']} {named}", peer)
-            body = await body_of(receive, MOST)
+            body = await read_body(receive, MOST)
             if body is None:
                 raise PayloadTooLarge(named, "the body is too long or broken off", peer)
             # an order begins nothing for a caller that has gone, nor is it told what others wait for
-            departure = scope[CONTEXT].departure
+            disconnect = scope[CONTEXT].disconnect
             clock = self.controller.clock
-            heeds_departure = call in (self.start, self.news)
-            more = {"left": lambda: departure.check(clock())} if heeds_departure else {}
+            heeds_disconnect = call in (self.start, self.news)
+            more = {"left": lambda: disconnect.check(clock())} if heeds_disconnect else {}
             found = await call(of, body, peer, **more)
         except GatewayError as error:
             status = status_of(error)
@@ -62,10 +69,10 @@
                 "refused", 1.0, step=error.operation, peer=peer, why=error.reason, status=status
             )
             found = json.dumps({"step": error.operation, "peer": peer, "why": error.reason}).encode()
-            return await answer(send, status, JSON, found)
+            return await send_response(send, status, JSON, found)
         if not isinstance(found, bytes):
             found = json.dumps(found, separators=(",", ":")).encode()
-        await answer(send, 200, JSON, found)
+        await send_response(send, 200, JSON, found)
 
     # machines
     async def heartbeat(self, of, body, peer):
@@ -80,11 +87,11 @@
 
     # operators
     async def replace(self, of, body, peer):
-        found, ver = await self.controller.orders.replace(config.read(body, peer).version, body, peer)
+        found, ver = await self.controller.orders.replace(read_configuration(body, peer).version, body, peer)
         return {"outcome": found, "ver": f"{ver:08x}"}
 
     async def read(self, of, body, peer):
-        return config.unpack(await self.controller.orders.configuration(peer), peer)
+        return packing.unpack(await self.controller.orders.configuration(peer), peer)
 
     async def start(self, of, body, peer, left=lambda: False):
         order = read_json(body, "rollouts.start", peer)
--- a/honeywood/gateway/controller/orders.py
+++ b/honeywood/gateway/controller/orders.py
@@ -4,10 +4,12 @@
 
 import asyncio
 
-from honeywood.gateway.configuration import config
-from honeywood.gateway.configuration import versions as held
+from honeywood.gateway.configuration import packing
+from honeywood.gateway.configuration import record as configuration_record
+from honeywood.gateway.configuration.reader import read_configuration
+from honeywood.gateway.configuration.record import OrderOutcome
 from honeywood.gateway.errors import InvalidInput, NotFound, Unavailable, VersionConflict
-from honeywood.gateway.rollout import record
+from honeywood.gateway.rollout import record, transitions
 from honeywood.gateway.routing.endpoints import DRAINING, READY
 
 CONFIG, ROLLOUT = "config", "rollout/"  # keys of the register
@@ -60,27 +62,29 @@
         value = await self._read(READ, CONFIG, peer)
         if value is None:
             raise NotFound(READ, "none yet", peer)
-        return value["text"]
+        return configuration_record.decode(value).text
 
     async def replace(self, version, raw, peer):
         """(outcome, version held) of an order; 412 where its number stands for another content."""
-        mark = held.digest(raw)
-        told, found, value = self.controller.store.stamp(CONFIG), None, None
+        digest = configuration_record.content_digest(raw)
+        told, found, current = self.controller.store.stamp(CONFIG), None, None
         if told is not None and told[0] >= version:  # likely a copy: a read is cheaper than a round
             value = await self._read(REPLACE, CONFIG, peer)
-            found = held.outcome(value, version, mark)
+            current = None if value is None else configuration_record.decode(value)
+            found = configuration_record.order_outcome(current, version, digest)
         if found is None:
-            text = config.pack(raw)
+            order = version, packing.pack(raw), digest
             value = await self._change(
-                REPLACE, CONFIG, lambda value: held.ordered(value, version, text, mark), peer
+                REPLACE, CONFIG, lambda value: configuration_record.update_stored(value, *order), peer
             )
-            found = held.outcome(value, version, mark)
-        if found != held.TAKEN:
-            self.say(found, ordered=f"{version:08x}", held=f"{value['ver']:08x}", digest=mark)
-        if found == held.OTHER:
+            current = configuration_record.decode(value)
+            found = configuration_record.order_outcome(current, version, digest)
+        if found is not OrderOutcome.ACCEPTED:
+            self.say(found.value, ordered=f"{version:08x}", held=f"{current.version:08x}", digest=digest)
+        if found is OrderOutcome.CONFLICT:
             why = f"{version:08x} stands for another content; take a higher one"
             raise VersionConflict(REPLACE, why, peer)
-        return found, value["ver"]
+        return found, current.version
 
     async def order(self, svc, to_ver, over_s, peer, left=lambda: False):
         """The Rollout once it has begun, or that in which this order was taken before. `left` tells whether
@@ -90,7 +94,7 @@
             raise Unavailable(START, "this controller stood still; the order may be an old one", peer)
         held = await self._orderable(svc, peer)
         alone = await self._agreed_alone(svc, to_ver, peer)
-        if record.sent_back(held, to_ver):
+        if transitions.was_reverted(held, to_ver):
             await asyncio.sleep(LINGER)
 
         def begun(held):
@@ -100,10 +104,10 @@
                 raise Unavailable(START, "too late; it is no longer waited for", peer)
             since_s = 0.0 if held is None else self.controller.rollouts.since(held)
             still_alone = alone and self._alone(svc, to_ver)
-            again_s = self.controller.settings.bounds["ack_s"] + AGAIN
-            return record.start(held, svc, to_ver, over_s, since_s, again_s, still_alone)
+            again_s = self.controller.settings.bounds.ack_s + AGAIN
+            return transitions.start_rollout(held, svc, to_ver, over_s, since_s, again_s, still_alone)
 
-        change = lambda value: record.rewritten(value, begun)  # noqa: E731
+        change = lambda value: transitions.update_stored(value, begun)  # noqa: E731
         rollout = record.decode(await self._change(START, ROLLOUT + svc, change, peer))
         told = {"svc": svc, "to_ver": to_ver, "over_s": over_s}
         self.say("rollout ordered", **told, n=rollout.revision, state=rollout.state)
@@ -114,9 +118,10 @@
         configuration, value = await asyncio.gather(
             self._read(START, CONFIG, peer), self._read(START, ROLLOUT + svc, peer)
         )
-        known = configuration is None or svc in config.read(config.unpack(configuration["text"])).services
-        if not known:
-            raise InvalidInput(START, f"svc {svc!r} is not known", peer)
+        if configuration is not None:
+            raw = packing.unpack(configuration_record.decode(configuration).text)
+            if svc not in read_configuration(raw).services:
+                raise InvalidInput(START, f"svc {svc!r} is not known", peer)
         return None if value is None else record.decode(value)
 
     def _alone(self, svc, ver):
--- a/honeywood/gateway/dissemination/messages.py
+++ b/honeywood/gateway/dissemination/messages.py
@@ -5,10 +5,10 @@
 from typing import Any
 
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.errors import InvalidMessage
 from honeywood.gateway.dissemination import epochs
 from honeywood.gateway.dissemination.chunk import Chunk, Progress
 from honeywood.gateway.dissemination.record import PATH, Record, stamp_of
+from honeywood.gateway.errors import InvalidMessage
 
 
 def _records(table, peer):
--- a/honeywood/trace/call_recorder.py
+++ b/honeywood/trace/call_recorder.py
@@ -44,11 +44,11 @@
         Duration,
         Method,
         PlatformCounts,
+        ReleaseTestResult,
         ReleaseUpdate,
         Rpc,
         Server,
         ServerEntry,
-        ReleaseTestResult,
         Time,
         Vote,
     )
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -5,8 +5,8 @@
 from timeline import machine
 from ward import each, test
 
-from honeywood.gateway.configuration.config import Config, Limits, Route
-from honeywood.gateway.rollout.stage import Stage
+from honeywood.gateway.configuration.model import Configuration, Limits, RequestKind, Route
+from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 from honeywood.gateway.routing.attempts import Attempt, AttemptPolicy, PendingRequest, connect_by
 from honeywood.gateway.routing.balancer import choose
 from honeywood.gateway.routing.budget import RetryBudget
@@ -16,7 +16,7 @@
 
 
 def route(kind="safe", tries=2, prefix="/p/"):
-    return Route("r", "h.example", prefix, kind, 0.6, 0.25, 0, tries, (("s", 1.0),))
+    return Route("r", "h.example", prefix, RequestKind(kind), 0.6, 0.25, 0, tries, (("s", 1.0),))
 
 
 class Scene:
@@ -24,7 +24,7 @@
 
     def __init__(self, slack=64.0):
         self.endpoints = Endpoints()
-        self.stage = Stage(self.endpoints, 0.1, 50, lambda: 1)
+        self.stage = RolloutTrafficPolicy(self.endpoints, 0.1, 50, lambda: 1)
         self.budget = RetryBudget(0.2, slack, 10.0)
         self.policy = AttemptPolicy(lambda svc: self.budget, lambda: 4, self.stage, {"s": 9})
         for id in "mno":
@@ -186,7 +186,7 @@
 @test("the longest prefix of a host wins, whole segments only, whatever the host's case and port")
 def _():
     routes = (route(prefix="/a/"), route(prefix="/a/b/"), route(prefix="/"))
-    table = RouteTable(Config(1, routes, {}, Limits()))
+    table = RouteTable(Configuration(1, routes, {}, Limits()))
     found = [table.find(b"H.example:80", path) for path in (b"/a/b/c", b"/a/bc", b"/a", b"/a/%2F/..", b"")]
     assert [one and one.prefix for one in found] == ["/a/b/", "/a/", "/", "/a/", None]
     assert table.find(b"other.example", b"/a/") is None
