--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -11,8 +11,8 @@
 from honeywood.gateway.dissemination.messages import Answer
 from honeywood.gateway.rollout import transitions
 from honeywood.gateway.rollout.record import RolloutState
-from honeywood.gateway.rpc.asgi import CONTEXT, RequestContext
-from honeywood.gateway.rpc.departure import ClientDeparture
+from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
+from honeywood.gateway.rpc.request_context import CONTEXT, RequestContext
 from honeywood.lab.emulator.boot import BOUNDS
 
 CONTENTS = {"x": 1, "y": 2, "z": 3}  # contents under one number, by their routes
@@ -276,7 +276,7 @@
         scope = {"client": ("op", 1), "server": ("a", 82), "method": "POST", "path": "/v1/rpc"}
         # What the server hands over, by its own type: a key that only tests knew let every order of the real
         # controllers end in 500.
-        context = RequestContext(b"/v1/rpc?call=rollouts.start", ClientDeparture(self.left))
+        context = RequestContext(b"/v1/rpc?call=rollouts.start", ClientDisconnect(self.left))
         scope |= {"query_string": b"call=rollouts.start", CONTEXT: context}
         world.loop.create_task(world.nodes[name].app(scope, self.receive, self.send))
 
--- a/tests/gateway/test_pinned_rpc.py
+++ b/tests/gateway/test_pinned_rpc.py
@@ -22,7 +22,8 @@
 from honeywood.gateway.controller.program import Controller
 from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.proxy.program import Proxy
-from honeywood.gateway.rpc import asgi, client, connection, server
+from honeywood.gateway.rpc import asgi, client, connection, reply, request_context, server
+from honeywood.gateway.rpc import headers as header_module
 from honeywood.gateway.rpc.statuses import status_of
 from honeywood.lab.emulator.boot import boot
 
@@ -39,27 +40,27 @@
 
 
 async def read_body(receive: Any, limit: int) -> bytes | None:
-    return await asgi.body_of(receive, limit)
+    return await asgi.read_body(receive, limit)
 
 
 async def send_response(send: Any, status: int, headers: list, body: bytes) -> None:
-    await asgi.answer(send, status, headers, body)
+    await asgi.send_response(send, status, headers, body)
 
 
 async def send_stream(send: Any, status: int, headers: list, chunks: Any) -> None:
-    await asgi.stream(send, status, headers, chunks)
+    await asgi.stream_response(send, status, headers, chunks)
 
 
 def others_begun(scope: dict) -> bool:
-    return scope[asgi.CONTEXT].others_begun()
+    return scope[request_context.CONTEXT].others_begun()
 
 
 def early_response(scope: dict) -> Any:
-    return scope[asgi.CONTEXT].early_response
+    return scope[request_context.CONTEXT].early_response
 
 
 def raw_target(scope: dict) -> bytes:
-    return scope[asgi.CONTEXT].target
+    return scope[request_context.CONTEXT].target
 
 
 def make_caller() -> Any:
@@ -69,13 +70,13 @@
 
 
 def bytes_by_path(caller: Any) -> dict[str, int]:
-    return dict(caller.carried)
+    return dict(caller.bytes_by_path)
 
 
-async def call(caller: Any, port: int, path: str, body: Any, within_s: float, again: bool) -> dict:
+async def call(caller: Any, port: int, path: str, body: Any, within_s: float, idempotent: bool) -> dict:
     """What a call came to: a value, or the failure's operation, reason, peer and status."""
     try:
-        return {"value": await caller.call(IP, port, path, body, within_s, again)}
+        return {"value": await caller.call(IP, port, path, body, within_s, idempotent)}
     except GatewayError as error:
         peer = error.peer.replace(str(port), "PORT")
         found = {"operation": error.operation, "reason": error.reason, "peer": peer}
@@ -100,7 +101,7 @@
 
 async def reply_of(found: Any) -> dict:
     """A reply, read to its end, or what is known of the failure."""
-    if isinstance(found, connection.ExchangeFailed):
+    if isinstance(found, reply.ExchangeFailure):
         return {"reason": found.reason, "sent": found.sent, "timed_out": found.timed_out}
     rest = None
     if found.remainder is not None:
@@ -124,8 +125,8 @@
     }
 
 
-def end_to_end(headers: list) -> list:
-    return connection.end_to_end(headers)
+def end_to_end(fields: list) -> list:
+    return header_module.end_to_end(fields)
 
 
 def make_program(role: str, folder: str) -> tuple[Any, dict[str, int]]:
@@ -149,7 +150,7 @@
     def __init__(self, limits: dict) -> None:
         self.limits = Limits(**limits)
 
-    def early(self, scope: dict) -> asyncio.Future | None:
+    def begin_early(self, scope: dict) -> asyncio.Future | None:
         if not scope["path"].startswith("/early"):
             return None
         ready = asyncio.get_running_loop().create_future()
