--- a/honeywood/gateway/configuration/packing.py
+++ b/honeywood/gateway/configuration/packing.py
@@ -8,8 +8,8 @@
 import zlib
 from binascii import a2b_base64, b2a_base64
 
-from honeywood.gateway.errors import InvalidConfiguration
 from honeywood.gateway.configuration.tenants import with_hashed_keys
+from honeywood.gateway.errors import InvalidConfiguration
 
 OPERATION = "config.replace"  # named in errors
 # Earlier releases stored texts as they were sent; no packed text begins so.
--- a/honeywood/gateway/configuration/reader.py
+++ b/honeywood/gateway/configuration/reader.py
@@ -17,13 +17,13 @@
     Service,
     WeightedService,
 )
-from honeywood.gateway.errors import InvalidConfiguration
 from honeywood.gateway.configuration.tenants import (
     TENANTS,
     check_keys_differ,
     read_hashed_tenant,
     read_tenant,
 )
+from honeywood.gateway.errors import InvalidConfiguration
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -9,10 +9,10 @@
 from honeywood.gateway.configuration.check import need, read_json
 from honeywood.gateway.configuration.model import Limits
 from honeywood.gateway.configuration.reader import read_configuration
-from honeywood.gateway.errors import GatewayError, NotFound, PayloadTooLarge
 from honeywood.gateway.controller import machines
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH
+from honeywood.gateway.errors import GatewayError, NotFound, PayloadTooLarge
 from honeywood.gateway.register import replica as register
 from honeywood.gateway.rpc.asgi import read_body, send_response
 from honeywood.gateway.rpc.request_context import CONTEXT
--- a/honeywood/gateway/controller/machines.py
+++ b/honeywood/gateway/controller/machines.py
@@ -2,9 +2,9 @@
 
 from honeywood.gateway.configuration.addresses import parse_address
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.errors import InvalidInput
 from honeywood.gateway.dissemination import departed
 from honeywood.gateway.dissemination.history import History
+from honeywood.gateway.errors import InvalidInput
 from honeywood.gateway.routing.endpoints import DRAINING, GONE, LOST, READY
 
 STEP = "instances.heartbeat"
--- a/honeywood/gateway/program.py
+++ b/honeywood/gateway/program.py
@@ -11,8 +11,8 @@
 
 import structlog
 
-from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.configuration.settings import read_settings
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.metrics import CONTENT_TYPE, Figures, render
 from honeywood.gateway.metrics import PATH as METRICS_PATH
 from honeywood.gateway.rpc.asgi import send_response
--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -6,9 +6,9 @@
 import httpcore
 
 from honeywood.gateway.configuration.check import read_json
-from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.proxy.forwarding import ClientRequest
 from honeywood.gateway.proxy.responses import (
     BAD_REQUEST,
@@ -137,7 +137,13 @@
             admission,
         )
         response = await self.proxy.forwarder.forward(route, request)
+<<<<<<< HEAD
         if response.remainder is not None and route.idempotent:  # it may wait long for its turn
+=======
+        if (
+            response.remainder is not None and route.idempotent
+        ):  # it may wait long for its turn to be passed on
+>>>>>>> origin/main
             context.disconnect.subscribe(response.remainder.abandon)
         return response
 
--- a/honeywood/lab/emulator/boot.py
+++ b/honeywood/lab/emulator/boot.py
@@ -5,7 +5,6 @@
 from honeywood.gateway.configuration.addresses import Address
 from honeywood.gateway.configuration.settings import ListenAddresses, read_settings
 
-
 AIM_S, DEADLINE_S = 0.25, 0.8  # of requests in worlds
 
 BOUNDS = {
--- a/tests/gateway/test_epochs.py
+++ b/tests/gateway/test_epochs.py
@@ -13,7 +13,7 @@
 from honeywood.gateway.dissemination.local import LocalRecords
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.store import Store
-from honeywood.gateway.rollout.report import ProxyReport, OutcomeCounts
+from honeywood.gateway.rollout.report import OutcomeCounts, ProxyReport
 
 STEP = 10.0  # seconds between exchanges of the stores below
 DAY = 86400.0
