--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -137,13 +137,7 @@
             admission,
         )
         response = await self.proxy.forwarder.forward(route, request)
-<<<<<<< HEAD
         if response.remainder is not None and route.idempotent:  # it may wait long for its turn
-=======
-        if (
-            response.remainder is not None and route.idempotent
-        ):  # it may wait long for its turn to be passed on
->>>>>>> origin/main
             context.disconnect.subscribe(response.remainder.abandon)
         return response
 
