--- /dev/null
+++ b/tests/gateway/configuration/test_settings.py
@@ -0,0 +1,59 @@
+"""Settings files that can't be used are refused; errors name the key."""
+
+from ward import each, test
+
+from honeywood.gateway.configuration.settings import read_settings
+from honeywood.gateway.errors import InvalidInput
+from honeywood.lab.emulator.boot import boot
+
+GOOD = boot("n", seeds=["10.0.0.1:82"], ip="10.0.0.9")
+
+
+@test("settings with {was!r} as {made!r} are refused, and the error names {named}")
+def _(
+    was=each(
+        "drain_s = 2\n",
+        "[7000, 7010]",
+        '"10.0.0.1:82"',
+        "fresh = true",
+        "machines = 1",
+        "retry_slack = 64",
+        '"10.0.0.1:82"',
+        'ip = "10.0.0.9"',
+        'ready = "10.0.0.9:81"',
+    ),
+    made=each(
+        "",
+        "[7010, 7000]",
+        '"10.0.0.1"',
+        'fresh = "yes"',
+        "machines = -1",
+        "retry_slack = nan",
+        '"core.example:82"',
+        'ip = "core.example"',
+        'ready = "core.example:81"',
+    ),
+    named=each(
+        "drain_s",
+        "port_range",
+        "10.0.0.1",
+        "fresh",
+        "machines",
+        "retry_slack",
+        "seeds",
+        "settings: ip",
+        "listen.ready",
+    ),
+):
+    assert read_settings(GOOD).tolerated_failures == 1
+    try:
+        read_settings(GOOD.replace(was, made))
+    except InvalidInput as wrong:
+        assert named in str(wrong) and "settings" in str(wrong)
+    else:
+        raise AssertionError("it was taken")
+
+
+@test("fields of settings that are not known are skipped")
+def _():
+    assert read_settings(GOOD + "\n[news]\nx = 1\n").node == "n"
