--- a/honeywood/gateway/register/__init__.py
+++ b/honeywood/gateway/register/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated register: keys whose values a majority of disks agrees on by CASPaxos, without log or leader.
+"""The replicated register: keys whose values a majority of disks agrees on by CASPaxos, without a leader.
 
 Start reading at acceptor.py and proposal.py (the rules, pure), then row_store.py and register.py.
 """
