--- a/honeywood/gateway/controller/machine_loop.py
+++ b/honeywood/gateway/controller/machine_loop.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from honeywood.gateway.errors import GatewayError, Unavailable
 from honeywood.gateway.controller.machine_records import MachineRecords
 from honeywood.gateway.controller.machines import Machines
+from honeywood.gateway.errors import GatewayError, Unavailable
 
 DISK_WAIT_S = 0.2  # seconds that an acknowledgement waits for this disk, besides others' knowledge
 
--- a/honeywood/gateway/proxy/forwarding.py
+++ b/honeywood/gateway/proxy/forwarding.py
@@ -20,8 +20,8 @@
 from honeywood.gateway.routing.outcomes import FIRST_FAILURE, AttemptOutcome
 from honeywood.gateway.routing.routes import pick_service
 from honeywood.gateway.routing.tenants import WITHOUT_TENANTS, Admission
-from honeywood.gateway.rpc.connection import end_to_end
-from honeywood.gateway.rpc.departure import ClientDeparture
+from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
+from honeywood.gateway.rpc.headers import end_to_end
 
 HEDGE_AFTER = 2.0  # typical latencies after which a repeatable request goes to a second endpoint as well
 HEDGE_LEAST_S = 0.05  # seconds
@@ -34,7 +34,7 @@
 @dataclass(slots=True)
 class ClientRequest:
     """A whole request of a client: `target` with its raw escapes, `fields` a value of each header.
-    `departure` tells of its client's leaving; `received_at` when it was whole, if that was before it is
+    `disconnect` tells of its client's leaving; `received_at` when it was whole, if that was before it is
     forwarded; `admission` says for which tenant."""
 
     method: bytes
@@ -42,7 +42,7 @@
     headers: list
     fields: dict
     body: bytes
-    departure: ClientDeparture = field(default_factory=ClientDeparture)
+    disconnect: ClientDisconnect = field(default_factory=ClientDisconnect)
     received_at: float | None = None
     admission: Admission = WITHOUT_TENANTS
 
@@ -77,10 +77,10 @@
             told_ms = int(client_request.fields.get(b"x-deadline-ms", NO_DEADLINE_MS))
         except ValueError:
             return own_response(BAD_REQUEST, "x-deadline-ms is no number")
-        request = self._take(route, client_request, min(route.timeout, told_ms / 1000))
+        request = self._take(route, client_request, min(route.timeout_s, told_ms / 1000))
         self.open_requests.add(request)
-        request.on_departure = partial(self._client_left, request)
-        request.departure.subscribe(request.on_departure)
+        request.on_disconnect = partial(self._client_left, request)
+        request.disconnect.subscribe(request.on_disconnect)
         try:
             response = await self._race(request, client_request.outgoing())
         finally:
@@ -96,13 +96,13 @@
         if not request.finished:
             kind, stage = request.route.kind, self.sender.stage_of(request)
             self.counts[f"client left: {kind} {stage}"] += 1
-        if request.route.safe:
+        if request.route.idempotent:
             self.sender.abandon(request)
 
     def _unsubscribe(self, request):
         """Nothing of a request that is finished and has no attempts under way depends on its client."""
         if request.finished and request not in self.sender.flights:
-            request.departure.unsubscribe(request.on_departure)
+            request.disconnect.unsubscribe(request.on_disconnect)
 
     def _take(self, route, client_request, wait_s):
         """The PendingRequest, which earns its service's budget and its version's trial their parts."""
@@ -111,20 +111,20 @@
         service = pick_service(route.split, self.random.random())
         try_id, deadline = client_request.fields.get(b"x-try-id", b""), received_at + wait_s
         request = PendingRequest(route, service, try_id, received_at, deadline, priority=route.priority)
-        request.departure = client_request.departure
+        request.disconnect = client_request.disconnect
         tenant = client_request.admission.tenant
         if tenant is not None and tenant.priority is not None:
             request.priority = tenant.priority
         self.budget_of(service).record_request(now)
-        self.stage.taking(request)
+        self.stage.record_request(request)
         return request
 
     def _count(self, request, response):
         self.counts["requests"] += 1
-        if request.departure.gone:
+        if request.disconnect.happened:
             return
         if response.status < FIRST_FAILURE:
-            late = self.clock() - request.received_at > request.route.target
+            late = self.clock() - request.received_at > request.route.latency_target_s
             self.counts["served late" if late else "served in time"] += 1
         self.counts["further sends"] += max(0, len(request.attempts) - 1)
         self.counts[f"answered {response.status}"] += 1
@@ -156,7 +156,7 @@
         """(seconds to wait for the attempts that are running, whether another may begin beside them then)."""
         now, until = self.clock(), request.deadline - ANSWER_EARLY_S
         hedge_s = max(HEDGE_LEAST_S, HEDGE_AFTER * self.endpoints.typical_latency(request.service))
-        may_hedge = request.route.safe and running == 1 and request.route.tries > 1
+        may_hedge = request.route.idempotent and running == 1 and request.route.max_attempts > 1
         is_hedge = may_hedge and now + hedge_s < until
         return (hedge_s if is_hedge else max(0, until - now)), is_hedge
 
@@ -167,7 +167,7 @@
         """The endpoint for an attempt now, or None."""
         now, service = self.clock(), request.service
         typical_s = self.endpoints.typical_latency(service)
-        for group in self.stage.groups(now, request, self.endpoints.of(service)):
+        for group in self.stage.preference_groups(now, request, self.endpoints.of(service)):
             fit = self.policy.eligible(now, request, group)
             attempted = request.attempted_endpoints
             endpoint = choose(now, fit, self.zone, attempted, typical_s, self.random)
@@ -184,7 +184,7 @@
 
     def _give_up(self, request, failure):
         """The final answer where no endpoint may be asked any more."""
-        if request.departure.gone:
+        if request.disconnect.happened:
             return own_response(BAD_GATEWAY, "its client has left")  # nobody reads it
         if failure is not None:
             return relayed(failure)
@@ -208,4 +208,4 @@
     """Whether an attempt's answer is the request's: a success, or what can't be tried again."""
     if result.outcome is AttemptOutcome.SUCCESS:
         return True
-    return result.outcome is AttemptOutcome.FAILURE and not request.route.safe
+    return result.outcome is AttemptOutcome.FAILURE and not request.route.idempotent
--- a/honeywood/gateway/register/membership_manager.py
+++ b/honeywood/gateway/register/membership_manager.py
@@ -66,7 +66,7 @@
             membership.restore()
         elif self._settings.fresh:
             try:
-                await membership.initialize(tuple(ip for ip, _ in self._settings.seeds))
+                await membership.initialize(tuple(seed.ip for seed in self._settings.seeds))
             except DiskUnavailable as error:  # taken for a lost one until it can be written to
                 self._say("register not initialized", why=str(error))
         self._say(
@@ -111,7 +111,7 @@
         if self._bootstrap_started_at is None:
             self._bootstrap_started_at = now
         ip, seeds = self._settings.ip, self._membership.members
-        size = 2 * self._settings.bear + 1
+        size = 2 * self._settings.tolerated_failures + 1
         rank = seeds.index(ip) if ip in seeds else len(seeds)
         if len(ips) >= size and now - self._bootstrap_started_at >= rank * BOOTSTRAP_STAGGER_S:
             with suppress(RegisterUnavailable):
--- a/honeywood/gateway/register/paged_caller.py
+++ b/honeywood/gateway/register/paged_caller.py
@@ -12,7 +12,7 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from collections.abc import Hashable, Mapping
+    from collections.abc import Hashable
 
     from honeywood.gateway.register.json_value import JsonValue
     from honeywood.gateway.rpc.client import Caller
@@ -41,18 +41,18 @@
         ip: str,
         port: int,
         path: str,
-        body: Mapping[str, JsonValue],
+        body: dict[str, JsonValue],
         timeout_s: float,
-        again: bool = False,
-    ) -> Mapping[str, JsonValue]:
+        idempotent: bool = False,
+    ) -> dict[str, JsonValue]:
         """Return the complete answer's object; raise GatewayError where there is none."""
         step = body.get("step")
         if step not in PAGED_STEPS:
-            return await self._caller.call(ip, port, path, body, timeout_s, again=again)
+            return await self._caller.call(ip, port, path, body, timeout_s, idempotent=idempotent)
         resumable = step == TransferState.step
         question: Hashable = question_of(ip, body) if resumable else next(self._numbers)
         try:
-            return await self._call_paged(question, ip, port, path, body, timeout_s, again)
+            return await self._call_paged(question, ip, port, path, body, timeout_s, idempotent)
         finally:
             if not resumable:
                 self._receiver.open.pop(question, None)
@@ -63,17 +63,17 @@
         ip: str,
         port: int,
         path: str,
-        body: Mapping[str, JsonValue],
+        body: dict[str, JsonValue],
         timeout_s: float,
-        again: bool,
-    ) -> Mapping[str, JsonValue]:
+        idempotent: bool,
+    ) -> dict[str, JsonValue]:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + max(ANSWER_TIMEOUT_S, timeout_s)
         while (remaining_s := deadline - loop.time()) > 0:
             position = self._receiver.position(question)
             asked = {**body, POSITION_FIELD: list(position or ())}
             page_timeout_s = min(PAGE_TIMEOUT_S, timeout_s, remaining_s)
-            answer = await self._caller.call(ip, port, path, asked, page_timeout_s, again=again)
+            answer = await self._caller.call(ip, port, path, asked, page_timeout_s, idempotent=idempotent)
             complete = self._receiver.add(question, answer, ip)
             if complete is not None:
                 return complete
--- a/honeywood/gateway/register/peer_client.py
+++ b/honeywood/gateway/register/peer_client.py
@@ -46,7 +46,7 @@
         if ip == self._local_ip:
             return await self._serve(request, ip)
         body = encode_request(request)
-        answer = await self._caller.call(ip, self._port, PATH, body, timeout_s, again=True)
+        answer = await self._caller.call(ip, self._port, PATH, body, timeout_s, idempotent=True)
         return decode_reply(request, answer, ip)
 
     async def call_all(
--- a/honeywood/gateway/register/persistent_state.py
+++ b/honeywood/gateway/register/persistent_state.py
@@ -50,7 +50,7 @@
         self, settings: Settings, open_store: Callable[[str], Store], say: Callable[..., None]
     ) -> None:
         """`open_store` opens the store in a folder; nothing is read before `open`."""
-        self.local_ip, self._folder = settings.ip, settings.datadir
+        self.local_ip, self._folder = settings.ip, settings.data_directory
         self._open_store, self._say = open_store, say
         self.store: Store | None = None
         self.executor: Executor = ThreadPoolExecutor(1)
--- a/honeywood/gateway/register/register.py
+++ b/honeywood/gateway/register/register.py
@@ -38,7 +38,7 @@
     """The replicated register as one controller uses it.
 
     `membership` tells which epoch this disk is in, `state` what it stores, and `manager` opens it and keeps
-    it in the newest epoch. Of 2 f + 1 members f may fail at once, where f is `settings.bear`.
+    it in the newest epoch. Of 2 f + 1 members f may fail at once, where f is `settings.tolerated_failures`.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
             settings, say, self.state, self.membership, peers, self.proposer, transfer
         )
 
-    async def serve(self, body: Mapping[str, JsonValue], peer: str) -> dict[str, JsonValue]:
+    async def serve(self, body: dict[str, JsonValue], peer: str) -> dict[str, JsonValue]:
         """Return the answer to another controller's request, both as JSON objects.
 
         Raises InvalidMessage where the request can't be read, DiskUnavailable where the disk can't be used.
--- a/honeywood/gateway/routing/attempts.py
+++ b/honeywood/gateway/routing/attempts.py
@@ -6,7 +6,7 @@
 
 from honeywood.gateway.routing.endpoints import READY
 from honeywood.gateway.routing.outcomes import AttemptOutcome
-from honeywood.gateway.rpc.departure import ClientDeparture
+from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
 
 DEFAULT_MAX_CONNECTIONS = 8  # that an endpoint is taken to accept while no configuration says more
 MAX_UNREACHABLE = 4  # endpoints that may prove out of reach to one request
@@ -53,8 +53,8 @@
     attempts: list = field(default_factory=list)
     finished: bool = False
     unreachable: list = field(default_factory=list)  # endpoints to which no connection came up
-    departure: ClientDeparture = field(default_factory=ClientDeparture)
-    on_departure: Callable[[], None] | None = None  # what `departure` calls; None: nothing
+    disconnect: ClientDisconnect = field(default_factory=ClientDisconnect)
+    on_disconnect: Callable[[], None] | None = None  # what `disconnect` calls; None: nothing
     priority: int = 0
 
     @property
@@ -75,7 +75,7 @@
     @property
     def refuse_at(self):
         """By when it is refused if it could be offered to no endpoint: its client may go on elsewhere."""
-        return self.received_at + REFUSE_BY * self.route.target
+        return self.received_at + REFUSE_BY * self.route.latency_target_s
 
 
 def connect_by(now, request):
@@ -116,17 +116,17 @@
         """What keeps a request from all endpoints, or None."""
         if request.finished or request.succeeded:
             return Refusal.FINISHED
-        if request.departure.gone:
+        if request.disconnect.happened:
             return Refusal.CLIENT_GONE
         if self._is_out_of_reach(now, request):
             return Refusal.UNREACHABLE
-        if now > request.deadline - max(LEAST_LEFT_S, LEAST_PART * request.route.target):
+        if now > request.deadline - max(LEAST_LEFT_S, LEAST_PART * request.route.latency_target_s):
             return Refusal.DEADLINE
         if not request.attempts:
             return None
-        if not request.route.safe and request.may_have_run:
+        if not request.route.idempotent and request.may_have_run:
             return Refusal.MAY_HAVE_RUN
-        if len(request.attempts) >= 2 * request.route.tries:
+        if len(request.attempts) >= 2 * request.route.max_attempts:
             return Refusal.TRIES
         return None if self.budget_of(request.service).allows(now, self.proxies()) else Refusal.BUDGET
 
@@ -155,7 +155,7 @@
             if attempt.endpoint is endpoint and attempt.outcome is AttemptOutcome.FAILURE:
                 return Refusal.FAILED_THERE
         asked = {attempt.endpoint.id for attempt in request.attempts} | {endpoint.id}
-        return Refusal.TRIES if len(asked) > request.route.tries else None
+        return Refusal.TRIES if len(asked) > request.route.max_attempts else None
 
     def _may_connect(self, endpoint):
         return endpoint.connections < self.connection_share(endpoint.service)
@@ -169,7 +169,7 @@
         """Takes note of an attempt that nothing keeps from an endpoint; its Attempt."""
         if request.attempts:
             self.budget_of(request.service).record_retry(now)
-        self.stage.sent(now, request, endpoint)
+        self.stage.record_attempt(request, endpoint)
         attempt = Attempt(endpoint)
         request.attempts.append(attempt)
         return attempt
--- a/tests/gateway/register/test_acceptor.py
+++ b/tests/gateway/register/test_acceptor.py
@@ -1,6 +1,5 @@
 """The rules of the acceptor."""
 
-
 from ward import each, test
 
 from honeywood.gateway.register import acceptor
--- a/tests/gateway/register/test_agreement.py
+++ b/tests/gateway/register/test_agreement.py
@@ -1,6 +1,5 @@
 """What a majority of disks agrees on."""
 
-
 from ward import test
 
 from honeywood.gateway.register import acceptor
--- a/tests/gateway/register/test_chunk_size.py
+++ b/tests/gateway/register/test_chunk_size.py
@@ -1,6 +1,5 @@
 """The size of chunks."""
 
-
 from ward import test
 
 from honeywood.gateway.register.chunk_size import FIRST_CHUNK_CHARACTERS, MIN_CHUNK_CHARACTERS, ChunkSize
--- a/tests/gateway/register/test_membership_manager.py
+++ b/tests/gateway/register/test_membership_manager.py
@@ -1,6 +1,5 @@
 """Members are agreed on and replaced, and lost disks are rebuilt."""
 
-
 from register_histories import configurations, drawn, history
 from timeline import World, config
 from ward import each, test
--- a/tests/gateway/register/test_paged_caller.py
+++ b/tests/gateway/register/test_paged_caller.py
@@ -13,7 +13,7 @@
 @test("an answer that is neither complete nor a page is a failed call that names field and peer")
 def _():
     class Peer:
-        async def call(self, ip, port, path, body, within, again):
+        async def call(self, ip, port, path, body, within, idempotent):
             return {"part": "x", "at": "0", "of": 9, "mark": "m", "sum": 0}
 
     ask = {"step": "survey", "known": {}}
@@ -29,7 +29,7 @@
         value, fails = ["x" * (3 * PAGE_CHARACTERS)], [False]
 
         class Peer:
-            async def call(self, ip, port, path, body, within, again):
+            async def call(self, ip, port, path, body, within, idempotent):
                 if body["have"] and fails[0]:
                     raise CallFailed(path, "silence", ip)
                 return await telling(dict(body), "a")
--- a/tests/gateway/register/test_persistent_state.py
+++ b/tests/gateway/register/test_persistent_state.py
@@ -1,6 +1,5 @@
 """What a controller's disk stores."""
 
-
 from timeline import World
 from ward import test
 
--- a/tests/gateway/register/test_proposer.py
+++ b/tests/gateway/register/test_proposer.py
@@ -1,6 +1,5 @@
 """Changes by ballots."""
 
-
 from timeline import World
 from ward import test
 
--- a/tests/gateway/register/test_register.py
+++ b/tests/gateway/register/test_register.py
@@ -1,6 +1,5 @@
 """The register: what was acknowledged is never lost, a rollout has one outcome, a reader never goes back."""
 
-
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from register_histories import FAULTS, broken, drawn, faulty, history, played, racing
--- a/tests/gateway/register/test_replacement.py
+++ b/tests/gateway/register/test_replacement.py
@@ -1,6 +1,5 @@
 """The rule by which a member is replaced."""
 
-
 from ward import each, test
 
 from honeywood.gateway.register.membership_configuration import MembershipConfiguration
--- a/tests/gateway/register/test_value_transfer.py
+++ b/tests/gateway/register/test_value_transfer.py
@@ -1,6 +1,5 @@
 """Large values travel by content hash, apart from the ballots, in checked chunks."""
 
-
 from slow_link import begun, changes, held, large
 from ward import each, test
 
--- a/tests/gateway/test_contact.py
+++ b/tests/gateway/test_contact.py
@@ -1,6 +1,5 @@
 """What shows that another controller is in contact."""
 
-
 from ward import test
 
 from honeywood.gateway.controller.contact import Contacts
--- a/tests/gateway/test_model.py
+++ b/tests/gateway/test_model.py
@@ -76,6 +76,8 @@
 )
 COPIED = DOUBT + "disk 1 is lost"
 SHOWN_BEFORE = DOUBT + "accept of 1 at 0; 0 tells the reader; disk 0 is lost"
+
+
 def always_sure(row):
     return True
 
--- a/tests/gateway/test_pinned_register.py
+++ b/tests/gateway/test_pinned_register.py
@@ -15,7 +15,7 @@
 
 from ward import each, test
 
-from honeywood.gateway.configuration.settings import read as read_settings
+from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.errors import CallRefused, GatewayError
 from honeywood.gateway.register import requests
 from honeywood.gateway.register.row_store import RowStore
@@ -207,7 +207,7 @@
         net = self
 
         class Caller:
-            async def call(self, ip, port, path, body, within, again=False):
+            async def call(self, ip, port, path, body, within, idempotent=False):
                 return await net.carry(source, ip, port, path, body)
 
         return paged_caller(Caller())
--- a/tests/gateway/test_review.py
+++ b/tests/gateway/test_review.py
@@ -1,4 +1,5 @@
 """Found in review: a read that took copies for votes, two joined sides of a cut, a ballot that waited."""
+
 import asyncio
 
 from timeline import World
