--- a/tests/gateway/register/test_agreement.py
+++ b/tests/gateway/register/test_agreement.py
@@ -12,7 +12,7 @@
 )
 
 
-@test("a rebuilt disk's copy is no vote: what a read tells is never lost to a ballot promised before")
+@test("a rebuilt disk's copy is no vote: what a read returned is never lost to a ballot promised before")
 def _():
     # 5x reached a alone; a ballot without a was promised by b and c; c was lost, rebuilt from a and b. A read
     # of a and c took c's copy for an accepted row and told 5x; b and c accepted 5y under the old promise.
--- a/tests/gateway/register/test_membership_manager.py
+++ b/tests/gateway/register/test_membership_manager.py
@@ -1,6 +1,6 @@
 """Members are agreed on and replaced, and lost disks are rebuilt."""
 
-from register_histories import configurations, drawn, history
+from register_histories import configurations, random_schedule, play_history
 from timeline import World, config
 from ward import each, test
 
@@ -8,7 +8,7 @@
 from honeywood.gateway.register.membership_manager import MembershipManager
 
 
-def founded_apart(seed=0):
+def bootstrap_partitioned(seed=0):
     """Seven controllers of which five are to count, cut into two from the start, with a majority of the
     seeds on one side; joined later. The members by controller."""
     world = World("abcdefg", bear=2, seed=seed)
@@ -31,11 +31,11 @@
     # Then, right after the cut, a controller that had heard some members and a spare replaced one not heard
     # yet.
     for seed in range(4):
-        found = founded_apart(seed)
-        assert found == [MembershipConfiguration(1, tuple("abcfg"))] * 7, seed
+        results = bootstrap_partitioned(seed)
+        assert results == [MembershipConfiguration(1, tuple("abcfg"))] * 7, seed
 
 
-async def alone(self, wanted):
+async def agree_alone(self, wanted):
     configuration = MembershipConfiguration(self._membership.epoch + 1, tuple(wanted))
     await self._membership.adopt(configuration)
     return configuration
@@ -44,9 +44,9 @@
 @test("without agreement they found two")
 def _():
     # Mutation: each takes the members that it proposes for agreed.
-    guarded, MembershipManager._agree = MembershipManager._agree, alone
+    guarded, MembershipManager._agree = MembershipManager._agree, agree_alone
     try:
-        assert len({one.members for one in founded_apart()}) > 1
+        assert len({one.members for one in bootstrap_partitioned()}) > 1
     finally:
         MembershipManager._agree = guarded
 
@@ -74,8 +74,8 @@
           6.1  |       | put 3   |   |
           7    |       | acked 3 |   | = 3
         """)
-        counts = MembershipConfiguration(2, ("a", "b", "d"))
-        assert configurations(world) == [counts] * 2
+        expected = MembershipConfiguration(2, ("a", "b", "d"))
+        assert configurations(world) == [expected] * 2
         world.play("""
           at   | a     | b       | c     | d
           8    |       | wipe    | start |
@@ -84,7 +84,7 @@
           9.5  |       |         |       | acked 4
           11   | = 4   | = 4     | = 4   | = 4
         """)
-        assert configurations(world) == [counts] * 4
+        assert configurations(world) == [expected] * 4
         memberships = [world.nodes[name].register.membership for name in "abcd"]
         assert [membership.is_voter for membership in memberships] == [True, True, False, True]
     finally:
@@ -107,10 +107,10 @@
         world.close()
 
 
-@test("a wiped disk counts again at once ({disk} times a disk's usual time, {routes} routes)")
+@test("a wiped disk is a voter again at once ({disk} times a disk's usual time, {routes} routes)")
 def _(disk=each(1, 1, 30), routes=each(1, 1400, 1400)):
     # From the start of its process; `sync_s` is 4 s. By the next round of the keeping loop it took up to 1 s.
-    world, found = World(), []
+    world, results = World(), []
     try:
         for name in world.controllers:
             world.start(name)
@@ -126,11 +126,11 @@
         began = world.loop.time()
 
         def look():
-            if not found and "a" in world.nodes and world.nodes["a"].register.membership.is_voter:
-                found.append(world.loop.time() - began)
+            if not results and "a" in world.nodes and world.nodes["a"].register.membership.is_voter:
+                results.append(world.loop.time() - began)
 
         world.run(8.0, look)
-        assert world.version("a") == 3 and found and found[0] < 0.4, found
+        assert world.version("a") == 3 and results and results[0] < 0.4, results
     finally:
         world.close()
 
@@ -160,22 +160,22 @@
         world.close()
 
 
-def removed(seed):
+def play_member_removed(seed):
     """Kills, wipes and cuts of four controllers, of which the fourth is there when the third has gone."""
-    schedule, loss = drawn(seed, 30)
+    schedule, loss = random_schedule(seed, 30)
     moments = [
         (wait, what, "abd"[at % 3] if what == "start" else name)
         for at, (wait, what, name) in enumerate(schedule)
     ]
     gone = [(0.5, "kill", "c"), (0.1, "start", "d"), (4.0, "put", "a")]
     moments = [*moments[:10], *gone, *moments[10:], (4.0, "put", "b")]
-    history(moments, loss, seed, controllers="abcd", first="abc")
+    play_history(moments, loss, seed, controllers="abcd", first="abc")
 
 
 @test("twenty histories with a member that goes for good and one that comes lose nothing")
 def _():
     for seed in range(20):
-        removed(seed)
+        play_member_removed(seed)
 
 
 @test("contact with a spare is none with a majority: no leaving is acknowledged by the two of them")
@@ -218,7 +218,7 @@
             world.close()
 
 
-def refusing(world, name, until):
+def run_with_refusing_disk(world, name, until):
     """Plays on with a disk that takes no writes."""
     world.disk(name, None)
     world.run(until)
@@ -235,7 +235,7 @@
         """)
         world.run(3.0)
         world.fresh = False
-        refusing(world, "c", 23.5)  # of 21 s: three times contact_s and sync_s together
+        run_with_refusing_disk(world, "c", 23.5)  # of 21 s: three times contact_s and sync_s together
         assert [one.epoch for one in configurations(world)] == [1] * 4
         world.run(26.0)
         assert [world.nodes[name].register.membership.configuration for name in "abd"] == [after] * 3
@@ -265,7 +265,7 @@
         """)
         world.run(3.0)
         world.fresh = False
-        refusing(world, "c", 20.0)
+        run_with_refusing_disk(world, "c", 20.0)
         world.disk("c", 1.0)
         world.run(40.0)
         assert [one.epoch for one in configurations(world)] == [1] * 4
@@ -286,7 +286,7 @@
         world.start("c")
         world.run(3.006)  # its disk is open
         assert not world.nodes["c"].register.membership.intact
-        refusing(world, "c", 26.0)
+        run_with_refusing_disk(world, "c", 26.0)
         assert [world.nodes[name].register.membership.epoch for name in "abd"] == [2] * 3
     finally:
         world.close()
--- a/tests/gateway/register/test_pages.py
+++ b/tests/gateway/register/test_pages.py
@@ -26,7 +26,7 @@
     return None
 
 
-@test("a long answer comes in pages and is complete; a short one is sent whole")
+@test("a long answer comes in pages and is complete; a short one is sent at once")
 def _():
     assert received(PageSender(), PageReceiver()) == LONG
     assert PageSender().start(0.0, "q", {"a": 1}) is None
--- a/tests/gateway/register/test_register.py
+++ b/tests/gateway/register/test_register.py
@@ -2,7 +2,15 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from register_histories import FAULTS, broken, drawn, faulty, history, played, racing
+from register_histories import (
+    FAULTS,
+    count_broken,
+    random_schedule,
+    play_faults,
+    play_history,
+    play_charts,
+    play_races,
+)
 from ward import each, test
 
 from honeywood.gateway.register import acceptor, values
@@ -12,9 +20,9 @@
 from honeywood.gateway.register.state_update import StateUpdate
 
 
-@test("a version is acknowledged once a majority holds it, and the third hears of it")
+@test("a version is acknowledged once a majority holds it, and the third learns of it")
 def _():
-    played("""
+    play_charts("""
       at   | a     | b     | c
       0    | start | start | start
       1    | put 5 |       |
@@ -24,7 +32,7 @@
 
 @test("one controller alone acknowledges nothing, and takes part again when joined")
 def _():
-    played("""
+    play_charts("""
       at   | a      | b     | c
       0    | start  | start | start
       1    | cut bc |       |
@@ -38,7 +46,7 @@
 @test("the one that acknowledged loses its disk while the others lose power")
 def _():
     # Amnesia: an empty disk that voted would make a majority with one that never heard of 5.
-    played(
+    play_charts(
         """
           at   | a     | b     | c
           0    | start | start | start
@@ -60,7 +68,7 @@
 @test("a controller whose own disk takes no writes still acknowledges what the others' disks hold")
 def _():
     # Its own refusal ended the whole change by an exception, and the caller got 500.
-    played("""
+    play_charts("""
       at   | a       | b     | c
       0    | start   | start | start
       1    | refuse  |       |
@@ -71,7 +79,7 @@
 
 @test("all are killed at once and come back with their disks, without help")
 def _():
-    played(
+    play_charts(
         """
           at   | a     | b     | c
           0    | start | start | start
@@ -88,7 +96,7 @@
 
 @test("a lower version is acknowledged and changes nothing; the same one twice keeps the first")
 def _():
-    played("""
+    play_charts("""
       at   | a       | b     | c
       0    | start   | start | start
       1    | put 9   |       |
@@ -99,7 +107,7 @@
 
 @test("forty histories of kills, wipes, cuts and losses lose nothing that was acknowledged")
 def _():
-    assert sum(history(*drawn(seed), seed) for seed in range(40)) > 100
+    assert sum(play_history(*random_schedule(seed), seed) for seed in range(40)) > 100
 
 
 @test("nor do {seeds} in which every value is carried apart from its ballots, {share} of the calls lost")
@@ -108,10 +116,10 @@
     try:
         acked = 0
         for seed in range(100, 100 + seeds):
-            schedule, loss = drawn(seed)
-            acked += history(schedule, loss if share == "some" else 0.33, seed)
+            schedule, loss = random_schedule(seed)
+            acked += play_history(schedule, loss if share == "some" else 0.33, seed)
         assert acked > least
-        assert sum(broken(play) for play in (racing,)) == 0
+        assert sum(count_broken(play) for play in (play_races,)) == 0
     finally:
         values.MAX_INLINE_CHARACTERS = kept
 
@@ -122,23 +130,23 @@
 
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
     @given(st.lists(moment, max_size=30), st.sampled_from((0.0, 0.1)))
-    def tried(schedule, loss):
-        history(schedule, loss)
+    def play(schedule, loss):
+        play_history(schedule, loss)
 
-    tried()
+    play()
 
 
 @test("changes that meet at two controllers lose nothing that was acknowledged")
 def _():
-    assert broken(racing) == 0
+    assert count_broken(play_races) == 0
 
 
-async def careless(self, known):
+async def join_without_rows(self, known):
     members = MembershipConfiguration(1, tuple(sorted(known)))
     await self._membership.enter(StateUpdate(configuration=members, incarnation=1))
 
 
-def forgetful(row, ballot, value):
+def accept_any_ballot(row, ballot, value):
     return Row(ballot, ballot, value)
 
 
@@ -147,14 +155,14 @@
     guard=each("against amnesia", "of promises"),
     place=each(MembershipManager, acceptor),
     name=each("_join", "accept"),
-    without=each(careless, forgetful),
-    play=each(faulty, racing),
+    without=each(join_without_rows, accept_any_ballot),
+    play=each(play_faults, play_races),
 ):
     # Mutations: a wiped disk that takes part at once; a ballot accepted below the one promised. Histories
     # that can't see them would prove nothing.
     guarded = getattr(place, name)
     setattr(place, name, without)
     try:
-        assert broken(play) > 0
+        assert count_broken(play) > 0
     finally:
         setattr(place, name, guarded)
--- a/tests/gateway/register/test_requests.py
+++ b/tests/gateway/register/test_requests.py
@@ -2,7 +2,7 @@
 
 import json
 
-from slow_link import large
+from slow_link import large_value
 from timeline import World
 from ward import test
 
@@ -16,11 +16,11 @@
     reference_to,
 )
 
-TEXT = values.canonical_text(large(50_000))
+TEXT = values.canonical_text(large_value(50_000))
 REFERENCE = reference_to(TEXT)
 
 
-def cut(start, size=10_000):
+def chunk_at(start, size=10_000):
     return ValueChunk.from_text(REFERENCE, TEXT, start, size)
 
 
@@ -49,8 +49,8 @@
         ],
     ),
     (requests.Accept("k", BALLOT, 2, REFERENCE), [replies.Accepted(REPLY_LIVES), replies.ValueMissing(7)]),
-    (requests.StoreChunk(cut(5)), [replies.ChunkStored(9)]),
-    (requests.FetchChunk(REFERENCE, 0, 9), [replies.ChunkFetched(cut(9)), replies.ChunkFetched(None)]),
+    (requests.StoreChunk(chunk_at(5)), [replies.ChunkStored(9)]),
+    (requests.FetchChunk(REFERENCE, 0, 9), [replies.ChunkFetched(chunk_at(9)), replies.ChunkFetched(None)]),
     (requests.Read("k", BALLOT, 2), [replies.ReadReply(SHOWN, REPLY_LIVES)]),
     (requests.AnnounceConfiguration(MembershipConfiguration(3, ("a",))), [replies.Acknowledged()]),
     (requests.ReadAll({"k": BALLOT}, 2), [replies.ReadAllReply({"k": SHOWN}, REPLY_LIVES)]),
@@ -68,7 +68,7 @@
     return dict(state.registers), dict(state.heartbeats), metadata
 
 
-def refused(work):
+def rejection_of(work):
     try:
         work()
     except GatewayError as wrong:
@@ -79,23 +79,23 @@
 @test("messages come out as they went in; without a field, or with one of another kind, the error names it")
 def _():
     for request, answers in MESSAGES:
-        told = json.loads(json.dumps(requests.encode_request(request)))
-        assert requests.decode_request(told, "p") == request
-        sent = [(told, lambda table: requests.decode_request(table, "p"))]
+        message = json.loads(json.dumps(requests.encode_request(request)))
+        assert requests.decode_request(message, "p") == request
+        messages = [(message, lambda table: requests.decode_request(table, "p"))]
         for reply in answers:
             answer = json.loads(json.dumps(requests.encode_reply(reply)))
             read = lambda table, request=request: requests.decode_reply(request, table, "p")  # noqa: E731
             assert read(answer) == reply
-            sent.append((answer, read))
-        for table, read in sent:
+            messages.append((answer, read))
+        for table, read in messages:
             for field in {*table} - {"chunk", "seal", "value"}:
                 without = {key: value for key, value in table.items() if key != field}
                 for spoiled in (without, {**table, field: 1.5}):
-                    why = refused(lambda read=read, spoiled=spoiled: read(spoiled))
+                    why = rejection_of(lambda read=read, spoiled=spoiled: read(spoiled))
                     assert "with p" in why and field in why, why
 
 
-@test("a message of the earlier form is refused whole, with a reason, and nothing is changed")
+@test("a message of the earlier format is rejected, with a reason, and nothing is changed")
 def _():
     world = World()
     try:
@@ -104,9 +104,9 @@
         world.run(1.0)
         register = world.nodes["a"].register
         before = stored(register)
-        old = {"op": "accept", "key": "large", "ballot": [9, "b"], "epoch": 1, "value": {"n": 1}}
-        serve = register.serve(old, "b")
-        why = refused(lambda: world.loop.run_until_complete(serve))
+        earlier = {"op": "accept", "key": "large", "ballot": [9, "b"], "epoch": 1, "value": {"n": 1}}
+        serve = register.serve(earlier, "b")
+        why = rejection_of(lambda: world.loop.run_until_complete(serve))
         assert "with b" in why and "form 1" in why and stored(register) == before
         assert "op" not in requests.encode_request(
             requests.AnnounceConfiguration(SUCCESSOR)
--- a/tests/gateway/register/test_state_transfer.py
+++ b/tests/gateway/register/test_state_transfer.py
@@ -11,7 +11,7 @@
 from honeywood.lab.emulator.boot import BOUNDS
 
 
-class Slow(World):
+class SlowWorld(World):
     """ConnectionPool that carry `rate` bytes a second each way between two nodes."""
 
     rate = 3e5
@@ -31,9 +31,9 @@
     return made
 
 
-def caught_up(how, changes, rate=3e5):
+def seconds_to_catch_up(how, changes, rate=3e5):
     """Seconds that a controller which was killed or wiped takes to be sound and hold the newest version."""
-    world = Slow()
+    world = SlowWorld()
     world.rate = 1e9
     try:
         for name in "abc":
@@ -61,23 +61,23 @@
 
 @test("after {how} a controller catches up inside sync_s on 1,400 routes, at {rate} bytes a second")
 def _(how=each("kill", "kill", "wipe", "wipe"), rate=each(300_000, 100_000, 300_000, 100_000)):
-    took = caught_up(how, 40, rate)
+    took = seconds_to_catch_up(how, 40, rate)
     assert took is not None and took < BOUNDS["sync_s"], took
 
 
 @test("without parts it doesn't")
 def _():
     # Mutation, and what was: an answer that doesn't fit a step's time is thrown away and asked for again.
-    whole_at_once = {
+    without_pages = {
         pages: {"PAGE_CHARACTERS": 1 << 30},
         values: {"MAX_CHUNK_CHARACTERS": 1 << 30},
         chunk_size: {"FIRST_CHUNK_CHARACTERS": 1 << 30, "MIN_CHUNK_CHARACTERS": 1 << 30},
     }
-    kept = {module: {name: vars(module)[name] for name in names} for module, names in whole_at_once.items()}
+    kept = {module: {name: vars(module)[name] for name in names} for module, names in without_pages.items()}
     try:
-        for module, names in whole_at_once.items():
+        for module, names in without_pages.items():
             vars(module).update(names)
-        assert caught_up("wipe", 10, 100_000) is None
+        assert seconds_to_catch_up("wipe", 10, 100_000) is None
     finally:
         for module, names in kept.items():
             vars(module).update(names)
--- a/tests/gateway/register/test_value_store.py
+++ b/tests/gateway/register/test_value_store.py
@@ -2,7 +2,7 @@
 
 import random
 
-from slow_link import large
+from slow_link import large_value
 from ward import test
 
 from honeywood.gateway.register import values
@@ -13,17 +13,17 @@
     reference_to,
 )
 
-TEXT = values.canonical_text(large(50_000))
+TEXT = values.canonical_text(large_value(50_000))
 
 
 REFERENCE = reference_to(TEXT)
 
 
-def cut(start, size=10_000):
+def chunk_at(start, size=10_000):
     return ValueChunk.from_text(REFERENCE, TEXT, start, size)
 
 
-def spoilt(draw, chunk):
+def damaged(draw, chunk):
     """A part that was damaged, cut, moved, or is one of another value."""
     return draw.choice(
         (
@@ -33,32 +33,32 @@
             ValueChunk(chunk.reference, chunk.start + 1, chunk.text, chunk.checksum),
             ValueChunk(ValueReference(REFERENCE.digest, 70_000), chunk.start, chunk.text, chunk.checksum),
             ValueChunk(ValueReference("0" * 32, REFERENCE.length), chunk.start, chunk.text, chunk.checksum),
-            cut(draw.randrange(len(TEXT))),
+            chunk_at(draw.randrange(len(TEXT))),
         )
     )
 
 
-@test("a value is whole only after its own sound parts, each taken once, whatever comes between them")
+@test("a value is complete only after its own intact chunks, each added once, whatever comes between them")
 def _():
     for seed in range(30):
         draw, store = random.Random(seed), ValueStore()
         while store.text(0.0, REFERENCE) is None:
-            held = store.received_characters(0.0, REFERENCE)
-            store.add_chunk(0.0, spoilt(draw, cut(held)))
-            assert store.received_characters(0.0, REFERENCE) in (held, min(held + 10_000, len(TEXT)))
-            store.add_chunk(0.0, cut(store.received_characters(0.0, REFERENCE)))
-        assert store.value(0.0, REFERENCE) == values.CompleteValue(large(50_000))
+            received = store.received_characters(0.0, REFERENCE)
+            store.add_chunk(0.0, damaged(draw, chunk_at(received)))
+            assert store.received_characters(0.0, REFERENCE) in (received, min(received + 10_000, len(TEXT)))
+            store.add_chunk(0.0, chunk_at(store.received_characters(0.0, REFERENCE)))
+        assert store.value(0.0, REFERENCE) == values.CompleteValue(large_value(50_000))
 
 
-@test("sound parts of what is not the value that was referred to are thrown away, and it begins anew")
+@test("intact chunks of what isn't the value that was referred to are discarded, and it starts anew")
 def _():
     store, wrong = ValueStore(), TEXT[:-5] + "#" + TEXT[-4:]
-    held = 0
-    while held < len(wrong):
-        after = store.add_chunk(0.0, ValueChunk.from_text(REFERENCE, wrong, held, 10_000))
-        if after <= held:
+    received = 0
+    while received < len(wrong):
+        after = store.add_chunk(0.0, ValueChunk.from_text(REFERENCE, wrong, received, 10_000))
+        if after <= received:
             break
-        held = after
+        received = after
     assert after == 0 == store.received_characters(0.0, REFERENCE) and store.text(0.0, REFERENCE) is None
 
 
@@ -66,7 +66,7 @@
 def _():
     store = ValueStore()
     for n in range(3 * MAX_STAGED_VALUES):
-        store.add(0.0, values.canonical_text(large(3000, n)))
+        store.add(0.0, values.canonical_text(large_value(3000, n)))
     assert len(store.staged) == MAX_STAGED_VALUES
     store.discard_expired(STAGED_TTL_S + 1.0)
     assert not store.staged
--- a/tests/gateway/register_histories.py
+++ b/tests/gateway/register_histories.py
@@ -5,7 +5,7 @@
 from timeline import World
 
 
-def played(*charts):
+def play_charts(*charts):
     """Plays charts in a world; from the second one on, whoever starts does so on a system not fresh."""
     world = World()
     try:
@@ -19,14 +19,14 @@
 FAULTS = ("kill", "wipe", "cut", "join", "put", "put", "put", "start", "start")
 
 
-def drawn(seed, moments=40):
+def random_schedule(seed, moments=40):
     """A schedule by a seed: (schedule, share of calls lost)."""
     draw = random.Random(seed)
     loss = draw.choice((0.0, 0.0, 0.1))
     return [(draw.random(), draw.choice(FAULTS), draw.choice("abc")) for _ in range(moments)], loss
 
 
-def history(schedule, loss, seed=0, delay=0.001, again=False, controllers="abc", first=None):
+def play_history(schedule, loss, seed=0, delay=0.001, again=False, controllers="abc", first=None):
     """Plays [(seconds waited, fault, controller)], with what must hold looked at all the while: no reader
     goes
     back, what was acknowledged is held in the end. A disk is lost only when the last one is sound again."""
@@ -79,14 +79,14 @@
         world.close()
 
 
-def raced(seed):
+def racing_schedule(seed):
     """A schedule of changes that meet: two controllers at once, over a slow net."""
     draw = random.Random(seed)
     pairs = [(draw.random() * 0.3, draw.sample("abc", 2)) for _ in range(10)]
     return [(wait * first, "put", name) for wait, two in pairs for first, name in zip((1, 0), two)]
 
 
-def broken(play):
+def count_broken(play):
     """How many of forty histories lose something."""
     found = 0
     for seed in range(40):
@@ -97,12 +97,12 @@
     return found
 
 
-def faulty(seed):
-    history(*drawn(seed), seed)
+def play_faults(seed):
+    play_history(*random_schedule(seed), seed)
 
 
-def racing(seed):
-    history(raced(seed), 0.0, seed, delay=0.03, again=True)
+def play_races(seed):
+    play_history(racing_schedule(seed), 0.0, seed, delay=0.03, again=True)
 
 
 def configurations(world):
--- a/tests/gateway/slow_link.py
+++ b/tests/gateway/slow_link.py
@@ -10,7 +10,7 @@
 from honeywood.gateway.register.errors import RegisterUnavailable
 
 
-def large(length, seed=1):
+def large_value(length, seed=1):
     """A value whose text has about so many characters."""
     return {"text": "".join(random.Random(seed).choices(string.ascii_letters, k=length))}
 
@@ -54,7 +54,7 @@
             )
 
 
-def begun(rate, slow="c"):
+def start_world(rate, slow="c"):
     world = SlowLink()
     world.rate, world.slow = rate, slow
     for name in "abc":
@@ -64,21 +64,21 @@
     return world
 
 
-def changes(world, name, key, value, told):
+def change_key(world, name, key, value, outcomes):
     """Has a controller change a key to a value; `told` gets (seconds, whether it succeeded)."""
 
     async def change():
         began = world.loop.time()
         try:
-            await world.nodes[name].register.change(key, lambda held: value)
+            await world.nodes[name].register.change(key, lambda stored_value: value)
         except RegisterUnavailable:
-            told.append((world.loop.time() - began, False))
+            outcomes.append((world.loop.time() - began, False))
         else:
-            told.append((world.loop.time() - began, True))
+            outcomes.append((world.loop.time() - began, True))
 
     world.processes[name].run(change())
 
 
-def held(world, name, key):
+def stored_value(world, name, key):
     row = world.nodes[name].register.state.registers.get(key)
     return row and row.value
