--- a/honeywood/gateway/register/peer_client.py
+++ b/honeywood/gateway/register/peer_client.py
@@ -70,9 +70,7 @@
         ip_of = {asyncio.ensure_future(_reply_or_none(call(ip))): ip for ip in ips}
         pending, conflict = set(ip_of), False
         while pending:
-            wait_s = None if deadline is None else max(0.0, deadline - loop.time())
-            if conflict:  # members that stay silent are waited for no longer than this
-                wait_s = CONFLICT_GRACE_S if wait_s is None else min(wait_s, CONFLICT_GRACE_S)
+            wait_s = _wait_time(loop.time(), deadline, conflict)
             done, pending = await asyncio.wait(pending, timeout=wait_s, return_when=asyncio.FIRST_COMPLETED)
             if not done:
                 return False
@@ -100,6 +98,14 @@
             asyncio.ensure_future(_reply_or_none(self.call(ip, announcement)))
 
 
+def _wait_time(now: float, deadline: float | None, conflict: bool) -> float | None:
+    """Return for how many seconds further replies are awaited, None for as long as the calls last."""
+    limits = [] if deadline is None else [max(0.0, deadline - now)]
+    if conflict:  # members that stay silent don't hold up the ballot
+        limits.append(CONFLICT_GRACE_S)
+    return min(limits, default=None)
+
+
 async def _reply_or_none(call: Awaitable[Reply]) -> Reply | None:
     """Return a call's reply, None where the call failed."""
     try:
