--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -21,10 +21,10 @@
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.metrics import Figures
 from honeywood.gateway.program import COUNTS, Program
-from honeywood.gateway.register.row_store import RowStore
 from honeywood.gateway.register.paged_caller import PagedCaller
 from honeywood.gateway.register.paged_responder import PagedResponder
 from honeywood.gateway.register.register import Register
+from honeywood.gateway.register.row_store import RowStore
 from honeywood.gateway.rpc.server import HttpServer
 
 CONTROLLER = "bourse/"  # before a controller's address: that there is one
--- a/honeywood/gateway/register/membership_manager.py
+++ b/honeywood/gateway/register/membership_manager.py
@@ -66,7 +66,7 @@
             membership.restore()
         elif self._settings.fresh:
             try:
-                await membership.initialize(tuple(ip for ip, _ in self._settings.seeds))
+                await membership.initialize(tuple(seed.ip for seed in self._settings.seeds))
             except DiskUnavailable as error:  # taken for a lost one until it can be written to
                 self._say("register not initialized", why=str(error))
         self._say(
--- a/honeywood/gateway/register/paged_responder.py
+++ b/honeywood/gateway/register/paged_responder.py
@@ -7,11 +7,11 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from collections.abc import Awaitable, Callable, Mapping
+    from collections.abc import Awaitable, Callable
 
     from honeywood.gateway.register.json_value import JsonValue
 
-    Serve = Callable[[Mapping[str, JsonValue], str], Awaitable[dict[str, JsonValue]]]
+    Serve = Callable[[dict[str, JsonValue], str], Awaitable[dict[str, JsonValue]]]
 
 
 class PagedResponder:
@@ -22,7 +22,7 @@
         self._serve, self._clock = serve, clock
         self._sender = PageSender()
 
-    async def __call__(self, body: Mapping[str, JsonValue], peer: str) -> dict[str, JsonValue]:
+    async def __call__(self, body: dict[str, JsonValue], peer: str) -> dict[str, JsonValue]:
         """Return the answer, or the page of it that comes next."""
         have = body.get(POSITION_FIELD)
         request = {key: value for key, value in body.items() if key != POSITION_FIELD}
--- a/tests/gateway/test_model.py
+++ b/tests/gateway/test_model.py
@@ -4,9 +4,7 @@
 
 from ward import each, test
 
-from honeywood.gateway.register import acceptor
-from honeywood.gateway.register import membership_rules
-from honeywood.gateway.register import proposal
+from honeywood.gateway.register import acceptor, membership_rules, proposal
 from honeywood.gateway.register.row import EMPTY_ROW, Row
 from honeywood.lab.model import ballots
 from honeywood.lab.model.explore import explore, follow, walk
--- a/tests/operator/test_operator.py
+++ b/tests/operator/test_operator.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from honeywood.operator.reader import read, write_compiled
 from honeywood.operator.operator_file import InvalidOperatorFile
+from honeywood.operator.reader import read, write_compiled
 
 GOOD = 'trace {\n  folder = "/var/trace"\n  block_age = "250ms"\n  most_bytes = "1.5GB"\n}\n'
 
