--- a/honeywood/gateway/controller/fleet.py
+++ b/honeywood/gateway/controller/fleet.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from honeywood.gateway.dissemination.rendezvous import parents
+from honeywood.gateway.dissemination.rendezvous import relays_of
 
 FLEET = "fleet/"  # before a controller's address and a proxy's name: where the proxy is that asks it
 SILENT_S = 3.0  # seconds after which a proxy that asks no more shares in nothing
@@ -62,5 +62,5 @@
     def relays(self, node, zone):
         """The addresses of the relays that a proxy hears from."""
         if node not in self._relays:
-            self._relays[node] = parents(node, zone, self.proxies)
+            self._relays[node] = relays_of(node, zone, self.proxies)
         return self._relays[node]
--- a/honeywood/gateway/controller/peers.py
+++ b/honeywood/gateway/controller/peers.py
@@ -58,7 +58,7 @@
         if reply.ok:
             told = reply.value
             self.contacts.answered(ip, asked_at, told.whole, told.stamp, disk_state(told.disk))
-        await asyncio.sleep(min(BACKOFF_S, self.subscriber.backoff.rest(ip, self.clock())))
+        await asyncio.sleep(min(BACKOFF_S, self.subscriber.backoff.remaining_s(ip, self.clock())))
 
     async def poll_all(self):
         """Polls all other controllers for what they know now; whether enough told all of it."""
--- a/honeywood/gateway/controller/rollout_loop.py
+++ b/honeywood/gateway/controller/rollout_loop.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from honeywood.gateway.dissemination.rendezvous import order
+from honeywood.gateway.dissemination.rendezvous import rank
 from honeywood.gateway.rollout import record, report
 from honeywood.gateway.rollout.verdict import Verdict
 
@@ -60,7 +60,7 @@
 
     async def _turn(self, rollout, key, value):
         """Waits for this controller's turn; whether what was decided before still holds."""
-        turns = order({*self.register.members, self.local_ip}, rollout.service)
+        turns = rank({*self.register.members, self.local_ip}, rollout.service)
         wait_s, decided_at = turns.index(self.local_ip) * TURN_S, self.clock()
         await asyncio.sleep(wait_s)
         now = self.clock()
--- a/honeywood/gateway/dissemination/link_pacer.py
+++ b/honeywood/gateway/dissemination/link_pacer.py
@@ -1,28 +1,31 @@
-"""How much of a link dissemination may take. Pure."""
+"""Pacing of responses on a program's link, so that dissemination leaves room for other traffic. Pure."""
 
-SHARE = 0.6  # of its link a program's answers may take; the rest is for the register, machines and clients
-PART_S = 0.12  # seconds of a link that one answer may take
-LEAST, MOST = 8 << 10, 64 << 10  # bytes of one answer, whatever the link
+from __future__ import annotations
 
+LINK_SHARE = 0.6  # of a link, for responses; the rest is for the register, machines and clients
+RESPONSE_LINK_TIME_S = 0.12  # for which one response may occupy a link
+MIN_RESPONSE_BYTES, MAX_RESPONSE_BYTES = 8 << 10, 64 << 10  # whatever the link carries
 
-def answer_bytes(rate):
-    """The bytes of one answer on a link of `rate` bytes a second."""
-    return int(min(MOST, max(LEAST, PART_S * rate)))
+
+def response_limit(link_bytes_per_s: float) -> int:
+    """The most bytes of one response on a link."""
+    return int(min(MAX_RESPONSE_BYTES, max(MIN_RESPONSE_BYTES, RESPONSE_LINK_TIME_S * link_bytes_per_s)))
 
 
 class LinkPacer:
-    """Answers one after the other on their share of a link; `rate` is in bytes a second."""
+    """Schedules responses one after the other on their share of a link."""
 
-    def __init__(self, rate):
-        """Nothing has been promised."""
-        self.rate, self.free_at = SHARE * rate, 0.0
+    def __init__(self, link_bytes_per_s: float) -> None:
+        """No response is scheduled."""
+        self.bytes_per_s = LINK_SHARE * link_bytes_per_s
+        self.free_at = 0.0
 
-    def behind(self, now):
-        """Seconds until what was promised has left."""
+    def backlog_s(self, now: float) -> float:
+        """Seconds until all scheduled responses have been sent."""
         return max(0.0, self.free_at - now)
 
-    def take(self, now, size):
-        """Seconds that an answer of `size` bytes waits for those before it."""
-        wait = self.behind(now)
-        self.free_at = now + wait + size / self.rate
-        return wait
+    def schedule(self, now: float, size: int) -> float:
+        """Schedules a response of `size` bytes; returns the seconds that it waits for those before it."""
+        wait_s = self.backlog_s(now)
+        self.free_at = now + wait_s + size / self.bytes_per_s
+        return wait_s
--- a/honeywood/gateway/dissemination/publisher.py
+++ b/honeywood/gateway/dissemination/publisher.py
@@ -10,7 +10,7 @@
 
 from honeywood.gateway.dissemination import departed
 from honeywood.gateway.dissemination.chunk import ChunkCollector
-from honeywood.gateway.dissemination.link_pacer import LinkPacer, answer_bytes
+from honeywood.gateway.dissemination.link_pacer import LinkPacer, response_limit
 from honeywood.gateway.dissemination.messages import Answer
 from honeywood.gateway.dissemination.store import Store
 
@@ -31,7 +31,7 @@
         """`hear(key, value)` is told of each record that is taken, `met(who, rev)` of each Asker and what it
         has; `life` and `needed` are the store's."""
         self.store, self.hear, self.met, self.waiting = Store(life, self._told, needed), hear, met, {}
-        self.most, self.pacer, self.chunks = answer_bytes(rate), LinkPacer(rate), ChunkCollector()
+        self.most, self.pacer, self.chunks = response_limit(rate), LinkPacer(rate), ChunkCollector()
         self.told, self.due = Counter(), False
 
     def _told(self, key, value):
@@ -104,11 +104,11 @@
         sizes = [(record.key, self.store.size(record.key)) for record in records]
         sizes += [(chunk.key, len(chunk.text))] if chunk else []
         size = sum(size for _, size in sizes)
-        if size > SMALL and not ask.who.controller and self.pacer.behind(now) > PATIENCE:
+        if size > SMALL and not ask.who.controller and self.pacer.backlog_s(now) > PATIENCE:
             self.told["sent away"] += 1
-            return Answer(self.store.life, rev, later_s=self.pacer.behind(now))
+            return Answer(self.store.life, rev, later_s=self.pacer.backlog_s(now))
         if size > SMALL:
-            turn = self.pacer.take(now, size)
+            turn = self.pacer.schedule(now, size)
             await asyncio.sleep(self._turn(turn, ask))
         for key, size in sizes:
             self.told[key.partition("/")[0]] += size
--- a/honeywood/gateway/dissemination/rendezvous.py
+++ b/honeywood/gateway/dissemination/rendezvous.py
@@ -1,31 +1,39 @@
-"""Who knows whom: rendezvous hashing. Every program that knows the same names comes to the same order."""
+"""Rendezvous hashing (Thaler and Ravishankar, 1998): programs that know the same nodes rank them alike,
+without coordination. The tree of relays is built on this ranking."""
 
-from _blake2 import blake2b  # hashlib would bring OpenSSL
+from __future__ import annotations
 
-FAN = 4  # fronts that hear from one relay
+from _blake2 import blake2b  # hashlib would load OpenSSL
 
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Mapping
 
-def weight(name, place):
-    """A hash of both; the name with the highest weight is the first for a place."""
-    return blake2b(f"{name}|{place}".encode(), digest_size=8).digest()
+FANOUT = 4  # proxies that poll one relay
 
 
-def order(names, place):
-    """The names, the one that `place` falls to first."""
-    return sorted(names, key=lambda name: weight(name, place), reverse=True)
+def weight(node: str, key: str) -> bytes:
+    """The hash of a node for a key; the node with the highest weight ranks first."""
+    return blake2b(f"{node}|{key}".encode(), digest_size=8).digest()
 
 
-def parents(node, zone, fronts):
-    """The addresses that a front asks for news, the nearest relay first, out of {node: (zone, ip)}.
+def rank(nodes: Iterable[str], key: str) -> list[str]:
+    """The nodes in their order for `key`, the preferred one first."""
+    return sorted(nodes, key=lambda node: weight(node, key), reverse=True)
 
-    The fronts of a zone stand in one order; each hears from the one FAN places nearer its start, the first
-    from a controller. Who knows no others, or is not known yet, has no relay and asks a controller.
+
+def relays_of(node: str, zone: str, proxies: Mapping[str, tuple[str, str]]) -> list[str]:
+    """The addresses of the proxies that `node` polls, the nearest relay first. `proxies` maps each known
+    proxy to its zone and address.
+
+    The proxies of a zone form a tree of FANOUT children a node, in the order of their rank; the root polls a
+    controller. A proxy that isn't known yet has no relay and polls a controller.
     """
-    ranks = order([name for name, (place, _) in fronts.items() if place == zone], zone)
-    if node not in ranks:
+    ranked = rank([name for name, (place, _) in proxies.items() if place == zone], zone)
+    if node not in ranked:
         return []
-    found, at = [], ranks.index(node)
-    while at > 0:
-        at = (at - 1) // FAN
-        found.append(fronts[ranks[at]][1])
-    return found
+    addresses, position = [], ranked.index(node)
+    while position > 0:
+        position = (position - 1) // FANOUT
+        addresses.append(proxies[ranked[position]][1])
+    return addresses
--- a/honeywood/gateway/dissemination/subscriber.py
+++ b/honeywood/gateway/dissemination/subscriber.py
@@ -47,14 +47,14 @@
         reply = await self.caller.call(ip, port, PATH, body, hold_s + MARGIN_S, again=True)
         now = asyncio.get_running_loop().time()
         if not reply.ok:
-            self.backoff.silent(ip, now)
+            self.backoff.record_failure(ip, now)
             return reply
         try:
             answer = Answer.decode(reply.value, ip)
         except Wrong as wrong:
-            self.backoff.silent(ip, now)
+            self.backoff.record_failure(ip, now)
             return wrong.failed
-        self.backoff.answered(ip, now + (answer.later_s or 0.0))
+        self.backoff.record_success(ip, now + (answer.later_s or 0.0))
         self.publisher.hear_answer(answer)
         self.known[ip, port] = answer.life, answer.rev
         return Done(answer)
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -4,11 +4,11 @@
 from random import Random
 
 from honeywood.gateway.configuration import config
-from honeywood.gateway.dissemination.backoff import FIRST, Backoff
+from honeywood.gateway.dissemination.backoff import INITIAL_DELAY_S, Backoff
 from honeywood.gateway.dissemination.history import CUT, History
 from honeywood.gateway.dissemination.messages import Asker
 from honeywood.gateway.dissemination.publisher import HOLD, SMALL, Publisher
-from honeywood.gateway.dissemination.rendezvous import order
+from honeywood.gateway.dissemination.rendezvous import rank
 from honeywood.gateway.dissemination.subscriber import Subscriber
 from honeywood.gateway.metrics import Figures
 from honeywood.gateway.program import COUNTS, Program
@@ -143,22 +143,22 @@
         s, now, backoff = self.settings, self.clock(), self.subscriber.backoff
         starting = self.table is None and now - self.started_at < STARTING_S
         relays = [] if starting else self.relays
-        places = [(ip, s.proxy_port) for ip in relays if not backoff.rest(ip, now)]
-        places += [(ip, s.controller_port) for ip in backoff.fit(order(self.controllers, s.node), now)]
+        places = [(ip, s.proxy_port) for ip in relays if not backoff.remaining_s(ip, now)]
+        places += [(ip, s.controller_port) for ip in backoff.available(rank(self.controllers, s.node), now)]
         for ip, port in places:
             reply = await self.subscriber.ask(ip, port, HOLD)
             if reply.ok:
                 self.listened_at = self.clock()
                 return await asyncio.sleep(min(HOLD, reply.value.later_s or 0.0))
-        await asyncio.sleep(FIRST)
+        await asyncio.sleep(INITIAL_DELAY_S)
 
     async def poll(self):
         """Asks one controller after the other, of those that hear a majority, for what was missed, and tells
         it this proxy's counts: whoever is cut off from the others is not the only one asked for long."""
         self.turn += 1
-        ring = order(self.controllers, self.settings.node)
+        ring = rank(self.controllers, self.settings.node)
         start = self.turn % len(ring)
-        for ip in self.poller.backoff.fit(ring[start:] + ring[:start], self.clock()):
+        for ip in self.poller.backoff.available(ring[start:] + ring[:start], self.clock()):
             asked_at, answer = await self.ask_controller(ip)
             if answer is not None and answer.in_quorum:
                 self.met_quorum(asked_at, answer)
@@ -167,7 +167,7 @@
                 )
                 return await asyncio.sleep(pause_s)
         self.say("no controller answers", SAY_AGAIN_S)
-        await asyncio.sleep(FIRST)
+        await asyncio.sleep(INITIAL_DELAY_S)
 
     async def ask_controller(self, ip):
         """(when it was asked last, its last Answer or None): again while it has more to tell."""
--- a/honeywood/gateway/rollout/stage.py
+++ b/honeywood/gateway/rollout/stage.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from math import ceil
 
-from honeywood.gateway.dissemination.rendezvous import order
+from honeywood.gateway.dissemination.rendezvous import rank
 from honeywood.gateway.rollout.allowance import Allowance
 from honeywood.gateway.rollout.record import DONE, FULL, REVERTED, TRIAL, WIDE
 from honeywood.gateway.rollout.report import Ballot, Report, Tally
@@ -140,7 +140,7 @@
         the same at each proxy: spread over all, a version that fails only under load would show nothing."""
         ids = [machine.id for machine in machines]
         if self.chosen.get(service, (None,))[0] != ids:
-            first = order(ids, service)[: max(1, ceil(self.share * len(ids)))]
+            first = rank(ids, service)[: max(1, ceil(self.share * len(ids)))]
             self.chosen[service] = ids, [machine for machine in machines if machine.id in first]
         return self.chosen[service][1]
 
--- a/tests/gateway/test_dissemination.py
+++ b/tests/gateway/test_dissemination.py
@@ -17,9 +17,9 @@
 
 def top(world):
     """The front of the zone that others hear from."""
-    from honeywood.gateway.dissemination.rendezvous import order
+    from honeywood.gateway.dissemination.rendezvous import rank
 
-    return order(world.fronts, "z")[0]
+    return rank(world.fronts, "z")[0]
 
 
 @test("fronts hear from relays, and one relay from a controller")
--- a/tests/gateway/test_dissemination_links.py
+++ b/tests/gateway/test_dissemination_links.py
@@ -9,9 +9,15 @@
 from ward import each, test
 
 from honeywood.gateway.configuration.outcome import Done, Failed
-from honeywood.gateway.dissemination.backoff import FIRST, Backoff
+from honeywood.gateway.dissemination.backoff import INITIAL_DELAY_S, Backoff
 from honeywood.gateway.dissemination.chunk import ChunkCollector, Progress
-from honeywood.gateway.dissemination.link_pacer import LEAST, MOST, SHARE, LinkPacer, answer_bytes
+from honeywood.gateway.dissemination.link_pacer import (
+    LINK_SHARE,
+    MAX_RESPONSE_BYTES,
+    MIN_RESPONSE_BYTES,
+    LinkPacer,
+    response_limit,
+)
 from honeywood.gateway.dissemination.local import LocalRecords
 from honeywood.gateway.dissemination.messages import Ask, Asker
 from honeywood.gateway.dissemination.publisher import Publisher
@@ -137,12 +143,18 @@
 def _():
     pace, now, left = LinkPacer(300_000), 0.0, []
     for _ in range(20):
-        if pace.behind(now) <= 0.25:
-            left.append(now + pace.take(now, 30_000))
+        if pace.backlog_s(now) <= 0.25:
+            left.append(now + pace.schedule(now, 30_000))
         now += 0.05
     sent = sum(at < 1.0 for at in left)
-    assert 30_000 * (sent - 1) <= SHARE * 300_000 and max(at - 0.05 * n for n, at in enumerate(left)) < 2.0
-    assert answer_bytes(300_000) == 36_000 and answer_bytes(1) == LEAST and answer_bytes(1e9) == MOST
+    assert (
+        30_000 * (sent - 1) <= LINK_SHARE * 300_000 and max(at - 0.05 * n for n, at in enumerate(left)) < 2.0
+    )
+    assert (
+        response_limit(300_000) == 36_000
+        and response_limit(1) == MIN_RESPONSE_BYTES
+        and response_limit(1e9) == MAX_RESPONSE_BYTES
+    )
 
 
 @test("many fronts that ask one relay at once are told in turn or sent away, none is kept beyond its time")
@@ -172,13 +184,13 @@
 def _():
     backoff, lengths = Backoff(random.Random(1), 1.0), []
     for _ in range(8):
-        backoff.silent("p", 0.0)
-        lengths.append(backoff.rest("p", 0.0))
-    assert all(min(1.0, FIRST * 2**n) / 2 <= length <= 1.0 for n, length in enumerate(lengths))
+        backoff.record_failure("p", 0.0)
+        lengths.append(backoff.remaining_s("p", 0.0))
+    assert all(min(1.0, INITIAL_DELAY_S * 2**n) / 2 <= length <= 1.0 for n, length in enumerate(lengths))
     assert len({round(length, 6) for length in lengths[5:]}) == 3
-    assert backoff.fit(["p", "q"], 0.0) == ["q"] and backoff.fit(["p"], 0.0) == ["p"]
-    backoff.answered("p")
-    assert backoff.fit(["p", "q"], 0.0) == ["p", "q"]
+    assert backoff.available(["p", "q"], 0.0) == ["q"] and backoff.available(["p"], 0.0) == ["p"]
+    backoff.record_success("p")
+    assert backoff.available(["p", "q"], 0.0) == ["p", "q"]
 
 
 @test("whoever gets no answers asks less and less often, and is back within a second of the first that may")
--- a/tests/gateway/test_messages.py
+++ b/tests/gateway/test_messages.py
@@ -166,4 +166,4 @@
 
     subscriber = Subscriber(told(), Caller(), Asker, Backoff(random.Random(0), 1.0))
     reply = asyncio.run(subscriber.ask("10.0.0.3", 7001, 0.5))
-    assert not reply.ok and subscriber.known == {} and "10.0.0.3" in subscriber.backoff.failed
+    assert not reply.ok and subscriber.known == {} and "10.0.0.3" in subscriber.backoff.delays
--- a/tests/gateway/test_pinned_dissemination.py
+++ b/tests/gateway/test_pinned_dissemination.py
@@ -16,7 +16,7 @@
 from honeywood.gateway.dissemination import departed, epochs, rendezvous
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.chunk import Chunk, ChunkCollector
-from honeywood.gateway.dissemination.link_pacer import LinkPacer, answer_bytes
+from honeywood.gateway.dissemination.link_pacer import LinkPacer, response_limit
 from honeywood.gateway.dissemination.local import LocalRecords
 from honeywood.gateway.dissemination.messages import Answer, Ask, Asker
 from honeywood.gateway.dissemination.publisher import Publisher
@@ -214,25 +214,30 @@
 
 
 def ranks(names, places):
-    return [rendezvous.order(names, place) for place in places]
+    return [rendezvous.rank(names, place) for place in places]
 
 
 def relays(proxies):
     """The relays of each proxy, and of one that isn't known."""
     known = {node: tuple(place) for node, place in proxies.items()}
-    return {node: rendezvous.parents(node, known.get(node, ("z",))[0], known) for node in [*known, "other"]}
+    return {node: rendezvous.relays_of(node, known.get(node, ("z",))[0], known) for node in [*known, "other"]}
 
 
 def pacing(rate, answers):
     pacer = LinkPacer(rate)
-    return [answer_bytes(rate), [[pacer.behind(now), pacer.take(now, size)] for now, size in answers]]
+    return [
+        response_limit(rate),
+        [[pacer.backlog_s(now), pacer.schedule(now, size)] for now, size in answers],
+    ]
 
 
 def backing_off(steps):
     backoff, found = Backoff(random.Random(3), 1.0), []
     for name, *given in steps:
-        {"answered": backoff.answered, "silent": backoff.silent, "forget": backoff.forget}[name](*given)
-        found.append([[backoff.rest(peer, 1.0) for peer in "pq"], backoff.fit(["p", "q"], 1.0)])
+        {"answered": backoff.record_success, "silent": backoff.record_failure, "forget": backoff.forget}[
+            name
+        ](*given)
+        found.append([[backoff.remaining_s(peer, 1.0) for peer in "pq"], backoff.available(["p", "q"], 1.0)])
     return found
 
 
