--- a/benchmarks/disk.py
+++ b/benchmarks/disk.py
@@ -15,7 +15,7 @@
 
 sys.path[:0] = [os.path.join(os.path.dirname(__file__), "..")]
 
-from honeywood.gateway.dissemination.history import MOST  # noqa: E402
+from honeywood.gateway.dissemination.retired_machines import MAX_RETIRED  # noqa: E402
 from honeywood.gateway.register.disk import Disk  # noqa: E402
 
 CONFIG, NOTE, PUTS = 60_000, 180, 50
@@ -70,8 +70,8 @@
         disk = line(f"after {after} changes", disk, folder, change)
     for life in range(10_000):
         note = {f"note/i-{life}": [[1, 0], "x" * NOTE]}
-        if life > MOST:
-            note[f"note/i-{life - MOST}"] = None
+        if life > MAX_RETIRED:
+            note[f"note/i-{life - MAX_RETIRED}"] = None
         disk.put(note)
     disk = line("and 10000 lives: config", disk, folder, change)
     line("and 10000 lives: a note", disk, folder, lambda: disk.put({"note/i": [[1, 0], "x" * NOTE]}))
--- a/honeywood/gateway/controller/machines.py
+++ b/honeywood/gateway/controller/machines.py
@@ -2,8 +2,8 @@
 
 from honeywood.gateway.configuration.check import address, need
 from honeywood.gateway.configuration.outcome import Wrong
-from honeywood.gateway.dissemination import departed
-from honeywood.gateway.dissemination.history import History
+from honeywood.gateway.dissemination import tombstones
+from honeywood.gateway.dissemination.retired_machines import RetiredMachines
 from honeywood.gateway.routing.endpoints import DRAINING, GONE, LOST, READY
 
 STEP = "instances.heartbeat"
@@ -46,7 +46,8 @@
 
     def __init__(self, store, beat_s):
         """`beat_s` are the seconds between two heartbeats of a machine."""
-        self.store, self.silence, self.heard, self.history = store, MISSED * beat_s, {}, History(store)
+        self.store, self.silence, self.heard = store, MISSED * beat_s, {}
+        self.retired = RetiredMachines(store)
         self.changed = lambda id, record: None  # told of each record on the store that changes
 
     def beat(self, now, id, stamp, value):
@@ -62,7 +63,7 @@
 
     def hear(self, now, id, value):
         """A record of a machine has come to the store, from here or from others."""
-        self.history.hear(now, id, value["state"])
+        self.retired.observe(now, id, value["state"])
         if value["state"] in (GONE, LOST):
             self.heard.pop(id, None)
         if value["state"] == GONE:
@@ -73,10 +74,10 @@
         """A bucket of names that left has come to the store: machines that were taken meanwhile, by late
         copies of their beats, leave once more, so that whoever has heard of them hears that too."""
         self.changed(DEPARTED_ROW + key, [self.store.stamp(key), bucket])
-        names = departed.decode(bucket)
+        names = tombstones.decode(bucket)
         for known, value in self.store.under("machine/"):
             id = known.partition("/")[2]
-            if value["state"] != GONE and departed.hashed(id) in names:
+            if value["state"] != GONE and tombstones.machine_hash(id) in names:
                 self.leave(id)
 
     def recall(self, notes):
@@ -100,7 +101,7 @@
     def look(self, now):
         """Takes for lost whoever has been silent for long; its next beat brings it back. Forgets lives that
         were over long ago."""
-        for id in self.history.look(now):
+        for id in self.retired.evict(now):
             self.changed(id, None)
         known = {key.partition("/")[2]: value for key, value in self.store.under("machine/")}
         for id in self.heard.keys() - known:
--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -16,7 +16,7 @@
 from honeywood.gateway.controller.retention import still_counted
 from honeywood.gateway.controller.rollout_loop import RolloutLoop
 from honeywood.gateway.dissemination.epochs import EpochClock
-from honeywood.gateway.dissemination.local import LocalRecords
+from honeywood.gateway.dissemination.local_records import LocalRecords
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.metrics import Figures
 from honeywood.gateway.program import COUNTS, Program
@@ -59,7 +59,7 @@
             self.store, s.beat_s, self.register, self.contacts, self.replication, clock, self.say
         )
         self.machines = self.machine_loop.machines
-        self.fleet = Fleet(s.ip, self.store, self.contacts, self.local.tell)
+        self.fleet = Fleet(s.ip, self.store, self.contacts, self.local.publish)
         self.rollouts = RolloutLoop(
             s.ip, self.store, self.register, self.contacts, self.fleet, self.publish, clock, self.say
         )
@@ -113,7 +113,7 @@
 
     def on_record(self, key, value):
         """A record has come to the store, from here or from others."""
-        self.local.heard(key)
+        self.local.on_update(key)
         kind, _, name = key.partition("/")
         if kind == "bourse":
             self.found([name])
@@ -149,7 +149,7 @@
         now = self.clock()
         self.machine_loop.poll(now)
         self.fleet.poll(now)
-        self.store.learn(self.epochs.next(now, self.store.epoch, self.in_quorum))
+        self.store.learn(self.epochs.advance(now, self.store.epoch, self.in_quorum))
         self.local.refresh()
         if self.store.prune():
             told = {key.removeprefix(CONTROLLER) for key, _ in self.store.under(CONTROLLER)}
@@ -203,7 +203,7 @@
     def begin(self):
         """Starts the loops."""
         s = self.settings
-        self.local.tell(f"{CONTROLLER}{s.ip}", s.node)
+        self.local.publish(f"{CONTROLLER}{s.ip}", s.node)
         self.machines.recall(self.register.notes)
         self.peers.start()
         self.loop(self.membership.settle, SETTLE_S)
--- a/honeywood/gateway/dissemination/epochs.py
+++ b/honeywood/gateway/dissemination/epochs.py
@@ -1,45 +1,54 @@
-"""The epoch: a number that all programs agree on, by which records of owners that have ended lapse. Pure.
+"""The epoch: a number that all programs agree on, by which records whose owners have ended expire. Pure.
 
-Whoever owns a record tells it again in each epoch, and the last number of its stamp says in which. A record
-that was last told LAPSE epochs ago has no owner any more: every store that knows the epoch drops it, and
-takes no copy of it from one that doesn't. The epoch only rises; a controller in quorum brings it on once it
-has stood for EPOCH_S by that controller's own steady clock, so no time of day is in it.
+A record's owner publishes it again in each epoch, and the last number of its stamp says in which. A record
+that wasn't published for EXPIRY_EPOCHS has no owner any more: every store that knows the epoch drops it, and
+takes no copy of it from another store. The epoch only rises; a controller in quorum advances it after EPOCH_S
+by its own steady clock, so no time of day is involved.
 """
 
-EPOCH_S = 300.0  # seconds that an epoch stands at least; any owner in touch tells its records again within 5
-LAPSE = 2  # epochs after which a record lapses: so its owner always had one whole epoch for telling it again
-MOST = 1 << 40  # the highest number that is taken for an epoch
-OWNED = ("count/", "fleet/", "bourse/")  # keys of records that are told again in each epoch
-TAGGED = {"count/": 2, "fleet/": 3, "bourse/": 3}  # numbers in the stamps of those that carry their epoch
+from __future__ import annotations
 
+from honeywood.gateway.dissemination.keys import RecordKind
 
-def told_in(key, stamp):
-    """The epoch in which a record was told last; None where that isn't known, as with programs of before."""
-    if not key.startswith(OWNED):
-        return None
-    length = TAGGED[key[: key.index("/") + 1]]
-    if len(stamp) < length or not 0 <= stamp[length - 1] <= MOST:
+EPOCH_S = 300.0  # seconds that an epoch lasts at least; owners in contact publish again within 5 of them
+EXPIRY_EPOCHS = 2  # after which a record expires: its owner always had a whole epoch to publish it again
+MAX_EPOCH = 1 << 40  # higher numbers in stamps are no epochs
+# The length of a stamp that ends with its epoch, of the kinds that are published again in each epoch.
+STAMP_LENGTHS: dict[str, int] = {
+    RecordKind.PROXY_COUNTS: 2,
+    RecordKind.PROXY_LOCATION: 3,
+    RecordKind.CONTROLLER: 3,
+}
+
+
+def published_in(key: str, stamp: list[int]) -> int | None:
+    """The epoch in which a record was last published; None for kinds without one and for old releases."""
+    kind, slash, _ = key.partition("/")
+    length = STAMP_LENGTHS.get(kind)
+    if not slash or length is None or len(stamp) < length:
         return None
-    return stamp[length - 1]
+    epoch = stamp[length - 1]
+    return epoch if 0 <= epoch <= MAX_EPOCH else None
 
 
-def lapsed(told, epoch):
-    """Whether a record told last in the epoch `told` has lapsed in `epoch`."""
-    return told is not None and told + LAPSE <= epoch
+def is_expired(published: int | None, epoch: int) -> bool:
+    """Whether a record that was last published in the epoch `published` has expired in `epoch`."""
+    return published is not None and published + EXPIRY_EPOCHS <= epoch
 
 
 class EpochClock:
-    """For how long an epoch has stood, by one controller's steady clock."""
+    """How long the present epoch has lasted, by one controller's steady clock."""
 
-    def __init__(self):
-        """No epoch has been heard of."""
-        self.epoch, self.since = None, 0.0
+    def __init__(self) -> None:
+        """No epoch is known."""
+        self.epoch: int | None = None
+        self.began_at = 0.0
 
-    def next(self, now, epoch, in_quorum):
-        """The epoch that holds now, where `epoch` was heard last: the same, or the next one once this has
-        stood for long enough. Who is cut off brings on none."""
+    def advance(self, now: float, epoch: int, in_quorum: bool) -> int:
+        """The epoch at `now`, where `epoch` is the highest that is known: the next one if this one has lasted
+        long enough. A controller out of quorum begins none."""
         if epoch != self.epoch:
-            self.epoch, self.since = epoch, now
-        elif in_quorum and now - self.since >= EPOCH_S:
-            self.epoch, self.since = epoch + 1, now
+            self.epoch, self.began_at = epoch, now
+        elif in_quorum and now - self.began_at >= EPOCH_S:
+            self.epoch, self.began_at = epoch + 1, now
         return self.epoch
--- a/honeywood/gateway/dissemination/messages.py
+++ b/honeywood/gateway/dissemination/messages.py
@@ -53,7 +53,7 @@
         where = f"{PATH}: who"
         names = [need(table, key, str, where, "", peer=peer) for key in ("node", "ip", "zone", "life")]
         kinds = [need(table, key, bool, where, False, peer=peer) for key in ("private", "front")]
-        epoch = need(table, "epoch", int, where, 0, least=0, most=epochs.MOST, peer=peer)
+        epoch = need(table, "epoch", int, where, 0, least=0, most=epochs.MAX_EPOCH, peer=peer)
         stamps = need(table, "stamps", dict, where, {}, peer=peer)
         return cls(*names, *kinds, epoch, stamps, need(table, "disk", str, where, None, peer=peer))
 
--- a/honeywood/gateway/dissemination/publisher.py
+++ b/honeywood/gateway/dissemination/publisher.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections import Counter
 
-from honeywood.gateway.dissemination import departed
+from honeywood.gateway.dissemination import tombstones
 from honeywood.gateway.dissemination.chunk import ChunkCollector
 from honeywood.gateway.dissemination.link_pacer import LinkPacer, response_limit
 from honeywood.gateway.dissemination.messages import Answer
@@ -16,7 +16,7 @@
 
 HOLD = 1.0  # seconds an ask is held while there is nothing new
 BUNDLE = 0.02  # seconds waited after a record for others that come with it
-QUIET = ("beat/", departed.PREFIX)  # records that wake nobody
+QUIET = ("beat/", tombstones.PREFIX)  # records that wake nobody
 LAZY = {"count/": 0.2, "fleet/": 0.1}  # records that wake controllers alone, with others of so many seconds
 SMALL = 2048  # bytes of an answer that waits for nothing
 PATIENCE = 0.25  # seconds that an answer waits for its turn on the link; then its asker is sent away
--- a/honeywood/gateway/dissemination/store.py
+++ b/honeywood/gateway/dissemination/store.py
@@ -8,14 +8,14 @@
 import json
 from _blake2 import blake2b  # hashlib would bring OpenSSL
 
-from honeywood.gateway.dissemination import departed, epochs
+from honeywood.gateway.dissemination import epochs, tombstones
 from honeywood.gateway.dissemination.chunk import cut, mark
-from honeywood.gateway.dissemination.history import over
+from honeywood.gateway.dissemination.retired_machines import is_retired
 from honeywood.gateway.dissemination.record import Held, Record
 
 DOUBTED = [-1]  # the stamp of what may be out of date: below all others
 LIVES = ("machine/", "beat/")  # records of machines' lives, which end and are forgotten
-PRIVATE = ("beat/", "count/", "fleet/", departed.PREFIX)  # for controllers only
+PRIVATE = ("beat/", "count/", "fleet/", tombstones.PREFIX)  # for controllers only
 LARGE = ("config",)  # records that are worth saying which of them one holds, so that they come once
 EARLIER = 3  # values of a large record that are kept, for those who have begun to collect one
 ROOM = 1024  # bytes of an answer that are worth a chunk
@@ -39,17 +39,17 @@
     # taking records
     def put(self, key, stamp, value):
         """Takes a record if its stamp is above the one held; whether it did."""
-        if key.startswith(departed.PREFIX):
+        if key.startswith(tombstones.PREFIX):
             return self._merge(key, stamp, value)
-        told_in = epochs.told_in(key, stamp)
-        if told_in is not None:
-            self.learn(told_in)
+        published = epochs.published_in(key, stamp)
+        if published is not None:
+            self.learn(published)
             if self._lapsed(key, stamp, value):
                 return False
-            if epochs.lapsed(told_in, self.epoch):
+            if epochs.is_expired(published, self.epoch):
                 self.pruned = None  # needed still: looked at again until it isn't
         held = self.records.get(key)
-        if held is not None and held.stamp >= stamp and not self._outlived(key, held.stamp, told_in):
+        if held is not None and held.stamp >= stamp and not self._outlived(key, held.stamp, published):
             return False
         if held is None and key.startswith(LIVES) and self.has_departed(key.partition("/")[2]):
             return False
@@ -74,7 +74,7 @@
         """Puts a record that everybody may hear into the digest, or takes it out: stores that hold the same
         records with the same stamps have the same, whatever came first. Lives that are over are left out:
         each store forgets them in its own time."""
-        if key in self.records and not key.startswith(PRIVATE) and not over(self.records[key].value):
+        if key in self.records and not key.startswith(PRIVATE) and not is_retired(self.records[key].value):
             named = f"{key}|{self.records[key].stamp}".encode()
             self.digest ^= int.from_bytes(blake2b(named, digest_size=8).digest(), "big")
 
@@ -91,13 +91,15 @@
 
     def _lapsed(self, key, stamp, value):
         """Whether a record has lapsed and is needed no more."""
-        return epochs.lapsed(epochs.told_in(key, stamp), self.epoch) and not self.needed(self, key, value)
+        return epochs.is_expired(epochs.published_in(key, stamp), self.epoch) and not self.needed(
+            self, key, value
+        )
 
     @staticmethod
-    def _outlived(key, stamp, told_in):
+    def _outlived(key, stamp, published):
         """Whether a record held with `stamp` has lapsed in the epoch of another of its key, whatever their
         incarnations say: the owner's clock may have been set back meanwhile."""
-        return told_in is not None and epochs.lapsed(epochs.told_in(key, stamp), told_in)
+        return published is not None and epochs.is_expired(epochs.published_in(key, stamp), published)
 
     def prune(self):
         """Drops what has lapsed; the keys that were dropped. Costs nothing while the epoch stands and none is
@@ -107,7 +109,7 @@
         lapsed = [
             key
             for key, held in self.records.items()
-            if epochs.lapsed(epochs.told_in(key, held.stamp), self.epoch)
+            if epochs.is_expired(epochs.published_in(key, held.stamp), self.epoch)
         ]
         dropped = [key for key in lapsed if not self.needed(self, key, self.records[key].value)]
         for key in dropped:
@@ -120,20 +122,20 @@
         for kind in LIVES:
             self.drop(kind + name)
         if for_good and not self.has_departed(name):
-            key = departed.key_of(name)
+            key = tombstones.bucket_key(name)
             held = self.records.get(key)
             if held is None:
-                self._take(key, [1], departed.add(None, name))
+                self._take(key, [1], tombstones.add(None, name))
             else:
-                self._take(key, [held.stamp[0] + 1], departed.add(held.value, name))
+                self._take(key, [held.stamp[0] + 1], tombstones.add(held.value, name))
 
     def _merge(self, key, stamp, value):
         """Takes what another bucket of names that left has beside the one held."""
         held = self.records.get(key)
         if held is None:
-            self._take(key, stamp, departed.merge(value, value))
+            self._take(key, stamp, tombstones.merge(value, value))
             return True
-        merged = departed.merge(held.value, value)
+        merged = tombstones.merge(held.value, value)
         if merged == held.value:
             return False
         above = stamp if merged == value and stamp > held.stamp else [max(held.stamp, stamp)[0] + 1]
@@ -142,12 +144,12 @@
 
     def has_departed(self, name):
         """Whether a machine left for good, as far as is remembered."""
-        return departed.holds(self.get(departed.key_of(name)), name)
+        return tombstones.contains(self.get(tombstones.bucket_key(name)), name)
 
     @property
     def departed(self):
         """How many names that left are remembered."""
-        return departed.count(value for _, value in self.under(departed.PREFIX))
+        return tombstones.count(value for _, value in self.under(tombstones.PREFIX))
 
     def doubt(self, prefix):
         """Takes what is held under `prefix` for doubtful: whoever tells it next confirms it."""
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -5,7 +5,7 @@
 
 from honeywood.gateway.configuration import config
 from honeywood.gateway.dissemination.backoff import INITIAL_DELAY_S, Backoff
-from honeywood.gateway.dissemination.history import CUT, History
+from honeywood.gateway.dissemination.retired_machines import MAX_DISCONNECTED_S, RetiredMachines
 from honeywood.gateway.dissemination.messages import Asker
 from honeywood.gateway.dissemination.publisher import HOLD, SMALL, Publisher
 from honeywood.gateway.dissemination.rendezvous import rank
@@ -57,7 +57,7 @@
         self.forwarder = Forwarder(self.clock, self.random, s.zone, *parts, self.invariants.attempt_begins)
         self.publisher = Publisher(self.store_incarnation(), self.hear, rate=s.link)
         store, backoff = self.publisher.store, Backoff(self.random, BACKOFF_MOST_S)
-        self.history, self.doubted_at = History(store), None
+        self.retired, self.doubted_at = RetiredMachines(store), None
         self.counts = CountRecords(self.stage, self.clock, s.node, self.life, store)
         self.subscriber = Subscriber(self.publisher, self.caller, self.who, backoff)
         told = self.counts.records_for, self.poll_most
@@ -133,7 +133,7 @@
     def hear_endpoint(self, id, value):
         """An endpoint has changed; one that leaves service keeps no idle connection."""
         now = self.clock()
-        self.history.hear(now, id, value["state"])
+        self.retired.observe(now, id, value["state"])
         endpoint, left = self.endpoints.update(now, id, value)
         if left:
             self.pool.close_idle(endpoint)
@@ -188,7 +188,7 @@
     def met_quorum(self, asked_at, answer):
         """A controller that hears a majority has answered."""
         if answer.whole:  # else what ends a stage may be among what was not told
-            if self.met_majority and asked_at - self.stage.heard_at > CUT:
+            if self.met_majority and asked_at - self.stage.heard_at > MAX_DISCONNECTED_S:
                 self.doubt()
             self.stage.heard_at = asked_at
         self.met_majority = True
@@ -224,7 +224,7 @@
         now, store = self.clock(), self.publisher.store
         self.invariants.look(now)
         self.pool.close_expired(self.endpoints.by_id.values())
-        self.history.look(now)
+        self.retired.evict(now)
         self.lose(key for key in store.prune() if key.startswith("bourse/"))
         if self.doubted_at is not None and now - self.doubted_at > DOUBT_S:
             self.doubted_at = None
--- a/tests/gateway/test_architecture.py
+++ b/tests/gateway/test_architecture.py
@@ -52,7 +52,7 @@
         "rpc",
         "configuration",
     ): "calls end in the outcomes of configuration/outcome.py and read JSON as it does",
-    ("dissemination", "routing"): "history.py asks for the two states of a machine whose incarnation is over",
+    ("dissemination", "routing"): "retired_machines.py needs the states of a machine out of service",
     ("rollout", "dissemination"): "the machines that get a trial are ranked as the relays are",
     ("rollout", "routing"): "outcomes are counted by what an answer meant",
 }
--- a/tests/gateway/test_dissemination_links.py
+++ b/tests/gateway/test_dissemination_links.py
@@ -18,7 +18,7 @@
     LinkPacer,
     response_limit,
 )
-from honeywood.gateway.dissemination.local import LocalRecords
+from honeywood.gateway.dissemination.local_records import LocalRecords
 from honeywood.gateway.dissemination.messages import Ask, Asker
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.dissemination.store import Store
@@ -293,9 +293,9 @@
 @test("a program that hears its own notes of before goes above them, whatever comes late")
 def _():
     held = {}
-    store = Store("l", lambda key, value: held["own"].heard(key))
+    store = Store("l", lambda key, value: held["own"].on_update(key))
     own = held["own"] = LocalRecords(store, 5, lambda key: key.startswith("own/"))
-    own.tell("own/a", 1)
+    own.publish("own/a", 1)
     store.put("own/a", [9, 4], 0)
     assert store.stamp("own/a") > [9, 4] and store.get("own/a") == 1
     store.put("own/b", [9, 3], 0)
--- a/tests/gateway/test_dissemination_mutations.py
+++ b/tests/gateway/test_dissemination_mutations.py
@@ -11,10 +11,10 @@
 from honeywood.gateway.controller import contact, retention
 from honeywood.gateway.controller.machine_records import MachineRecords
 from honeywood.gateway.controller.machines import DEPARTED_ROW, Machines
-from honeywood.gateway.dissemination import chunk, departed, epochs, store
+from honeywood.gateway.dissemination import chunk, epochs, store, tombstones
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.link_pacer import LinkPacer
-from honeywood.gateway.dissemination.local import LocalRecords
+from honeywood.gateway.dissemination.local_records import LocalRecords
 from honeywood.gateway.dissemination.messages import Answer, Asker
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.proxy.count_records import CountRecords
@@ -72,11 +72,11 @@
 
 
 def without_names(self, *given, since=Store.since, **more):
-    return [one for one in since(self, *given, **more) if not one.key.startswith(departed.PREFIX)]
+    return [one for one in since(self, *given, **more) if not one.key.startswith(tombstones.PREFIX)]
 
 
-def without_quorum(self, now, epoch, in_quorum, next=epochs.EpochClock.next):
-    return next(self, now, epoch, True)
+def without_quorum(self, now, epoch, in_quorum, advance=epochs.EpochClock.advance):
+    return advance(self, now, epoch, True)
 
 
 def no_epoch(self, encode=Asker.encode):
@@ -117,16 +117,18 @@
     Mutation("lists of proxies to all", store, "PRIVATE", (), LINKS, "what a front is told doesn't grow"),
     Mutation("counts always told", CountRecords, "records_for", counts_always, LINKS, "all controllers"),
     Mutation("no backoff", Backoff, "remaining_s", lambda *given: 0.0, LINKS, "whoever gets no answers"),
-    Mutation("own records of before", LocalRecords, "heard", unlike, LINKS, "a program that hears its own"),
+    Mutation(
+        "own records of before", LocalRecords, "on_update", unlike, LINKS, "a program that hears its own"
+    ),
     Mutation("dead controllers", contact, "VOUCHES_S", FOREVER, LINKS, "a controller that is heard"),
     Mutation("no order of waking", Publisher, "__init__", unordered, LINKS, "who waits is woken"),
     Mutation("all records wake all", Publisher, "_told", told_to_all, LINKS, "who waits is woken"),
     Mutation("no last look", Publisher, "_found", looked_up_before, LINKS, "a note that wakes nobody"),
-    Mutation("nothing lapses", epochs, "lapsed", lambda *given: False, EPOCHS, "two days with hundreds"),
+    Mutation("nothing lapses", epochs, "is_expired", lambda *given: False, EPOCHS, "two days with hundreds"),
     Mutation("counts lapse", retention, "_counts_for", lambda *given: False, EPOCHS, "counts of a proxy"),
     Mutation("lapsed ones come back", Store, "_lapsed", lambda *given: False, EPOCHS, "what has lapsed"),
     Mutation("incarnations alone", Store, "_outlived", lambda *given: False, EPOCHS, "what has lapsed"),
-    Mutation("no quorum", epochs.EpochClock, "next", without_quorum, EPOCHS, "the epoch needs a quorum"),
+    Mutation("no quorum", epochs.EpochClock, "advance", without_quorum, EPOCHS, "the epoch needs a quorum"),
     Mutation("asks without epoch", Asker, "encode", no_epoch, EPOCHS, "programs: controllers that all begin"),
     Mutation("no disk", MachineRecords, "change", machines_alone, EPOCHS, "a machine that left stays"),
     Mutation("names not told", Store, "since", without_names, EPOCHS, "a machine that left stays"),
--- a/tests/gateway/test_epochs.py
+++ b/tests/gateway/test_epochs.py
@@ -9,8 +9,8 @@
 from ward import each, test
 
 from honeywood.gateway.controller.retention import still_counted
-from honeywood.gateway.dissemination import departed, epochs
-from honeywood.gateway.dissemination.local import LocalRecords
+from honeywood.gateway.dissemination import epochs, tombstones
+from honeywood.gateway.dissemination.local_records import LocalRecords
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.rollout.report import Report, Tally
@@ -32,10 +32,10 @@
         self.store = Store(f"{ip}.{n}", self.hear, still_counted)
         self.own = LocalRecords(self.store, incarnation, self.mine)
         self.clock = epochs.EpochClock()
-        self.own.tell(f"bourse/{ip}", ip)
+        self.own.publish(f"bourse/{ip}", ip)
 
     def hear(self, key, value):
-        self.own.heard(key)
+        self.own.on_update(key)
 
     def mine(self, key):
         return key == f"bourse/{self.ip}" or key.startswith(f"fleet/{self.ip}/")
@@ -51,10 +51,10 @@
         for node, (at, place) in list(self.proxies.items()):
             place = place if now - at < 2 * STEP else None
             if self.store.get(f"fleet/{self.ip}/{node}") != place:
-                self.own.tell(f"fleet/{self.ip}/{node}", place)
+                self.own.publish(f"fleet/{self.ip}/{node}", place)
             if place is None:
                 del self.proxies[node]
-        self.store.learn(self.clock.next(now, self.store.epoch, in_quorum))
+        self.store.learn(self.clock.advance(now, self.store.epoch, in_quorum))
         self.own.refresh()
         self.store.prune()
 
@@ -137,7 +137,7 @@
         return self.rollout is not None and self.rollout["state"] == "active"
 
 
-LONG = (epochs.LAPSE + 2) * epochs.EPOCH_S  # seconds after which whatever has ended must have lapsed
+LONG = (epochs.EXPIRY_EPOCHS + 2) * epochs.EPOCH_S  # seconds after which whatever has ended must have lapsed
 
 
 @test("two days with hundreds of restarts, clocks set back, cuts of hours: records stay as few (seed {seed})")
@@ -206,19 +206,19 @@
 @test("the epoch needs a quorum and the time it stands, by a steady clock; who is frozen brings it on by one")
 def _():
     clock = epochs.EpochClock()
-    assert clock.next(0.0, 7, True) == clock.next(epochs.EPOCH_S - 1, 7, True) == 7
-    assert clock.next(10 * epochs.EPOCH_S, 7, False) == 7
-    assert clock.next(20 * epochs.EPOCH_S, 7, True) == clock.next(20 * epochs.EPOCH_S + 1, 8, True) == 8
-    assert clock.next(20 * epochs.EPOCH_S + 2, 30, True) == 30
+    assert clock.advance(0.0, 7, True) == clock.advance(epochs.EPOCH_S - 1, 7, True) == 7
+    assert clock.advance(10 * epochs.EPOCH_S, 7, False) == 7
+    assert clock.advance(20 * epochs.EPOCH_S, 7, True) == clock.advance(20 * epochs.EPOCH_S + 1, 8, True) == 8
+    assert clock.advance(20 * epochs.EPOCH_S + 2, 30, True) == 30
 
 
 @test("stamps without an epoch, or with a senseless one, never lapse and bring none on")
 def _():
     stamps = ("fleet/a/p", [5, 1]), ("count/p/l", [3]), ("machine/m", [3, 0]), ("bourse/a", [5, 1, -1])
     for key, stamp in stamps:
-        assert epochs.told_in(key, stamp) is None and not epochs.lapsed(None, 99)
+        assert epochs.published_in(key, stamp) is None and not epochs.is_expired(None, 99)
     store = Store("l")
-    store.put("fleet/a/p", [5, 1, epochs.MOST + 1], ["z", "p"])
+    store.put("fleet/a/p", [5, 1, epochs.MAX_EPOCH + 1], ["z", "p"])
     assert store.epoch == 0 and store.get("fleet/a/p")
 
 
@@ -352,23 +352,24 @@
 @test("buckets of names that left come to the same in any order, and keep the newest")
 def _():
     draw = random.Random(1)
-    names = [f"i-{n}" for n in range(3 * departed.MOST)]
+    names = [f"i-{n}" for n in range(3 * tombstones.BUCKET_CAPACITY)]
     one = two = None
     for name in names:
-        one = departed.add(one, name)
-    for name in reversed(names[: departed.MOST]):
-        two = departed.add(two, name)
-    both = departed.merge(one, two)
-    assert both == departed.merge(two, one) == departed.merge(both, two)
-    assert departed.holds(one, names[-1]) and not departed.holds(one, names[0])
-    assert [departed.holds(one, name) for name in names] == [
-        departed.hashed(name) in departed.decode(one) for name in names
+        one = tombstones.add(one, name)
+    for name in reversed(names[: tombstones.BUCKET_CAPACITY]):
+        two = tombstones.add(two, name)
+    both = tombstones.merge(one, two)
+    assert both == tombstones.merge(two, one) == tombstones.merge(both, two)
+    assert tombstones.contains(one, names[-1]) and not tombstones.contains(one, names[0])
+    assert [tombstones.contains(one, name) for name in names] == [
+        tombstones.machine_hash(name) in tombstones.decode(one) for name in names
     ]
-    across = departed.ENTRY.pack(0, 1)[4:] + departed.ENTRY.pack(0, 1)[:4]  # bytes of the end of one entry
-    entries = b"\0" * 4 + departed.hashed("i-1").to_bytes(8, "little") + across
-    assert not departed.holds(b2a_base64(entries).decode(), "i-1")
-    entries += departed.ENTRY.pack(departed.hashed("i-1"), 3)
-    assert departed.holds(b2a_base64(entries).decode(), "i-1")
+    entry = tombstones.ENTRY.pack(0, 1)
+    across = entry[4:] + entry[:4]  # bytes of the end of one entry
+    entries = b"\0" * 4 + tombstones.machine_hash("i-1").to_bytes(8, "little") + across
+    assert not tombstones.contains(b2a_base64(entries).decode(), "i-1")
+    entries += tombstones.ENTRY.pack(tombstones.machine_hash("i-1"), 3)
+    assert tombstones.contains(b2a_base64(entries).decode(), "i-1")
     stores = [Store(n) for n in "abc"]
     for n in range(2000):
         store = draw.choice(stores)
@@ -380,7 +381,7 @@
         for store in stores:
             for other in stores:
                 other.hear(store.since("", 0, True))
-    held = [dict(store.under(departed.PREFIX)) for store in stores]
+    held = [dict(store.under(tombstones.PREFIX)) for store in stores]
     assert held[0] == held[1] == held[2] and stores[0].departed > 1900
 
 
--- a/tests/gateway/test_history.py
+++ b/tests/gateway/test_history.py
@@ -8,9 +8,9 @@
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.controller.machine_records import MachineRecords
 from honeywood.gateway.controller.machines import DEPARTED_ROW, Machines
-from honeywood.gateway.dissemination.history import KEEP, MOST, History
-from honeywood.gateway.dissemination import departed
+from honeywood.gateway.dissemination import tombstones
 from honeywood.gateway.dissemination.record import Record
+from honeywood.gateway.dissemination.retired_machines import MAX_RETIRED, RETENTION_S, RetiredMachines
 from honeywood.gateway.dissemination.store import Store
 
 BEAT = {"svc": "s", "ip": "m", "port": 1, "zone": "z", "ver": "v1", "slots": 4, "state": "ready", "cold": 0.0}
@@ -49,16 +49,16 @@
         world.say("b", "beat m ready")  # within the time: its note says that it has left
         world.run(4.0)
         assert all(world.state(name, "m") == "gone" for name in "abcf")
-        world.run(KEEP + 5.0)
+        world.run(RETENTION_S + 5.0)
         assert not any(told(world, name, "m") for name in "abcf")
         world.say("b", "beat m ready")  # and after it
         world.nodes["c"].publisher.store.hear(late)
-        world.run(KEEP + 7.0)
+        world.run(RETENTION_S + 7.0)
         assert not any(told(world, name, "m") for name in "abcf")
         assert "m" not in world.nodes["b"].machines.heard
         rows = world.nodes["a"].register.rows
         kept = [key for key in rows if key.startswith("note/")]
-        assert kept == ["note/" + DEPARTED_ROW + departed.key_of("m")], "its name alone stays on disk"
+        assert kept == ["note/" + DEPARTED_ROW + tombstones.bucket_key("m")], "its name alone stays on disk"
     finally:
         world.close()
 
@@ -70,10 +70,10 @@
         world.say("a", "beat m ready")
         world.run(8.0)
         assert all(world.state(name, "m") == "silent" for name in "abcf")
-        world.run(KEEP + 12.0)
+        world.run(RETENTION_S + 12.0)
         assert not any(told(world, name, "m") for name in "abcf")
         world.say("b", "beat m ready")
-        world.run(KEEP + 13.0)
+        world.run(RETENTION_S + 13.0)
         assert all(world.state(name, "m") == "ready" for name in "abcf")
     finally:
         world.close()
@@ -105,12 +105,12 @@
         world.run(1.5)
         world.cut("f", "abc")
         leave(world, "a", "m")
-        for second in range(2, int(KEEP) + 30):
+        for second in range(2, int(RETENTION_S) + 30):
             world.run(float(second))
             world.say("a", "beat n ready")
         assert world.state("f", "m") == "ready" and not told(world, "a", "m")
         world.join()
-        for second in range(int(KEEP) + 30, int(KEEP) + 45):
+        for second in range(int(RETENTION_S) + 30, int(RETENTION_S) + 45):
             world.run(float(second))
             world.say("a", "beat n ready")
         assert world.state("f", "m") == "silent" and world.state("f", "n") == "ready"
@@ -131,9 +131,9 @@
         if life % 100 == 0:
             machines.look(now)
     machines.look(now)
-    names = departed.BUCKETS * departed.MOST
-    assert len(store.records) < 2 * (MOST + 600) + departed.BUCKETS
-    assert len(rows) < MOST + 600 and len(machines.heard) < 600
+    names = tombstones.BUCKET_COUNT * tombstones.BUCKET_CAPACITY
+    assert len(store.records) < 2 * (MAX_RETIRED + 600) + tombstones.BUCKET_COUNT
+    assert len(rows) < MAX_RETIRED + 600 and len(machines.heard) < 600
     assert 1000 < store.departed <= names
     for life in range(20_000):
         store.forget(f"j-{life}", True)
@@ -144,11 +144,11 @@
 @test("what comes back is no longer over")
 def _():
     store = Store("x")
-    past = History(store)
+    past = RetiredMachines(store)
     for state in ("silent", "ready"):
-        past.hear(0.0, "m", state)
+        past.observe(0.0, "m", state)
     store.put("machine/m", [1, 0], BEAT)
-    assert past.look(KEEP + 1.0) == [] and store.get("machine/m")
+    assert past.evict(RETENTION_S + 1.0) == [] and store.get("machine/m")
 
 
 @test("behind a disk that hangs one write of notes waits, with all that changed; one refused is tried again")
--- a/tests/gateway/test_pinned_dissemination.py
+++ b/tests/gateway/test_pinned_dissemination.py
@@ -13,11 +13,11 @@
 from ward import each, test
 
 from honeywood.gateway.configuration.outcome import Done, Failed, Wrong
-from honeywood.gateway.dissemination import departed, epochs, rendezvous
+from honeywood.gateway.dissemination import epochs, tombstones, rendezvous
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.chunk import Chunk, ChunkCollector
 from honeywood.gateway.dissemination.link_pacer import LinkPacer, response_limit
-from honeywood.gateway.dissemination.local import LocalRecords
+from honeywood.gateway.dissemination.local_records import LocalRecords
 from honeywood.gateway.dissemination.messages import Answer, Ask, Asker
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.dissemination.record import PATH, Record
@@ -175,11 +175,11 @@
 def local_records(steps):
     """What stands on a store after each step of a program that tells records of itself."""
     own, found = [], []
-    store = new_store("l", lambda key, value: own[0].heard(key))
+    store = new_store("l", lambda key, value: own[0].on_update(key))
     own.append(LocalRecords(store, 5, lambda key: key.startswith("fleet/a/")))
     for name, *given in steps:
         if name == "tell":
-            own[0].tell(*given)
+            own[0].publish(*given)
         elif name == "refresh":
             store.learn(*given)
             own[0].refresh()
@@ -193,24 +193,27 @@
     """Tombstones: the value after each of the last names, that of `others`, both merged, and who is in it."""
     values, value = [], None
     for name in names:
-        value = departed.add(value, name)
+        value = tombstones.add(value, name)
         values.append(value)
     other = None
     for name in others:
-        other = departed.add(other, name)
-    merged = departed.merge(value, other)
-    holds = [departed.holds(merged, name) for name in [*names, *others, "nobody"]]
-    keys = [departed.key_of(name) for name in [*names, *others]]
-    return [values[-3:], other, merged, holds, keys, departed.count([value, other])]
+        other = tombstones.add(other, name)
+    merged = tombstones.merge(value, other)
+    holds = [tombstones.contains(merged, name) for name in [*names, *others, "nobody"]]
+    keys = [tombstones.bucket_key(name) for name in [*names, *others]]
+    return [values[-3:], other, merged, holds, keys, tombstones.count([value, other])]
 
 
 def epoch_rows(rows):
-    return [[epochs.told_in(key, stamp), epochs.lapsed(epochs.told_in(key, stamp), 9)] for key, stamp in rows]
+    return [
+        [epochs.published_in(key, stamp), epochs.is_expired(epochs.published_in(key, stamp), 9)]
+        for key, stamp in rows
+    ]
 
 
 def epoch_clock(steps):
     clock = epochs.EpochClock()
-    return [clock.next(*step) for step in steps]
+    return [clock.advance(*step) for step in steps]
 
 
 def ranks(names, places):
