--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -9,7 +9,7 @@
 from honeywood.gateway.configuration.check import need, read_json
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.controller import machines
-from honeywood.gateway.dissemination.messages import Ask
+from honeywood.gateway.dissemination.messages import PollRequest
 from honeywood.gateway.dissemination.record import PATH
 from honeywood.gateway.register import replica as register
 from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of
@@ -100,9 +100,9 @@
 
     # our own
     async def news(self, of, body, peer, left=lambda: False):
-        ask = Ask.decode(read_json(body, PATH, peer), peer)
-        answer = await self.controller.publisher.serve(ask, left)
-        return replace(answer, **self.controller.beside(ask.who)).encode()
+        poll = PollRequest.decode(read_json(body, PATH, peer), peer)
+        response = await self.controller.publisher.serve(poll, left)
+        return replace(response, **self.controller.beside(poll.requester)).encode()
 
     async def register(self, of, body, peer):
         return await self.controller.register_responder(read_json(body, register.PATH, peer), peer)
--- a/honeywood/gateway/controller/fleet.py
+++ b/honeywood/gateway/controller/fleet.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
+from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.dissemination.rendezvous import relays_of
 
-FLEET = "fleet/"  # before a controller's address and a proxy's name: where the proxy is that asks it
 SILENT_S = 3.0  # seconds after which a proxy that asks no more shares in nothing
 
 
@@ -33,15 +33,16 @@
         self.local_ip, self.store, self.contacts, self.tell = local_ip, store, contacts, tell
         self.asking, self.proxies, self._relays = {}, {}, {}
 
-    def asked(self, now, asker):
+    def asked(self, now, requester):
         """A proxy has asked."""
-        self.asking[asker.node] = Sighting(now, Place(asker.zone, asker.ip))
+        self.asking[requester.node] = Sighting(now, Place(requester.zone, requester.ip))
 
     def poll(self, now):
         """Tells others of the proxies that ask here and of those that ask no more, and counts anew."""
         for node, sighting in list(self.asking.items()):
             silent = now - sighting.asked_at >= SILENT_S
-            key, place = f"{FLEET}{self.local_ip}/{node}", None if silent else list(sighting.place)
+            key = RecordKind.PROXY_LOCATION.key(self.local_ip, node)
+            place = None if silent else list(sighting.place)
             if self.store.get(key) != place:
                 self.tell(key, place)
             if silent:
@@ -51,7 +52,7 @@
     def sharing(self, now):
         """The proxies that share in the traffic now."""
         vouching, found = self.contacts.vouching(now), {}
-        for key, place in self.store.under(FLEET):
+        for key, place in self.store.items_of(RecordKind.PROXY_LOCATION):
             _, told_by, node = key.split("/", 2)
             if place is not None and told_by in vouching:
                 found[node] = Place(*place)
--- a/honeywood/gateway/controller/machines.py
+++ b/honeywood/gateway/controller/machines.py
@@ -3,6 +3,8 @@
 from honeywood.gateway.configuration.check import address, need
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.dissemination import tombstones
+from honeywood.gateway.dissemination.keys import RecordKind, name_of
+from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.dissemination.retired_machines import RetiredMachines
 from honeywood.gateway.routing.endpoints import DRAINING, GONE, LOST, READY
 
@@ -29,7 +31,7 @@
     if state not in (READY, DRAINING):
         raise Wrong(STEP, f"state {state!r} is not known", peer)
     ip, port = address(need(body, "addr", str, STEP, peer=peer), f"{STEP}: addr", peer)
-    return [need(body, "seq", int, STEP, least=0, most=LAST - 1, peer=peer), 0], {
+    return Stamp.of(need(body, "seq", int, STEP, least=0, most=LAST - 1, peer=peer), 0), {
         "svc": need(body, "svc", str, STEP, peer=peer),
         "ip": ip,
         "port": port,
@@ -52,13 +54,13 @@
 
     def beat(self, now, id, stamp, value):
         """Takes a heartbeat; whether it tells that the machine leaves service."""
-        held = self.store.get(f"machine/{id}")
+        held = self.store.get(RecordKind.MACHINE.key(id))
         if held is not None and held["state"] == GONE:
             return value["state"] == DRAINING  # a beat that comes after its machine has left
         self.alive(now, id, stamp)
-        self.store.put(f"beat/{id}", stamp, None)
+        self.store.put(RecordKind.HEARTBEAT.key(id), stamp, None)
         if held is None or any(held.get(key) != value[key] for key in value if key != "cold"):
-            self.store.put(f"machine/{id}", stamp, value)
+            self.store.put(RecordKind.MACHINE.key(id), stamp, value)
         return value["state"] == DRAINING
 
     def hear(self, now, id, value):
@@ -67,16 +69,16 @@
         if value["state"] in (GONE, LOST):
             self.heard.pop(id, None)
         if value["state"] == GONE:
-            self.store.drop(f"beat/{id}")
-        self.changed(id, [self.store.stamp(f"machine/{id}"), value])
+            self.store.drop(RecordKind.HEARTBEAT.key(id))
+        self.changed(id, [self.store.stamp(RecordKind.MACHINE.key(id)).encode(), value])
 
     def hear_departed(self, key, bucket):
         """A bucket of names that left has come to the store: machines that were taken meanwhile, by late
         copies of their beats, leave once more, so that whoever has heard of them hears that too."""
-        self.changed(DEPARTED_ROW + key, [self.store.stamp(key), bucket])
+        self.changed(DEPARTED_ROW + key, [self.store.stamp(key).encode(), bucket])
         names = tombstones.decode(bucket)
-        for known, value in self.store.under("machine/"):
-            id = known.partition("/")[2]
+        for known, value in self.store.items_of(RecordKind.MACHINE):
+            id = name_of(known)
             if value["state"] != GONE and tombstones.machine_hash(id) in names:
                 self.leave(id)
 
@@ -85,10 +87,10 @@
         rows = list(notes)
         for id, stamp, bucket in rows:
             if id.startswith(DEPARTED_ROW):
-                self.store.put(id[len(DEPARTED_ROW) :], stamp, bucket)
+                self.store.put(id[len(DEPARTED_ROW) :], Stamp(stamp), bucket)
         for id, stamp, value in rows:
             if not id.startswith(DEPARTED_ROW):
-                self.store.put(f"machine/{id}", stamp, {**value, "cold": 0.0})
+                self.store.put(RecordKind.MACHINE.key(id), Stamp(stamp), {**value, "cold": 0.0})
 
     def alive(self, now, id, stamp):
         """A sign of life of a machine, here or at another controller."""
@@ -96,25 +98,25 @@
 
     def leave(self, id):
         """Also of one that is not known here: others may know it."""
-        self.store.put(f"machine/{id}", [LAST, 0], {"state": GONE})
+        self.store.put(RecordKind.MACHINE.key(id), Stamp.of(LAST, 0), {"state": GONE})
 
     def look(self, now):
         """Takes for lost whoever has been silent for long; its next beat brings it back. Forgets lives that
         were over long ago."""
         for id in self.retired.evict(now):
             self.changed(id, None)
-        known = {key.partition("/")[2]: value for key, value in self.store.under("machine/")}
+        known = {name_of(key): value for key, value in self.store.items_of(RecordKind.MACHINE)}
         for id in self.heard.keys() - known:
             del self.heard[id]
-        for key, _ in self.store.under("beat/"):
-            if key.partition("/")[2] not in known:
+        for key, _ in self.store.items_of(RecordKind.HEARTBEAT):
+            if name_of(key) not in known:
                 self.store.drop(key)
         for id, value in known.items():
             if value["state"] not in (READY, DRAINING):
                 continue
             at, _ = self.heard.setdefault(id, (now, None))
             if now - at > self.silence:
-                last = self.store.stamp(f"beat/{id}")
-                held = self.store.stamp(f"machine/{id}")
-                stamp = [max(held[0], last[0] if last else 0), 1]
-                self.store.put(f"machine/{id}", stamp, {**value, "state": LOST})
+                last = self.store.stamp(RecordKind.HEARTBEAT.key(id))
+                held = self.store.stamp(RecordKind.MACHINE.key(id))
+                stamp = Stamp.of(max(held[0], last[0] if last else 0), 1)
+                self.store.put(RecordKind.MACHINE.key(id), stamp, {**value, "state": LOST})
--- a/honeywood/gateway/controller/orders.py
+++ b/honeywood/gateway/controller/orders.py
@@ -7,10 +7,11 @@
 from honeywood.gateway.configuration import config
 from honeywood.gateway.configuration import versions as held
 from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.rollout import record
 from honeywood.gateway.routing.endpoints import DRAINING, READY
 
-CONFIG, ROLLOUT = "config", "rollout/"  # keys of the register
+CONFIG, ROLLOUT = RecordKind.CONFIGURATION.value, RecordKind.ROLLOUT.prefix  # keys of the register
 FRESH = 1.0  # seconds after which whoever sent an order has gone on; what is older begins nothing
 TICK, FROZEN = 0.1, 0.5  # seconds between looks at the clock; a gap that is taken for a freeze
 AGAIN = 1.0  # seconds besides `ack_s` in which an order may arrive once more: its last try may take so long
@@ -120,7 +121,7 @@
 
     def _alone(self, svc, ver):
         """Whether all machines of the service that are known here to be in service are of that version."""
-        machines = (value for _, value in self.controller.store.under("machine/"))
+        machines = (value for _, value in self.controller.store.items_of(RecordKind.MACHINE))
         vers = {m["ver"] for m in machines if m["state"] in (READY, DRAINING) and m["svc"] == svc}
         return vers == {ver}
 
--- a/honeywood/gateway/controller/peers.py
+++ b/honeywood/gateway/controller/peers.py
@@ -4,7 +4,8 @@
 
 from honeywood.gateway.controller.contact import disk_state
 from honeywood.gateway.dissemination.backoff import Backoff
-from honeywood.gateway.dissemination.messages import Asker
+from honeywood.gateway.dissemination.chunks import ChunkAssembler
+from honeywood.gateway.dissemination.messages import Requester
 from honeywood.gateway.dissemination.subscriber import Subscriber
 
 HOLD_S = 0.5  # seconds that another controller holds a poll while there is nothing new
@@ -21,7 +22,14 @@
         """The seeds are known."""
         self.settings, self.contacts, self.local_disk = settings, contacts, local_disk
         self.clock, self.start_loop = clock, start_loop
-        self.subscriber = Subscriber(publisher, caller, self._asker, Backoff(random, BACKOFF_S))
+        self.subscriber = Subscriber(
+            publisher.store,
+            ChunkAssembler(),
+            caller,
+            self._requester,
+            Backoff(random, BACKOFF_S),
+            lambda: publisher.max_response_bytes,
+        )
         self.addresses, self.polled = [ip for ip, _ in settings.seeds], set()
 
     def discover(self, addresses):
@@ -36,10 +44,10 @@
             self.subscriber.forget(ip)
             self.contacts.forget(ip)
 
-    def _asker(self):
+    def _requester(self):
         s = self.settings
         stamps, disk = self.contacts.stamps(), self.local_disk().value
-        return Asker(s.node, s.ip, controller=True, stamps=stamps, disk=disk)
+        return Requester(s.node, s.ip, is_controller=True, echo_stamps=stamps, disk=disk)
 
     def start(self):
         """Begins to poll each controller that is known and isn't polled yet."""
@@ -54,10 +62,11 @@
             self.polled.discard(ip)
             raise asyncio.CancelledError  # ends the loop that this is a turn of
         asked_at = self.clock()  # an answer may lie here unread while this process is frozen
-        reply = await self.subscriber.ask(ip, self.settings.controller_port, HOLD_S)
+        reply = await self.subscriber.poll(ip, self.settings.controller_port, HOLD_S)
         if reply.ok:
-            told = reply.value
-            self.contacts.answered(ip, asked_at, told.whole, told.stamp, disk_state(told.disk))
+            response = reply.value
+            disk = disk_state(response.disk)
+            self.contacts.answered(ip, asked_at, response.is_complete, response.echo_stamp, disk)
         await asyncio.sleep(min(BACKOFF_S, self.subscriber.backoff.remaining_s(ip, self.clock())))
 
     async def poll_all(self):
@@ -67,5 +76,5 @@
         return self.contacts.is_enough(ip for ip, told in zip(others, complete) if told)
 
     async def _tells_all(self, ip):
-        reply = await self.subscriber.ask(ip, self.settings.controller_port, 0.0)
-        return reply.ok and reply.value.whole
+        reply = await self.subscriber.poll(ip, self.settings.controller_port, 0.0)
+        return reply.ok and reply.value.is_complete
--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -7,7 +7,7 @@
 from honeywood.gateway.controller.app import App
 from honeywood.gateway.controller.contact import Contacts, disk_state
 from honeywood.gateway.controller.disk_health import CHECK_S
-from honeywood.gateway.controller.fleet import FLEET, Fleet
+from honeywood.gateway.controller.fleet import Fleet
 from honeywood.gateway.controller.machine_loop import MachineLoop
 from honeywood.gateway.controller.membership_loop import MembershipLoop
 from honeywood.gateway.controller.orders import CONFIG, TICK, Orders
@@ -16,8 +16,11 @@
 from honeywood.gateway.controller.retention import still_counted
 from honeywood.gateway.controller.rollout_loop import RolloutLoop
 from honeywood.gateway.dissemination.epochs import EpochClock
+from honeywood.gateway.dissemination.keys import RecordKind, kind_of, name_of
 from honeywood.gateway.dissemination.local_records import LocalRecords
+from honeywood.gateway.dissemination.messages import FleetView
 from honeywood.gateway.dissemination.publisher import Publisher
+from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.metrics import Figures
 from honeywood.gateway.program import COUNTS, Program
 from honeywood.gateway.register.disk import Disk
@@ -25,7 +28,6 @@
 from honeywood.gateway.register.replica import Register
 from honeywood.gateway.rpc.server import HttpServer
 
-CONTROLLER = "bourse/"  # before a controller's address: that there is one
 SETTLE_S = 0.1  # seconds between looks at whether this disk is where it counts
 STEER_S = 0.1  # seconds between looks at rollouts
 SURVEY_S = 1.0  # seconds between surveys of the register
@@ -41,13 +43,15 @@
         super().__init__(*given)
         s, self.random, clock = self.settings, random or Random(), self.clock
         self.app, incarnation = App(self), self.store_incarnation()
-        self.publisher = Publisher(incarnation, self.on_record, self.on_ask, s.link, needed=still_counted)
+        self.publisher = Publisher(
+            incarnation, self.on_record, self.on_ask, s.link, is_retained=still_counted
+        )
         self.store, self.epochs = self.publisher.store, EpochClock()
         self.local = LocalRecords(self.store, int(self.life, 16), self.is_local)
         self.register = Register(s, PagedCaller(self.caller), self.random, self.say, disk)
         self.register_responder = PagedResponder(self.register.serve, clock)
         self.orders = Orders(self)
-        self.contacts = Contacts(s.ip, self.store.life, clock(), s.bear, lambda: self.register.members)
+        self.contacts = Contacts(s.ip, self.store.incarnation, clock(), s.bear, lambda: self.register.members)
         self.peers = PeerPolling(
             s, self.publisher, self.caller, self.random, self.contacts, self.disk_state, clock, self.loop
         )
@@ -83,47 +87,48 @@
         return self.membership.disk
 
     # what is heard
-    def on_ask(self, asker, revision):
+    def on_ask(self, requester, revision):
         """Another program asked for news that has all up to `revision`."""
         now = self.clock()
-        if asker.proxy:
-            self.fleet.asked(now, asker)
-        elif asker.controller:
-            self.found([asker.ip])
-            stamp = asker.stamps.get(self.settings.ip)
-            self.contacts.asked(asker.ip, now, stamp, revision, disk_state(asker.disk))
+        if requester.is_proxy:
+            self.fleet.asked(now, requester)
+        elif requester.is_controller:
+            self.found([requester.ip])
+            stamp = requester.echo_stamps.get(self.settings.ip)
+            self.contacts.asked(requester.ip, now, stamp, revision, disk_state(requester.disk))
             self.replication.notify()
 
-    def beside(self, asker):
+    def beside(self, requester):
         """What goes with an answer to news: whether enough others are in contact; for a proxy how many
         proxies there are, the relays that it hears from, and which of its counts are known here."""
         found = {"in_quorum": self.in_quorum}
-        if asker.controller:
-            found |= {"stamp": self.contacts.stamp(self.clock()), "disk": self.disk_state().value}
-        if asker.proxy:
-            counted = self.store.stamp(f"count/{asker.node}/{asker.life}")
-            found["fleet"] = len(self.fleet.proxies), self.fleet.relays(asker.node, asker.zone)
-            found["counted"] = counted[0] if counted else 0
+        if requester.is_controller:
+            found |= {"echo_stamp": self.contacts.stamp(self.clock()), "disk": self.disk_state().value}
+        if requester.is_proxy:
+            counted = self.store.stamp(RecordKind.PROXY_COUNTS.key(requester.node, requester.incarnation))
+            relays = self.fleet.relays(requester.node, requester.zone)
+            found["fleet"] = FleetView(len(self.fleet.proxies), relays)
+            found["counts_number"] = counted[0] if counted else 0
         return found
 
     def is_local(self, key):
         """Whether a record is this controller's own, of this incarnation or an earlier one."""
         ip = self.settings.ip
-        return key == f"{CONTROLLER}{ip}" or key.startswith(f"{FLEET}{ip}/")
+        return key == RecordKind.CONTROLLER.key(ip) or key.startswith(RecordKind.PROXY_LOCATION.key(ip, ""))
 
     def on_record(self, key, value):
         """A record has come to the store, from here or from others."""
         self.local.on_update(key)
-        kind, _, name = key.partition("/")
-        if kind == "bourse":
+        kind, name = kind_of(key), name_of(key)
+        if kind == RecordKind.CONTROLLER:
             self.found([name])
-        elif kind == "beat":
+        elif kind == RecordKind.HEARTBEAT:
             self.machines.alive(self.clock(), name, None)
-        elif kind == "machine":
+        elif kind == RecordKind.MACHINE:
             self.machines.hear(self.clock(), name, value)
-        elif kind == "left":
+        elif kind == RecordKind.TOMBSTONES:
             self.machines.hear_departed(key, value)
-        elif kind == "rollout":
+        elif kind == RecordKind.ROLLOUT:
             self.rollouts.heard(name, value["n"])
 
     def publish(self, key, value):
@@ -131,12 +136,13 @@
         if key == CONFIG and value is not None:
             self.publish_configuration(value["ver"], value["text"])
         elif value is not None:
-            self.store.put(key, [value["n"]], value)
+            self.store.put(key, Stamp.of(value["n"]), value)
 
     def publish_configuration(self, version, text):
         """Tells of a configuration, without the keys of its tenants."""
-        if self.store.stamp(CONFIG) != [version]:
-            self.store.put(CONFIG, [version], for_proxies(text))
+        stamp = Stamp.of(version)
+        if self.store.stamp(CONFIG) != stamp:
+            self.store.put(CONFIG, stamp, for_proxies(text))
 
     # what orders rest on
     async def hear_others(self):
@@ -149,20 +155,20 @@
         now = self.clock()
         self.machine_loop.poll(now)
         self.fleet.poll(now)
-        self.store.learn(self.epochs.advance(now, self.store.epoch, self.in_quorum))
+        self.store.observe_epoch(self.epochs.advance(now, self.store.epoch, self.in_quorum))
         self.local.refresh()
         if self.store.prune():
-            told = {key.removeprefix(CONTROLLER) for key, _ in self.store.under(CONTROLLER)}
+            told = {name_of(key) for key, _ in self.store.items_of(RecordKind.CONTROLLER)}
             self.peers.forget_others(told | {*self.register.members} | self.contacts.vouching(now))
 
     async def count(self):
         """A line of what stands now."""
-        states = Counter(value["state"] for _, value in self.store.under("machine/"))
+        states = Counter(value["state"] for _, value in self.store.items_of(RecordKind.MACHINE))
         self.say(
             "counts",
             machines=dict(states),
             fronts=len(self.fleet.proxies),
-            told=dict(self.publisher.told),
+            told=dict(self.publisher.sent_bytes),
             called=dict(self.caller.carried),
             joined=self.in_quorum,
             sound=self.register.sound,
@@ -175,7 +181,7 @@
 
     def figures(self):
         """Sums since the start, and what stands now."""
-        states = Counter(value["state"] for _, value in self.store.under("machine/"))
+        states = Counter(value["state"] for _, value in self.store.items_of(RecordKind.MACHINE))
         stamp = self.store.stamp(CONFIG)
         gauges = {
             "in_quorum": self.in_quorum,
@@ -203,7 +209,7 @@
     def begin(self):
         """Starts the loops."""
         s = self.settings
-        self.local.publish(f"{CONTROLLER}{s.ip}", s.node)
+        self.local.publish(RecordKind.CONTROLLER.key(s.ip), s.node)
         self.machines.recall(self.register.notes)
         self.peers.start()
         self.loop(self.membership.settle, SETTLE_S)
--- a/honeywood/gateway/controller/replication.py
+++ b/honeywood/gateway/controller/replication.py
@@ -21,7 +21,7 @@
 
     async def wait(self):
         """Ends when enough others have all that the store says now; raises outcome.Wrong otherwise."""
-        revision, until, heard = self.store.rev, self.clock() + WITHIN_S, asyncio.Event()
+        revision, until, heard = self.store.revision, self.clock() + WITHIN_S, asyncio.Event()
         self._waiting.append(heard)
         try:
             while not self.contacts.have_heard(revision):
--- a/honeywood/gateway/controller/retention.py
+++ b/honeywood/gateway/controller/retention.py
@@ -1,16 +1,16 @@
 """Which counts of proxies stay on the store though their proxy has ended. Pure."""
 
+from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.rollout.record import ACTIVE
 
-COUNT, ROLLOUT = "count/", "rollout/"  # keys of proxies' counts and of rollouts' records
-
 
 def still_counted(store, key, value):
     """Whether a record is one of counts that a rollout under way counts, or one that isn't heard of here yet.
     A record's `n` and `order` only rise, so what is counted no more never is again."""
-    if not key.startswith(COUNT):
+    if not key.startswith(RecordKind.PROXY_COUNTS.prefix):
         return False
-    return any(_counts_for(store.get(ROLLOUT + svc), n) for svc, (n, _) in value["known"].items())
+    known = value["known"].items()
+    return any(_counts_for(store.get(RecordKind.ROLLOUT.key(svc)), n) for svc, (n, _) in known)
 
 
 def _counts_for(record, n):
--- a/honeywood/gateway/controller/rollout_loop.py
+++ b/honeywood/gateway/controller/rollout_loop.py
@@ -3,11 +3,11 @@
 import asyncio
 from dataclasses import dataclass
 
+from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.dissemination.rendezvous import rank
 from honeywood.gateway.rollout import record, report
 from honeywood.gateway.rollout.verdict import Verdict
 
-ROLLOUT, COUNT = "rollout/", "count/"  # keys of the register, and of what proxies tell
 TURN_S = 0.15  # seconds by which controllers act after each other
 LATE_S = 0.5  # seconds beyond a controller's turn after which what it decided before it is decided anew
 
@@ -40,7 +40,7 @@
         knows of proxies' counts may be as old as its cut or its standstill."""
         if not self.contacts.in_quorum(self.clock()):
             return
-        for key, value in self.store.under(ROLLOUT):
+        for key, value in self.store.items_of(RecordKind.ROLLOUT):
             rollout = record.decode(value)
             if not rollout.active:
                 self.verdicts.pop(rollout.service, None)
@@ -86,7 +86,8 @@
         steady clocks go on where all controllers begin anew."""
         here = self._known.get(rollout.service, Known())
         known = [self.clock() - here.since] if here.revision == rollout.revision else []
-        ballots = (report.decode(value).ballot(rollout.service) for _, value in self.store.under(COUNT))
+        counts = self.store.items_of(RecordKind.PROXY_COUNTS)
+        ballots = (report.decode(value).ballot(rollout.service) for _, value in counts)
         known += [
             ballot.known_s
             for ballot in ballots
@@ -98,8 +99,8 @@
         """All proxies' tallies since the order, those of proxies that have died too; of the proxies that
         share in the traffic their votes on this revision, and whether all follow it and have nothing out
         where it leaves."""
-        told = sorted(self.store.heard(COUNT), key=lambda one: one[2])
-        reports = [(key.split("/")[1], report.decode(value)) for key, value, _ in told]
+        counts = self.store.items_by_revision(RecordKind.PROXY_COUNTS)
+        reports = [(key.split("/")[1], report.decode(value)) for key, value in counts]
         last = dict(reports)  # the life last heard of is the one that lives, whatever its clock said
         tallies = [tally for _, one in reports if self._since_order(one, rollout) for tally in one.tallies]
         ballots = [
--- a/honeywood/gateway/dissemination/epochs.py
+++ b/honeywood/gateway/dissemination/epochs.py
@@ -10,6 +10,10 @@
 
 from honeywood.gateway.dissemination.keys import RecordKind
 
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from honeywood.gateway.dissemination.record import Stamp
+
 EPOCH_S = 300.0  # seconds that an epoch lasts at least; owners in contact publish again within 5 of them
 EXPIRY_EPOCHS = 2  # after which a record expires: its owner always had a whole epoch to publish it again
 MAX_EPOCH = 1 << 40  # higher numbers in stamps are no epochs
@@ -21,7 +25,7 @@
 }
 
 
-def published_in(key: str, stamp: list[int]) -> int | None:
+def published_in(key: str, stamp: Stamp) -> int | None:
     """The epoch in which a record was last published; None for kinds without one and for old releases."""
     kind, slash, _ = key.partition("/")
     length = STAMP_LENGTHS.get(kind)
--- a/honeywood/gateway/dissemination/keys.py
+++ b/honeywood/gateway/dissemination/keys.py
@@ -30,6 +30,20 @@
         return "/".join((self.value, *names))
 
 
+# Records that only controllers send to each other.
+CONTROLLER_ONLY_PREFIXES = (
+    RecordKind.HEARTBEAT.prefix,
+    RecordKind.PROXY_COUNTS.prefix,
+    RecordKind.PROXY_LOCATION.prefix,
+    RecordKind.TOMBSTONES.prefix,
+)
+
+
+def is_controller_only(key: str) -> bool:
+    """Whether proxies aren't sent the record of this key."""
+    return key.startswith(CONTROLLER_ONLY_PREFIXES)
+
+
 def kind_of(key: str) -> str:
     """The kind in a key, which may be one that this release doesn't know."""
     return key.partition("/")[0]
--- /dev/null
+++ b/honeywood/gateway/dissemination/large_records.py
@@ -0,0 +1,61 @@
+"""Large records, which are sent in chunks: their latest versions as text. Pure.
+
+A few previous versions are kept, so that a receiver which has begun one over a slow link can complete it
+while newer ones come.
+"""
+
+from __future__ import annotations
+
+import json
+from dataclasses import dataclass
+
+from honeywood.gateway.dissemination.chunks import Chunk, text_digest
+from honeywood.gateway.dissemination.keys import RecordKind
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from honeywood.gateway.dissemination.chunks import ChunkProgress
+    from honeywood.gateway.dissemination.record import JsonValue, Stamp
+
+LARGE_KEYS: tuple[str, ...] = (RecordKind.CONFIGURATION.value,)
+VERSIONS_KEPT = 3
+
+
+@dataclass(frozen=True, slots=True)
+class Version:
+    """One version of a large record: its value as JSON."""
+
+    stamp: Stamp
+    text: str
+    digest: str
+
+
+class LargeRecords:
+    """The latest versions of large records, by key."""
+
+    def __init__(self) -> None:
+        """No version is known."""
+        self.versions: dict[str, list[Version]] = {}
+
+    def __contains__(self, key: str) -> bool:
+        """Whether a record can be sent in chunks."""
+        return key in self.versions
+
+    def add(self, key: str, stamp: Stamp, value: JsonValue) -> None:
+        """A record has changed; those that aren't large are ignored."""
+        if key not in LARGE_KEYS:
+            return
+        text = json.dumps(value)
+        versions = [*self.versions.get(key, ()), Version(stamp, text, text_digest(text))]
+        self.versions[key] = versions[-VERSIONS_KEPT:]
+
+    def next_chunk(self, key: str, max_characters: int, progress: ChunkProgress | None) -> Chunk:
+        """The chunk that continues `progress`; the first one of the newest version where there is none, or
+        where its version is no longer kept."""
+        version, offset = self.versions[key][-1], 0
+        for kept in self.versions[key]:
+            if progress and (kept.stamp, kept.digest) == (progress.stamp, progress.digest):
+                version, offset = kept, progress.received
+                break
+        text = version.text[offset : offset + max_characters]
+        return Chunk(key, version.stamp, version.digest, len(version.text), offset, text)
--- a/honeywood/gateway/dissemination/local_records.py
+++ b/honeywood/gateway/dissemination/local_records.py
@@ -7,10 +7,13 @@
 
 from __future__ import annotations
 
+from honeywood.gateway.dissemination.record import Stamp
+
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from honeywood.gateway.dissemination.record import JsonValue
     from honeywood.gateway.dissemination.store import Store
 
 
@@ -24,17 +27,18 @@
         self.incarnation = incarnation
         self.is_local = is_local
         self.number = 0
-        self.values: dict[str, object] = {}
+        self.values: dict[str, JsonValue] = {}
         self.epoch = store.epoch
         self._is_publishing = False
 
-    def publish(self, key: str, value: object) -> None:
+    def publish(self, key: str, value: JsonValue) -> None:
         """Publishes a value under a key, in place of the one before."""
         self.values[key] = value
         self.number += 1
+        stamp = Stamp.of(self.incarnation, self.number, self.store.epoch)
         self._is_publishing = True
         try:
-            self.store.put(key, [self.incarnation, self.number, self.store.epoch], value)
+            self.store.put(key, stamp, value)
         finally:
             self._is_publishing = False
 
@@ -52,10 +56,10 @@
         its own value above it, or withdraws the record with the value None."""
         if self._is_publishing or not self.is_local(key):
             return
-        previous = self.store.stamp(key)[0]
+        previous = self.store.stamp(key)
         values = {key: self.values.get(key)}
-        if previous >= self.incarnation:
-            self.incarnation = previous + 1
+        if previous is not None and previous[0] >= self.incarnation:
+            self.incarnation = previous[0] + 1
             values = {**self.values, **values}
         for changed, value in values.items():
             self.publish(changed, value)
--- a/honeywood/gateway/dissemination/messages.py
+++ b/honeywood/gateway/dissemination/messages.py
@@ -1,180 +1,217 @@
-"""The messages of /news: an ask, and its answer. Each has one encode and one decode; what is decoded holds,
-or outcome.Wrong names the field and the peer."""
+"""The messages of /news: a poll and its response, each with one `encode` and one `decode`.
+
+Fields that are absent in a message of an older release have defaults. Whatever else doesn't fit raises
+InvalidMessage, which names the field and the peer.
+"""
+
+from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Any
 
 from honeywood.gateway.configuration.check import need
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.dissemination import epochs
-from honeywood.gateway.dissemination.chunk import Chunk, Progress
-from honeywood.gateway.dissemination.record import PATH, Record, stamp_of
+from honeywood.gateway.dissemination.chunks import Chunk, ChunkProgress
+from honeywood.gateway.dissemination.record import PATH, Record, Stamp
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from honeywood.gateway.dissemination.record import JsonValue
 
 
-def _records(table, peer):
-    return [Record.decode(one, "notes", peer) for one in need(table, "notes", list, PATH, [], peer=peer)]
+def _decode_records(table: dict[str, object], peer: str) -> list[Record]:
+    records = need(table, "notes", list, PATH, [], peer=peer)
+    return [Record.decode(record, "notes", peer) for record in records]
 
 
 @dataclass(frozen=True, slots=True)
-class Asker:
-    """Who asks: a controller, told what is for controllers only, or a proxy; `life` is its incarnation. A
-    controller repeats the `stamps` of the latest answers that it had from others, {ip: stamp}, and tells the
-    state of its `disk`."""
+class Requester:
+    """The program that polls: a controller, which is sent the records for controllers too, or a proxy.
+
+    A controller repeats the `echo_stamps` of the latest responses that it had, by the address of who gave
+    each, and reports the state of its `disk`.
+    """
 
     node: str = ""
     ip: str = ""
     zone: str = ""
-    life: str = ""
-    controller: bool = False
-    proxy: bool = False
+    incarnation: str = ""
+    is_controller: bool = False
+    is_proxy: bool = False
     epoch: int = 0
-    stamps: dict = field(default_factory=dict)
+    echo_stamps: dict[str, JsonValue] = field(default_factory=dict)
     disk: str | None = None
 
-    def encode(self):
-        """As it stands in an ask."""
-        if self.controller:
-            found = {"ip": self.ip, "node": self.node, "private": True}
-            found |= {"stamps": self.stamps} if self.stamps else {}
-            found |= {"disk": self.disk} if self.disk else {}
+    def encode(self) -> dict[str, JsonValue]:
+        """The requester in a poll."""
+        if self.is_controller:
+            table: dict[str, JsonValue] = {"ip": self.ip, "node": self.node, "private": True}
+            table |= {"stamps": self.echo_stamps} if self.echo_stamps else {}
+            table |= {"disk": self.disk} if self.disk else {}
         else:
-            found = {
+            table = {
                 "node": self.node,
                 "ip": self.ip,
                 "zone": self.zone,
-                "life": self.life,
-                "front": self.proxy,
+                "life": self.incarnation,
+                "front": self.is_proxy,
             }
-        return {**found, "epoch": self.epoch}
+        return {**table, "epoch": self.epoch}
 
     @classmethod
-    def decode(cls, table, peer=""):
-        """Who asks, out of an ask; raises outcome.Wrong that names field and peer."""
+    def decode(cls, table: dict[str, object], peer: str = "") -> Requester:
+        """The requester out of a poll; raises InvalidMessage that names field and peer."""
         where = f"{PATH}: who"
-        names = [need(table, key, str, where, "", peer=peer) for key in ("node", "ip", "zone", "life")]
-        kinds = [need(table, key, bool, where, False, peer=peer) for key in ("private", "front")]
-        epoch = need(table, "epoch", int, where, 0, least=0, most=epochs.MAX_EPOCH, peer=peer)
-        stamps = need(table, "stamps", dict, where, {}, peer=peer)
-        return cls(*names, *kinds, epoch, stamps, need(table, "disk", str, where, None, peer=peer))
+        return cls(
+            node=need(table, "node", str, where, "", peer=peer),
+            ip=need(table, "ip", str, where, "", peer=peer),
+            zone=need(table, "zone", str, where, "", peer=peer),
+            incarnation=need(table, "life", str, where, "", peer=peer),
+            is_controller=need(table, "private", bool, where, False, peer=peer),
+            is_proxy=need(table, "front", bool, where, False, peer=peer),
+            epoch=need(table, "epoch", int, where, 0, least=0, most=epochs.MAX_EPOCH, peer=peer),
+            echo_stamps=need(table, "stamps", dict, where, {}, peer=peer),
+            disk=need(table, "disk", str, where, None, peer=peer),
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """One program asks another for what it hasn't heard: it knows all up to the count of changes `rev` of the
-    store whose life is `life`, or of any store with its `digest`. `records` go along; the answer may be held
-    for `hold_s` and has at most `most` bytes. `held` are stamps of large records that others have told,
-    `have` what has been collected of them: {key: Progress}."""
-
-    who: Asker
-    life: str = ""
-    rev: int = 0
-    records: list = field(default_factory=list)
+class PollRequest:
+    """A program polls another one for what has changed.
+
+    It has all changes up to `revision` of the store of this `incarnation`, or of any store with its `digest`.
+    The response may be held for `hold_s` until there is a change, and has at most `max_bytes`. `known_stamps`
+    are those of large records that it has from other peers, `progress` what it has of their chunks; `records`
+    are its own, for the peer to merge.
+    """
+
+    requester: Requester
+    incarnation: str = ""
+    revision: int = 0
+    records: list[Record] = field(default_factory=list)
     hold_s: float = 0.0
     digest: str | None = None
-    most: int | None = None
-    held: dict = field(default_factory=dict)
-    have: dict = field(default_factory=dict)
+    max_bytes: int | None = None
+    known_stamps: dict[str, Stamp] = field(default_factory=dict)
+    progress: dict[str, ChunkProgress] = field(default_factory=dict)
 
-    def encode(self):
-        """As it is sent."""
+    def encode(self) -> dict[str, JsonValue]:
+        """The poll as it is sent."""
         return {
-            "who": self.who.encode(),
-            "life": self.life,
-            "rev": self.rev,
+            "who": self.requester.encode(),
+            "life": self.incarnation,
+            "rev": self.revision,
             "notes": [record.encode() for record in self.records],
             "hold": self.hold_s,
             "digest": self.digest,
-            "most": self.most,
-            "held": self.held,
-            "have": {key: progress.encode() for key, progress in self.have.items()},
+            "most": self.max_bytes,
+            "held": {key: stamp.encode() for key, stamp in self.known_stamps.items()},
+            "have": {key: progress.encode() for key, progress in self.progress.items()},
         }
 
     @classmethod
-    def decode(cls, table, peer=""):
-        """An ask as it came; raises outcome.Wrong that names field and peer."""
-        held, have = (
-            need(table, "held", dict, PATH, {}, peer=peer),
-            need(table, "have", dict, PATH, {}, peer=peer),
-        )
+    def decode(cls, table: dict[str, object], peer: str = "") -> PollRequest:
+        """A poll as it came; raises InvalidMessage that names field and peer."""
+        stamps = need(table, "held", dict, PATH, {}, peer=peer)
+        progress = need(table, "have", dict, PATH, {}, peer=peer)
         return cls(
-            Asker.decode(need(table, "who", dict, PATH, peer=peer), peer),
-            need(table, "life", str, PATH, "", peer=peer),
-            need(table, "rev", int, PATH, peer=peer),
-            _records(table, peer),
-            need(table, "hold", float, PATH, 0.0, least=0, peer=peer),
-            need(table, "digest", str, PATH, None, peer=peer),
-            need(table, "most", int, PATH, None, least=1, peer=peer),
-            {key: stamp_of(stamp, f"held: {key}", peer) for key, stamp in held.items()},
-            {key: Progress.decode(progress, peer) for key, progress in have.items()},
+            requester=Requester.decode(need(table, "who", dict, PATH, peer=peer), peer),
+            incarnation=need(table, "life", str, PATH, "", peer=peer),
+            revision=need(table, "rev", int, PATH, peer=peer),
+            records=_decode_records(table, peer),
+            hold_s=need(table, "hold", float, PATH, 0.0, least=0, peer=peer),
+            digest=need(table, "digest", str, PATH, None, peer=peer),
+            max_bytes=need(table, "most", int, PATH, None, least=1, peer=peer),
+            known_stamps={key: Stamp.decode(stamp, f"held: {key}", peer) for key, stamp in stamps.items()},
+            progress={key: ChunkProgress.decode(one, peer) for key, one in progress.items()},
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """What a store told: all its records up to the count of changes `rev`. `more`: there is more, `chunk` is
-    the next part of a long one; `later_s`: nothing was told, come again after so many seconds. Controllers
-    say besides whether they are in quorum; to proxies how many proxies there are and the addresses of their
-    relays (`fleet`), and up to which number their counts have come (`counted`); to controllers the state of
-    their `disk` and a `stamp` to be repeated in the next ask."""
-
-    life: str
-    rev: int
-    records: list = field(default_factory=list)
+class FleetView:
+    """What a controller tells a proxy of the fleet: how many proxies there are, and the addresses of the
+    relays that this one polls, the nearest first."""
+
+    proxy_count: int
+    relays: list[str]
+
+    def encode(self) -> list[JsonValue]:
+        """The view in a response: [count, addresses]."""
+        return [self.proxy_count, self.relays]
+
+    @classmethod
+    def decode(cls, value: list[object], peer: str = "") -> FleetView:
+        """The view out of a response; raises InvalidMessage that names the peer."""
+        if len(value) == 2:
+            count, relays = value
+            if type(count) is int and isinstance(relays, list):
+                return cls(count, relays)
+        raise Wrong(PATH, "fleet must be a count and a list of addresses", peer)
+
+
+@dataclass(frozen=True, slots=True)
+class PollResponse:
+    """The changes of a store up to `revision`.
+
+    `has_more`: there are further changes; `chunk` is the next part of a long record; `retry_after_s`: nothing
+    is sent because the link is busy, poll again later. Controllers add whether they are `in_quorum`; for
+    proxies the `fleet`, and the number of the newest counts that came from the proxy (`counts_number`); for
+    controllers the state of their `disk`, and an `echo_stamp` to be repeated in the next poll.
+    """
+
+    incarnation: str
+    revision: int
+    records: list[Record] = field(default_factory=list)
     chunk: Chunk | None = None
-    more: bool | None = None
-    later_s: float | None = None
+    has_more: bool | None = None
+    retry_after_s: float | None = None
     in_quorum: bool | None = None
-    fleet: Any = None
-    counted: int | None = None
-    stamp: list | None = None
+    fleet: FleetView | None = None
+    counts_number: int | None = None
+    echo_stamp: list[JsonValue] | None = None
     disk: str | None = None
 
     @property
-    def whole(self):
-        """Whether it told all that there was: neither a part of it, nor nothing for want of a turn."""
-        return not self.more and self.later_s is None
-
-    def encode(self):
-        """As it is sent; what isn't said is left out."""
-        found = {"life": self.life, "rev": self.rev, "notes": [record.encode() for record in self.records]}
-        besides = {
-            "piece": self.chunk and self.chunk.encode(),
-            "more": self.more,
-            "later": self.later_s,
+    def is_complete(self) -> bool:
+        """Whether it has all changes that there were: it isn't one part of them, nor was it put off."""
+        return not self.has_more and self.retry_after_s is None
+
+    def encode(self) -> dict[str, JsonValue]:
+        """The response as it is sent, without the fields that are None."""
+        table: dict[str, JsonValue] = {
+            "life": self.incarnation,
+            "rev": self.revision,
+            "notes": [record.encode() for record in self.records],
+        }
+        optional: dict[str, JsonValue] = {
+            "piece": self.chunk.encode() if self.chunk else None,
+            "more": self.has_more,
+            "later": self.retry_after_s,
             "joined": self.in_quorum,
-            "fleet": self.fleet,
-            "counted": self.counted,
-            "stamp": self.stamp,
+            "fleet": self.fleet.encode() if self.fleet else None,
+            "counted": self.counts_number,
+            "stamp": self.echo_stamp,
             "disk": self.disk,
         }
-        return found | {key: value for key, value in besides.items() if value is not None}
+        return table | {key: value for key, value in optional.items() if value is not None}
 
     @classmethod
-    def decode(cls, table, peer=""):
-        """An answer as it came; raises outcome.Wrong that names field and peer."""
+    def decode(cls, table: object, peer: str = "") -> PollResponse:
+        """A response as it came; raises InvalidMessage that names field and peer."""
         if not isinstance(table, dict):
             raise Wrong(PATH, "the answer must be an object", peer)
         chunk = need(table, "piece", dict, PATH, None, peer=peer)
+        fleet = need(table, "fleet", list, PATH, None, peer=peer)
         return cls(
-            need(table, "life", str, PATH, peer=peer),
-            need(table, "rev", int, PATH, peer=peer),
-            _records(table, peer),
-            None if chunk is None else Chunk.decode(chunk, peer),
-            need(table, "more", bool, PATH, None, peer=peer),
-            need(table, "later", float, PATH, None, least=0, peer=peer),
-            need(table, "joined", bool, PATH, None, peer=peer),
-            _fleet(table, peer),
-            need(table, "counted", int, PATH, None, least=0, peer=peer),
-            need(table, "stamp", list, PATH, None, peer=peer),
-            need(table, "disk", str, PATH, None, peer=peer),
+            incarnation=need(table, "life", str, PATH, peer=peer),
+            revision=need(table, "rev", int, PATH, peer=peer),
+            records=_decode_records(table, peer),
+            chunk=None if chunk is None else Chunk.decode(chunk, peer),
+            has_more=need(table, "more", bool, PATH, None, peer=peer),
+            retry_after_s=need(table, "later", float, PATH, None, least=0, peer=peer),
+            in_quorum=need(table, "joined", bool, PATH, None, peer=peer),
+            fleet=None if fleet is None else FleetView.decode(fleet, peer),
+            counts_number=need(table, "counted", int, PATH, None, least=0, peer=peer),
+            echo_stamp=need(table, "stamp", list, PATH, None, peer=peer),
+            disk=need(table, "disk", str, PATH, None, peer=peer),
         )
-
-
-def _fleet(table, peer):
-    """How many proxies there are, and the addresses of the asker's relays: (count, [ip])."""
-    fleet = need(table, "fleet", list, PATH, None, peer=peer)
-    if fleet is None:
-        return None
-    if not (len(fleet) == 2 and type(fleet[0]) is int and isinstance(fleet[1], list)):
-        raise Wrong(PATH, "fleet must be a count and a list of addresses", peer)
-    return fleet[0], fleet[1]
--- a/honeywood/gateway/dissemination/publisher.py
+++ b/honeywood/gateway/dissemination/publisher.py
@@ -1,121 +1,140 @@
-"""Answering other programs' asks. A program asks another and is answered once there is something new, or
-after a while; so news pass at once, and each answer is a sign of life.
+"""Answers the polls of other programs. A poll is held until the store changes, or for a while: so changes
+pass on at once, and each response is a sign of life.
 
-Every answer is short enough for the links it crosses: what doesn't fit comes with the next ask, which goes
-on where this answer ended, at the same peer or, of long records, at another.
+Every response is short enough for the links that it crosses. What doesn't fit comes with the next poll, which
+continues where this response ended: at the same peer or, for large records, at another.
 """
 
+from __future__ import annotations
+
 import asyncio
 from collections import Counter
 
-from honeywood.gateway.dissemination import tombstones
-from honeywood.gateway.dissemination.chunk import ChunkCollector
+from honeywood.gateway.dissemination.change_feed import ChangeFeed
+from honeywood.gateway.dissemination.keys import RecordKind, kind_of
 from honeywood.gateway.dissemination.link_pacer import LinkPacer, response_limit
-from honeywood.gateway.dissemination.messages import Answer
-from honeywood.gateway.dissemination.store import Store
+from honeywood.gateway.dissemination.messages import PollResponse
+from honeywood.gateway.dissemination.poll_waiters import PollWaiters
+from honeywood.gateway.dissemination.store import Store, ignore_update, retain_nothing
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from honeywood.gateway.dissemination.messages import PollRequest, Requester
+    from honeywood.gateway.dissemination.record import JsonValue, Record
+
+MAX_HOLD_S = 1.0  # for which a poll is held without a change
+COALESCE_S = 0.02  # waited after a change for others that come with it
+SILENT_PREFIXES = (RecordKind.HEARTBEAT.prefix, RecordKind.TOMBSTONES.prefix)  # wake no held poll
+# Records that wake only controllers, together with others that come within so many seconds.
+WAKE_DELAYS_S = {RecordKind.PROXY_COUNTS.prefix: 0.2, RecordKind.PROXY_LOCATION.prefix: 0.1}
+UNPACED_BYTES = 2048  # of a response that isn't paced
+MAX_LINK_WAIT_S = 0.25  # that a response waits for the link; a poll that would wait longer is put off
+DEFAULT_LINK_BYTES_PER_S = 125e6  # where the settings say nothing
+POLL_PUT_OFF = "sent away"  # counted beside kinds of records, as logs have always named it
+REQUESTER_LEFT = "asker left"
+
+
+def ignore_request(requester: Requester, revision: int) -> None:
+    """The `on_request` of a publisher whose requesters nobody observes."""
+
 
-HOLD = 1.0  # seconds an ask is held while there is nothing new
-BUNDLE = 0.02  # seconds waited after a record for others that come with it
-QUIET = ("beat/", tombstones.PREFIX)  # records that wake nobody
-LAZY = {"count/": 0.2, "fleet/": 0.1}  # records that wake controllers alone, with others of so many seconds
-SMALL = 2048  # bytes of an answer that waits for nothing
-PATIENCE = 0.25  # seconds that an answer waits for its turn on the link; then its asker is sent away
-FAST = 125e6  # bytes a second of a link that nothing is said of
+def never() -> bool:
+    """The `has_left` of a requester that stays."""
+    return False
 
 
 class Publisher:
-    """A store whose changes wake those who wait; what askers told of themselves goes to `met`. `rate` is what
-    the program's link carries in bytes a second; `told` counts the bytes of answers by kind of record."""
-
-    def __init__(self, life, hear, met=lambda who, rev: None, rate=FAST, needed=lambda *record: False):
-        """`hear(key, value)` is told of each record that is taken, `met(who, rev)` of each Asker and what it
-        has; `life` and `needed` are the store's."""
-        self.store, self.hear, self.met, self.waiting = Store(life, self._told, needed), hear, met, {}
-        self.most, self.pacer, self.chunks = response_limit(rate), LinkPacer(rate), ChunkCollector()
-        self.told, self.due = Counter(), False
-
-    def _told(self, key, value):
-        """A record has come to the store."""
-        self.hear(key, value)
-        if key.startswith(QUIET):
+    """Answers polls out of its store; `sent_bytes` counts bytes of responses by kind of record."""
+
+    def __init__(
+        self,
+        incarnation: str,
+        on_update: Callable[[str, JsonValue], None] = ignore_update,
+        on_request: Callable[[Requester, int], None] = ignore_request,
+        link_bytes_per_s: float = DEFAULT_LINK_BYTES_PER_S,
+        is_retained: Callable[[Store, str, JsonValue], bool] = retain_nothing,
+    ) -> None:
+        """An empty store. `on_update(key, value)` is called with each record that it takes,
+        `on_request(requester, revision)` with who polls and up to which revision it has all; `is_retained` is
+        the store's."""
+        self.store = Store(incarnation, self._record_changed, is_retained)
+        self.feed = ChangeFeed(self.store)
+        self.waiters = PollWaiters()
+        self.pacer = LinkPacer(link_bytes_per_s)
+        self.max_response_bytes = response_limit(link_bytes_per_s)
+        self.sent_bytes: Counter[str] = Counter()
+        self._on_update = on_update
+        self._on_request = on_request
+
+    def _record_changed(self, key: str, value: JsonValue) -> None:
+        self._on_update(key, value)
+        if key.startswith(SILENT_PREFIXES):
             return
-        lag = next((lag for kind, lag in LAZY.items() if key.startswith(kind)), None)
-        if lag is None:
-            self._wake(True)
-        elif self.waiting and not self.due:
-            self.due = True
-            next(iter(self.waiting)).get_loop().call_later(lag, self._wake, False)
-
-    def _wake(self, everybody):
-        """Wakes those who wait, in the order in which they came; or controllers alone."""
-        self.due = self.due and everybody
-        for waiter, is_controller in list(self.waiting.items()):
-            if (everybody or is_controller) and not waiter.done():
-                waiter.set_result(None)
-
-    async def changed(self, within, is_controller):
-        """Waits for a record that wakes, or `within` seconds."""
-        waiter = asyncio.get_running_loop().create_future()
-        self.waiting[waiter] = is_controller
-        try:
-            await asyncio.wait((waiter,), timeout=within)
-        finally:
-            del self.waiting[waiter]
-        return waiter.done()
-
-    def hear_answer(self, answer):
-        """Takes what another's Answer told."""
-        self.store.hear(answer.records)
-        whole = self.chunks.take(answer.chunk) if answer.chunk else None
-        if whole:
-            self.store.hear([whole])
-
-    async def serve(self, ask, has_left=lambda: False):
-        """The Answer to another's Ask; `has_left` tells whether the asker has gone, which then takes no part
-        of the link from others."""
-        rev = ask.rev if ask.life == self.store.life else 0
-        self.store.learn(ask.who.epoch)
-        self.met(ask.who, rev)
-        self.store.hear(ask.records)
-        if not ask.who.controller and ask.digest == f"{self.store.digest:x}":
-            rev = self.store.rev  # it has heard the same from others
-        found = await self._found(rev, ask)
+        delay_s = next((delay_s for prefix, delay_s in WAKE_DELAYS_S.items() if key.startswith(prefix)), None)
+        if delay_s is None:
+            self.waiters.wake_all()
+        else:
+            self.waiters.wake_controllers_within(delay_s)
+
+    async def serve(self, poll: PollRequest, has_left: Callable[[], bool] = never) -> PollResponse:
+        """The response to a poll. `has_left` says whether the requester has gone: it then takes up nothing of
+        the link."""
+        revision = poll.revision if poll.incarnation == self.store.incarnation else 0
+        self.store.observe_epoch(poll.requester.epoch)
+        self._on_request(poll.requester, revision)
+        self.store.merge(poll.records)
+        if not poll.requester.is_controller and poll.digest == self.store.digest:
+            revision = self.store.revision  # it has the same records from other peers
+        changes = await self._wait_for_changes(revision, poll)
         if has_left():
-            self.told["asker left"] += 1
-            return Answer(self.store.life, rev)
-        return await self._answer(found, rev, ask)
-
-    async def _found(self, rev, ask):
-        """What the one who asks hasn't heard, as soon as there is something."""
-        loop, is_controller = asyncio.get_running_loop(), ask.who.controller
-        until = loop.time() + min(HOLD, ask.hold_s)
+            self.sent_bytes[REQUESTER_LEFT] += 1
+            return PollResponse(self.store.incarnation, revision)
+        return await self._respond(changes, revision, poll)
+
+    async def _wait_for_changes(self, revision: int, poll: PollRequest) -> list[Record]:
+        """The changes since `revision`, as soon as there are any."""
+        loop, is_controller = asyncio.get_running_loop(), poll.requester.is_controller
+        until = loop.time() + min(MAX_HOLD_S, poll.hold_s)
         while True:
-            found = self.store.since(self.store.life, rev, is_controller, ask.held)
-            left = until - loop.time()
-            if found or left <= 0:
-                return found  # looked up after the wait, as records that wake nobody may have come in it
-            if await self.changed(left, is_controller):
-                await asyncio.sleep(BUNDLE)
-
-    async def _answer(self, found, rev, ask):
-        """The Answer that tells of `found` what fits, in its turn on the link."""
-        now, most = asyncio.get_running_loop().time(), min(self.most, ask.most or self.most)
-        records, chunk, reached = self.store.tell(found, most, ask.have)
-        sizes = [(record.key, self.store.size(record.key)) for record in records]
-        sizes += [(chunk.key, len(chunk.text))] if chunk else []
-        size = sum(size for _, size in sizes)
-        if size > SMALL and not ask.who.controller and self.pacer.backlog_s(now) > PATIENCE:
-            self.told["sent away"] += 1
-            return Answer(self.store.life, rev, later_s=self.pacer.backlog_s(now))
-        if size > SMALL:
-            turn = self.pacer.schedule(now, size)
-            await asyncio.sleep(self._turn(turn, ask))
+            changes = self.feed.since(self.store.incarnation, revision, is_controller, poll.known_stamps)
+            remaining_s = until - loop.time()
+            if changes or remaining_s <= 0:
+                return changes  # looked up after the wait: records that wake nobody may have come in it
+            if await self.waiters.wait(remaining_s, is_controller):
+                await asyncio.sleep(COALESCE_S)
+
+    async def _respond(self, changes: list[Record], revision: int, poll: PollRequest) -> PollResponse:
+        """The response with the changes that fit, once the link is free for it."""
+        max_bytes = min(self.max_response_bytes, poll.max_bytes or self.max_response_bytes)
+        batch = self.feed.batch(changes, max_bytes, poll.progress)
+        sizes = [(record.key, self.feed.encoded_size(record.key)) for record in batch.records]
+        if batch.chunk:
+            sizes.append((batch.chunk.key, len(batch.chunk.text)))
+        retry_after_s = await self._wait_for_link(sum(size for _, size in sizes), poll)
+        if retry_after_s is not None:
+            return PollResponse(self.store.incarnation, revision, retry_after_s=retry_after_s)
         for key, size in sizes:
-            self.told[key.partition("/")[0]] += size
-        more = chunk is not None or len(records) < len(found)
-        return Answer(self.store.life, reached, records, chunk, more)
+            self.sent_bytes[kind_of(key)] += size
+        has_more = batch.chunk is not None or len(batch.records) < len(changes)
+        return PollResponse(self.store.incarnation, batch.revision, batch.records, batch.chunk, has_more)
+
+    async def _wait_for_link(self, size: int, poll: PollRequest) -> float | None:
+        """Waits until a response may be sent. Returns None then, or at once the seconds after which the
+        requester should poll again, where the wait would be too long."""
+        if size <= UNPACED_BYTES:
+            return None
+        now, is_controller = asyncio.get_running_loop().time(), poll.requester.is_controller
+        backlog_s = self.pacer.backlog_s(now)
+        if not is_controller and backlog_s > MAX_LINK_WAIT_S:
+            self.sent_bytes[POLL_PUT_OFF] += 1
+            return backlog_s
+        wait_s = self.pacer.schedule(now, size)
+        await asyncio.sleep(self._link_wait_s(wait_s, is_controller))
+        return None
 
     @staticmethod
-    def _turn(turn, ask):
-        """Seconds that an answer waits: controllers are few, and don't wait behind proxies."""
-        return 0.0 if ask.who.controller else turn
+    def _link_wait_s(wait_s: float, is_controller: bool) -> float:
+        """Controllers are few, and don't wait behind proxies."""
+        return 0.0 if is_controller else wait_s
--- a/honeywood/gateway/dissemination/retired_machines.py
+++ b/honeywood/gateway/dissemination/retired_machines.py
@@ -54,6 +54,6 @@
             if now - retired.at < RETENTION_S and len(self._retired) <= MAX_RETIRED:
                 break
             del self._retired[machine_id]
-            self.store.forget(machine_id, for_good=retired.state == GONE)
+            self.store.drop_machine(machine_id, permanently=retired.state == GONE)
             evicted.append(machine_id)
         return evicted
--- a/honeywood/gateway/dissemination/store.py
+++ b/honeywood/gateway/dissemination/store.py
@@ -1,235 +1,211 @@
-"""A store of records. A record is a key, a stamp that only rises, and a value; stores that have heard the
-same records in any order, any number of times, are alike. Nothing is ever taken back but by a higher stamp.
+"""A store of records that converges with all others: of each key the record with the highest stamp wins.
 
-Each store counts its own changes, so that whoever asks again is told only what is new since; its digest
-tells two stores apart that have heard the same from different sides.
+Stores that have merged the same records, in any order and any number of times, are alike. The store counts
+its changes in `revision`; change_feed.py finds what has changed since one.
 """
 
-import json
-from _blake2 import blake2b  # hashlib would bring OpenSSL
+from __future__ import annotations
 
 from honeywood.gateway.dissemination import epochs, tombstones
-from honeywood.gateway.dissemination.chunk import cut, mark
+from honeywood.gateway.dissemination.digest import StoreDigest
+from honeywood.gateway.dissemination.keys import RecordKind, is_controller_only, name_of
+from honeywood.gateway.dissemination.large_records import LARGE_KEYS, LargeRecords
+from honeywood.gateway.dissemination.record import Stamp, StoredRecord
 from honeywood.gateway.dissemination.retired_machines import is_retired
-from honeywood.gateway.dissemination.record import Held, Record
 
-DOUBTED = [-1]  # the stamp of what may be out of date: below all others
-LIVES = ("machine/", "beat/")  # records of machines' lives, which end and are forgotten
-PRIVATE = ("beat/", "count/", "fleet/", tombstones.PREFIX)  # for controllers only
-LARGE = ("config",)  # records that are worth saying which of them one holds, so that they come once
-EARLIER = 3  # values of a large record that are kept, for those who have begun to collect one
-ROOM = 1024  # bytes of an answer that are worth a chunk
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
 
+    from honeywood.gateway.dissemination.record import JsonValue, Record
 
-def encoded(record):
-    """A record as it stands in an answer."""
-    return json.dumps(record.encode(), separators=(",", ":"))
+STALE = Stamp.of(-1)  # below all stamps of records
+MACHINE_PREFIXES = (RecordKind.MACHINE.prefix, RecordKind.HEARTBEAT.prefix)
+
+
+def ignore_update(key: str, value: JsonValue) -> None:
+    """The `on_update` of a store whose changes nobody observes."""
+
+
+def retain_nothing(store: Store, key: str, value: JsonValue) -> bool:
+    """The `is_retained` of a store on which every expired record is dropped."""
+    return False
 
 
 class Store:
-    """Records by key. `life` tells stores apart whose counts began anew; `told(key, value)` hears of each
-    record that is taken; `needed(store, key, value)` says whether one that has lapsed must still stay."""
-
-    def __init__(self, life, told=lambda key, value: None, needed=lambda store, key, value: False):
-        """Nothing is held."""
-        self.life, self.told, self.needed, self.records, self.rev = life, told, needed, {}, 0
-        self.digest, self.sizes, self.earlier = 0, {}, {}
-        self.epoch, self.pruned = 0, 0  # the epoch heard; that in which all that had lapsed was dropped
-
-    # taking records
-    def put(self, key, stamp, value):
-        """Takes a record if its stamp is above the one held; whether it did."""
-        if key.startswith(tombstones.PREFIX):
-            return self._merge(key, stamp, value)
+    """The records of one program, by key. `incarnation` tells stores apart whose revisions began anew."""
+
+    def __init__(
+        self,
+        incarnation: str,
+        on_update: Callable[[str, JsonValue], None] = ignore_update,
+        is_retained: Callable[[Store, str, JsonValue], bool] = retain_nothing,
+    ) -> None:
+        """An empty store. `on_update(key, value)` is called with each record that is taken;
+        `is_retained(store, key, value)` says whether an expired record must stay."""
+        self.incarnation = incarnation
+        self.on_update = on_update
+        self.is_retained = is_retained
+        self.records: dict[str, StoredRecord] = {}
+        self.revision = 0
+        self.large_records = LargeRecords()
+        self.epoch = 0
+        self._digest = StoreDigest()
+        self._pruned_in: int | None = 0  # the epoch whose expired records have all been dropped
+
+    # changes
+    def put(self, key: str, stamp: Stamp, value: JsonValue) -> bool:
+        """Takes a record if it is newer than the one of its key; whether it was."""
+        if key.startswith(RecordKind.TOMBSTONES.prefix):
+            return self._merge_tombstones(key, stamp, value)
         published = epochs.published_in(key, stamp)
         if published is not None:
-            self.learn(published)
-            if self._lapsed(key, stamp, value):
+            self.observe_epoch(published)
+            if self._must_expire(key, stamp, value):
                 return False
             if epochs.is_expired(published, self.epoch):
-                self.pruned = None  # needed still: looked at again until it isn't
-        held = self.records.get(key)
-        if held is not None and held.stamp >= stamp and not self._outlived(key, held.stamp, published):
-            return False
-        if held is None and key.startswith(LIVES) and self.has_departed(key.partition("/")[2]):
+                self._pruned_in = None  # it is retained: prune looks at it until it isn't
+        stored = self.records.get(key)
+        if stored is None:
+            if key.startswith(MACHINE_PREFIXES) and self.has_tombstone(name_of(key)):
+                return False
+        elif stored.stamp >= stamp and not self._is_superseded(key, stored.stamp, published):
             return False
-        self._take(key, stamp, value)
+        self._set(key, stamp, value)
         return True
 
-    def hear(self, records):
-        """Takes the Records that another told; how many were new."""
+    def merge(self, records: Iterable[Record]) -> int:
+        """Takes the records of another store; returns how many were new."""
         return sum([self.put(record.key, record.stamp, record.value) for record in records])
 
-    def _take(self, key, stamp, value):
-        self.rev += 1
-        self._sum(key)
-        self.records[key] = Held(stamp, value, self.rev)
-        self._sum(key)
-        if key in LARGE:
-            text = json.dumps(value)
-            self.earlier[key] = [*self.earlier.get(key, ()), (stamp, text, mark(text))][-EARLIER:]
-        self.told(key, value)
-
-    def _sum(self, key):
-        """Puts a record that everybody may hear into the digest, or takes it out: stores that hold the same
-        records with the same stamps have the same, whatever came first. Lives that are over are left out:
-        each store forgets them in its own time."""
-        if key in self.records and not key.startswith(PRIVATE) and not is_retired(self.records[key].value):
-            named = f"{key}|{self.records[key].stamp}".encode()
-            self.digest ^= int.from_bytes(blake2b(named, digest_size=8).digest(), "big")
-
-    # dropping them
-    def drop(self, key):
-        """Forgets a record; whoever tells it brings it back."""
-        self._sum(key)
+    def drop(self, key: str) -> None:
+        """Drops a record; whoever publishes it brings it back."""
+        self._toggle_digest(key)
         self.records.pop(key, None)
-        self.sizes.pop(key, None)
 
-    def learn(self, epoch):
-        """Somebody is in `epoch`."""
-        self.epoch = max(self.epoch, epoch)
+    def drop_machine(self, machine_id: str, permanently: bool) -> None:
+        """Drops a machine's records; permanently: with a tombstone, so that none of them is taken again."""
+        for prefix in MACHINE_PREFIXES:
+            self.drop(prefix + machine_id)
+        if permanently and not self.has_tombstone(machine_id):
+            key = tombstones.bucket_key(machine_id)
+            stored = self.records.get(key)
+            if stored is None:
+                self._set(key, Stamp.of(1), tombstones.add(None, machine_id))
+            else:
+                bucket = tombstones.add(stored.value, machine_id)
+                self._set(key, Stamp.of(stored.stamp[0] + 1), bucket)
+
+    def _set(self, key: str, stamp: Stamp, value: JsonValue) -> None:
+        self.revision += 1
+        self._toggle_digest(key)
+        self.records[key] = StoredRecord(stamp, value, self.revision)
+        self._toggle_digest(key)
+        self.large_records.add(key, stamp, value)
+        self.on_update(key, value)
+
+    def _merge_tombstones(self, key: str, stamp: Stamp, value: JsonValue) -> bool:
+        stored = self.records.get(key)
+        if stored is None:
+            self._set(key, stamp, tombstones.merge(value, value))
+            return True
+        merged = tombstones.merge(stored.value, value)
+        if merged == stored.value:
+            return False
+        if merged != value or stamp <= stored.stamp:
+            stamp = Stamp.of(max(stored.stamp, stamp)[0] + 1)
+        self._set(key, stamp, merged)
+        return True
 
-    def _lapsed(self, key, stamp, value):
-        """Whether a record has lapsed and is needed no more."""
-        return epochs.is_expired(epochs.published_in(key, stamp), self.epoch) and not self.needed(
-            self, key, value
-        )
+    def has_tombstone(self, machine_id: str) -> bool:
+        """Whether a machine is known to have left for good."""
+        return tombstones.contains(self.get(tombstones.bucket_key(machine_id)), machine_id)
 
-    @staticmethod
-    def _outlived(key, stamp, published):
-        """Whether a record held with `stamp` has lapsed in the epoch of another of its key, whatever their
-        incarnations say: the owner's clock may have been set back meanwhile."""
-        return published is not None and epochs.is_expired(epochs.published_in(key, stamp), published)
-
-    def prune(self):
-        """Drops what has lapsed; the keys that were dropped. Costs nothing while the epoch stands and none is
-        kept that is needed."""
-        if self.pruned == self.epoch:
+    @property
+    def tombstone_count(self) -> int:
+        """How many machines are known to have left for good."""
+        return tombstones.count(value for _, value in self.items_of(RecordKind.TOMBSTONES))
+
+    # expiry
+    def observe_epoch(self, epoch: int) -> None:
+        """Another program is in `epoch`."""
+        self.epoch = max(self.epoch, epoch)
+
+    def prune(self) -> list[str]:
+        """Drops expired records; returns their keys. Does nothing more in an epoch without any left."""
+        if self._pruned_in == self.epoch:
             return []
-        lapsed = [
+        expired = [
             key
-            for key, held in self.records.items()
-            if epochs.is_expired(epochs.published_in(key, held.stamp), self.epoch)
+            for key, stored in self.records.items()
+            if epochs.is_expired(epochs.published_in(key, stored.stamp), self.epoch)
         ]
-        dropped = [key for key in lapsed if not self.needed(self, key, self.records[key].value)]
+        dropped = [key for key in expired if not self.is_retained(self, key, self.records[key].value)]
         for key in dropped:
             self.drop(key)
-        self.pruned = self.epoch if len(dropped) == len(lapsed) else None
+        self._pruned_in = self.epoch if len(dropped) == len(expired) else None
         return dropped
 
-    def forget(self, name, for_good):
-        """Forgets a machine's records; for good: none of it is taken any more, however late it comes."""
-        for kind in LIVES:
-            self.drop(kind + name)
-        if for_good and not self.has_departed(name):
-            key = tombstones.bucket_key(name)
-            held = self.records.get(key)
-            if held is None:
-                self._take(key, [1], tombstones.add(None, name))
-            else:
-                self._take(key, [held.stamp[0] + 1], tombstones.add(held.value, name))
-
-    def _merge(self, key, stamp, value):
-        """Takes what another bucket of names that left has beside the one held."""
-        held = self.records.get(key)
-        if held is None:
-            self._take(key, stamp, tombstones.merge(value, value))
-            return True
-        merged = tombstones.merge(held.value, value)
-        if merged == held.value:
-            return False
-        above = stamp if merged == value and stamp > held.stamp else [max(held.stamp, stamp)[0] + 1]
-        self._take(key, above, merged)
-        return True
-
-    def has_departed(self, name):
-        """Whether a machine left for good, as far as is remembered."""
-        return tombstones.contains(self.get(tombstones.bucket_key(name)), name)
+    def _must_expire(self, key: str, stamp: Stamp, value: JsonValue) -> bool:
+        """Whether a record has expired and needn't be retained."""
+        is_expired = epochs.is_expired(epochs.published_in(key, stamp), self.epoch)
+        return is_expired and not self.is_retained(self, key, value)
 
+    @staticmethod
+    def _is_superseded(key: str, stored: Stamp, published: int | None) -> bool:
+        """Whether a stored record has expired in the epoch that another of its key was published in. Its
+        incarnation counts no longer then: the owner's clock may have been set back meanwhile."""
+        return published is not None and epochs.is_expired(epochs.published_in(key, stored), published)
+
+    # staleness
+    def mark_stale(self, kind: RecordKind) -> None:
+        """Marks the records of a kind as possibly out of date: whatever comes under their keys is newer."""
+        for key, stored in self._stored(kind):
+            self._toggle_digest(key)
+            stored.stamp = STALE
+            self._toggle_digest(key)
+
+    def stale_keys(self, kind: RecordKind) -> list[str]:
+        """The keys of the records of a kind that were marked as stale and haven't come again."""
+        return [key for key, stored in self._stored(kind) if stored.stamp is STALE]
+
+    # reading
+    def get(self, key: str) -> JsonValue:
+        """The value of a record, or None."""
+        stored = self.records.get(key)
+        return None if stored is None else stored.value
+
+    def stamp(self, key: str) -> Stamp | None:
+        """The stamp of a record, or None."""
+        stored = self.records.get(key)
+        return None if stored is None else stored.stamp
+
+    def items_of(self, kind: RecordKind) -> list[tuple[str, JsonValue]]:
+        """The keys and values of the records of a kind."""
+        return [(key, stored.value) for key, stored in self._stored(kind)]
+
+    def items_by_revision(self, kind: RecordKind) -> list[tuple[str, JsonValue]]:
+        """The same in the order in which the records came."""
+        return sorted(self.items_of(kind), key=lambda item: self.records[item[0]].revision)
+
+    def large_record_stamps(self) -> dict[str, Stamp]:
+        """The stamps of the large records, by key."""
+        return {key: self.records[key].stamp for key in LARGE_KEYS if key in self.records}
+
+    def _stored(self, kind: RecordKind) -> Iterable[tuple[str, StoredRecord]]:
+        prefix = kind.prefix
+        return ((key, stored) for key, stored in self.records.items() if key.startswith(prefix))
+
+    # the digest
     @property
-    def departed(self):
-        """How many names that left are remembered."""
-        return tombstones.count(value for _, value in self.under(tombstones.PREFIX))
-
-    def doubt(self, prefix):
-        """Takes what is held under `prefix` for doubtful: whoever tells it next confirms it."""
-        for key, held in list(self.records.items()):
-            if key.startswith(prefix):
-                self._sum(key)
-                self.records[key] = Held(DOUBTED, held.value, held.at)
-                self._sum(key)
-
-    def doubted(self, prefix):
-        """The keys under `prefix` that nobody has told since they were doubted."""
-        return [key for key, held in self.records.items() if key.startswith(prefix) and held.stamp is DOUBTED]
-
-    # reading them
-    def get(self, key):
-        """The value under a key, or None."""
-        held = self.records.get(key)
-        return None if held is None else held.value
-
-    def stamp(self, key):
-        """The stamp of the record under a key, or None."""
-        held = self.records.get(key)
-        return None if held is None else held.stamp
-
-    def under(self, prefix):
-        """The keys and values of records whose keys begin so."""
-        return [(key, held.value) for key, held in self.records.items() if key.startswith(prefix)]
-
-    def heard(self, prefix):
-        """The same with the order in which they were heard: (key, value, a number that rises)."""
-        return [(key, held.value, held.at) for key, held in self.records.items() if key.startswith(prefix)]
-
-    def held(self):
-        """The stamps of the large records here."""
-        return {key: self.records[key].stamp for key in LARGE if key in self.records}
-
-    # telling others
-    def size(self, key):
-        """The bytes of a record in an answer."""
-        held = self.records[key]
-        if self.sizes.get(key, (0,))[0] != held.at:
-            self.sizes[key] = held.at, len(encoded(Record(key, held.stamp, held.value)))
-        return self.sizes[key][1]
-
-    def since(self, life, rev, private, held=None):
-        """The Records that one who heard all up to `rev` of `life`, and has `held` from others, has not, in
-        the order in which they came; `private`: those for controllers only as well."""
-        start, known = rev if life == self.life else 0, held or {}
-        if start >= self.rev:
-            return []
-        found = [
-            (one.at, key)
-            for key, one in self.records.items()
-            if one.at > start and (private or not key.startswith(PRIVATE))
-            if not (key in known and known[key] >= one.stamp)
-        ]
-        return [Record(key, self.records[key].stamp, self.records[key].value) for _, key in sorted(found)]
-
-    def tell(self, found, most, have=None):
-        """Of what `since` found as much as `most` bytes hold: (Records, a Chunk of one that is too long or
-        None, the count of changes up to which that is all). `have` says what of which long record the one who
-        asks has collected: {key: Progress}."""
-        records, room = [], most
-        for record in found:
-            key, size, before = record.key, self.size(record.key), self.records[record.key].at - 1
-            if size <= room:
-                records.append(record)
-                room -= size
-            elif size > most and key in self.earlier and room >= min(ROOM, most):
-                return records, self._chunk(key, room, (have or {}).get(key)), before
-            elif records or size <= most:
-                return records, None, before
-            else:  # one that can't be cut goes alone
-                return [record], None, before + 1
-        return records, None, self.rev
-
-    def _chunk(self, key, room, have):
-        """The next chunk of the value that is being collected, if it is known still, else of the newest."""
-        for stamp, text, marked in self.earlier[key]:
-            if have and (stamp, marked) == (have.stamp, have.mark):
-                return cut(key, stamp, text, marked, have.length, room)
-        stamp, text, marked = self.earlier[key][-1]
-        return cut(key, stamp, text, marked, 0, room)
+    def digest(self) -> str:
+        """The digest of the records that every program may have, as it stands in messages."""
+        return self._digest.encode()
+
+    def _toggle_digest(self, key: str) -> None:
+        """Adds a record to the digest or removes it. Retired machines are left out: each store drops them in
+        its own time."""
+        stored = self.records.get(key)
+        if stored is None or is_controller_only(key) or is_retired(stored.value):
+            return
+        self._digest.toggle(key, stored.stamp)
--- a/honeywood/gateway/dissemination/subscriber.py
+++ b/honeywood/gateway/dissemination/subscriber.py
@@ -1,60 +1,105 @@
-"""Asking other programs for what they have heard."""
+"""Polls other programs for their changes."""
+
+from __future__ import annotations
 
 import asyncio
-from dataclasses import replace
+from dataclasses import dataclass, replace
 
-from honeywood.gateway.configuration.outcome import Done, Wrong
-from honeywood.gateway.dissemination.messages import Answer, Ask
+from honeywood.gateway.configuration.outcome import Done, Failed, Wrong
+from honeywood.gateway.dissemination.messages import PollRequest, PollResponse
 from honeywood.gateway.dissemination.record import PATH
 
-MARGIN_S = 0.5  # seconds that an answer may take besides those that it is held
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from honeywood.gateway.dissemination.backoff import Backoff
+    from honeywood.gateway.dissemination.chunks import ChunkAssembler
+    from honeywood.gateway.dissemination.messages import Requester
+    from honeywood.gateway.dissemination.record import Record
+    from honeywood.gateway.dissemination.store import Store
+    from honeywood.gateway.rpc.client import Caller
+
+RESPONSE_MARGIN_S = 0.5  # that a response may take beside the time for which the poll is held
+
+
+def no_records(ip: str) -> list[Record]:
+    """The `records_for` of a subscriber that sends no records along."""
+    return []
+
+
+@dataclass(frozen=True, slots=True)
+class Position:
+    """Up to which revision of a peer's store all changes have come, and the incarnation of that store."""
+
+    incarnation: str = ""
+    revision: int = 0
 
 
 class Subscriber:
-    """Asks one peer after the other; `who()` says who asks, `records_for(ip)` gives the records that go along
-    to one. Peers that don't answer are in `backoff`; `known` is up to where each has told what it holds:
-    {(ip, port): (life, rev)}."""
-
-    def __init__(self, publisher, caller, who, backoff, records_for=lambda ip: [], most=lambda: None):
-        """`caller` carries calls; `most()` bounds the bytes of an answer, or is None; nobody has been
-        asked."""
-        self.most = most
-        self.publisher, self.caller, self.who, self.records_for = publisher, caller, who, records_for
-        self.backoff, self.known = backoff, {}
-
-    def _ask(self, ip, port, hold_s):
-        store, (life, rev) = self.publisher.store, self.known.get((ip, port), ("", 0))
-        return Ask(
-            replace(self.who(), epoch=store.epoch),
-            life,
-            rev,
-            self.records_for(ip),
-            hold_s,
-            f"{store.digest:x}",
-            min(self.publisher.most, self.most() or self.publisher.most),
-            store.held(),
-            self.publisher.chunks.have(),
-        )
+    """Polls one peer at a time and merges the response; `positions` are by the peer's address and port."""
+
+    def __init__(
+        self,
+        store: Store,
+        assembler: ChunkAssembler,
+        caller: Caller,
+        requester: Callable[[], Requester],
+        backoff: Backoff,
+        max_bytes: Callable[[], int],
+        records_for: Callable[[str], list[Record]] = no_records,
+    ) -> None:
+        """No peer has been polled. Responses go to `store`, chunks of long records to `assembler`.
+        `requester()` says who polls, `max_bytes()` bounds the next response, `records_for(ip)` gives the
+        records that are sent along to a peer; peers that fail are put into `backoff`."""
+        self.store = store
+        self.assembler = assembler
+        self.caller = caller
+        self.requester = requester
+        self.backoff = backoff
+        self.max_bytes = max_bytes
+        self.records_for = records_for
+        self.positions: dict[tuple[str, int], Position] = {}
 
-    def forget(self, ip):
-        """A peer is asked no more."""
+    def forget(self, ip: str) -> None:
+        """Drops what is known of a peer that is no longer polled."""
         self.backoff.forget(ip)
-        self.known = {place: told for place, told in self.known.items() if place[0] != ip}
+        self.positions = {peer: position for peer, position in self.positions.items() if peer[0] != ip}
 
-    async def ask(self, ip, port, hold_s):
-        """One ask; Done with the Answer once it is heard, or Failed."""
-        body = self._ask(ip, port, hold_s).encode()
-        reply = await self.caller.call(ip, port, PATH, body, hold_s + MARGIN_S, again=True)
+    async def poll(self, ip: str, port: int, hold_s: float) -> Done | Failed:
+        """Polls a peer and merges its response; Done with it, or Failed."""
+        request = self._request(ip, port, hold_s).encode()
+        reply = await self.caller.call(ip, port, PATH, request, hold_s + RESPONSE_MARGIN_S, again=True)
         now = asyncio.get_running_loop().time()
         if not reply.ok:
             self.backoff.record_failure(ip, now)
             return reply
         try:
-            answer = Answer.decode(reply.value, ip)
+            response = PollResponse.decode(reply.value, ip)
         except Wrong as wrong:
             self.backoff.record_failure(ip, now)
             return wrong.failed
-        self.backoff.record_success(ip, now + (answer.later_s or 0.0))
-        self.publisher.hear_answer(answer)
-        self.known[ip, port] = answer.life, answer.rev
-        return Done(answer)
+        self.backoff.record_success(ip, now + (response.retry_after_s or 0.0))
+        self._merge(response)
+        self.positions[ip, port] = Position(response.incarnation, response.revision)
+        return Done(response)
+
+    def _request(self, ip: str, port: int, hold_s: float) -> PollRequest:
+        position = self.positions.get((ip, port), Position())
+        return PollRequest(
+            requester=replace(self.requester(), epoch=self.store.epoch),
+            incarnation=position.incarnation,
+            revision=position.revision,
+            records=self.records_for(ip),
+            hold_s=hold_s,
+            digest=self.store.digest,
+            max_bytes=self.max_bytes(),
+            known_stamps=self.store.large_record_stamps(),
+            progress=self.assembler.progress(),
+        )
+
+    def _merge(self, response: PollResponse) -> None:
+        self.store.merge(response.records)
+        record = self.assembler.add(response.chunk) if response.chunk else None
+        if record:
+            self.store.merge([record])
--- a/honeywood/gateway/dissemination/tombstones.py
+++ b/honeywood/gateway/dissemination/tombstones.py
@@ -39,7 +39,7 @@
     """A bucket's logical clocks by hash, from a record's value; raises InvalidMessage."""
     try:
         if not isinstance(value, str):
-            raise TypeError(f"must be text, not {type(value).__name__}")
+            raise TypeError(f"argument should be bytes, buffer or ASCII string, not {type(value).__name__!r}")
         return dict(ENTRY.iter_unpack(a2b_base64(value)))
     except (ValueError, TypeError, struct.error) as wrong:
         raise Wrong("news", f"{PREFIX}: {wrong}") from None
--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -7,7 +7,7 @@
 
 from honeywood.gateway.configuration.check import read_json
 from honeywood.gateway.configuration.outcome import Wrong
-from honeywood.gateway.dissemination.messages import Ask
+from honeywood.gateway.dissemination.messages import PollRequest
 from honeywood.gateway.dissemination.record import PATH
 from honeywood.gateway.proxy.forwarding import ClientRequest
 from honeywood.gateway.proxy.responses import (
@@ -142,8 +142,8 @@
 
     async def hear(self, raw, peer, has_left=lambda: False):
         """The answer to another program's ask for news."""
-        ask = Ask.decode(read_json(raw, PATH, peer), peer)
-        return (await self.proxy.publisher.serve(ask, has_left)).encode()
+        poll = PollRequest.decode(read_json(raw, PATH, peer), peer)
+        return (await self.proxy.publisher.serve(poll, has_left)).encode()
 
     async def news(self, scope, receive, send):
         """Another proxy's ask for news."""
--- a/honeywood/gateway/proxy/count_records.py
+++ b/honeywood/gateway/proxy/count_records.py
@@ -1,6 +1,7 @@
 """This proxy's counts of versions on trial, as records for the controllers."""
 
-from honeywood.gateway.dissemination.record import Record
+from honeywood.gateway.dissemination.keys import RecordKind
+from honeywood.gateway.dissemination.record import Record, Stamp
 from honeywood.gateway.rollout import report
 
 KNOWN_STEP_S = 0.5  # after which a proxy tells anew for how long it has known of a trial
@@ -12,7 +13,7 @@
     def __init__(self, stage, clock, node, incarnation, store):
         """`store` is where records stand; its epoch is told with each."""
         self.stage, self.clock, self.store = stage, clock, store
-        self.key, self.incarnation = f"count/{node}/{incarnation}", incarnation
+        self.key, self.incarnation = RecordKind.PROXY_COUNTS.key(node, incarnation), incarnation
         self.number, self.epoch, self.held = 0, 0, {}  # held: {controller: the number it has}
         self.last = {"rows": [], "votes": {}, "left": {}, "known": {}}
 
@@ -26,7 +27,7 @@
         if self.held.get(controller, 0) >= self.number:
             return []
         value = {"life": self.incarnation, **told}
-        return [Record(self.key, [self.number, self.epoch], value)]
+        return [Record(self.key, Stamp.of(self.number, self.epoch), value)]
 
     def held_by(self, controller, number):
         """A controller says which number it has."""
--- a/honeywood/gateway/proxy/invariants.py
+++ b/honeywood/gateway/proxy/invariants.py
@@ -16,6 +16,8 @@
 from collections.abc import Callable
 from enum import StrEnum
 
+from honeywood.gateway.dissemination.keys import RecordKind
+
 ABANDONED_WITHIN_S = 0.25
 
 
@@ -80,7 +82,7 @@
                 yield Violation.CONNECTIONS, f"{endpoint.id}: {known} known, {endpoint.connected} counted"
 
     def _configuration(self):
-        stamp = self.proxy.publisher.store.stamp("config")
+        stamp = self.proxy.publisher.store.stamp(RecordKind.CONFIGURATION)
         held = self.proxy.table.version if self.proxy.table else None
         if stamp is not None and stamp[0] != held:
             yield Violation.CONFIGURATION, f"{stamp[0]:08x} was heard"
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -6,8 +6,11 @@
 from honeywood.gateway.configuration import config
 from honeywood.gateway.dissemination.backoff import INITIAL_DELAY_S, Backoff
 from honeywood.gateway.dissemination.retired_machines import MAX_DISCONNECTED_S, RetiredMachines
-from honeywood.gateway.dissemination.messages import Asker
-from honeywood.gateway.dissemination.publisher import HOLD, SMALL, Publisher
+from honeywood.gateway.dissemination.chunks import ChunkAssembler
+from honeywood.gateway.dissemination.keys import RecordKind, kind_of, name_of
+from honeywood.gateway.dissemination.messages import Requester
+from honeywood.gateway.dissemination.publisher import MAX_HOLD_S, UNPACED_BYTES, Publisher
+from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.dissemination.rendezvous import rank
 from honeywood.gateway.dissemination.subscriber import Subscriber
 from honeywood.gateway.metrics import Figures
@@ -55,13 +58,14 @@
         parts = self.endpoints, self.policy, self.stage, self.pool, self.budget_of
         self.invariants = InvariantChecks(self, self.on_violation)
         self.forwarder = Forwarder(self.clock, self.random, s.zone, *parts, self.invariants.attempt_begins)
-        self.publisher = Publisher(self.store_incarnation(), self.hear, rate=s.link)
+        self.publisher = Publisher(self.store_incarnation(), self.hear, link_bytes_per_s=s.link)
         store, backoff = self.publisher.store, Backoff(self.random, BACKOFF_MOST_S)
         self.retired, self.doubted_at = RetiredMachines(store), None
         self.counts = CountRecords(self.stage, self.clock, s.node, self.life, store)
-        self.subscriber = Subscriber(self.publisher, self.caller, self.who, backoff)
-        told = self.counts.records_for, self.poll_most
-        self.poller = Subscriber(self.publisher, self.caller, self.who, backoff, *told)
+        self.assembler = ChunkAssembler()
+        shared = store, self.assembler, self.caller, self.who, backoff
+        self.subscriber = Subscriber(*shared, lambda: self.publisher.max_response_bytes)
+        self.poller = Subscriber(*shared, self.poll_max_bytes, self.counts.records_for)
         self.controllers, self.relays = [ip for ip, _ in s.seeds], []
         self.turn, self.met_majority = 0, False
         self.started_at = self.listened_at = self.clock()  # `listen` was answered last
@@ -77,7 +81,7 @@
     def lose(self, keys):
         """Records of controllers have lapsed: whoever isn't a seed is asked no more."""
         seeds = {ip for ip, _ in self.settings.seeds}
-        for ip in {key.partition("/")[2] for key in keys} - seeds:
+        for ip in {name_of(key) for key in keys} - seeds:
             self.controllers = [one for one in self.controllers if one != ip]
             self.counts.forget(ip)
             for subscriber in (self.subscriber, self.poller):
@@ -107,18 +111,18 @@
     def who(self):
         """Who asks for news."""
         s = self.settings
-        return Asker(s.node, s.ip, s.zone, self.life, proxy=True)
+        return Requester(s.node, s.ip, s.zone, self.life, is_proxy=True)
 
     def hear(self, key, value):
         """A record has come, or has changed."""
-        kind, _, name = key.partition("/")
-        if kind == "config":
+        kind, name = kind_of(key), name_of(key)
+        if kind == RecordKind.CONFIGURATION:
             self.hear_config(config.read(config.unpack(value), hashed=True))
-        elif kind == "machine":
+        elif kind == RecordKind.MACHINE:
             self.hear_endpoint(name, value)
-        elif kind == "rollout":
+        elif kind == RecordKind.ROLLOUT:
             self.stage.hear(self.clock(), record.decode(value))
-        elif kind == "bourse":
+        elif kind == RecordKind.CONTROLLER:
             self.found([name])
 
     def hear_config(self, read):
@@ -146,10 +150,10 @@
         places = [(ip, s.proxy_port) for ip in relays if not backoff.remaining_s(ip, now)]
         places += [(ip, s.controller_port) for ip in backoff.available(rank(self.controllers, s.node), now)]
         for ip, port in places:
-            reply = await self.subscriber.ask(ip, port, HOLD)
+            reply = await self.subscriber.poll(ip, port, MAX_HOLD_S)
             if reply.ok:
                 self.listened_at = self.clock()
-                return await asyncio.sleep(min(HOLD, reply.value.later_s or 0.0))
+                return await asyncio.sleep(min(MAX_HOLD_S, reply.value.retry_after_s or 0.0))
         await asyncio.sleep(INITIAL_DELAY_S)
 
     async def poll(self):
@@ -173,21 +177,21 @@
         """(when it was asked last, its last Answer or None): again while it has more to tell."""
         for _ in range(ASKS_IN_A_ROW):
             asked_at = self.clock()  # an answer may have lain here unread while this process was frozen
-            reply = await self.poller.ask(ip, self.settings.controller_port, 0.0)
+            reply = await self.poller.poll(ip, self.settings.controller_port, 0.0)
             if not reply.ok:
                 return asked_at, None
             answer = reply.value
             if answer.fleet is not None:
-                count, self.relays = answer.fleet
-                self.counts.held_by(ip, answer.counted or 0)
-                self.fleet.report(ip, count)
-            if not answer.more or self.poll_most():
+                self.relays = answer.fleet.relays
+                self.counts.held_by(ip, answer.counts_number or 0)
+                self.fleet.report(ip, answer.fleet.proxy_count)
+            if not answer.has_more or self.poll_most():
                 break
         return asked_at, answer
 
     def met_quorum(self, asked_at, answer):
         """A controller that hears a majority has answered."""
-        if answer.whole:  # else what ends a stage may be among what was not told
+        if answer.is_complete:  # else what ends a stage may be among what was not told
             if self.met_majority and asked_at - self.stage.heard_at > MAX_DISCONNECTED_S:
                 self.doubt()
             self.stage.heard_at = asked_at
@@ -196,8 +200,13 @@
     def poll_most(self):
         """The most bytes of an answer to a poll: few while `listen` hears the first configuration, since each
         controller that is asked besides would tell all that it holds once more."""
-        listens = self.clock() - self.listened_at < HOLD
-        return SMALL if self.table is None and listens else None
+        listens = self.clock() - self.listened_at < MAX_HOLD_S
+        return UNPACED_BYTES if self.table is None and listens else None
+
+    def poll_max_bytes(self):
+        """The most bytes of the next answer to a poll."""
+        most = self.publisher.max_response_bytes
+        return min(most, self.poll_most() or most)
 
     @property
     def ready(self):
@@ -214,9 +223,9 @@
     def doubt(self):
         """After so long a cut that news of machines that left may have been dropped meanwhile: asks for all
         anew, and takes for lost whichever machine nobody tells of."""
-        self.publisher.store.doubt("machine/")
-        self.subscriber.known.clear()
-        self.poller.known.clear()
+        self.publisher.store.mark_stale(RecordKind.MACHINE)
+        self.subscriber.positions.clear()
+        self.poller.positions.clear()
         self.doubted_at = self.clock()
 
     async def tidy(self):
@@ -225,11 +234,11 @@
         self.invariants.look(now)
         self.pool.close_expired(self.endpoints.by_id.values())
         self.retired.evict(now)
-        self.lose(key for key in store.prune() if key.startswith("bourse/"))
+        self.lose(key for key in store.prune() if key.startswith(RecordKind.CONTROLLER.prefix))
         if self.doubted_at is not None and now - self.doubted_at > DOUBT_S:
             self.doubted_at = None
-            for key in store.doubted("machine/"):
-                store.put(key, [0], {**store.get(key), "state": LOST})
+            for key in store.stale_keys(RecordKind.MACHINE):
+                store.put(key, Stamp.of(0), {**store.get(key), "state": LOST})
 
     async def count(self):
         """A line of what was done since the start, and of what stands now."""
@@ -243,7 +252,7 @@
             connections=sum(endpoint.connections for endpoint in endpoints),
             machines=len(endpoints),
             fronts=self.fronts(),
-            told=dict(self.publisher.told),
+            told=dict(self.publisher.sent_bytes),
             called=dict(self.caller.carried),
             ready=self.ready,
         )
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -12,6 +12,7 @@
 from honeywood.gateway.configuration import settings as files
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.controller import machines
+from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.lab.emulator.boot import boot
 
 
@@ -246,7 +247,7 @@
         found = [task.result() for task in tasks]
         assert all(400 <= status < 500 for status, _ in found), f"{found}"
         assert all(told.step and told.why for _, told in found), f"{found}"
-        assert world.version("b") is None and not world.nodes["b"].store.under("machine/")
+        assert world.version("b") is None and not world.nodes["b"].store.items_of(RecordKind.MACHINE)
     finally:
         world.close()
 
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -7,8 +7,9 @@
 from socket_scene import GET, HEAD, Machine, Scene, play
 from ward import each, test
 
-from honeywood.gateway.dissemination.messages import Ask, Asker
+from honeywood.gateway.dissemination.messages import PollRequest, Requester
 from honeywood.gateway.dissemination.publisher import Publisher
+from honeywood.gateway.dissemination.record import Stamp
 from standins.requests import read_request
 
 CUT_WITHIN_S = 0.45  # after a client's leaving in which machines must be rid of what may be repeated
@@ -333,16 +334,16 @@
 @test("one that asked for news and has left takes no part of the link, and the next one is told")
 def _():
     async def work():
-        publisher, left = Publisher("l", lambda key, value: None), []
+        publisher, left = Publisher("l"), []
         held = asyncio.ensure_future(
-            publisher.serve(Ask(Asker(proxy=True), hold_s=0.5), has_left=lambda: bool(left))
+            publisher.serve(PollRequest(Requester(is_proxy=True), hold_s=0.5), has_left=lambda: bool(left))
         )
         await asyncio.sleep(0.01)
         left.append(True)
-        publisher.store.put("config", [1], "x" * 5000)
+        publisher.store.put("config", Stamp.of(1), "x" * 5000)
         assert not (await held).records and publisher.pacer.free_at == 0.0
-        assert publisher.told["asker left"] == 1
-        told = await publisher.serve(Ask(Asker(proxy=True)))
+        assert publisher.sent_bytes["asker left"] == 1
+        told = await publisher.serve(PollRequest(Requester(is_proxy=True)))
         assert [record.key for record in told.records] == ["config"]
 
     play(work)
--- a/tests/gateway/test_dissemination.py
+++ b/tests/gateway/test_dissemination.py
@@ -26,7 +26,7 @@
 def _():
     world = met()
     try:
-        asked = {name: {port for _, port in world.nodes[name].subscriber.known} for name in world.fronts}
+        asked = {name: {port for _, port in world.nodes[name].subscriber.positions} for name in world.fronts}
         assert [name for name in world.fronts if 7000 not in asked[name]] == [top(world)], asked
     finally:
         world.close()
@@ -112,14 +112,14 @@
     world, told = met(), {}
     try:
         for name in world.nodes:
-            since = world.nodes[name].publisher.store.since
+            since = world.nodes[name].publisher.feed.since
 
-            def counted(life, rev, private, held=None, since=since, name=name):
-                found = since(life, rev, private, held)
+            def counted(incarnation, revision, private, known=None, since=since, name=name):
+                found = since(incarnation, revision, private, known)
                 told[name] = told.get(name, 0) + sum(record.key == "config" for record in found)
                 return found
 
-            world.nodes[name].publisher.store.since = counted
+            world.nodes[name].publisher.feed.since = counted
         world.say("a", "put 5")
         world.run(6.0)
         assert {world.version(name) for name in world.nodes} == {5}
@@ -246,14 +246,14 @@
             world.say("abc"[n % 3], f"beat m{n} ready")
         world.run(6.0)
         stores = [world.nodes[name].publisher for name in world.controllers]
-        before = [store.told["config"] + store.told["machine"] for store in stores]
+        before = [store.sent_bytes["config"] + store.sent_bytes["machine"] for store in stores]
         world.fronts = "fghijklm"
         for name in world.fronts:
             world.start(name)
         world.run(6.5)
         assert {world.version(name) for name in world.nodes} == {5}
-        told = [store.told["config"] + store.told["machine"] for store in stores]
-        size = stores[0].store.size
+        told = [store.sent_bytes["config"] + store.sent_bytes["machine"] for store in stores]
+        size = stores[0].feed.encoded_size
         once = size("config") + sum(size(f"machine/m{n}") for n in range(40))
         times = (sum(told) - sum(before)) / once / len(world.fronts)
         assert times < 1.5, f"told {times:.2f} times"
--- a/tests/gateway/test_dissemination_links.py
+++ b/tests/gateway/test_dissemination_links.py
@@ -10,7 +10,8 @@
 
 from honeywood.gateway.configuration.outcome import Done, Failed
 from honeywood.gateway.dissemination.backoff import INITIAL_DELAY_S, Backoff
-from honeywood.gateway.dissemination.chunk import ChunkCollector, Progress
+from honeywood.gateway.dissemination.change_feed import ChangeFeed
+from honeywood.gateway.dissemination.chunks import ChunkAssembler, ChunkProgress
 from honeywood.gateway.dissemination.link_pacer import (
     LINK_SHARE,
     MAX_RESPONSE_BYTES,
@@ -19,8 +20,9 @@
     response_limit,
 )
 from honeywood.gateway.dissemination.local_records import LocalRecords
-from honeywood.gateway.dissemination.messages import Ask, Asker
+from honeywood.gateway.dissemination.messages import PollRequest, Requester
 from honeywood.gateway.dissemination.publisher import Publisher
+from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.dissemination.subscriber import Subscriber
 from honeywood.gateway.rollout.report import Ballot, Report, Tally
@@ -39,30 +41,32 @@
     """A store of short notes and one long one."""
     store, draw = Store("l"), random.Random(seed)
     for n in range(notes):
-        store.put(f"machine/{n}", [n], {"ip": "1" * draw.randrange(1, 200)})
-    store.put("config", [7], "".join(draw.choice("abcdef") for _ in range(long)))
+        store.put(f"machine/{n}", Stamp.of(n), {"ip": "1" * draw.randrange(1, 200)})
+    store.put("config", Stamp.of(7), "".join(draw.choice("abcdef") for _ in range(long)))
     return store
 
 
 def ask(teller, hearer, pieces, rev, most):
     """One answer: its bytes and the count of changes that it reaches."""
-    found = teller.since(teller.life, rev, False, hearer.held())
-    notes, piece, reached = teller.tell(found, most, pieces.have())
-    size = sum(teller.size(note.key) for note in notes) + (len(piece.text) if piece else 0)
-    return notes, piece, reached, size
+    feed = ChangeFeed(teller)
+    found = feed.since(teller.incarnation, rev, False, hearer.large_record_stamps())
+    batch = feed.batch(found, most, pieces.progress())
+    size = sum(feed.encoded_size(note.key) for note in batch.records)
+    size += len(batch.chunk.text) if batch.chunk else 0
+    return batch.records, batch.chunk, batch.revision, size
 
 
 @test("answers stay within {most} bytes, and one by one tell all")
 def _(most=each(1024, 3000, 40_000)):
     # Seen on the grown sites: answers of 290 KB over 300 KB a second, thrown away half an ask later and asked
     # for again whole, for ever.
-    teller, hearer, pieces, rev, asks = full(100, 30_000), Store("h"), ChunkCollector(), 0, 0
-    while rev < teller.rev:
+    teller, hearer, pieces, rev, asks = full(100, 30_000), Store("h"), ChunkAssembler(), 0, 0
+    while rev < teller.revision:
         notes, piece, rev, size = ask(teller, hearer, pieces, rev, most)
         assert size <= most
-        hearer.hear(notes)
-        whole = pieces.take(piece) if piece else None
-        hearer.hear([whole] if whole else [])
+        hearer.merge(notes)
+        whole = pieces.add(piece) if piece else None
+        hearer.merge([whole] if whole else [])
         asks += 1
         assert asks < 200_000 / most + 5
     assert hearer.digest == teller.digest and hearer.get("config") == teller.get("config")
@@ -70,42 +74,45 @@
 
 @test("a long note is collected over any loss of answers and change of peers, and never begun anew")
 def _(seed=each(*range(5))):
-    draw, hearer, pieces, got = random.Random(seed), Store("h"), ChunkCollector(), 0
+    draw, hearer, pieces, got = random.Random(seed), Store("h"), ChunkAssembler(), 0
     tellers = [full(n, 30_000) for n in (0, 0)]
     while hearer.get("config") is None:
         _, piece, _, _ = ask(draw.choice(tellers), hearer, pieces, 0, 2000)
         if draw.random() < 0.6:
             continue  # the answer is lost
         got += len(piece.text)
-        whole = pieces.take(piece)
-        hearer.hear([whole] if whole else [])
+        whole = pieces.add(piece)
+        hearer.merge([whole] if whole else [])
     assert hearer.get("config") == tellers[0].get("config") and got <= 30_002
 
 
 @test("pieces of another text under one stamp, out of order or beyond the end are never taken for a whole")
 def _():
-    one, two, pieces = full(0, 5000), full(0, 5000, seed=1), ChunkCollector()
-    first = one.tell(one.since("", 0, False), 3000)[1]
-    assert pieces.take(first) is None
-    rest = two.tell(two.since("", 0, False), 3000, {"config": Progress([7], first.mark, 3000)})[1]
-    assert rest.at == 0, "nobody goes on with a text that it doesn't have"
-    assert pieces.take(replace(rest, at=3000)) is None and pieces.have()["config"].length == 3000
-    assert pieces.take(replace(first, at=3000, text="x" * 2002)) is None, "the whole has another mark"
-    assert pieces.have() == {}
-    assert pieces.take(replace(first, at=3000)) is None and pieces.have() == {}
+    one, two, pieces = full(0, 5000), full(0, 5000, seed=1), ChunkAssembler()
+    feed = ChangeFeed(one)
+    first = feed.batch(feed.since("", 0, False), 3000).chunk
+    assert pieces.add(first) is None
+    begun = {"config": ChunkProgress(Stamp.of(7), first.digest, 3000)}
+    feed = ChangeFeed(two)
+    rest = feed.batch(feed.since("", 0, False), 3000, begun).chunk
+    assert rest.offset == 0, "nobody goes on with a text that it doesn't have"
+    assert pieces.add(replace(rest, offset=3000)) is None and pieces.progress()["config"].received == 3000
+    assert pieces.add(replace(first, offset=3000, text="x" * 2002)) is None, "the whole has another mark"
+    assert pieces.progress() == {}
+    assert pieces.add(replace(first, offset=3000)) is None and pieces.progress() == {}
 
 
 @test("a version that is being collected is told to its end though newer ones come")
 def _():
     # A storm of versions comes faster than a slow link carries one.
-    teller, hearer, pieces = full(0, 9000), Store("h"), ChunkCollector()
+    teller, hearer, pieces = full(0, 9000), Store("h"), ChunkAssembler()
     for version in range(8, 12):
         _, piece, *_ = ask(teller, hearer, pieces, 0, 2500)
-        whole = pieces.take(piece)
-        hearer.hear([whole] if whole else [])
+        whole = pieces.add(piece)
+        hearer.merge([whole] if whole else [])
         if version < 10:
-            teller.put("config", [version], "z" * 9000)
-    assert hearer.stamp("config") == [7]
+            teller.put("config", Stamp.of(version), "z" * 9000)
+    assert hearer.stamp("config") == (7,)
 
 
 @test("a front cut off amid a long configuration goes on where it was, at whoever answers")
@@ -113,24 +120,24 @@
     world, taken = met("f", until=3.0), []
     try:
         for program in world.nodes.values():
-            program.publisher.most = 1500
+            program.publisher.max_response_bytes = 1500
         world.run(4.5)
-        pieces = world.nodes["f"].publisher.chunks
-        take = pieces.take
+        pieces = world.nodes["f"].assembler
+        add = pieces.add
 
         def cut_off(piece):
             if not taken:
                 world.cut("f", "abc")
-            taken.append(piece.at)
-            return take(piece)
+            taken.append(piece.offset)
+            return add(piece)
 
-        pieces.take = cut_off
+        pieces.add = cut_off
         text = config(5, routes=60)
         for entry in text["res"][:-1]:  # texts that hardly pack
             entry["spec"]["pfx"] = f"/{random.Random(entry['hdr']['name']).getrandbits(400):x}/"
         world.loop.create_task(world.ask("a", "config.replace", "", text))
         world.run(6.0)
-        assert world.version("f") is None and pieces.have()
+        assert world.version("f") is None and pieces.progress()
         world.join()
         world.run(9.0)
         assert world.version("f") == 5
@@ -162,12 +169,12 @@
     loop = Loop()
     asyncio.set_event_loop(loop)
     try:
-        publisher, answers = Publisher("l", lambda key, value: None, rate=250_000), []
-        publisher.store.put("config", [1], "x" * 29_000)
+        publisher, answers = Publisher("l", link_bytes_per_s=250_000), []
+        publisher.store.put("config", Stamp.of(1), "x" * 29_000)
 
         async def one():
             body = {"who": {"front": True}, "rev": 0, "hold": 1.0}
-            answers.append((await publisher.serve(Ask.decode(body)), loop.time()))
+            answers.append((await publisher.serve(PollRequest.decode(body)), loop.time()))
 
         async def all_at_once():
             await asyncio.gather(*[one() for _ in range(20)])
@@ -175,7 +182,9 @@
         loop.run_until_complete(all_at_once())
         told = [answer for answer, _ in answers if answer.records]
         assert 2 <= len(told) <= 3 and all(at <= 0.4 for _, at in answers)
-        assert all(answer.later_s > 0 and answer.rev == 0 for answer, _ in answers if not answer.records)
+        assert all(
+            answer.retry_after_s > 0 and answer.revision == 0 for answer, _ in answers if not answer.records
+        )
     finally:
         loop.close()
 
@@ -220,7 +229,7 @@
     """Bytes of notes told so far by these programs, by kind."""
     found = {}
     for name in names:
-        for kind, size in world.nodes[name].publisher.told.items():
+        for kind, size in world.nodes[name].publisher.sent_bytes.items():
             found[kind] = found.get(kind, 0) + size
     return found
 
@@ -296,12 +305,12 @@
     store = Store("l", lambda key, value: held["own"].on_update(key))
     own = held["own"] = LocalRecords(store, 5, lambda key: key.startswith("own/"))
     own.publish("own/a", 1)
-    store.put("own/a", [9, 4], 0)
-    assert store.stamp("own/a") > [9, 4] and store.get("own/a") == 1
-    store.put("own/b", [9, 3], 0)
+    store.put("own/a", Stamp.of(9, 4), 0)
+    assert store.stamp("own/a") > (9, 4) and store.get("own/a") == 1
+    store.put("own/b", Stamp.of(9, 3), 0)
     assert store.get("own/b") is None and "own/b" in store.records, "what this life doesn't say is taken back"
     before = dict(store.records)
-    store.put("own/a", [9, 99], 0)
+    store.put("own/a", Stamp.of(9, 99), 0)
     assert store.records == before, "late copies change nothing"
 
 
@@ -324,19 +333,19 @@
     loop = Loop()
     asyncio.set_event_loop(loop)
     try:
-        publisher, woken = Publisher("l", lambda key, value: None), []
+        publisher, woken = Publisher("l"), []
 
         async def wait(n):
-            if await publisher.changed(5.0, n % 3 == 0):
+            if await publisher.waiters.wait(5.0, n % 3 == 0):
                 woken.append(n)
 
         async def many():
             waits = [asyncio.ensure_future(wait(n)) for n in range(60)]
             await asyncio.sleep(0.1)
-            publisher.store.put("count/f/l", [1], {})
+            publisher.store.put("count/f/l", Stamp.of(1), {})
             await asyncio.sleep(0.5)
             controllers = list(woken)
-            publisher.store.put("machine/m", [1], {})
+            publisher.store.put("machine/m", Stamp.of(1), {})
             await asyncio.gather(*waits)
             return controllers
 
@@ -352,14 +361,14 @@
     loop = Loop()
     asyncio.set_event_loop(loop)
     try:
-        publisher = Publisher("l", lambda key, value: None)
+        publisher = Publisher("l")
 
         async def held():
-            ask = Ask.decode({"who": {"private": True}, "rev": 0, "hold": 0.5})
+            ask = PollRequest.decode({"who": {"private": True}, "rev": 0, "hold": 0.5})
             asked = asyncio.ensure_future(publisher.serve(ask))
             await asyncio.sleep(0.45)
-            publisher.store.put("beat/m", [1], None)
-            publisher.store.put("fleet/a/f", [1], None)
+            publisher.store.put("beat/m", Stamp.of(1), None)
+            publisher.store.put("fleet/a/f", Stamp.of(1), None)
             return await asked
 
         assert [record.key for record in loop.run_until_complete(held()).records] == ["beat/m", "fleet/a/f"]
@@ -372,21 +381,23 @@
     loop = Loop()
     asyncio.set_event_loop(loop)
     try:
-        told_by = Publisher("new", lambda key, value: None)
-        hearer = Publisher("h", lambda key, value: None)
+        told_by = Publisher("new")
+        hearer = Publisher("h")
         for publisher, keys in ((told_by, range(50)), (hearer, reversed(range(50)))):
             for n in keys:
-                publisher.store.put(f"machine/{n}", [n], {"n": n})
+                publisher.store.put(f"machine/{n}", Stamp.of(n), {"n": n})
 
         class Caller:
             async def call(self, ip, port, path, body, within, again=False):
-                return Done((await told_by.serve(Ask.decode(body, ip))).encode())
-
-        subscriber = Subscriber(hearer, Caller(), lambda: Asker(proxy=True), Backoff(random.Random(0), 1.0))
-        reply = loop.run_until_complete(subscriber.ask("p", 1, 0.0))
-        assert reply.value.records == [] and reply.value.rev == 50
-        told_by.store.put("machine/7", [99], {"n": 0})
-        reply = loop.run_until_complete(subscriber.ask("p", 1, 0.0))
+                return Done((await told_by.serve(PollRequest.decode(body, ip))).encode())
+
+        who, backoff = Requester(is_proxy=True), Backoff(random.Random(0), 1.0)
+        most = hearer.max_response_bytes
+        subscriber = Subscriber(hearer.store, ChunkAssembler(), Caller(), lambda: who, backoff, lambda: most)
+        reply = loop.run_until_complete(subscriber.poll("p", 1, 0.0))
+        assert reply.value.records == [] and reply.value.revision == 50
+        told_by.store.put("machine/7", Stamp.of(99), {"n": 0})
+        reply = loop.run_until_complete(subscriber.poll("p", 1, 0.0))
         assert [record.key for record in reply.value.records] == ["machine/7"]
     finally:
         loop.close()
@@ -399,12 +410,12 @@
     loop = Loop()
     asyncio.set_event_loop(loop)
     try:
-        publisher, answers = Publisher("l", lambda key, value: None, rate=250_000), []
-        publisher.store.put("config", [1], "x" * 29_000)
+        publisher, answers = Publisher("l", link_bytes_per_s=250_000), []
+        publisher.store.put("config", Stamp.of(1), "x" * 29_000)
 
         async def one(who):
-            answer = await publisher.serve(Ask.decode({"who": who, "rev": 0, "hold": 1.0}))
-            answers.append((bool(who.get("private")), answer.whole, loop.time()))
+            answer = await publisher.serve(PollRequest.decode({"who": who, "rev": 0, "hold": 1.0}))
+            answers.append((bool(who.get("private")), answer.is_complete, loop.time()))
 
         async def all_at_once():
             await asyncio.gather(*[one({"front": True}) for _ in range(20)], one({"private": True}))
--- a/tests/gateway/test_dissemination_mutations.py
+++ b/tests/gateway/test_dissemination_mutations.py
@@ -11,28 +11,33 @@
 from honeywood.gateway.controller import contact, retention
 from honeywood.gateway.controller.machine_records import MachineRecords
 from honeywood.gateway.controller.machines import DEPARTED_ROW, Machines
-from honeywood.gateway.dissemination import chunk, epochs, store, tombstones
+from honeywood.gateway.dissemination import epochs, keys, large_records, tombstones
 from honeywood.gateway.dissemination.backoff import Backoff
+from honeywood.gateway.dissemination.change_feed import Batch, ChangeFeed
+from honeywood.gateway.dissemination.chunks import ChunkAssembler, PartialValue
+from honeywood.gateway.dissemination.digest import StoreDigest
 from honeywood.gateway.dissemination.link_pacer import LinkPacer
 from honeywood.gateway.dissemination.local_records import LocalRecords
-from honeywood.gateway.dissemination.messages import Answer, Asker
+from honeywood.gateway.dissemination.messages import PollResponse, Requester
+from honeywood.gateway.dissemination.poll_waiters import PollWaiters
 from honeywood.gateway.dissemination.publisher import Publisher
+from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.proxy.count_records import CountRecords
 
-Store = store.Store
 LINKS = scenarios("test_dissemination_links")
 EPOCHS = scenarios("test_epochs")
 FOREVER = 1e9  # seconds
 
 
-def everything(self, found, most, have=None):
-    return list(found), None, self.rev
+def everything(self, changes, max_bytes, progress=None):
+    return Batch(list(changes), None, self.store.revision)
 
 
-def any_chunks(self, piece):
-    stamp, marked, text = self.open.get(piece.key, (piece.stamp, piece.mark, ""))
-    self.open[piece.key] = stamp, marked, text + piece.text
-    return None if len(text + piece.text) < piece.length else piece
+def any_chunks(self, chunk):
+    begun = self.partial.get(chunk.key, PartialValue(chunk.stamp, chunk.digest, ""))
+    text = begun.text + chunk.text
+    self.partial[chunk.key] = PartialValue(begun.stamp, begun.digest, text)
+    return None if len(text) < chunk.length else chunk
 
 
 def unlike(self, *given):
@@ -44,16 +49,17 @@
     return records_for(self, controller)
 
 
-async def looked_up_before(self, rev, ask):
-    found = self.store.since(self.store.life, rev, ask.who.controller, ask.held)
-    if not found and ask.hold_s:
-        await self.changed(ask.hold_s, ask.who.controller)
+async def looked_up_before(self, revision, poll):
+    is_controller = poll.requester.is_controller
+    found = self.feed.since(self.store.incarnation, revision, is_controller, poll.known_stamps)
+    if not found and poll.hold_s:
+        await self.waiters.wait(poll.hold_s, is_controller)
     return found
 
 
 def told_to_all(self, key, value):
-    self.hear(key, value)
-    self._wake(True)
+    self._on_update(key, value)
+    self.waiters.wake_all()
 
 
 class Unordered(dict):
@@ -61,9 +67,9 @@
         return reversed(list(super().items()))
 
 
-def unordered(self, *given, init=Publisher.__init__, **more):
-    init(self, *given, **more)
-    self.waiting = Unordered()
+def unordered(self, init=PollWaiters.__init__):
+    init(self)
+    self._is_controller = Unordered()
 
 
 def machines_alone(self, id, record, change=MachineRecords.change):
@@ -71,7 +77,7 @@
         change(self, id, record)
 
 
-def without_names(self, *given, since=Store.since, **more):
+def without_names(self, *given, since=ChangeFeed.since, **more):
     return [one for one in since(self, *given, **more) if not one.key.startswith(tombstones.PREFIX)]
 
 
@@ -79,7 +85,7 @@
     return advance(self, now, epoch, True)
 
 
-def no_epoch(self, encode=Asker.encode):
+def no_epoch(self, encode=Requester.encode):
     return {**encode(self), "epoch": 0}
 
 
@@ -106,32 +112,52 @@
 
 
 MUTATIONS = (
-    Mutation("answers have no bound", Store, "tell", everything, LINKS, "answers stay within"),
-    Mutation("any chunks", chunk.ChunkCollector, "take", any_chunks, LINKS, "pieces of another text"),
-    Mutation("no earlier values", store, "EARLIER", 1, LINKS, "a version that is being collected"),
+    Mutation("answers have no bound", ChangeFeed, "batch", everything, LINKS, "answers stay within"),
+    Mutation("any chunks", ChunkAssembler, "add", any_chunks, LINKS, "pieces of another text"),
+    Mutation(
+        "no earlier values", large_records, "VERSIONS_KEPT", 1, LINKS, "a version that is being collected"
+    ),
     Mutation("no turns on a link", LinkPacer, "backlog_s", lambda *given: 0.0, LINKS, "many fronts that ask"),
-    Mutation("no digest", Store, "_sum", unlike, LINKS, "a front that has heard all from others"),
-    Mutation("a part is all", Answer, "whole", True, LINKS, "what a front was told"),
-    Mutation("a part is silence", Answer, "whole", True, LINKS, "parts of what others know"),
-    Mutation("one queue", Publisher, "_turn", lambda turn, ask: turn, LINKS, "a controller is told its part"),
-    Mutation("lists of proxies to all", store, "PRIVATE", (), LINKS, "what a front is told doesn't grow"),
+    Mutation("no digest", StoreDigest, "toggle", unlike, LINKS, "a front that has heard all from others"),
+    Mutation("a part is all", PollResponse, "is_complete", True, LINKS, "what a front was told"),
+    Mutation("a part is silence", PollResponse, "is_complete", True, LINKS, "parts of what others know"),
+    Mutation(
+        "one queue",
+        Publisher,
+        "_link_wait_s",
+        lambda wait_s, is_controller: wait_s,
+        LINKS,
+        "a controller is told its part",
+    ),
+    Mutation(
+        "lists of proxies to all",
+        keys,
+        "CONTROLLER_ONLY_PREFIXES",
+        (),
+        LINKS,
+        "what a front is told doesn't grow",
+    ),
     Mutation("counts always told", CountRecords, "records_for", counts_always, LINKS, "all controllers"),
     Mutation("no backoff", Backoff, "remaining_s", lambda *given: 0.0, LINKS, "whoever gets no answers"),
     Mutation(
         "own records of before", LocalRecords, "on_update", unlike, LINKS, "a program that hears its own"
     ),
     Mutation("dead controllers", contact, "VOUCHES_S", FOREVER, LINKS, "a controller that is heard"),
-    Mutation("no order of waking", Publisher, "__init__", unordered, LINKS, "who waits is woken"),
-    Mutation("all records wake all", Publisher, "_told", told_to_all, LINKS, "who waits is woken"),
-    Mutation("no last look", Publisher, "_found", looked_up_before, LINKS, "a note that wakes nobody"),
+    Mutation("no order of waking", PollWaiters, "__init__", unordered, LINKS, "who waits is woken"),
+    Mutation("all records wake all", Publisher, "_record_changed", told_to_all, LINKS, "who waits is woken"),
+    Mutation(
+        "no last look", Publisher, "_wait_for_changes", looked_up_before, LINKS, "a note that wakes nobody"
+    ),
     Mutation("nothing lapses", epochs, "is_expired", lambda *given: False, EPOCHS, "two days with hundreds"),
     Mutation("counts lapse", retention, "_counts_for", lambda *given: False, EPOCHS, "counts of a proxy"),
-    Mutation("lapsed ones come back", Store, "_lapsed", lambda *given: False, EPOCHS, "what has lapsed"),
-    Mutation("incarnations alone", Store, "_outlived", lambda *given: False, EPOCHS, "what has lapsed"),
+    Mutation("lapsed ones come back", Store, "_must_expire", lambda *given: False, EPOCHS, "what has lapsed"),
+    Mutation("incarnations alone", Store, "_is_superseded", lambda *given: False, EPOCHS, "what has lapsed"),
     Mutation("no quorum", epochs.EpochClock, "advance", without_quorum, EPOCHS, "the epoch needs a quorum"),
-    Mutation("asks without epoch", Asker, "encode", no_epoch, EPOCHS, "programs: controllers that all begin"),
+    Mutation(
+        "asks without epoch", Requester, "encode", no_epoch, EPOCHS, "programs: controllers that all begin"
+    ),
     Mutation("no disk", MachineRecords, "change", machines_alone, EPOCHS, "a machine that left stays"),
-    Mutation("names not told", Store, "since", without_names, EPOCHS, "a machine that left stays"),
+    Mutation("names not told", ChangeFeed, "since", without_names, EPOCHS, "a machine that left stays"),
     Mutation("copies stay", Machines, "hear_departed", heard_alone, EPOCHS, "a copy taken before"),
 )
 
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -13,6 +13,7 @@
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.controller import machines
 from honeywood.gateway.controller.app import App
+from honeywood.gateway.dissemination.change_feed import ChangeFeed
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.proxy import polling, sender
@@ -124,9 +125,10 @@
     return put(self, key, stamp, value)
 
 
-def all_again(self, life, rev, private, held=None, since=Store.since):
-    found = [record for record in since(self, life, rev, private) if record.key != "config"]
-    again = [Record(key, self.stamp(key), self.get(key)) for key in ("config",) if key in self.records]
+def all_again(self, incarnation, revision, private, known=None, since=ChangeFeed.since):
+    found = [record for record in since(self, incarnation, revision, private) if record.key != "config"]
+    held = self.store.records.get("config")
+    again = [Record("config", held.stamp, held.value)] if held else []
     return found + again
 
 
@@ -147,7 +149,7 @@
 async def gives_up(self, listen=Proxy.listen):
     """A proxy that finds nobody listening at its start asks no more."""
     await listen(self)
-    if not self.subscriber.known:
+    if not self.subscriber.positions:
         await asyncio.sleep(99.0)
 
 
@@ -227,7 +229,7 @@
         lambda: [(sender, "classify", any_answer), (Connection, "exchange", unexpecting)],
         lambda: unrefused("state"),
         lambda: [(polling, "POLL_S", 3.0), (Proxy, "listen", idle)],
-        lambda: [(Store, "put", last_wins), (Store, "since", all_again)],
+        lambda: [(Store, "put", last_wins), (ChangeFeed, "since", all_again)],
         lambda: [(RetryBudget, "allows", lambda self, now, fronts: True)],
         lambda: [(Stage, "room", lambda self, now, ask: True)],
         lambda: [(Storage, "keep", unwritten)],
--- a/tests/gateway/test_epochs.py
+++ b/tests/gateway/test_epochs.py
@@ -10,8 +10,10 @@
 
 from honeywood.gateway.controller.retention import still_counted
 from honeywood.gateway.dissemination import epochs, tombstones
+from honeywood.gateway.dissemination.change_feed import ChangeFeed
+from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.dissemination.local_records import LocalRecords
-from honeywood.gateway.dissemination.record import Record
+from honeywood.gateway.dissemination.record import Record, Stamp
 from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.rollout.report import Report, Tally
 
@@ -42,10 +44,10 @@
 
     def ask(self, other):
         """Hears what the other has to tell, as an ask of /news does."""
-        other.store.learn(self.store.epoch)
+        other.store.observe_epoch(self.store.epoch)
         life, rev = self.heard.get(other.ip, ("", 0))
-        self.store.hear(carried(other.store.since(life, rev, True)))
-        self.heard[other.ip] = other.store.life, other.store.rev
+        self.store.merge(carried(ChangeFeed(other.store).since(life, rev, True)))
+        self.heard[other.ip] = other.store.incarnation, other.store.revision
 
     def look(self, now, in_quorum):
         for node, (at, place) in list(self.proxies.items()):
@@ -54,7 +56,7 @@
                 self.own.publish(f"fleet/{self.ip}/{node}", place)
             if place is None:
                 del self.proxies[node]
-        self.store.learn(self.clock.advance(now, self.store.epoch, in_quorum))
+        self.store.observe_epoch(self.clock.advance(now, self.store.epoch, in_quorum))
         self.own.refresh()
         self.store.prune()
 
@@ -93,10 +95,10 @@
                 proxy[1:] = proxy[1] + 1, peer.store.epoch
                 if known:
                     self.counted.append((proxy[0], node))
-            key, stamp = f"count/{node}/{proxy[0]}", [proxy[1], proxy[2]]
+            key, stamp = f"count/{node}/{proxy[0]}", Stamp.of(proxy[1], proxy[2])
             peer.store.put(key, stamp, {"rows": [1] * 50, "known": known})
         if self.rollout:
-            peers[0].store.put("rollout/s", [self.rollout["n"]], self.rollout)
+            peers[0].store.put("rollout/s", Stamp.of(self.rollout["n"]), self.rollout)
         self.exchange()
         for ip, peer in self.peers.items():
             peer.look(self.now, ip not in self.cut)
@@ -115,7 +117,7 @@
     def sizes(self):
         """Records and bytes of the largest full retelling."""
         stores = [peer.store for peer in self.connected()]
-        found = [[store.size(key) for key in store.records] for store in stores]
+        found = [[ChangeFeed(store).encoded_size(key) for key in store.records] for store in stores]
         return max(map(len, found)), max(map(sum, found))
 
     def check(self):
@@ -214,26 +216,31 @@
 
 @test("stamps without an epoch, or with a senseless one, never lapse and bring none on")
 def _():
-    stamps = ("fleet/a/p", [5, 1]), ("count/p/l", [3]), ("machine/m", [3, 0]), ("bourse/a", [5, 1, -1])
+    stamps = (
+        ("fleet/a/p", Stamp.of(5, 1)),
+        ("count/p/l", Stamp.of(3)),
+        ("machine/m", Stamp.of(3, 0)),
+        ("bourse/a", Stamp.of(5, 1, -1)),
+    )
     for key, stamp in stamps:
         assert epochs.published_in(key, stamp) is None and not epochs.is_expired(None, 99)
     store = Store("l")
-    store.put("fleet/a/p", [5, 1, epochs.MAX_EPOCH + 1], ["z", "p"])
+    store.put("fleet/a/p", Stamp.of(5, 1, epochs.MAX_EPOCH + 1), ["z", "p"])
     assert store.epoch == 0 and store.get("fleet/a/p")
 
 
 @test("what has lapsed is taken from nobody, and gives way to its owner whose clock was set back")
 def _():
     store = Store("l")
-    assert store.put("bourse/a", [900, 7, 1], "a") and store.put("bourse/b", [900, 7, 1], "b")
-    assert store.put("bourse/a", [100, 1, 5], "a"), "the higher incarnation of before has lapsed"
+    assert store.put("bourse/a", Stamp.of(900, 7, 1), "a") and store.put("bourse/b", Stamp.of(900, 7, 1), "b")
+    assert store.put("bourse/a", Stamp.of(100, 1, 5), "a"), "the higher incarnation of before has lapsed"
     assert store.prune() == ["bourse/b"]
-    for stamp in ([900, 9, 1], [900, 9, 3]):
+    for stamp in (Stamp.of(900, 9, 1), Stamp.of(900, 9, 3)):
         assert not store.put("bourse/b", stamp, "b") and store.get("bourse/b") is None
-    assert not store.put("bourse/a", [900, 8, 3], "a") and store.stamp("bourse/a") == [100, 1, 5]
-    assert store.put("bourse/b", [100, 1, 4], "b")
+    assert not store.put("bourse/a", Stamp.of(900, 8, 3), "a") and store.stamp("bourse/a") == (100, 1, 5)
+    assert store.put("bourse/b", Stamp.of(100, 1, 4), "b")
     other = Store("o")
-    other.hear(store.since("", 0, True))
+    other.merge(ChangeFeed(store).since("", 0, True))
     assert other.digest == store.digest and other.epoch == 5
 
 
@@ -264,7 +271,9 @@
             world.run(world.loop.time() + 1.4)
             world.kill(name)
             stores = [world.nodes[one].publisher.store for one in "abc"]
-            sizes.append(max(sum(store.size(key) for key in store.records) for store in stores))
+            sizes.append(
+                max(sum(ChangeFeed(store).encoded_size(key) for key in store.records) for store in stores)
+            )
         world.run(world.loop.time() + 60.0)
         held = {name: set(world.nodes[name].publisher.store.records) for name in "abcf"}
         life = world.nodes["f"].life
@@ -303,7 +312,7 @@
         world.run(70.0)  # what proxies hold of the higher incarnations before has lapsed
         assert len({one.digest for one in stores}) == 1
         assert len({str(one.stamp("bourse/a")) for one in stores}) == 1
-        assert all(len([key for key, _ in one.under("bourse/")]) == 3 for one in stores)
+        assert all(len([key for key, _ in one.items_of(RecordKind.CONTROLLER)]) == 3 for one in stores)
         assert {len(world.nodes[name].fleet.proxies) for name in "abc"} == {2}
     finally:
         epochs.EPOCH_S = before
@@ -373,16 +382,16 @@
     stores = [Store(n) for n in "abc"]
     for n in range(2000):
         store = draw.choice(stores)
-        store.forget(f"i-{n}", True)
+        store.drop_machine(f"i-{n}", True)
         if n % 7 == 0:
             for other in stores:
-                other.hear(carried(store.since("", 0, True)))
+                other.merge(carried(ChangeFeed(store).since("", 0, True)))
     for _ in range(2):
         for store in stores:
             for other in stores:
-                other.hear(store.since("", 0, True))
-    held = [dict(store.under(tombstones.PREFIX)) for store in stores]
-    assert held[0] == held[1] == held[2] and stores[0].departed > 1900
+                other.merge(ChangeFeed(store).since("", 0, True))
+    held = [dict(store.items_of(RecordKind.TOMBSTONES)) for store in stores]
+    assert held[0] == held[1] == held[2] and stores[0].tombstone_count > 1900
 
 
 @test("a machine that left stays so over {what}: a late copy of its heartbeat brings nothing back")
@@ -409,7 +418,7 @@
         world.say("b", "beat m ready")
         world.run(136.0)
         assert [world.state(name, "m") for name in "abcf"] == ["unknown"] * 4
-        assert all(world.nodes[name].store.departed == 1 for name in "abc")
+        assert all(world.nodes[name].store.tombstone_count == 1 for name in "abc")
     finally:
         world.close()
 
@@ -422,10 +431,10 @@
             world.start(name)
         world.run(1.0)
         for name in "ab":
-            world.nodes[name].store.forget("m", True)
-        world.nodes["c"].store.put("machine/m", [1, 0], machine("m"))
+            world.nodes[name].store.drop_machine("m", True)
+        world.nodes["c"].store.put("machine/m", Stamp.of(1, 0), machine("m"))
         front = world.nodes["f"].publisher.store
-        front.put("machine/m", [1, 0], machine("m"))
+        front.put("machine/m", Stamp.of(1, 0), machine("m"))
         world.run(4.0)
         assert world.state("c", "m") == world.state("f", "m") == "gone"
         assert world.nodes["f"].endpoints.by_id == {}
--- a/tests/gateway/test_history.py
+++ b/tests/gateway/test_history.py
@@ -9,7 +9,7 @@
 from honeywood.gateway.controller.machine_records import MachineRecords
 from honeywood.gateway.controller.machines import DEPARTED_ROW, Machines
 from honeywood.gateway.dissemination import tombstones
-from honeywood.gateway.dissemination.record import Record
+from honeywood.gateway.dissemination.record import Record, Stamp
 from honeywood.gateway.dissemination.retired_machines import MAX_RETIRED, RETENTION_S, RetiredMachines
 from honeywood.gateway.dissemination.store import Store
 
@@ -41,7 +41,7 @@
         world.say("a", "beat m ready")
         world.run(1.5)
         held = world.nodes["b"].publisher.store.records["machine/m"]
-        late = [Record("machine/m", held.stamp, held.value), Record("beat/m", [9, 0], None)]
+        late = [Record("machine/m", held.stamp, held.value), Record("beat/m", Stamp.of(9, 0), None)]
         assert told(world, "b", "m") == ["machine/", "beat/"] and told(world, "f", "m") == ["machine/"]
         leave(world, "a", "m")
         world.run(3.0)
@@ -52,7 +52,7 @@
         world.run(RETENTION_S + 5.0)
         assert not any(told(world, name, "m") for name in "abcf")
         world.say("b", "beat m ready")  # and after it
-        world.nodes["c"].publisher.store.hear(late)
+        world.nodes["c"].publisher.store.merge(late)
         world.run(RETENTION_S + 7.0)
         assert not any(told(world, name, "m") for name in "abcf")
         assert "m" not in world.nodes["b"].machines.heard
@@ -85,7 +85,7 @@
     world = begun()
     try:
         world.cut("a", "bc")
-        world.nodes["b"].publisher.store.put("machine/m", [1, 0], BEAT)
+        world.nodes["b"].publisher.store.put("machine/m", Stamp.of(1, 0), BEAT)
         world.run(1.5)
         world.join()
         leave(world, "a", "m")
@@ -126,7 +126,7 @@
     machines.changed = lambda id, note: rows.pop(id, None) if note is None else rows.__setitem__(id, note)
     for life in range(10_000):
         now += 0.01
-        machines.beat(now, f"i-{life}", [1, 0], BEAT)
+        machines.beat(now, f"i-{life}", Stamp.of(1, 0), BEAT)
         machines.leave(f"i-{life}") if life % 2 else None
         if life % 100 == 0:
             machines.look(now)
@@ -134,11 +134,11 @@
     names = tombstones.BUCKET_COUNT * tombstones.BUCKET_CAPACITY
     assert len(store.records) < 2 * (MAX_RETIRED + 600) + tombstones.BUCKET_COUNT
     assert len(rows) < MAX_RETIRED + 600 and len(machines.heard) < 600
-    assert 1000 < store.departed <= names
+    assert 1000 < store.tombstone_count <= names
     for life in range(20_000):
-        store.forget(f"j-{life}", True)
-    assert store.departed <= names and not store.put("machine/j-19999", [1, 0], BEAT)
-    assert store.put("rollout/j-19999", [1], {})  # a service of that name is none of it
+        store.drop_machine(f"j-{life}", True)
+    assert store.tombstone_count <= names and not store.put("machine/j-19999", Stamp.of(1, 0), BEAT)
+    assert store.put("rollout/j-19999", Stamp.of(1), {})  # a service of that name is none of it
 
 
 @test("what comes back is no longer over")
@@ -147,7 +147,7 @@
     past = RetiredMachines(store)
     for state in ("silent", "ready"):
         past.observe(0.0, "m", state)
-    store.put("machine/m", [1, 0], BEAT)
+    store.put("machine/m", Stamp.of(1, 0), BEAT)
     assert past.evict(RETENTION_S + 1.0) == [] and store.get("machine/m")
 
 
--- a/tests/gateway/test_invariants.py
+++ b/tests/gateway/test_invariants.py
@@ -8,6 +8,7 @@
 from ward import each, test
 
 from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.proxy.invariants import ABANDONED_WITHIN_S, Violation
 from honeywood.gateway.proxy.sender import AttemptSender
 from honeywood.gateway.routing.attempts import AttemptPolicy
@@ -72,7 +73,7 @@
 
 async def configuration_is_not_taken(scene, patch):
     with suppress(Wrong):  # it is kept, and can't be read here
-        scene.proxy.publisher.store.put("config", [9], "{}")
+        scene.proxy.publisher.store.put("config", Stamp.of(9), "{}")
 
 
 @test("{fault.__name__}: it is counted as {violation}, and told")
--- a/tests/gateway/test_messages.py
+++ b/tests/gateway/test_messages.py
@@ -9,10 +9,10 @@
 
 from honeywood.gateway.configuration.outcome import Done, Wrong
 from honeywood.gateway.dissemination.backoff import Backoff
-from honeywood.gateway.dissemination.chunk import Chunk, ChunkCollector
-from honeywood.gateway.dissemination.messages import Answer, Ask, Asker
+from honeywood.gateway.dissemination.chunks import Chunk, ChunkAssembler
+from honeywood.gateway.dissemination.messages import FleetView, PollRequest, PollResponse, Requester
 from honeywood.gateway.dissemination.publisher import Publisher
-from honeywood.gateway.dissemination.record import Record
+from honeywood.gateway.dissemination.record import Record, Stamp
 from honeywood.gateway.dissemination.subscriber import Subscriber
 
 # as 00fe626 wrote them; since then `who` tells the epoch, controllers contacts and the state of the disk too
@@ -52,12 +52,12 @@
 
 def told(rate=70_000):
     """A publisher with some records."""
-    publisher = Publisher("l.1", lambda key, value: None, rate=rate)
+    publisher = Publisher("l.1", link_bytes_per_s=rate)
     place = {"svc": "s", "ip": "10.0.0.9", "port": 80, "zone": "z", "ver": "v1", "slots": 4, "state": "ready"}
-    publisher.store.put("bourse/10.0.0.1", [5, 1], "core-1")
-    publisher.store.put("machine/i-1", [3, 0], {**place, "cold": 0.0})
-    publisher.store.put("beat/i-1", [4, 0], None)
-    publisher.store.put("config", [7], "x" * 9000)
+    publisher.store.put("bourse/10.0.0.1", Stamp.of(5, 1), "core-1")
+    publisher.store.put("machine/i-1", Stamp.of(3, 0), {**place, "cold": 0.0})
+    publisher.store.put("beat/i-1", Stamp.of(4, 0), None)
+    publisher.store.put("config", Stamp.of(7), "x" * 9000)
     return publisher
 
 
@@ -71,44 +71,59 @@
             return Done({"life": "l.2", "rev": 9, "notes": [], "more": False})
 
     counts = {"life": "0018", "rows": [], "votes": {}, "left": {}, "known": {}}
-    controller = Asker("core-1", "10.0.0.1", controller=True), []
-    proxy = Asker("edge-1", "10.0.0.2", "z", "0018", proxy=True), [Record("count/edge-1/0018", [2], counts)]
+    controller = Requester("core-1", "10.0.0.1", is_controller=True), []
+    proxy = (
+        Requester("edge-1", "10.0.0.2", "z", "0018", is_proxy=True),
+        [Record("count/edge-1/0018", Stamp.of(2), counts)],
+    )
     for who, records in (controller, proxy):
         backoff = Backoff(random.Random(0), 1.0)
-        subscriber = Subscriber(told(), Caller(), lambda who=who: who, backoff, lambda ip, own=records: own)
-        asyncio.run(subscriber.ask("10.0.0.3", 7001, 0.5))
+        publisher = told()
+        most = publisher.max_response_bytes
+        subscriber = Subscriber(
+            publisher.store,
+            ChunkAssembler(),
+            Caller(),
+            lambda who=who: who,
+            backoff,
+            lambda most=most: most,
+            lambda ip, own=records: own,
+        )
+        asyncio.run(subscriber.poll("10.0.0.3", 7001, 0.5))
     assert [without_new(text) for text in sent] == [CONTROLLER_ASKS, PROXY_ASKS]
     for text in sent:
-        assert written(Ask.decode(json.loads(text)).encode()) == text
-    old = Ask.decode(json.loads(PROXY_ASKS))
-    assert without_new(written(old.encode())) == PROXY_ASKS and old.who.epoch == 0
-    chunks = ChunkCollector()
-    chunks.take(Chunk("config", [8], "ab", 9, 0, "xyz"))
-    have = Ask(old.who, have=chunks.have()).encode()["have"]
-    again = Ask.decode({**json.loads(PROXY_ASKS), "have": have}).encode()
+        assert written(PollRequest.decode(json.loads(text)).encode()) == text
+    old = PollRequest.decode(json.loads(PROXY_ASKS))
+    assert without_new(written(old.encode())) == PROXY_ASKS and old.requester.epoch == 0
+    chunks = ChunkAssembler()
+    chunks.add(Chunk("config", Stamp.of(8), "ab", 9, 0, "xyz"))
+    have = PollRequest(old.requester, progress=chunks.progress()).encode()["have"]
+    again = PollRequest.decode({**json.loads(PROXY_ASKS), "have": have}).encode()
     assert written(have) == COLLECTED and again["have"] == have
 
 
 @test("answers are the bytes of before, and so are those that are read and written again")
 def _():
     async def play():
-        publisher, proxy, controller = told(), Asker(proxy=True), Asker(controller=True)
-        answer = await publisher.serve(Ask(proxy))
+        publisher, proxy, controller = told(), Requester(is_proxy=True), Requester(is_controller=True)
+        answer = await publisher.serve(PollRequest(proxy))
         short = replace(answer, chunk=replace(answer.chunk, text=answer.chunk.text[:3]))
         assert written(short.encode()) == A_CHUNK
-        answer = await publisher.serve(Ask(proxy, held={"config": [7]}))
-        beside = {"in_quorum": True, "fleet": (2, ["10.0.0.2"]), "counted": 2}
+        answer = await publisher.serve(PollRequest(proxy, known_stamps={"config": Stamp.of(7)}))
+        beside = {"in_quorum": True, "fleet": FleetView(2, ["10.0.0.2"]), "counts_number": 2}
         assert written(replace(answer, **beside).encode()) == TO_PROXY
-        answer = await publisher.serve(Ask(controller, held={"config": [7]}))
+        answer = await publisher.serve(PollRequest(controller, known_stamps={"config": Stamp.of(7)}))
         assert written(replace(answer, in_quorum=False).encode()) == TO_CONTROLLER
         publisher.pacer.free_at = asyncio.get_running_loop().time() + 100.0
-        answer = await publisher.serve(Ask(proxy))
-        assert written(replace(answer, later_s=1.5).encode()) == SENT_AWAY and answer.later_s > 90.0
+        answer = await publisher.serve(PollRequest(proxy))
+        assert (
+            written(replace(answer, retry_after_s=1.5).encode()) == SENT_AWAY and answer.retry_after_s > 90.0
+        )
 
     asyncio.run(play())
     for text in (A_CHUNK, TO_PROXY, TO_CONTROLLER, SENT_AWAY):
-        answer = Answer.decode(json.loads(text))
-        assert written(answer.encode()) == text and answer.whole == (text in (TO_PROXY, TO_CONTROLLER))
+        answer = PollResponse.decode(json.loads(text))
+        assert written(answer.encode()) == text and answer.is_complete == (text in (TO_PROXY, TO_CONTROLLER))
 
 
 ASK_FAULTS = {
@@ -151,19 +166,20 @@
 
 @test("an ask with a fault in {field} is refused, and the error names field and peer")
 def _(field=each(*ASK_FAULTS)):
-    failed = faulty(Ask, PROXY_ASKS, ASK_FAULTS[field])
+    failed = faulty(PollRequest, PROXY_ASKS, ASK_FAULTS[field])
     assert field.split(": ")[-1] in str(failed) and failed.peer == "10.0.0.3" and "/news" in failed.step
 
 
 @test("an answer with a fault in {field} is a failed ask, and the error names field and peer")
 def _(field=each(*ANSWER_FAULTS)):
-    failed = faulty(Answer, TO_PROXY, ANSWER_FAULTS[field])
+    failed = faulty(PollResponse, TO_PROXY, ANSWER_FAULTS[field])
     assert field.split(": ")[-1] in str(failed) and failed.peer == "10.0.0.3" and "/news" in failed.step
 
     class Caller:
         async def call(self, ip, port, path, body, within, again=False):
             return Done({**json.loads(TO_PROXY), **ANSWER_FAULTS[field]})
 
-    subscriber = Subscriber(told(), Caller(), Asker, Backoff(random.Random(0), 1.0))
-    reply = asyncio.run(subscriber.ask("10.0.0.3", 7001, 0.5))
-    assert not reply.ok and subscriber.known == {} and "10.0.0.3" in subscriber.backoff.delays
+    backoff, store = Backoff(random.Random(0), 1.0), told().store
+    subscriber = Subscriber(store, ChunkAssembler(), Caller(), Requester, backoff, lambda: 8400)
+    reply = asyncio.run(subscriber.poll("10.0.0.3", 7001, 0.5))
+    assert not reply.ok and subscriber.positions == {} and "10.0.0.3" in subscriber.backoff.delays
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -7,7 +7,8 @@
 
 from honeywood.gateway.configuration import versions as held
 from honeywood.gateway.configuration.config import unpack
-from honeywood.gateway.dissemination.messages import Answer
+from honeywood.gateway.dissemination.keys import RecordKind
+from honeywood.gateway.dissemination.messages import PollResponse
 from honeywood.gateway.configuration.outcome import Done
 from honeywood.gateway.controller.orders import Orders
 from honeywood.gateway.rollout import record as rollouts
@@ -386,7 +387,7 @@
             world.run(5.0)
         if what != "too few others to ask":
             world.join()
-        known = {value["ver"] for _, value in world.nodes["a"].store.under("machine/")}
+        known = {value["ver"] for _, value in world.nodes["a"].store.items_of(RecordKind.MACHINE)}
         assert known == (set() if what == "no machines" else {"v1"})
         world.say("a", "order v1 14")
         world.run(world.loop.time() + 1.0)
@@ -477,9 +478,9 @@
 
         async def old(ip, port, hold):
             world.loop.now += 20.0  # all stand still while the answer lies there
-            return Done(Answer("", 0, in_quorum=True))
+            return Done(PollResponse("", 0, in_quorum=True))
 
-        controller.peers.subscriber.ask = front.poller.ask = old
+        controller.peers.subscriber.poll = front.poller.poll = old
         world.loop.run_until_complete(controller.peers.poll("b"))
         assert not controller.in_quorum
         now = world.loop.now
--- a/tests/gateway/test_pinned_dissemination.py
+++ b/tests/gateway/test_pinned_dissemination.py
@@ -15,12 +15,14 @@
 from honeywood.gateway.configuration.outcome import Done, Failed, Wrong
 from honeywood.gateway.dissemination import epochs, tombstones, rendezvous
 from honeywood.gateway.dissemination.backoff import Backoff
-from honeywood.gateway.dissemination.chunk import Chunk, ChunkCollector
+from honeywood.gateway.dissemination.change_feed import ChangeFeed
+from honeywood.gateway.dissemination.chunks import Chunk, ChunkAssembler
+from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.dissemination.link_pacer import LinkPacer, response_limit
 from honeywood.gateway.dissemination.local_records import LocalRecords
-from honeywood.gateway.dissemination.messages import Answer, Ask, Asker
+from honeywood.gateway.dissemination.messages import FleetView, PollRequest, PollResponse, Requester
 from honeywood.gateway.dissemination.publisher import Publisher
-from honeywood.gateway.dissemination.record import PATH, Record
+from honeywood.gateway.dissemination.record import PATH, Record, Stamp
 from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.dissemination.subscriber import Subscriber
 from honeywood.lab.emulator.world import Loop
@@ -37,18 +39,18 @@
 # Accessors: the only part that follows renames.
 def request_again(table):
     """A request that was read and is written again."""
-    return written(Ask.decode(table, PEER).encode())
+    return written(PollRequest.decode(table, PEER).encode())
 
 
 def response_again(table):
     """A response that was read and is written again, and whether it told all."""
-    response = Answer.decode(table, PEER)
-    return [written(response.encode()), response.whole]
+    response = PollResponse.decode(table, PEER)
+    return [written(response.encode()), response.is_complete]
 
 
 def refusal_of(kind, table):
     """(operation, reason, peer) of the error that a message which can't be used raises."""
-    decode = {"requests": Ask.decode, "responses": Answer.decode}[kind]
+    decode = {"requests": PollRequest.decode, "responses": PollResponse.decode}[kind]
     try:
         decode(table, PEER)
     except Wrong as wrong:
@@ -61,46 +63,50 @@
 
 
 def put(store, key, stamp, value):
-    return store.put(key, stamp, value)
+    return store.put(key, Stamp(stamp), value)
 
 
 def merge(store, records):
     """Takes records as they stand in a message; how many were new."""
-    return store.hear([Record.decode(record, "notes", PEER) for record in records])
+    return store.merge([Record.decode(record, "notes", PEER) for record in records])
 
 
 def contents(store):
     """All that a store holds and what it says of itself."""
     return {
-        "records": [[key, held.stamp, held.value, held.at] for key, held in store.records.items()],
-        "revision": store.rev,
-        "digest": f"{store.digest:x}",
+        "records": [[key, held.stamp, held.value, held.revision] for key, held in store.records.items()],
+        "revision": store.revision,
+        "digest": store.digest,
         "epoch": store.epoch,
-        "departed": store.departed,
-        "large": store.held(),
-        "doubtful": store.doubted("machine/"),
+        "departed": store.tombstone_count,
+        "large": store.large_record_stamps(),
+        "doubtful": store.stale_keys(RecordKind.MACHINE),
     }
 
 
 def records_since(store, incarnation, revision, private, held):
-    return [record.encode() for record in store.since(incarnation, revision, private, held)]
+    known = {key: Stamp(stamp) for key, stamp in (held or {}).items()}
+    changes = ChangeFeed(store).since(incarnation, revision, private, known)
+    return [record.encode() for record in changes]
 
 
 STORE_STEPS = {
     "put": put,
     "merge": merge,
     "prune": lambda store: store.prune(),
-    "learn": lambda store, epoch: store.learn(epoch),
-    "forget": lambda store, name, for_good: store.forget(name, for_good),
+    "learn": lambda store, epoch: store.observe_epoch(epoch),
+    "forget": lambda store, name, for_good: store.drop_machine(name, for_good),
     "drop": lambda store, key: store.drop(key),
-    "doubt": lambda store, prefix: store.doubt(prefix),
+    "doubt": lambda store, prefix: store.mark_stale(RecordKind(prefix.removesuffix("/"))),
     "since": records_since,
-    "size": lambda store, key: store.size(key),
+    "size": lambda store, key: ChangeFeed(store).encoded_size(key),
 }
 
 
 def new_publisher(incarnation, rate):
-    return Publisher(incarnation, lambda key, value: None, rate=rate)
+    publisher = Publisher(incarnation, link_bytes_per_s=rate)
+    publisher.assembler = ChunkAssembler()
+    return publisher
 
 
 def store_of(publisher):
@@ -108,30 +114,36 @@
 
 
 def collected(publisher):
-    return {key: progress.encode() for key, progress in publisher.chunks.have().items()}
+    return {key: progress.encode() for key, progress in publisher.assembler.progress().items()}
 
 
 async def serve(publisher, table):
     """The response to a request, as it is sent."""
-    return (await publisher.serve(Ask.decode(table, PEER))).encode()
+    return (await publisher.serve(PollRequest.decode(table, PEER))).encode()
 
 
 def told_bytes(publisher):
-    return dict(publisher.told)
+    return dict(publisher.sent_bytes)
 
 
 def asker(kind, stamps, disk):
     """Who asks, as each of the two programs says it."""
     if kind == "controller":
-        return Asker("core-1", "10.0.0.1", controller=True, stamps=stamps, disk=disk)
-    return Asker("edge-1", "10.0.0.2", "z", "0018", proxy=True)
+        return Requester("core-1", "10.0.0.1", is_controller=True, echo_stamps=stamps, disk=disk)
+    return Requester("edge-1", "10.0.0.2", "z", "0018", is_proxy=True)
 
 
 def beside(answer_table, in_quorum, fleet, counted, stamp, disk):
     """A response with what a controller says beside it."""
-    fleet = None if fleet is None else (fleet[0], fleet[1])
-    more = {"in_quorum": in_quorum, "fleet": fleet, "counted": counted, "stamp": stamp, "disk": disk}
-    return written(replace(Answer.decode(answer_table, PEER), **more).encode())
+    fleet = None if fleet is None else FleetView(*fleet)
+    more = {
+        "in_quorum": in_quorum,
+        "fleet": fleet,
+        "counts_number": counted,
+        "echo_stamp": stamp,
+        "disk": disk,
+    }
+    return written(replace(PollResponse.decode(answer_table, PEER), **more).encode())
 
 
 class RecordedCaller:
@@ -147,27 +159,34 @@
 
 
 def new_subscriber(publisher, caller, who, records, most):
-    given = [Record(*record) for record in records]
+    given = [Record(key, Stamp(stamp), value) for key, stamp, value in records]
+    bound = publisher.max_response_bytes
     return Subscriber(
-        publisher, caller, lambda: who, Backoff(random.Random(7), 1.0), lambda ip: given, lambda: most
+        publisher.store,
+        publisher.assembler,
+        caller,
+        lambda: who,
+        Backoff(random.Random(7), 1.0),
+        lambda: min(bound, most or bound),
+        lambda ip: given,
     )
 
 
 async def ask(subscriber, ip, port, hold_s):
     """Whether the peer gave an answer that can be used."""
-    return (await subscriber.ask(ip, port, hold_s)).ok
+    return (await subscriber.poll(ip, port, hold_s)).ok
 
 
 def known_by(subscriber):
-    return [[*place, *known] for place, known in subscriber.known.items()]
+    return [[*peer, known.incarnation, known.revision] for peer, known in subscriber.positions.items()]
 
 
 def collect(chunks):
     """What a collector makes of chunks as they stand in answers: [record or None, what it has] each."""
-    collector, found = ChunkCollector(), []
+    collector, found = ChunkAssembler(), []
     for chunk in chunks:
-        record = collector.take(Chunk.decode(chunk, PEER))
-        have = {key: progress.encode() for key, progress in collector.have().items()}
+        record = collector.add(Chunk.decode(chunk, PEER))
+        have = {key: progress.encode() for key, progress in collector.progress().items()}
         found.append([record and record.encode(), have])
     return found
 
@@ -181,7 +200,7 @@
         if name == "tell":
             own[0].publish(*given)
         elif name == "refresh":
-            store.learn(*given)
+            store.observe_epoch(*given)
             own[0].refresh()
         else:
             put(store, *given)
--- a/tests/gateway/test_rollouts.py
+++ b/tests/gateway/test_rollouts.py
@@ -7,6 +7,7 @@
 from ward import each, test
 
 from honeywood.gateway.configuration.config import Route
+from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.rollout import record, report
 from honeywood.gateway.rollout.stage import Stage
 from honeywood.gateway.rollout.report import Ballot, Tally
@@ -587,7 +588,7 @@
         for front, n in (("before", 1), ("after", 3)):
             tally = Tally("s", front, "v2", 9, 9, ())
             told = report.encode(report.Report((tally,), {"s": Ballot(n, 0, None, 1.0)}))
-            controller.store.put(f"count/{front}/1", [1], told)
+            controller.store.put(f"count/{front}/1", Stamp.of(1), told)
         assert [tally.route for tally in controller.rollouts.counted(held)[0]] == ["after"]
     finally:
         world.close()
