--- a/tests/gateway/test_dissemination_mutations.py
+++ b/tests/gateway/dissemination/test_mutations.py
@@ -24,8 +24,21 @@
 from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.proxy.count_records import CountRecords
 
-LINKS = scenarios("test_dissemination_links")
-EPOCHS = scenarios("test_epochs")
+FILES = (
+    "change_feed",
+    "chunks",
+    "epochs",
+    "local_records",
+    "poll_waiters",
+    "programs",
+    "publisher",
+    "subscriber",
+)
+SCENARIOS = {
+    description: scenario
+    for file in FILES
+    for description, scenario in scenarios(f"dissemination/test_{file}").items()
+}
 FOREVER = 1e9  # seconds
 
 
@@ -95,38 +108,34 @@
 
 @dataclass(frozen=True)
 class Mutation:
-    """`name` of `place` replaced by `by`; the scenario of `file` that begins so must fail."""
+    """`name` of `place` replaced by `by`; the scenario that begins so must fail."""
 
     what: str
     place: Any
     name: str
     by: Any
-    file: dict
     scenario: str
 
     def killed(self):
         """Whether the scenario fails without the guard."""
-        (scenario,) = [one for text, one in self.file.items() if text.startswith(self.scenario)]
+        (scenario,) = [one for text, one in SCENARIOS.items() if text.startswith(self.scenario)]
         with mock.patch.object(self.place, self.name, self.by):
             return fails(scenario)
 
 
 MUTATIONS = (
-    Mutation("answers have no bound", ChangeFeed, "batch", everything, LINKS, "answers stay within"),
-    Mutation("any chunks", ChunkAssembler, "add", any_chunks, LINKS, "pieces of another text"),
-    Mutation(
-        "no earlier values", large_records, "VERSIONS_KEPT", 1, LINKS, "a version that is being collected"
-    ),
-    Mutation("no turns on a link", LinkPacer, "backlog_s", lambda *given: 0.0, LINKS, "many fronts that ask"),
-    Mutation("no digest", StoreDigest, "toggle", unlike, LINKS, "a front that has heard all from others"),
-    Mutation("a part is all", PollResponse, "is_complete", True, LINKS, "what a front was told"),
-    Mutation("a part is silence", PollResponse, "is_complete", True, LINKS, "parts of what others know"),
+    Mutation("answers have no bound", ChangeFeed, "batch", everything, "answers stay within"),
+    Mutation("any chunks", ChunkAssembler, "add", any_chunks, "pieces of another text"),
+    Mutation("no earlier values", large_records, "VERSIONS_KEPT", 1, "a version that is being collected"),
+    Mutation("no turns on a link", LinkPacer, "backlog_s", lambda *given: 0.0, "many fronts that ask"),
+    Mutation("no digest", StoreDigest, "toggle", unlike, "a front that has heard all from others"),
+    Mutation("a part is all", PollResponse, "is_complete", True, "what a front was told"),
+    Mutation("a part is silence", PollResponse, "is_complete", True, "parts of what others know"),
     Mutation(
         "one queue",
         Publisher,
         "_link_wait_s",
         lambda wait_s, is_controller: wait_s,
-        LINKS,
         "a controller is told its part",
     ),
     Mutation(
@@ -134,31 +143,24 @@
         keys,
         "CONTROLLER_ONLY_PREFIXES",
         (),
-        LINKS,
         "what a front is told doesn't grow",
     ),
-    Mutation("counts always told", CountRecords, "records_for", counts_always, LINKS, "all controllers"),
-    Mutation("no backoff", Backoff, "remaining_s", lambda *given: 0.0, LINKS, "whoever gets no answers"),
-    Mutation(
-        "own records of before", LocalRecords, "on_update", unlike, LINKS, "a program that hears its own"
-    ),
-    Mutation("dead controllers", contact, "VOUCHES_S", FOREVER, LINKS, "a controller that is heard"),
-    Mutation("no order of waking", PollWaiters, "__init__", unordered, LINKS, "who waits is woken"),
-    Mutation("all records wake all", Publisher, "_record_changed", told_to_all, LINKS, "who waits is woken"),
-    Mutation(
-        "no last look", Publisher, "_wait_for_changes", looked_up_before, LINKS, "a note that wakes nobody"
-    ),
-    Mutation("nothing lapses", epochs, "is_expired", lambda *given: False, EPOCHS, "two days with hundreds"),
-    Mutation("counts lapse", retention, "_counts_for", lambda *given: False, EPOCHS, "counts of a proxy"),
-    Mutation("lapsed ones come back", Store, "_must_expire", lambda *given: False, EPOCHS, "what has lapsed"),
-    Mutation("incarnations alone", Store, "_is_superseded", lambda *given: False, EPOCHS, "what has lapsed"),
-    Mutation("no quorum", epochs.EpochClock, "advance", without_quorum, EPOCHS, "the epoch needs a quorum"),
-    Mutation(
-        "asks without epoch", Requester, "encode", no_epoch, EPOCHS, "programs: controllers that all begin"
-    ),
-    Mutation("no disk", MachineRecords, "change", machines_alone, EPOCHS, "a machine that left stays"),
-    Mutation("names not told", ChangeFeed, "since", without_names, EPOCHS, "a machine that left stays"),
-    Mutation("copies stay", Machines, "hear_departed", heard_alone, EPOCHS, "a copy taken before"),
+    Mutation("counts always told", CountRecords, "records_for", counts_always, "all controllers"),
+    Mutation("no backoff", Backoff, "remaining_s", lambda *given: 0.0, "whoever gets no answers"),
+    Mutation("own records of before", LocalRecords, "on_update", unlike, "a program that hears its own"),
+    Mutation("dead controllers", contact, "VOUCHES_S", FOREVER, "a controller that is heard"),
+    Mutation("no order of waking", PollWaiters, "__init__", unordered, "who waits is woken"),
+    Mutation("all records wake all", Publisher, "_record_changed", told_to_all, "who waits is woken"),
+    Mutation("no last look", Publisher, "_wait_for_changes", looked_up_before, "a note that wakes nobody"),
+    Mutation("nothing lapses", epochs, "is_expired", lambda *given: False, "two days with hundreds"),
+    Mutation("counts lapse", retention, "_counts_for", lambda *given: False, "counts of a proxy"),
+    Mutation("lapsed ones come back", Store, "_must_expire", lambda *given: False, "what has lapsed"),
+    Mutation("incarnations alone", Store, "_is_superseded", lambda *given: False, "what has lapsed"),
+    Mutation("no quorum", epochs.EpochClock, "advance", without_quorum, "the epoch needs a quorum"),
+    Mutation("asks without epoch", Requester, "encode", no_epoch, "programs: controllers that all begin"),
+    Mutation("no disk", MachineRecords, "change", machines_alone, "a machine that left stays"),
+    Mutation("names not told", ChangeFeed, "since", without_names, "a machine that left stays"),
+    Mutation("copies stay", Machines, "hear_departed", heard_alone, "a copy taken before"),
 )
 
 
--- /dev/null
+++ b/tests/gateway/dissemination/test_retired_machines.py
@@ -0,0 +1,147 @@
+"""Machines that are gone or lost: their records are bounded, and late copies of them change nothing."""
+
+from timeline import World
+from ward import test
+
+from honeywood.gateway.controller.machines import DEPARTED_ROW, Machines
+from honeywood.gateway.dissemination import tombstones
+from honeywood.gateway.dissemination.record import Record, Stamp
+from honeywood.gateway.dissemination.retired_machines import MAX_RETIRED, RETENTION_S, RetiredMachines
+from honeywood.gateway.dissemination.store import Store
+
+BEAT = {"svc": "s", "ip": "m", "port": 1, "zone": "z", "ver": "v1", "slots": 4, "state": "ready", "cold": 0.0}
+
+
+def begun(fronts="f"):
+    world = World(fronts=fronts)
+    for name in "abc" + fronts:
+        world.start(name)
+    world.run(1.0)
+    return world
+
+
+def told(world, name, id):
+    store = world.nodes[name].publisher.store
+    return [kind for kind in ("machine/", "beat/") if kind + id in store.records]
+
+
+def leave(world, name, id):
+    world.loop.create_task(world.ask(name, "instances.leave", id))
+
+
+@test("a machine that left is forgotten in time, and late beats and news of it change nothing")
+def _():
+    # Both kinds of notes stood on every store for ever.
+    world = begun()
+    try:
+        world.say("a", "beat m ready")
+        world.run(1.5)
+        held = world.nodes["b"].publisher.store.records["machine/m"]
+        late = [Record("machine/m", held.stamp, held.value), Record("beat/m", Stamp.of(9, 0), None)]
+        assert told(world, "b", "m") == ["machine/", "beat/"] and told(world, "f", "m") == ["machine/"]
+        leave(world, "a", "m")
+        world.run(3.0)
+        assert all(told(world, name, "m") == ["machine/"] for name in "abcf")
+        world.say("b", "beat m ready")  # within the time: its note says that it has left
+        world.run(4.0)
+        assert all(world.state(name, "m") == "gone" for name in "abcf")
+        world.run(RETENTION_S + 5.0)
+        assert not any(told(world, name, "m") for name in "abcf")
+        world.say("b", "beat m ready")  # and after it
+        world.nodes["c"].publisher.store.merge(late)
+        world.run(RETENTION_S + 7.0)
+        assert not any(told(world, name, "m") for name in "abcf")
+        assert "m" not in world.nodes["b"].machines.heard
+        rows = world.nodes["a"].register.rows
+        kept = [key for key in rows if key.startswith("note/")]
+        assert kept == ["note/" + DEPARTED_ROW + tombstones.bucket_key("m")], "its name alone stays on disk"
+    finally:
+        world.close()
+
+
+@test("a machine that fell silent is forgotten too, and its next beat makes it known anew")
+def _():
+    world = begun()
+    try:
+        world.say("a", "beat m ready")
+        world.run(8.0)
+        assert all(world.state(name, "m") == "silent" for name in "abcf")
+        world.run(RETENTION_S + 12.0)
+        assert not any(told(world, name, "m") for name in "abcf")
+        world.say("b", "beat m ready")
+        world.run(RETENTION_S + 13.0)
+        assert all(world.state(name, "m") == "ready" for name in "abcf")
+    finally:
+        world.close()
+
+
+@test("leaving at a controller that hasn't heard of the machine is told to all")
+def _():
+    # It was acknowledged, and nobody was told: fronts went on sending there.
+    world = begun()
+    try:
+        world.cut("a", "bc")
+        world.nodes["b"].publisher.store.put("machine/m", Stamp.of(1, 0), BEAT)
+        world.run(1.5)
+        world.join()
+        leave(world, "a", "m")
+        world.run(4.0)
+        assert all(world.state(name, "m") == "gone" for name in "abcf")
+    finally:
+        world.close()
+
+
+@test("a front that was cut off for so long that a leaving was told and forgotten doubts what it knows")
+def _():
+    # Nobody tells of a note that was dropped: it would have kept the machine for ever.
+    world = begun()
+    try:
+        world.say("a", "beat m ready")
+        world.say("a", "beat n ready")
+        world.run(1.5)
+        world.cut("f", "abc")
+        leave(world, "a", "m")
+        for second in range(2, int(RETENTION_S) + 30):
+            world.run(float(second))
+            world.say("a", "beat n ready")
+        assert world.state("f", "m") == "ready" and not told(world, "a", "m")
+        world.join()
+        for second in range(int(RETENTION_S) + 30, int(RETENTION_S) + 45):
+            world.run(float(second))
+            world.say("a", "beat n ready")
+        assert world.state("f", "m") == "silent" and world.state("f", "n") == "ready"
+        assert set(world.nodes["f"].endpoints.by_id) == {"n"}
+    finally:
+        world.close()
+
+
+@test("after ten thousand lives of machines a store holds as much as after two thousand")
+def _():
+    store = Store("x", lambda key, value: key.startswith("machine/") and machines.hear(now, key[8:], value))
+    machines, rows, now = Machines(store, 1.5), {}, 0.0
+    machines.changed = lambda id, note: rows.pop(id, None) if note is None else rows.__setitem__(id, note)
+    for life in range(10_000):
+        now += 0.01
+        machines.beat(now, f"i-{life}", Stamp.of(1, 0), BEAT)
+        machines.leave(f"i-{life}") if life % 2 else None
+        if life % 100 == 0:
+            machines.look(now)
+    machines.look(now)
+    names = tombstones.BUCKET_COUNT * tombstones.BUCKET_CAPACITY
+    assert len(store.records) < 2 * (MAX_RETIRED + 600) + tombstones.BUCKET_COUNT
+    assert len(rows) < MAX_RETIRED + 600 and len(machines.heard) < 600
+    assert 1000 < store.tombstone_count <= names
+    for life in range(20_000):
+        store.drop_machine(f"j-{life}", True)
+    assert store.tombstone_count <= names and not store.put("machine/j-19999", Stamp.of(1, 0), BEAT)
+    assert store.put("rollout/j-19999", Stamp.of(1), {})  # a service of that name is none of it
+
+
+@test("what comes back is no longer over")
+def _():
+    store = Store("x")
+    past = RetiredMachines(store)
+    for state in ("silent", "ready"):
+        past.observe(0.0, "m", state)
+    store.put("machine/m", Stamp.of(1, 0), BEAT)
+    assert past.evict(RETENTION_S + 1.0) == [] and store.get("machine/m")
