--- a/tests/gateway/dissemination/test_mutations.py
+++ b/tests/gateway/dissemination/test_mutations.py
@@ -135,7 +135,7 @@
         "one queue",
         Publisher,
         "_link_wait_s",
-        lambda wait_s, is_controller: wait_s,
+        lambda self, wait_s, is_controller: wait_s,
         "a controller is told its part",
     ),
     Mutation(
