--- a/honeywood/gateway/dissemination/backoff.py
+++ b/honeywood/gateway/dissemination/backoff.py
@@ -1,5 +1,7 @@
-"""Exponential backoff with jitter for peers that don't answer. Pure: times and randomness come from the
-caller."""
+"""Exponential backoff with jitter for peers that don't answer.
+
+Pure: times and randomness come from the caller.
+"""
 
 from __future__ import annotations
 
@@ -36,8 +38,10 @@
         self.delays: dict[str, PeerDelay] = {}
 
     def record_success(self, peer: str, resume_at: float = 0.0) -> None:
-        """A peer has answered: its next failure begins with the initial delay. It isn't polled before
-        `resume_at`."""
+        """A peer has answered: its next failure begins with the initial delay.
+
+        It isn't polled before `resume_at`.
+        """
         self.delays[peer] = PeerDelay(resume_at)
 
     def record_failure(self, peer: str, now: float) -> None:
@@ -56,8 +60,8 @@
 
     def available(self, peers: Sequence[str], now: float) -> list[str]:
         """The peers that may be polled, in their order; if none may, the one whose delay ends first."""
-        found = [peer for peer in peers if not self.remaining_s(peer, now)]
-        return found or sorted(peers, key=lambda peer: self.remaining_s(peer, now))[:1]
+        ready = [peer for peer in peers if not self.remaining_s(peer, now)]
+        return ready or sorted(peers, key=lambda peer: self.remaining_s(peer, now))[:1]
 
     def _delay(self, peer: str) -> PeerDelay:
         return self.delays.get(peer, PeerDelay())
--- a/honeywood/gateway/dissemination/change_feed.py
+++ b/honeywood/gateway/dissemination/change_feed.py
@@ -26,8 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """The next records of a response, and a chunk of one that is too long for it. With them a receiver has
-    all changes up to `revision`."""
+    """The next records of a response, and a chunk of one that is too long for it.
+
+    With them a receiver has all changes up to `revision`.
+    """
 
     records: list[Record]
     chunk: Chunk | None
@@ -53,14 +55,17 @@
         incarnation: str,
         revision: int,
         include_controller_only: bool,
-        known: Mapping[str, Stamp] | None = None,
+        known_stamps: Mapping[str, Stamp] | None = None,
     ) -> list[Record]:
-        """The records that changed after `revision` of the store's incarnation, in their order; all of them
-        where the receiver knows another incarnation. `known` are stamps that it has from other stores."""
+        """The records that changed after `revision` of the store's incarnation, in their order.
+
+        These are all records where the receiver knows another incarnation. `known_stamps` are those of the
+        records that it has from other stores.
+        """
         start = revision if incarnation == self.store.incarnation else 0
         if start >= self.store.revision:
             return []
-        stamps = known or {}
+        stamps = known_stamps or {}
         changed = [
             (stored.revision, key)
             for key, stored in self.store.records.items()
@@ -73,18 +78,20 @@
     def batch(
         self, changes: Sequence[Record], max_bytes: int, progress: Mapping[str, ChunkProgress] | None = None
     ) -> Batch:
-        """As much of `changes`, which `since` has found, as fits in `max_bytes`. `progress` is what the
-        receiver has of large records."""
+        """As much of `changes`, which `since` has found, as fits in `max_bytes`.
+
+        `progress` is what the receiver has of large records.
+        """
         records: list[Record] = []
-        room = max_bytes
+        remaining_bytes = max_bytes
         for record in changes:
             key, size = record.key, self.encoded_size(record.key)
             revision = self.store.records[key].revision
-            if size <= room:
+            if size <= remaining_bytes:
                 records.append(record)
-                room -= size
-            elif self._is_worth_a_chunk(key, size, room, max_bytes):
-                chunk = self.store.large_records.next_chunk(key, room, (progress or {}).get(key))
+                remaining_bytes -= size
+            elif self._fits_a_chunk(key, size, remaining_bytes, max_bytes):
+                chunk = self.store.large_records.next_chunk(key, remaining_bytes, (progress or {}).get(key))
                 return Batch(records, chunk, revision - 1)
             elif records or size <= max_bytes:
                 return Batch(records, None, revision - 1)
@@ -92,10 +99,10 @@
                 return Batch([record], None, revision)
         return Batch(records, None, self.store.revision)
 
-    def _is_worth_a_chunk(self, key: str, size: int, room: int, max_bytes: int) -> bool:
+    def _fits_a_chunk(self, key: str, size: int, remaining_bytes: int, max_bytes: int) -> bool:
         if size <= max_bytes or key not in self.store.large_records:
             return False
-        return room >= min(MIN_CHUNK_BYTES, max_bytes)
+        return remaining_bytes >= min(MIN_CHUNK_BYTES, max_bytes)
 
     def _record(self, key: str) -> Record:
         stored = self.store.records[key]
--- a/honeywood/gateway/dissemination/epochs.py
+++ b/honeywood/gateway/dissemination/epochs.py
@@ -1,9 +1,9 @@
 """The epoch: a number that all programs agree on, by which records whose owners have ended expire. Pure.
 
 A record's owner publishes it again in each epoch, and the last number of its stamp says in which. A record
-that wasn't published for EXPIRY_EPOCHS has no owner any more: every store that knows the epoch drops it, and
-takes no copy of it from another store. The epoch only rises; a controller in quorum advances it after EPOCH_S
-by its own steady clock, so no time of day is involved.
+that wasn't published for EXPIRY_EPOCHS has no owner any more: every store that knows the epoch drops it,
+and takes no copy of it from another store. The epoch only rises; a controller in quorum advances it after
+EPOCH_S by its own steady clock, so no time of day is involved.
 """
 
 from __future__ import annotations
@@ -49,8 +49,10 @@
         self.began_at = 0.0
 
     def advance(self, now: float, epoch: int, in_quorum: bool) -> int:
-        """The epoch at `now`, where `epoch` is the highest that is known: the next one if this one has lasted
-        long enough. A controller out of quorum begins none."""
+        """The epoch at `now`, where `epoch` is the highest that is known.
+
+        It is the next one if this one has lasted long enough. A controller out of quorum begins none.
+        """
         if epoch != self.epoch:
             self.epoch, self.began_at = epoch, now
         elif in_quorum and now - self.began_at >= EPOCH_S:
--- a/honeywood/gateway/dissemination/large_records.py
+++ b/honeywood/gateway/dissemination/large_records.py
@@ -50,8 +50,11 @@
         self.versions[key] = versions[-VERSIONS_KEPT:]
 
     def next_chunk(self, key: str, max_characters: int, progress: ChunkProgress | None) -> Chunk:
-        """The chunk that continues `progress`; the first one of the newest version where there is none, or
-        where its version is no longer kept."""
+        """The chunk that continues `progress`.
+
+        It is the first one of the newest version where there is no progress, or where its version is no
+        longer kept.
+        """
         version, offset = self.versions[key][-1], 0
         for kept in self.versions[key]:
             if progress and (kept.stamp, kept.digest) == (progress.stamp, progress.digest):
--- a/honeywood/gateway/dissemination/local_records.py
+++ b/honeywood/gateway/dissemination/local_records.py
@@ -1,8 +1,8 @@
 """Records that a program publishes about itself.
 
-Its clock may have been set back since its previous incarnation, whose records other programs still have with
-higher stamps. A program that receives such a record publishes its own above it, as OSPF routers do with
-self-originated advertisements (RFC 2328, section 13.4).
+Its clock may have been set back since its previous incarnation, whose records other programs still have
+with higher stamps. A program that receives such a record publishes its own above it, as OSPF routers do
+with self-originated advertisements (RFC 2328, section 13.4).
 """
 
 from __future__ import annotations
@@ -18,11 +18,14 @@
 
 
 class LocalRecords:
-    """This program's records on its store, with stamps of (incarnation, a number that rises, epoch)."""
+    """A program's own records on its store, with stamps of (incarnation, a number that rises, epoch)."""
 
     def __init__(self, store: Store, incarnation: int, is_local: Callable[[str], bool]) -> None:
-        """Nothing is published. `incarnation` rises from start to start unless the clock was set back;
-        `is_local` recognizes the keys of this program's records."""
+        """Nothing is published.
+
+        `incarnation` rises from start to start unless the clock was set back; `is_local` recognizes the
+        keys of this program's records.
+        """
         self.store = store
         self.incarnation = incarnation
         self.is_local = is_local
@@ -52,8 +55,11 @@
             self.publish(key, value)
 
     def on_update(self, key: str) -> None:
-        """A record has come to the store. If it is one of a previous incarnation, this incarnation publishes
-        its own value above it, or withdraws the record with the value None."""
+        """A record has come to the store.
+
+        If it is one of a previous incarnation, this incarnation publishes its own value above it, or
+        withdraws the record with the value None.
+        """
         if self._is_publishing or not self.is_local(key):
             return
         previous = self.store.stamp(key)
--- a/honeywood/gateway/dissemination/messages.py
+++ b/honeywood/gateway/dissemination/messages.py
@@ -79,10 +79,10 @@
 class PollRequest:
     """A program polls another one for what has changed.
 
-    It has all changes up to `revision` of the store of this `incarnation`, or of any store with its `digest`.
-    The response may be held for `hold_s` until there is a change, and has at most `max_bytes`. `known_stamps`
-    are those of large records that it has from other peers, `progress` what it has of their chunks; `records`
-    are its own, for the peer to merge.
+    It has all changes up to `revision` of the store of this `incarnation`, or of any store with its
+    `digest`. The response may be held for `hold_s` until there is a change, and has at most `max_bytes`.
+    `known_stamps` are those of large records that it has from other peers, `progress` what it has of their
+    chunks; `records` are its own, for the peer to merge.
     """
 
     requester: Requester
@@ -129,8 +129,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """What a controller tells a proxy of the fleet: how many proxies there are, and the addresses of the
-    relays that this one polls, the nearest first."""
+    """A controller's view of the fleet, for one proxy.
+
+    It has the number of proxies, and the addresses of the relays that this one polls, the nearest first.
+    """
 
     proxy_count: int
     relays: list[str]
@@ -153,10 +155,11 @@
 class PollResponse:
     """The changes of a store up to `revision`.
 
-    `has_more`: there are further changes; `chunk` is the next part of a long record; `retry_after_s`: nothing
-    is sent because the link is busy, poll again later. Controllers add whether they are `in_quorum`; for
-    proxies the `fleet`, and the number of the newest counts that came from the proxy (`counts_number`); for
-    controllers the state of their `disk`, and an `echo_stamp` to be repeated in the next poll.
+    `has_more`: there are further changes; `chunk` is the next part of a long record; `retry_after_s`:
+    nothing is sent because the link is busy, poll again later. Controllers add whether they are
+    `in_quorum`; for proxies the `fleet`, and the number of the newest counts that came from the proxy
+    (`counts_number`); for controllers the state of their `disk`, and an `echo_stamp` to be repeated in the
+    next poll.
     """
 
     incarnation: str
--- a/honeywood/gateway/dissemination/publisher.py
+++ b/honeywood/gateway/dissemination/publisher.py
@@ -1,8 +1,10 @@
-"""Answers the polls of other programs. A poll is held until the store changes, or for a while: so changes
-pass on at once, and each response is a sign of life.
+"""Answers the polls of other programs.
 
-Every response is short enough for the links that it crosses. What doesn't fit comes with the next poll, which
-continues where this response ended: at the same peer or, for large records, at another.
+A poll is held until the store changes, or for a while: so changes pass on at once, and each response is a
+sign of life.
+
+Every response is short enough for the links that it crosses. What doesn't fit comes with the next poll,
+which continues where this response ended: at the same peer or, for large records, at another.
 """
 
 from __future__ import annotations
@@ -56,9 +58,11 @@
         link_bytes_per_s: float = DEFAULT_LINK_BYTES_PER_S,
         is_retained: Callable[[Store, str, JsonValue], bool] = retain_nothing,
     ) -> None:
-        """An empty store. `on_update(key, value)` is called with each record that it takes,
-        `on_request(requester, revision)` with who polls and up to which revision it has all; `is_retained` is
-        the store's."""
+        """An empty store.
+
+        `on_update(key, value)` is called with each record that it takes, `on_request(requester, revision)`
+        with who polls and up to which revision it has all; `is_retained` is the store's.
+        """
         self.store = Store(incarnation, self._record_changed, is_retained)
         self.feed = ChangeFeed(self.store)
         self.waiters = PollWaiters()
@@ -79,8 +83,10 @@
             self.waiters.wake_controllers_within(delay_s)
 
     async def serve(self, poll: PollRequest, has_left: Callable[[], bool] = never) -> PollResponse:
-        """The response to a poll. `has_left` says whether the requester has gone: it then takes up nothing of
-        the link."""
+        """The response to a poll.
+
+        `has_left` says whether the requester has gone: it then takes up nothing of the link.
+        """
         revision = poll.revision if poll.incarnation == self.store.incarnation else 0
         self.store.observe_epoch(poll.requester.epoch)
         self._on_request(poll.requester, revision)
@@ -121,8 +127,11 @@
         return PollResponse(self.store.incarnation, batch.revision, batch.records, batch.chunk, has_more)
 
     async def _wait_for_link(self, size: int, poll: PollRequest) -> float | None:
-        """Waits until a response may be sent. Returns None then, or at once the seconds after which the
-        requester should poll again, where the wait would be too long."""
+        """Waits until a response may be sent.
+
+        Returns None then, or at once the seconds after which the requester should poll again, where the
+        wait would be too long.
+        """
         if size <= UNPACED_BYTES:
             return None
         now, is_controller = asyncio.get_running_loop().time(), poll.requester.is_controller
--- a/honeywood/gateway/dissemination/record.py
+++ b/honeywood/gateway/dissemination/record.py
@@ -65,8 +65,11 @@
 
 @dataclass(slots=True)
 class StoredRecord:
-    """A record on a store, without its key. `revision` is the store's when it came; `encoded_size` its bytes
-    in a response, once they have been counted."""
+    """A record on a store, without its key.
+
+    `revision` is the store's when it came; `encoded_size` its bytes in a response, once they have been
+    counted.
+    """
 
     stamp: Stamp
     value: JsonValue
--- a/honeywood/gateway/dissemination/rendezvous.py
+++ b/honeywood/gateway/dissemination/rendezvous.py
@@ -1,5 +1,7 @@
-"""Rendezvous hashing (Thaler and Ravishankar, 1998): programs that know the same nodes rank them alike,
-without coordination. The tree of relays is built on this ranking."""
+"""Rendezvous hashing (Thaler and Ravishankar, 1998), and the tree of relays that is built on it.
+
+Programs that know the same nodes rank them alike, without coordination.
+"""
 
 from __future__ import annotations
 
@@ -23,13 +25,14 @@
 
 
 def relays_of(node: str, zone: str, proxies: Mapping[str, tuple[str, str]]) -> list[str]:
-    """The addresses of the proxies that `node` polls, the nearest relay first. `proxies` maps each known
-    proxy to its zone and address.
+    """The addresses of the proxies that `node` polls, the nearest relay first.
+
+    `proxies` maps each known proxy to its zone and address.
 
-    The proxies of a zone form a tree of FANOUT children a node, in the order of their rank; the root polls a
-    controller. A proxy that isn't known yet has no relay and polls a controller.
+    The proxies of a zone form a tree of FANOUT children a node, in the order of their rank; the root polls
+    a controller. A proxy that isn't known yet has no relay and polls a controller.
     """
-    ranked = rank([name for name, (place, _) in proxies.items() if place == zone], zone)
+    ranked = rank([name for name, (proxy_zone, _) in proxies.items() if proxy_zone == zone], zone)
     if node not in ranked:
         return []
     addresses, position = [], ranked.index(node)
--- a/honeywood/gateway/dissemination/retired_machines.py
+++ b/honeywood/gateway/dissemination/retired_machines.py
@@ -1,7 +1,8 @@
 """Machines that are gone or lost: their records are kept for a while, then dropped. Pure.
 
-A machine that left for good announced it, and its id is never used again: its tombstone (tombstones.py) keeps
-late copies of its records out. A machine that was lost may return; its next heartbeat makes it known again.
+A machine that left for good announced it, and its id is never used again: its tombstone (tombstones.py)
+keeps late copies of its records out. A machine that was lost may return; its next heartbeat makes it known
+again.
 """
 
 from __future__ import annotations
--- a/honeywood/gateway/dissemination/store.py
+++ b/honeywood/gateway/dissemination/store.py
@@ -41,8 +41,11 @@
         on_update: Callable[[str, JsonValue], None] = ignore_update,
         is_retained: Callable[[Store, str, JsonValue], bool] = retain_nothing,
     ) -> None:
-        """An empty store. `on_update(key, value)` is called with each record that is taken;
-        `is_retained(store, key, value)` says whether an expired record must stay."""
+        """An empty store.
+
+        `on_update(key, value)` is called with each record that is taken; `is_retained(store, key, value)`
+        says whether an expired record must stay.
+        """
         self.incarnation = incarnation
         self.on_update = on_update
         self.is_retained = is_retained
@@ -153,8 +156,10 @@
 
     @staticmethod
     def _is_superseded(key: str, stored: Stamp, published: int | None) -> bool:
-        """Whether a stored record has expired in the epoch that another of its key was published in. Its
-        incarnation counts no longer then: the owner's clock may have been set back meanwhile."""
+        """Whether a stored record has expired in the epoch that another of its key was published in.
+
+        Its incarnation counts no longer then: the owner's clock may have been set back meanwhile.
+        """
         return published is not None and epochs.is_expired(epochs.published_in(key, stored), published)
 
     # staleness
@@ -203,8 +208,10 @@
         return self._digest.encode()
 
     def _toggle_digest(self, key: str) -> None:
-        """Adds a record to the digest or removes it. Retired machines are left out: each store drops them in
-        its own time."""
+        """Adds a record to the digest or removes it.
+
+        Retired machines are left out: each store drops them in its own time.
+        """
         stored = self.records.get(key)
         if stored is None or is_controller_only(key) or is_retired(stored.value):
             return
--- a/honeywood/gateway/dissemination/subscriber.py
+++ b/honeywood/gateway/dissemination/subscriber.py
@@ -49,9 +49,12 @@
         max_bytes: Callable[[], int],
         records_for: Callable[[str], list[Record]] = no_records,
     ) -> None:
-        """No peer has been polled. Responses go to `store`, chunks of long records to `assembler`.
-        `requester()` says who polls, `max_bytes()` bounds the next response, `records_for(ip)` gives the
-        records that are sent along to a peer; peers that fail are put into `backoff`."""
+        """No peer has been polled.
+
+        Responses go to `store`, chunks of long records to `assembler`. `requester()` says who polls,
+        `max_bytes()` bounds the next response, `records_for(ip)` gives the records that are sent along to a
+        peer; peers that fail are put into `backoff`.
+        """
         self.store = store
         self.assembler = assembler
         self.caller = caller
