--- a/honeywood/gateway/dissemination/chunks.py
+++ b/honeywood/gateway/dissemination/chunks.py
@@ -1,4 +1,4 @@
-"""Chunks of records that are too long for one response. Pure.
+"""Records that are too long for one response, in chunks. Pure.
 
 The receiver says how much of which value it has; whichever peer it polls next continues there. The value is
 taken only when its length and digest are those that were announced.
@@ -7,12 +7,12 @@
 from __future__ import annotations
 
 import json
-from _blake2 import blake2b  # hashlib would load OpenSSL
 from dataclasses import dataclass
 
 from honeywood.gateway.configuration.check import need
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.dissemination.record import PATH, Record, Stamp
+from honeywood.gateway.rpc.text_chunks import PartialText, TextChunk
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -21,45 +21,38 @@
 FIELD = "piece"  # of a response that carries a chunk
 
 
-def text_digest(text: str) -> str:
-    """The 128-bit digest of a value's text, which all its chunks repeat."""
-    return blake2b(text.encode(), digest_size=16).hexdigest()
-
-
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """Some characters of a value's JSON text, from `offset` on; the whole text has `length` of them."""
+    """A chunk of the JSON text of a record's value."""
 
     key: str
     stamp: Stamp
-    digest: str
-    length: int
-    offset: int
-    text: str
+    content: TextChunk
 
     def encode(self) -> dict[str, JsonValue]:
         """The chunk in a response."""
         return {
             "key": self.key,
             "stamp": self.stamp.encode(),
-            "mark": self.digest,
-            "of": self.length,
-            "at": self.offset,
-            "text": self.text,
+            "mark": self.content.digest,
+            "of": self.content.length,
+            "at": self.content.offset,
+            "text": self.content.text,
         }
 
     @classmethod
     def decode(cls, table: dict[str, object], peer: str = "") -> Chunk:
         """A chunk out of a response; raises InvalidMessage that names field and peer."""
         where = f"{PATH}: {FIELD}"
-        return cls(
-            key=need(table, "key", str, where, peer=peer),
-            stamp=Stamp.decode(table.get("stamp"), f"{FIELD}: stamp", peer),
+        key = need(table, "key", str, where, peer=peer)
+        stamp = Stamp.decode(table.get("stamp"), f"{FIELD}: stamp", peer)
+        content = TextChunk(
             digest=need(table, "mark", str, where, peer=peer),
             length=need(table, "of", int, where, least=0, peer=peer),
             offset=need(table, "at", int, where, least=0, peer=peer),
             text=need(table, "text", str, where, peer=peer),
         )
+        return cls(key, stamp, content)
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,20 +78,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PartialValue:
-    """The text of a value up to where it has been received."""
+    """The text of a record's value up to where it has been received."""
 
     stamp: Stamp
-    digest: str
-    text: str
+    content: PartialText
 
     def is_older_than(self, chunk: Chunk) -> bool:
         """Whether a chunk is of a newer value, or of another one with the same stamp."""
-        return chunk.stamp > self.stamp or (chunk.stamp == self.stamp and chunk.digest != self.digest)
+        is_other = chunk.content.digest != self.content.digest
+        return chunk.stamp > self.stamp or (chunk.stamp == self.stamp and is_other)
 
     def is_continued_by(self, chunk: Chunk) -> bool:
         """Whether a chunk begins where this text ends."""
-        continuation = chunk.stamp, chunk.digest, chunk.offset
-        return continuation == (self.stamp, self.digest, len(self.text))
+        return chunk.stamp == self.stamp and self.content.is_continued_by(chunk.content)
 
 
 class ChunkAssembler:
@@ -111,7 +103,7 @@
     def progress(self) -> dict[str, ChunkProgress]:
         """What has been received, by key."""
         return {
-            key: ChunkProgress(partial.stamp, partial.digest, len(partial.text))
+            key: ChunkProgress(partial.stamp, partial.content.digest, len(partial.content.text))
             for key, partial in self.partial.items()
         }
 
@@ -122,16 +114,17 @@
         doesn't continue what is there changes nothing.
         """
         partial = self.partial.get(chunk.key)
-        if chunk.offset == 0 and (partial is None or partial.is_older_than(chunk)):
-            text = chunk.text
+        if chunk.content.offset == 0 and (partial is None or partial.is_older_than(chunk)):
+            content = PartialText(chunk.content.digest)
         elif partial is not None and partial.is_continued_by(chunk):
-            text = partial.text + chunk.text
+            content = partial.content
         else:
             return None
-        if len(text) < chunk.length:
-            self.partial[chunk.key] = PartialValue(chunk.stamp, chunk.digest, text)
+        content = content.extended(chunk.content)
+        if len(content.text) < chunk.content.length:
+            self.partial[chunk.key] = PartialValue(chunk.stamp, content)
             return None
         self.partial.pop(chunk.key, None)
-        if len(text) > chunk.length or text_digest(text) != chunk.digest:
+        if len(content.text) > chunk.content.length or not content.is_intact:
             return None
-        return Record(chunk.key, chunk.stamp, json.loads(text))
+        return Record(chunk.key, chunk.stamp, json.loads(content.text))
--- a/honeywood/gateway/dissemination/large_records.py
+++ b/honeywood/gateway/dissemination/large_records.py
@@ -9,8 +9,9 @@
 import json
 from dataclasses import dataclass
 
-from honeywood.gateway.dissemination.chunks import Chunk, text_digest
+from honeywood.gateway.dissemination.chunks import Chunk
 from honeywood.gateway.dissemination.keys import RecordKind
+from honeywood.gateway.rpc.text_chunks import TextChunk, text_digest
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -60,5 +61,5 @@
             if progress and (kept.stamp, kept.digest) == (progress.stamp, progress.digest):
                 version, offset = kept, progress.received
                 break
-        text = version.text[offset : offset + max_characters]
-        return Chunk(key, version.stamp, version.digest, len(version.text), offset, text)
+        content = TextChunk.cut(version.text, version.digest, offset, max_characters)
+        return Chunk(key, version.stamp, content)
--- a/honeywood/gateway/dissemination/publisher.py
+++ b/honeywood/gateway/dissemination/publisher.py
@@ -117,7 +117,7 @@
         batch = self.feed.batch(changes, max_bytes, poll.progress)
         sizes = [(record.key, self.feed.encoded_size(record.key)) for record in batch.records]
         if batch.chunk:
-            sizes.append((batch.chunk.key, len(batch.chunk.text)))
+            sizes.append((batch.chunk.key, len(batch.chunk.content.text)))
         retry_after_s = await self._wait_for_link(sum(size for _, size in sizes), poll)
         if retry_after_s is not None:
             return PollResponse(self.store.incarnation, revision, retry_after_s=retry_after_s)
--- a/tests/gateway/dissemination/test_change_feed.py
+++ b/tests/gateway/dissemination/test_change_feed.py
@@ -25,7 +25,7 @@
     changes = feed.since(sender.incarnation, revision, False, receiver.large_record_stamps())
     batch = feed.batch(changes, max_bytes, assembler.progress())
     size = sum(feed.encoded_size(record.key) for record in batch.records)
-    size += len(batch.chunk.text) if batch.chunk else 0
+    size += len(batch.chunk.content.text) if batch.chunk else 0
     return batch, size
 
 
@@ -60,7 +60,7 @@
         batch, _ = poll(draw.choice(senders), receiver, assembler, 0, 2000)
         if draw.random() < 0.6:
             continue  # the response is lost
-        received += len(batch.chunk.text)
+        received += len(batch.chunk.content.text)
         merge_chunk(receiver, assembler, batch.chunk)
     assert receiver.get("config") == senders[0].get("config") and received <= 30_002
 
--- a/tests/gateway/dissemination/test_messages.py
+++ b/tests/gateway/dissemination/test_messages.py
@@ -14,6 +14,7 @@
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.dissemination.record import Record, Stamp
 from honeywood.gateway.dissemination.subscriber import Subscriber
+from honeywood.gateway.rpc.text_chunks import TextChunk
 
 # as 00fe626 wrote them; since then `who` has the epoch, and for controllers contacts and the disk's state
 CONTROLLER_POLL = (
@@ -96,7 +97,7 @@
     old = PollRequest.decode(json.loads(PROXY_POLL))
     assert without_new(written(old.encode())) == PROXY_POLL and old.requester.epoch == 0
     chunks = ChunkAssembler()
-    chunks.add(Chunk("config", Stamp.of(8), "ab", 9, 0, "xyz"))
+    chunks.add(Chunk("config", Stamp.of(8), TextChunk("ab", 9, 0, "xyz")))
     have = PollRequest(old.requester, progress=chunks.progress()).encode()["have"]
     again = PollRequest.decode({**json.loads(PROXY_POLL), "have": have}).encode()
     assert written(have) == PROGRESS and again["have"] == have
@@ -111,7 +112,9 @@
             Requester(is_controller=True),
         )
         response = await publisher.serve(PollRequest(proxy))
-        short = replace(response, chunk=replace(response.chunk, text=response.chunk.text[:3]))
+        short = replace(
+            response, chunk=Chunk.decode({**response.chunk.encode(), "text": response.chunk.content.text[:3]})
+        )
         assert written(short.encode()) == A_CHUNK
         response = await publisher.serve(PollRequest(proxy, known_stamps={"config": Stamp.of(7)}))
         beside = {"in_quorum": True, "fleet": FleetView(2, ["10.0.0.2"]), "counts_number": 2}
--- a/tests/gateway/dissemination/test_mutations.py
+++ b/tests/gateway/dissemination/test_mutations.py
@@ -23,6 +23,7 @@
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.proxy.count_records import CountRecords
+from honeywood.gateway.rpc.text_chunks import PartialText
 
 FILES = (
     "change_feed",
@@ -47,10 +48,11 @@
 
 
 def any_chunks(self, chunk):
-    begun = self.partial.get(chunk.key, PartialValue(chunk.stamp, chunk.digest, ""))
-    text = begun.text + chunk.text
-    self.partial[chunk.key] = PartialValue(begun.stamp, begun.digest, text)
-    return None if len(text) < chunk.length else chunk
+    empty = PartialValue(chunk.stamp, PartialText(chunk.content.digest))
+    begun = self.partial.get(chunk.key, empty)
+    content = begun.content.extended(chunk.content)
+    self.partial[chunk.key] = PartialValue(begun.stamp, content)
+    return None if len(content.text) < chunk.content.length else chunk
 
 
 def unlike(self, *given):
--- a/tests/gateway/dissemination/test_programs.py
+++ b/tests/gateway/dissemination/test_programs.py
@@ -31,7 +31,7 @@
         def cut_off(piece):
             if not taken:
                 world.cut("f", "abc")
-            taken.append(piece.offset)
+            taken.append(piece.content.offset)
             return add(piece)
 
         pieces.add = cut_off
@@ -81,9 +81,7 @@
     return found
 
 
-@test(
-    "what a proxy is sent doesn't grow with their number, and without changes nothing is sent"
-)
+@test("what a proxy is sent doesn't grow with their number, and without changes nothing is sent")
 def _():
     # Seen on the grown sites: names of all fronts from each controller to every front; counts of fronts
     # without a rollout, 64 x 2.5 a second, woke whoever waited.
@@ -161,9 +159,7 @@
         world.close()
 
 
-@test(
-    "a response with {what} renews a lease only if complete; a first contact ends no partition"
-)
+@test("a response with {what} renews a lease only if complete; a first contact ends no partition")
 def _(
     what=each("nothing", "a part", "all"),
     answer=each({"later": 0.2}, {"more": True}, {}),
