--- a/honeywood/gateway/controller/peers.py
+++ b/honeywood/gateway/controller/peers.py
@@ -5,6 +5,7 @@
 from honeywood.gateway.controller.contact import disk_state
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.chunks import ChunkAssembler
+from honeywood.gateway.dissemination.errors import PollFailed
 from honeywood.gateway.dissemination.messages import Requester
 from honeywood.gateway.dissemination.subscriber import Subscriber
 
@@ -62,9 +63,11 @@
             self.polled.discard(ip)
             raise asyncio.CancelledError  # ends the loop that this is a turn of
         asked_at = self.clock()  # an answer may lie here unread while this process is frozen
-        reply = await self.subscriber.poll(ip, self.settings.controller_port, HOLD_S)
-        if reply.ok:
-            response = reply.value
+        try:
+            response = await self.subscriber.poll(ip, self.settings.controller_port, HOLD_S)
+        except PollFailed:
+            pass  # the subscriber's backoff says when the next poll may follow
+        else:
             disk = disk_state(response.disk)
             self.contacts.answered(ip, asked_at, response.is_complete, response.echo_stamp, disk)
         await asyncio.sleep(min(BACKOFF_S, self.subscriber.backoff.remaining_s(ip, self.clock())))
@@ -76,5 +79,8 @@
         return self.contacts.is_enough(ip for ip, told in zip(others, complete) if told)
 
     async def _tells_all(self, ip):
-        reply = await self.subscriber.poll(ip, self.settings.controller_port, 0.0)
-        return reply.ok and reply.value.is_complete
+        try:
+            response = await self.subscriber.poll(ip, self.settings.controller_port, 0.0)
+        except PollFailed:
+            return False
+        return response.is_complete
--- a/honeywood/gateway/dissemination/subscriber.py
+++ b/honeywood/gateway/dissemination/subscriber.py
@@ -5,7 +5,8 @@
 import asyncio
 from dataclasses import dataclass, replace
 
-from honeywood.gateway.configuration.outcome import Done, Failed, Wrong
+from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.dissemination.errors import PollFailed
 from honeywood.gateway.dissemination.messages import PollRequest, PollResponse
 from honeywood.gateway.dissemination.record import PATH
 
@@ -69,23 +70,31 @@
         self.backoff.forget(ip)
         self.positions = {peer: position for peer, position in self.positions.items() if peer[0] != ip}
 
-    async def poll(self, ip: str, port: int, hold_s: float) -> Done | Failed:
-        """Polls a peer and merges its response; Done with it, or Failed."""
+    async def poll(self, ip: str, port: int, hold_s: float) -> PollResponse:
+        """Polls a peer and merges its response.
+
+        Raises PollFailed, and InvalidMessage where a record of the response can't be merged.
+        """
+        loop = asyncio.get_running_loop()
+        try:
+            response = await self._call(ip, port, hold_s)
+        except PollFailed:
+            self.backoff.record_failure(ip, loop.time())
+            raise
+        self.backoff.record_success(ip, loop.time() + (response.retry_after_s or 0.0))
+        self._merge(response)
+        self.positions[ip, port] = Position(response.incarnation, response.revision)
+        return response
+
+    async def _call(self, ip: str, port: int, hold_s: float) -> PollResponse:
         request = self._request(ip, port, hold_s).encode()
         reply = await self.caller.call(ip, port, PATH, request, hold_s + RESPONSE_MARGIN_S, again=True)
-        now = asyncio.get_running_loop().time()
         if not reply.ok:
-            self.backoff.record_failure(ip, now)
-            return reply
+            raise PollFailed(PATH, reply.why, ip)
         try:
-            response = PollResponse.decode(reply.value, ip)
+            return PollResponse.decode(reply.value, ip)
         except Wrong as wrong:
-            self.backoff.record_failure(ip, now)
-            return wrong.failed
-        self.backoff.record_success(ip, now + (response.retry_after_s or 0.0))
-        self._merge(response)
-        self.positions[ip, port] = Position(response.incarnation, response.revision)
-        return Done(response)
+            raise PollFailed(PATH, wrong.failed.why, ip) from wrong
 
     def _request(self, ip: str, port: int, hold_s: float) -> PollRequest:
         position = self.positions.get((ip, port), Position())
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -7,6 +7,7 @@
 from honeywood.gateway.dissemination.backoff import INITIAL_DELAY_S, Backoff
 from honeywood.gateway.dissemination.retired_machines import MAX_DISCONNECTED_S, RetiredMachines
 from honeywood.gateway.dissemination.chunks import ChunkAssembler
+from honeywood.gateway.dissemination.errors import PollFailed
 from honeywood.gateway.dissemination.keys import RecordKind, kind_of, name_of
 from honeywood.gateway.dissemination.messages import Requester
 from honeywood.gateway.dissemination.publisher import MAX_HOLD_S, UNPACED_BYTES, Publisher
@@ -150,10 +151,12 @@
         places = [(ip, s.proxy_port) for ip in relays if not backoff.remaining_s(ip, now)]
         places += [(ip, s.controller_port) for ip in backoff.available(rank(self.controllers, s.node), now)]
         for ip, port in places:
-            reply = await self.subscriber.poll(ip, port, MAX_HOLD_S)
-            if reply.ok:
-                self.listened_at = self.clock()
-                return await asyncio.sleep(min(MAX_HOLD_S, reply.value.retry_after_s or 0.0))
+            try:
+                response = await self.subscriber.poll(ip, port, MAX_HOLD_S)
+            except PollFailed:
+                continue
+            self.listened_at = self.clock()
+            return await asyncio.sleep(min(MAX_HOLD_S, response.retry_after_s or 0.0))
         await asyncio.sleep(INITIAL_DELAY_S)
 
     async def poll(self):
@@ -177,10 +180,10 @@
         """(when it was asked last, its last Answer or None): again while it has more to tell."""
         for _ in range(ASKS_IN_A_ROW):
             asked_at = self.clock()  # an answer may have lain here unread while this process was frozen
-            reply = await self.poller.poll(ip, self.settings.controller_port, 0.0)
-            if not reply.ok:
+            try:
+                answer = await self.poller.poll(ip, self.settings.controller_port, 0.0)
+            except PollFailed:
                 return asked_at, None
-            answer = reply.value
             if answer.fleet is not None:
                 self.relays = answer.fleet.relays
                 self.counts.held_by(ip, answer.counts_number or 0)
--- a/tests/gateway/dissemination/test_messages.py
+++ b/tests/gateway/dissemination/test_messages.py
@@ -5,11 +5,12 @@
 import random
 from dataclasses import replace
 
-from ward import each, test
+from ward import each, raises, test
 
 from honeywood.gateway.configuration.outcome import Done, Wrong
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.chunks import Chunk, ChunkAssembler
+from honeywood.gateway.dissemination.errors import PollFailed
 from honeywood.gateway.dissemination.messages import FleetView, PollRequest, PollResponse, Requester
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.dissemination.record import Record, Stamp
@@ -191,5 +192,6 @@
 
     backoff, store = Backoff(random.Random(0), 1.0), publisher_with_records().store
     subscriber = Subscriber(store, ChunkAssembler(), Caller(), Requester, backoff, lambda: 8400)
-    reply = asyncio.run(subscriber.poll("10.0.0.3", 7001, 0.5))
-    assert not reply.ok and subscriber.positions == {} and "10.0.0.3" in subscriber.backoff.delays
+    with raises(PollFailed):
+        asyncio.run(subscriber.poll("10.0.0.3", 7001, 0.5))
+    assert subscriber.positions == {} and "10.0.0.3" in subscriber.backoff.delays
--- a/tests/gateway/dissemination/test_subscriber.py
+++ b/tests/gateway/dissemination/test_subscriber.py
@@ -35,10 +35,10 @@
         subscriber = Subscriber(
             receiver.store, ChunkAssembler(), Caller(), lambda: who, backoff, lambda: most
         )
-        reply = loop.run_until_complete(subscriber.poll("p", 1, 0.0))
-        assert reply.value.records == [] and reply.value.revision == 50
+        response = loop.run_until_complete(subscriber.poll("p", 1, 0.0))
+        assert response.records == [] and response.revision == 50
         sender.store.put("machine/7", Stamp.of(99), {"n": 0})
-        reply = loop.run_until_complete(subscriber.poll("p", 1, 0.0))
-        assert [record.key for record in reply.value.records] == ["machine/7"]
+        response = loop.run_until_complete(subscriber.poll("p", 1, 0.0))
+        assert [record.key for record in response.records] == ["machine/7"]
     finally:
         loop.close()
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -7,10 +7,9 @@
 
 from honeywood.gateway.configuration import versions as held
 from honeywood.gateway.configuration.config import unpack
+from honeywood.gateway.controller.orders import Orders
 from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.dissemination.messages import PollResponse
-from honeywood.gateway.configuration.outcome import Done
-from honeywood.gateway.controller.orders import Orders
 from honeywood.gateway.rollout import record as rollouts
 from honeywood.gateway.rpc.asgi import CONTEXT, RequestContext
 from honeywood.gateway.rpc.departure import ClientDeparture
@@ -478,7 +477,7 @@
 
         async def old(ip, port, hold):
             world.loop.now += 20.0  # all stand still while the answer lies there
-            return Done(PollResponse("", 0, in_quorum=True))
+            return PollResponse("", 0, in_quorum=True)
 
         controller.peers.subscriber.poll = front.poller.poll = old
         world.loop.run_until_complete(controller.peers.poll("b"))
--- a/tests/gateway/test_pinned_dissemination.py
+++ b/tests/gateway/test_pinned_dissemination.py
@@ -13,10 +13,11 @@
 from ward import each, test
 
 from honeywood.gateway.configuration.outcome import Done, Failed, Wrong
-from honeywood.gateway.dissemination import epochs, tombstones, rendezvous
+from honeywood.gateway.dissemination import epochs, rendezvous, tombstones
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.change_feed import ChangeFeed
 from honeywood.gateway.dissemination.chunks import Chunk, ChunkAssembler
+from honeywood.gateway.dissemination.errors import PollFailed
 from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.dissemination.link_pacer import LinkPacer, response_limit
 from honeywood.gateway.dissemination.local_records import LocalRecords
@@ -174,7 +175,11 @@
 
 async def ask(subscriber, ip, port, hold_s):
     """Whether the peer gave an answer that can be used."""
-    return (await subscriber.poll(ip, port, hold_s)).ok
+    try:
+        await subscriber.poll(ip, port, hold_s)
+    except PollFailed:
+        return False
+    return True
 
 
 def known_by(subscriber):
