--- a/honeywood/gateway/controller/peers.py
+++ b/honeywood/gateway/controller/peers.py
@@ -1,13 +1,14 @@
 """Polling the other controllers for what they know: a loop for each. Their answers show contact."""
 
 import asyncio
+from contextlib import suppress
 
 from honeywood.gateway.controller.contact import disk_state
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.chunks import ChunkAssembler
-from honeywood.gateway.dissemination.errors import PollFailed
 from honeywood.gateway.dissemination.messages import Requester
 from honeywood.gateway.dissemination.subscriber import Subscriber
+from honeywood.gateway.errors import CallFailed
 
 HOLD_S = 0.5  # seconds that another controller holds a poll while there is nothing new
 BACKOFF_S = 0.5  # seconds at most for which a controller that doesn't answer isn't polled
@@ -63,11 +64,8 @@
             self.polled.discard(ip)
             raise asyncio.CancelledError  # ends the loop that this is a turn of
         asked_at = self.clock()  # an answer may lie here unread while this process is frozen
-        try:
+        with suppress(CallFailed):  # the subscriber's backoff says when the next poll may follow
             response = await self.subscriber.poll(ip, self.settings.controller_port, HOLD_S)
-        except PollFailed:
-            pass  # the subscriber's backoff says when the next poll may follow
-        else:
             disk = disk_state(response.disk)
             self.contacts.answered(ip, asked_at, response.is_complete, response.echo_stamp, disk)
         await asyncio.sleep(min(BACKOFF_S, self.subscriber.backoff.remaining_s(ip, self.clock())))
@@ -81,6 +79,6 @@
     async def _tells_all(self, ip):
         try:
             response = await self.subscriber.poll(ip, self.settings.controller_port, 0.0)
-        except PollFailed:
+        except CallFailed:
             return False
         return response.is_complete
--- a/honeywood/gateway/dissemination/chunks.py
+++ b/honeywood/gateway/dissemination/chunks.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.dissemination.record import PATH, Record, Stamp
+from honeywood.gateway.errors import InvalidMessage
 from honeywood.gateway.rpc.text_chunks import PartialText, TextChunk
 
 TYPE_CHECKING = False
@@ -71,7 +71,7 @@
     def decode(cls, value: object, peer: str = "") -> ChunkProgress:
         """Progress out of a request; raises InvalidMessage that names field and peer."""
         if not (isinstance(value, list) and len(value) == 3 and type(value[2]) is int and value[2] >= 0):
-            raise Wrong(PATH, "have must be lists of stamp, mark and characters by key", peer)
+            raise InvalidMessage(PATH, "have must be lists of stamp, mark and characters by key", peer)
         stamp, digest, received = value
         return cls(Stamp.decode(stamp, "have: stamp", peer), digest, received)
 
--- a/honeywood/gateway/dissemination/messages.py
+++ b/honeywood/gateway/dissemination/messages.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.dissemination import epochs
 from honeywood.gateway.dissemination.chunks import Chunk, ChunkProgress
 from honeywood.gateway.dissemination.record import PATH, Record, Stamp
+from honeywood.gateway.errors import InvalidMessage
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -148,7 +148,7 @@
             count, relays = value
             if type(count) is int and isinstance(relays, list):
                 return cls(count, relays)
-        raise Wrong(PATH, "fleet must be a count and a list of addresses", peer)
+        raise InvalidMessage(PATH, "fleet must be a count and a list of addresses", peer)
 
 
 @dataclass(frozen=True, slots=True)
@@ -202,7 +202,7 @@
     def decode(cls, table: object, peer: str = "") -> PollResponse:
         """A response as it came; raises InvalidMessage that names field and peer."""
         if not isinstance(table, dict):
-            raise Wrong(PATH, "the answer must be an object", peer)
+            raise InvalidMessage(PATH, "the answer must be an object", peer)
         chunk = need(table, "piece", dict, PATH, None, peer=peer)
         fleet = need(table, "fleet", list, PATH, None, peer=peer)
         return cls(
--- a/honeywood/gateway/dissemination/record.py
+++ b/honeywood/gateway/dissemination/record.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import InvalidMessage
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
     def decode(cls, value: object, field: str, peer: str = "") -> Stamp:
         """A stamp out of a message; raises InvalidMessage that names field and peer."""
         if not (isinstance(value, list) and value and all(type(number) is int for number in value)):
-            raise Wrong(PATH, f"{field} must be a list of whole numbers", peer)
+            raise InvalidMessage(PATH, f"{field} must be a list of whole numbers", peer)
         return cls(value)
 
     def encode(self) -> list[int]:
@@ -58,7 +58,7 @@
     def decode(cls, value: object, field: str, peer: str = "") -> Record:
         """A record out of a message; raises InvalidMessage that names field and peer."""
         if not (isinstance(value, list) and len(value) == 3 and isinstance(value[0], str)):
-            raise Wrong(PATH, f"{field} must be lists of key, stamp and value", peer)
+            raise InvalidMessage(PATH, f"{field} must be lists of key, stamp and value", peer)
         key, stamp, content = value
         return cls(key, Stamp.decode(stamp, f"{field}: {key}: stamp", peer), content)
 
--- a/honeywood/gateway/dissemination/subscriber.py
+++ b/honeywood/gateway/dissemination/subscriber.py
@@ -5,10 +5,9 @@
 import asyncio
 from dataclasses import dataclass, replace
 
-from honeywood.gateway.configuration.outcome import Wrong
-from honeywood.gateway.dissemination.errors import PollFailed
 from honeywood.gateway.dissemination.messages import PollRequest, PollResponse
 from honeywood.gateway.dissemination.record import PATH
+from honeywood.gateway.errors import CallFailed, GatewayError
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -73,12 +72,13 @@
     async def poll(self, ip: str, port: int, hold_s: float) -> PollResponse:
         """Polls a peer and merges its response.
 
-        Raises PollFailed, and InvalidMessage where a record of the response can't be merged.
+        Raises CallFailed where no usable response came, and InvalidMessage where a record of it can't be
+        merged.
         """
         loop = asyncio.get_running_loop()
         try:
             response = await self._call(ip, port, hold_s)
-        except PollFailed:
+        except CallFailed:
             self.backoff.record_failure(ip, loop.time())
             raise
         self.backoff.record_success(ip, loop.time() + (response.retry_after_s or 0.0))
@@ -88,13 +88,11 @@
 
     async def _call(self, ip: str, port: int, hold_s: float) -> PollResponse:
         request = self._request(ip, port, hold_s).encode()
-        reply = await self.caller.call(ip, port, PATH, request, hold_s + RESPONSE_MARGIN_S, again=True)
-        if not reply.ok:
-            raise PollFailed(PATH, reply.why, ip)
         try:
-            return PollResponse.decode(reply.value, ip)
-        except Wrong as wrong:
-            raise PollFailed(PATH, wrong.failed.why, ip) from wrong
+            reply = await self.caller.call(ip, port, PATH, request, hold_s + RESPONSE_MARGIN_S, again=True)
+            return PollResponse.decode(reply, ip)
+        except GatewayError as error:
+            raise CallFailed(error.operation, error.reason, error.peer) from error
 
     def _request(self, ip: str, port: int, hold_s: float) -> PollRequest:
         position = self.positions.get((ip, port), Position())
--- a/honeywood/gateway/dissemination/tombstones.py
+++ b/honeywood/gateway/dissemination/tombstones.py
@@ -12,8 +12,8 @@
 from _blake2 import blake2b  # hashlib would load OpenSSL
 from binascii import a2b_base64, b2a_base64
 
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.dissemination.keys import RecordKind
+from honeywood.gateway.errors import InvalidMessage
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
             raise TypeError(f"argument should be bytes, buffer or ASCII string, not {type(value).__name__!r}")
         return dict(ENTRY.iter_unpack(a2b_base64(value)))
     except (ValueError, TypeError, struct.error) as wrong:
-        raise Wrong("news", f"{PREFIX}: {wrong}") from None
+        raise InvalidMessage("news", f"{PREFIX}: {wrong}") from None
 
 
 def encode(entries: dict[int, int]) -> str:
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -5,15 +5,15 @@
 
 from honeywood.gateway.configuration import config
 from honeywood.gateway.dissemination.backoff import INITIAL_DELAY_S, Backoff
-from honeywood.gateway.dissemination.retired_machines import MAX_DISCONNECTED_S, RetiredMachines
 from honeywood.gateway.dissemination.chunks import ChunkAssembler
-from honeywood.gateway.dissemination.errors import PollFailed
 from honeywood.gateway.dissemination.keys import RecordKind, kind_of, name_of
 from honeywood.gateway.dissemination.messages import Requester
 from honeywood.gateway.dissemination.publisher import MAX_HOLD_S, UNPACED_BYTES, Publisher
 from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.dissemination.rendezvous import rank
+from honeywood.gateway.dissemination.retired_machines import MAX_DISCONNECTED_S, RetiredMachines
 from honeywood.gateway.dissemination.subscriber import Subscriber
+from honeywood.gateway.errors import CallFailed
 from honeywood.gateway.metrics import Figures
 from honeywood.gateway.program import COUNTS, Program
 from honeywood.gateway.proxy.app import App
@@ -153,7 +153,7 @@
         for ip, port in places:
             try:
                 response = await self.subscriber.poll(ip, port, MAX_HOLD_S)
-            except PollFailed:
+            except CallFailed:
                 continue
             self.listened_at = self.clock()
             return await asyncio.sleep(min(MAX_HOLD_S, response.retry_after_s or 0.0))
@@ -182,7 +182,7 @@
             asked_at = self.clock()  # an answer may have lain here unread while this process was frozen
             try:
                 answer = await self.poller.poll(ip, self.settings.controller_port, 0.0)
-            except PollFailed:
+            except CallFailed:
                 return asked_at, None
             if answer.fleet is not None:
                 self.relays = answer.fleet.relays
--- a/tests/gateway/dissemination/test_messages.py
+++ b/tests/gateway/dissemination/test_messages.py
@@ -7,14 +7,13 @@
 
 from ward import each, raises, test
 
-from honeywood.gateway.configuration.outcome import Done, Wrong
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.chunks import Chunk, ChunkAssembler
-from honeywood.gateway.dissemination.errors import PollFailed
 from honeywood.gateway.dissemination.messages import FleetView, PollRequest, PollResponse, Requester
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.dissemination.record import Record, Stamp
 from honeywood.gateway.dissemination.subscriber import Subscriber
+from honeywood.gateway.errors import CallFailed, InvalidInput
 from honeywood.gateway.rpc.text_chunks import TextChunk
 
 # as 00fe626 wrote them; since then `who` has the epoch, and for controllers contacts and the disk's state
@@ -70,7 +69,7 @@
     class Caller:
         async def call(self, ip, port, path, body, within, again=False):
             sent.append(written(body))
-            return Done({"life": "l.2", "rev": 9, "notes": [], "more": False})
+            return {"life": "l.2", "rev": 9, "notes": [], "more": False}
 
     counts = {"life": "0018", "rows": [], "votes": {}, "left": {}, "known": {}}
     controller = Requester("core-1", "10.0.0.1", is_controller=True), []
@@ -170,28 +169,28 @@
     sent = {**json.loads(good), **change} if change else {}
     try:
         kind.decode(sent, "10.0.0.3")
-    except Wrong as wrong:
-        return wrong.failed
+    except InvalidInput as error:
+        return error
     raise AssertionError("it was taken")
 
 
 @test("a poll with a fault in {field} is refused, and the error names field and peer")
 def _(field=each(*POLL_FAULTS)):
     failed = faulty(PollRequest, PROXY_POLL, POLL_FAULTS[field])
-    assert field.split(": ")[-1] in str(failed) and failed.peer == "10.0.0.3" and "/news" in failed.step
+    assert field.split(": ")[-1] in str(failed) and failed.peer == "10.0.0.3" and "/news" in failed.operation
 
 
 @test("a response with a fault in {field} fails the poll, and the error names field and peer")
 def _(field=each(*RESPONSE_FAULTS)):
     failed = faulty(PollResponse, TO_PROXY, RESPONSE_FAULTS[field])
-    assert field.split(": ")[-1] in str(failed) and failed.peer == "10.0.0.3" and "/news" in failed.step
+    assert field.split(": ")[-1] in str(failed) and failed.peer == "10.0.0.3" and "/news" in failed.operation
 
     class Caller:
         async def call(self, ip, port, path, body, within, again=False):
-            return Done({**json.loads(TO_PROXY), **RESPONSE_FAULTS[field]})
+            return {**json.loads(TO_PROXY), **RESPONSE_FAULTS[field]}
 
     backoff, store = Backoff(random.Random(0), 1.0), publisher_with_records().store
     subscriber = Subscriber(store, ChunkAssembler(), Caller(), Requester, backoff, lambda: 8400)
-    with raises(PollFailed):
+    with raises(CallFailed):
         asyncio.run(subscriber.poll("10.0.0.3", 7001, 0.5))
     assert subscriber.positions == {} and "10.0.0.3" in subscriber.backoff.delays
--- a/tests/gateway/dissemination/test_programs.py
+++ b/tests/gateway/dissemination/test_programs.py
@@ -6,7 +6,7 @@
 from timeline import World, config
 from ward import each, test
 
-from honeywood.gateway.configuration.outcome import Done, Failed
+from honeywood.gateway.errors import CallFailed
 from honeywood.gateway.rollout.report import Ballot, Report, Tally
 
 
@@ -59,7 +59,7 @@
         async def counted(ip, port, path, body, within, **more):
             calls.append(world.loop.time())
             if refuse[0]:
-                return Failed(path, "refused", ip, 503)
+                raise CallFailed(path, "refused", ip)
             return await call(ip, port, path, body, within, **more)
 
         world.nodes["f"].caller.call = counted
@@ -175,7 +175,7 @@
         async def call(*given, **more):
             await asyncio.sleep(0.01)
             told = {"life": "x", "rev": 0, "notes": [], "joined": True, "fleet": [1, []], "counted": 0}
-            return Done({**told, **answer})
+            return {**told, **answer}
 
         front.caller.call = call
         world.run(104.0)
@@ -199,7 +199,7 @@
 
         async def partly(ip, port, path, body, within, **more):
             reply = await call(ip, port, path, body, within, **more)
-            return Done({**reply.value, "notes": [], **told}) if reply.ok and path == "/news" else reply
+            return {**reply, "notes": [], **told} if path == "/news" else reply
 
         controller.caller.call = partly
         world.run(14.0)
--- a/tests/gateway/dissemination/test_subscriber.py
+++ b/tests/gateway/dissemination/test_subscriber.py
@@ -5,7 +5,6 @@
 
 from ward import test
 
-from honeywood.gateway.configuration.outcome import Done
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.chunks import ChunkAssembler
 from honeywood.gateway.dissemination.messages import PollRequest, Requester
@@ -28,7 +27,7 @@
 
         class Caller:
             async def call(self, ip, port, path, body, within, again=False):
-                return Done((await sender.serve(PollRequest.decode(body, ip))).encode())
+                return (await sender.serve(PollRequest.decode(body, ip))).encode()
 
         who, backoff = Requester(is_proxy=True), Backoff(random.Random(0), 1.0)
         most = receiver.max_response_bytes
--- a/tests/gateway/test_invariants.py
+++ b/tests/gateway/test_invariants.py
@@ -7,13 +7,12 @@
 from socket_scene import GET, Scene, ok, play
 from ward import each, test
 
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.dissemination.record import Stamp
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.proxy.invariants import ABANDONED_WITHIN_S, Violation
 from honeywood.gateway.proxy.sender import AttemptSender
 from honeywood.gateway.routing.attempts import AttemptPolicy
 
-
 LOOKS, LOOK_S = 150, 0.02  # a busy machine may take long to bring a fault about
 
 
@@ -72,7 +71,7 @@
 
 
 async def configuration_is_not_taken(scene, patch):
-    with suppress(Wrong):  # it is kept, and can't be read here
+    with suppress(GatewayError):  # it is kept, and can't be read here
         scene.proxy.publisher.store.put("config", Stamp.of(9), "{}")
 
 
--- a/tests/gateway/test_pinned_dissemination.py
+++ b/tests/gateway/test_pinned_dissemination.py
@@ -12,12 +12,10 @@
 
 from ward import each, test
 
-from honeywood.gateway.configuration.outcome import Done, Failed, Wrong
 from honeywood.gateway.dissemination import epochs, rendezvous, tombstones
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.change_feed import ChangeFeed
 from honeywood.gateway.dissemination.chunks import Chunk, ChunkAssembler
-from honeywood.gateway.dissemination.errors import PollFailed
 from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.dissemination.link_pacer import LinkPacer, response_limit
 from honeywood.gateway.dissemination.local_records import LocalRecords
@@ -26,6 +24,7 @@
 from honeywood.gateway.dissemination.record import PATH, Record, Stamp
 from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.dissemination.subscriber import Subscriber
+from honeywood.gateway.errors import CallFailed, InvalidInput
 from honeywood.lab.emulator.world import Loop
 
 RECORDED = json.loads((Path(__file__).parent / "recorded" / "dissemination.json").read_text())
@@ -54,8 +53,8 @@
     decode = {"requests": PollRequest.decode, "responses": PollResponse.decode}[kind]
     try:
         decode(table, PEER)
-    except Wrong as wrong:
-        return [wrong.failed.step, wrong.failed.why, wrong.failed.peer]
+    except InvalidInput as error:
+        return [error.operation, error.reason, error.peer]
     raise AssertionError("it was taken")
 
 
@@ -156,7 +155,9 @@
     async def call(self, ip, port, path, body, within, again=False):
         self.sent.append([ip, port, path, written(body), within, again])
         answer = self.answers.pop(0)
-        return Failed(PATH, "refused", ip, 503) if answer is None else Done(answer)
+        if answer is None:
+            raise CallFailed(PATH, "refused", ip)
+        return answer
 
 
 def new_subscriber(publisher, caller, who, records, most):
@@ -177,7 +178,7 @@
     """Whether the peer gave an answer that can be used."""
     try:
         await subscriber.poll(ip, port, hold_s)
-    except PollFailed:
+    except CallFailed:
         return False
     return True
 
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -8,8 +8,8 @@
 from ward import each, raises, test
 
 from honeywood.gateway.configuration import config as configuration
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.configuration.tenants import HASH_BYTES, Tenant, hash_key
+from honeywood.gateway.errors import InvalidInput
 from honeywood.gateway.routing.tenants import TenantTable
 
 KEYS = {"cuka620": ["48wuakn2ftimaj3nr26t", "ta828m82thhkmgjqnirt"], "seje681": ["9f3kq0z7m1xw5c8v2b6n"]}
@@ -238,7 +238,7 @@
 ):
     sent = with_tenants()
     change(sent)
-    with raises(Wrong) as refused:
+    with raises(InvalidInput) as refused:
         configuration.read(json.dumps(sent).encode())
     assert why in str(refused.raised)
     assert not any(key in str(refused.raised) for keys in KEYS.values() for key in keys)
