--- a/tests/ci/test_runner.py
+++ b/tests/ci/test_runner.py
@@ -4,7 +4,6 @@
 import sys
 
 import pytest
-
 import run_tests
 from known_red import KnownRed, KnownRedError, check_collected, parse, read
 from shards import TESTS_A_SHARD, Outcome, Report, Shard, compare, plan, read_outcomes, write_outcomes
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -10,7 +10,7 @@
 from honeywood.gateway.dissemination.messages import PollRequest, Requester
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.dissemination.record import Stamp
-from standins.requests import read_request
+from honeywood.standins.requests import read_request
 
 CUT_WITHIN_S = 0.45  # after a client's leaving in which machines must be rid of what may be repeated
 POST = (
--- a/tests/gateway/test_rollouts.py
+++ b/tests/gateway/test_rollouts.py
@@ -9,8 +9,8 @@
 from honeywood.gateway.configuration.config import Route
 from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.rollout import record, report
-from honeywood.gateway.rollout.stage import Stage
 from honeywood.gateway.rollout.report import Ballot, Tally
+from honeywood.gateway.rollout.stage import Stage
 from honeywood.gateway.rollout.verdict import Change, Verdict, Voter
 from honeywood.gateway.routing.attempts import PendingRequest
 from honeywood.gateway.routing.outcomes import AttemptOutcome
