--- a/honeywood/gateway/dissemination/subscriber.py
+++ b/honeywood/gateway/dissemination/subscriber.py
@@ -88,8 +88,9 @@
 
     async def _call(self, ip: str, port: int, hold_s: float) -> PollResponse:
         request = self._request(ip, port, hold_s).encode()
+        timeout_s = hold_s + RESPONSE_MARGIN_S
         try:
-            reply = await self.caller.call(ip, port, PATH, request, hold_s + RESPONSE_MARGIN_S, again=True)
+            reply = await self.caller.call(ip, port, PATH, request, timeout_s, idempotent=True)
             return PollResponse.decode(reply, ip)
         except GatewayError as error:
             raise CallFailed(error.operation, error.reason, error.peer) from error
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -256,7 +256,7 @@
             machines=len(endpoints),
             fronts=self.fronts(),
             told=dict(self.publisher.sent_bytes),
-            called=dict(self.caller.carried),
+            called=dict(self.caller.bytes_by_path),
             ready=self.ready,
         )
 
--- a/tests/gateway/dissemination/test_messages.py
+++ b/tests/gateway/dissemination/test_messages.py
@@ -67,7 +67,7 @@
     sent = []
 
     class Caller:
-        async def call(self, ip, port, path, body, within, again=False):
+        async def call(self, ip, port, path, body, timeout_s, idempotent=False):
             sent.append(written(body))
             return {"life": "l.2", "rev": 9, "notes": [], "more": False}
 
@@ -186,7 +186,7 @@
     assert field.split(": ")[-1] in str(failed) and failed.peer == "10.0.0.3" and "/news" in failed.operation
 
     class Caller:
-        async def call(self, ip, port, path, body, within, again=False):
+        async def call(self, ip, port, path, body, timeout_s, idempotent=False):
             return {**json.loads(TO_PROXY), **RESPONSE_FAULTS[field]}
 
     backoff, store = Backoff(random.Random(0), 1.0), publisher_with_records().store
--- a/tests/gateway/dissemination/test_subscriber.py
+++ b/tests/gateway/dissemination/test_subscriber.py
@@ -26,7 +26,7 @@
                 publisher.store.put(f"machine/{n}", Stamp.of(n), {"n": n})
 
         class Caller:
-            async def call(self, ip, port, path, body, within, again=False):
+            async def call(self, ip, port, path, body, timeout_s, idempotent=False):
                 return (await sender.serve(PollRequest.decode(body, ip))).encode()
 
         who, backoff = Requester(is_proxy=True), Backoff(random.Random(0), 1.0)
