--- a/honeywood/balancer/decisions/release_verdict.py
+++ b/honeywood/balancer/decisions/release_verdict.py
@@ -31,9 +31,9 @@
         Attempt,
         Method,
         PlatformCounts,
+        ReleaseTestResult,
         ReleaseUpdate,
         Server,
-        ReleaseTestResult,
         Time,
     )
     from honeywood.balancer.settings import Settings
--- a/honeywood/gateway/controller/retention.py
+++ b/honeywood/gateway/controller/retention.py
@@ -1,7 +1,7 @@
 """Which counts of proxies stay on the store though their proxy has ended. Pure."""
 
 from honeywood.gateway.dissemination.keys import RecordKind
-from honeywood.gateway.rollout.record import ACTIVE
+from honeywood.gateway.rollout.record import RolloutState
 
 
 def still_counted(store, key, value):
@@ -16,4 +16,4 @@
 def _counts_for(record, n):
     if record is None or record["n"] < n:
         return True
-    return record["state"] == ACTIVE and n >= record["order"]
+    return record["state"] == RolloutState.ACTIVE and n >= record["order"]
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -3,7 +3,9 @@
 import asyncio
 from random import Random
 
-from honeywood.gateway.configuration import config
+from honeywood.gateway.configuration.model import Limits
+from honeywood.gateway.configuration.packing import unpack
+from honeywood.gateway.configuration.reader import read_configuration
 from honeywood.gateway.dissemination.backoff import INITIAL_DELAY_S, Backoff
 from honeywood.gateway.dissemination.chunks import ChunkAssembler
 from honeywood.gateway.dissemination.keys import RecordKind, kind_of, name_of
@@ -24,7 +26,7 @@
 from honeywood.gateway.proxy.invariants import InvariantChecks
 from honeywood.gateway.proxy.polling import poll_pause
 from honeywood.gateway.rollout import record
-from honeywood.gateway.rollout.stage import Stage
+from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 from honeywood.gateway.routing.attempts import AttemptPolicy
 from honeywood.gateway.routing.budget import RetryBudget
 from honeywood.gateway.routing.endpoints import LOST, Endpoints
@@ -51,15 +53,17 @@
         """`given` is what Program takes; `connect` opens connections to endpoints."""
         super().__init__(*given)
         s, self.app, self.random = self.settings, App(self), random or Random()
-        self.table, self.limits, self.config_at, self.server = None, config.Limits(), None, None
+        self.table, self.limits, self.config_at, self.server = None, Limits(), None, None
         self.endpoints, self.budgets, self.fleet = Endpoints(), {}, FleetSize(self.clock)
-        self.stage = Stage(self.endpoints, s.bounds["canary_share"], s.bounds["canary_slack"], self.fronts)
+        self.stage = RolloutTrafficPolicy(
+            self.endpoints, s.bounds.canary_share, s.bounds.canary_slack, self.fronts
+        )
         self.pool, self.tasks = ConnectionPool(self.clock, connect), set()
         self.policy = AttemptPolicy(self.budget_of, self.fronts, self.stage, self.endpoints.max_connections)
         parts = self.endpoints, self.policy, self.stage, self.pool, self.budget_of
         self.invariants = InvariantChecks(self, self.on_violation)
         self.forwarder = Forwarder(self.clock, self.random, s.zone, *parts, self.invariants.attempt_begins)
-        self.publisher = Publisher(self.store_incarnation(), self.hear, link_bytes_per_s=s.link)
+        self.publisher = Publisher(self.store_incarnation(), self.hear, link_bytes_per_s=s.link_bytes_per_s)
         store, backoff = self.publisher.store, Backoff(self.random, BACKOFF_MOST_S)
         self.retired, self.doubted_at = RetiredMachines(store), None
         self.counts = CountRecords(self.stage, self.clock, s.node, self.life, store)
@@ -99,9 +103,7 @@
         """A service's RetryBudget."""
         if service not in self.budgets:
             bounds = self.settings.bounds
-            self.budgets[service] = RetryBudget(
-                bounds["retry_ratio"], bounds["retry_slack"], bounds["retry_win_s"]
-            )
+            self.budgets[service] = RetryBudget(bounds.retry_ratio, bounds.retry_slack, bounds.retry_win_s)
         return self.budgets[service]
 
     def fronts(self):
@@ -118,11 +120,11 @@
         """A record has come, or has changed."""
         kind, name = kind_of(key), name_of(key)
         if kind == RecordKind.CONFIGURATION:
-            self.hear_config(config.read(config.unpack(value), hashed=True))
+            self.hear_config(read_configuration(unpack(value), hashed_keys=True))
         elif kind == RecordKind.MACHINE:
             self.hear_endpoint(name, value)
         elif kind == RecordKind.ROLLOUT:
-            self.stage.hear(self.clock(), record.decode(value))
+            self.stage.update(self.clock(), record.decode(value))
         elif kind == RecordKind.CONTROLLER:
             self.found([name])
 
@@ -132,7 +134,7 @@
         self.config_at = self.config_at or self.clock()
         most = self.endpoints.max_connections
         most.clear()
-        most.update({name: service.max_conns for name, service in read.services.items()})
+        most.update({name: service.max_connections for name, service in read.services.items()})
         self.say("configuration")
 
     def hear_endpoint(self, id, value):
@@ -170,7 +172,7 @@
             if answer is not None and answer.in_quorum:
                 self.met_quorum(asked_at, answer)
                 pause_s = poll_pause(
-                    self.stage.active, self.fronts(), len(self.controllers), self.random.random()
+                    self.stage.has_active_rollout, self.fronts(), len(self.controllers), self.random.random()
                 )
                 return await asyncio.sleep(pause_s)
         self.say("no controller answers", SAY_AGAIN_S)
@@ -195,9 +197,9 @@
     def met_quorum(self, asked_at, answer):
         """A controller that hears a majority has answered."""
         if answer.is_complete:  # else what ends a stage may be among what was not told
-            if self.met_majority and asked_at - self.stage.heard_at > MAX_DISCONNECTED_S:
+            if self.met_majority and asked_at - self.stage.controller_contact_at > MAX_DISCONNECTED_S:
                 self.doubt()
-            self.stage.heard_at = asked_at
+            self.stage.controller_contact_at = asked_at
         self.met_majority = True
 
     def poll_most(self):
@@ -217,7 +219,7 @@
         if self.stopping.is_set() or self.table is None:
             return False
         if not self.met_majority:  # the configuration may be that of a controller cut off from the others
-            if self.clock() - self.config_at < self.settings.bounds["contact_s"]:
+            if self.clock() - self.config_at < self.settings.bounds.contact_s:
                 return False
             self.say("ready without a controller that hears a majority", SAY_AGAIN_S)
         known = self.table.services <= set(self.endpoints.by_service)
@@ -288,14 +290,14 @@
         """Serves until the platform says to stop; then what is at work ends within the grace."""
         s = self.settings
         self.server = HttpServer(self.app)
-        await self.server.open([s.listen["http"], s.listen["ready"], (s.ip, s.proxy_port)])
+        await self.server.open([s.listen.http, s.listen.ready, (s.ip, s.proxy_port)])
         await self.open_metrics(self.server)
         self.say("started", role=s.role)
         self.begin()
         await self.until_stopped()
         self.say("stopping")
         await asyncio.sleep(UNREADY_SEEN_S)
-        await self.server.close(s.bounds["grace_s"] - UNREADY_SEEN_S - STOP_MARGIN_S)
+        await self.server.close(s.bounds.grace_s - UNREADY_SEEN_S - STOP_MARGIN_S)
         self.say("stopped")
 
     def begin(self):
--- a/tests/gateway/rpc/test_protocol.py
+++ b/tests/gateway/rpc/test_protocol.py
@@ -4,7 +4,7 @@
 from scripted_transport import STEP
 from ward import each, test
 
-from honeywood.gateway.configuration.config import Limits
+from honeywood.gateway.configuration.model import Limits
 
 
 @test("pipelined requests, split at any byte, are answered in order, each with its own response")
