--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -10,7 +10,7 @@
 from honeywood.gateway.configuration.model import Limits
 from honeywood.gateway.configuration.reader import read_configuration
 from honeywood.gateway.controller import machines
-from honeywood.gateway.dissemination.messages import Ask
+from honeywood.gateway.dissemination.messages import PollRequest
 from honeywood.gateway.dissemination.record import PATH
 from honeywood.gateway.errors import GatewayError, NotFound, PayloadTooLarge
 from honeywood.gateway.register.message_fields import PATH as REGISTER_PATH
@@ -108,9 +108,9 @@
 
     # our own
     async def news(self, of, body, peer, left=lambda: False):
-        ask = Ask.decode(read_json(body, PATH, peer), peer)
-        answer = await self.controller.publisher.serve(ask, left)
-        return replace(answer, **self.controller.beside(ask.who)).encode()
+        poll = PollRequest.decode(read_json(body, PATH, peer), peer)
+        response = await self.controller.publisher.serve(poll, left)
+        return replace(response, **self.controller.beside(poll.requester)).encode()
 
     async def register(self, of, body, peer):
         return await self.controller.register_responder(read_json(body, REGISTER_PATH, peer), peer)
--- a/tests/gateway/test_architecture.py
+++ b/tests/gateway/test_architecture.py
@@ -50,7 +50,7 @@
 # Imports that break the floors, each with its reason.
 EXCEPTIONS = {
     ("rpc", "configuration"): "calls read JSON as configuration/check.py does",
-    ("dissemination", "routing"): "history.py asks for the two states of a machine whose incarnation is over",
+    ("dissemination", "routing"): "retired_machines.py needs the states of a machine out of service",
     ("rollout", "dissemination"): "the machines that get a trial are ranked as the relays are",
     ("rollout", "routing"): "outcomes are counted by what an answer meant",
 }
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -8,7 +8,8 @@
 from honeywood.gateway.configuration.packing import unpack
 from honeywood.gateway.configuration.record import content_digest
 from honeywood.gateway.controller.orders import Orders
-from honeywood.gateway.dissemination.messages import Answer
+from honeywood.gateway.dissemination.keys import RecordKind
+from honeywood.gateway.dissemination.messages import PollResponse
 from honeywood.gateway.rollout import transitions
 from honeywood.gateway.rollout.record import RolloutState
 from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
@@ -388,7 +389,7 @@
             world.run(5.0)
         if what != "too few others to ask":
             world.join()
-        known = {value["ver"] for _, value in world.nodes["a"].store.under("machine/")}
+        known = {value["ver"] for _, value in world.nodes["a"].store.items_of(RecordKind.MACHINE)}
         assert known == (set() if what == "no machines" else {"v1"})
         world.say("a", "order v1 14")
         world.run(world.loop.time() + 1.0)
@@ -479,9 +480,9 @@
 
         async def old(ip, port, hold):
             world.loop.now += 20.0  # all stand still while the answer lies there
-            return Answer("", 0, in_quorum=True)
+            return PollResponse("", 0, in_quorum=True)
 
-        controller.peers.subscriber.ask = front.poller.ask = old
+        controller.peers.subscriber.poll = front.poller.poll = old
         world.loop.run_until_complete(controller.peers.poll("b"))
         assert not controller.in_quorum
         now = world.loop.now
