--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -13,7 +13,7 @@
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH
 from honeywood.gateway.errors import GatewayError, NotFound, PayloadTooLarge
-from honeywood.gateway.register import replica as register
+from honeywood.gateway.register.message_fields import PATH as REGISTER_PATH
 from honeywood.gateway.rpc.asgi import read_body, send_response
 from honeywood.gateway.rpc.request_context import CONTEXT
 from honeywood.gateway.rpc.statuses import status_of
@@ -113,4 +113,4 @@
         return replace(answer, **self.controller.beside(ask.who)).encode()
 
     async def register(self, of, body, peer):
-        return await self.controller.register_responder(read_json(body, register.PATH, peer), peer)
+        return await self.controller.register_responder(read_json(body, REGISTER_PATH, peer), peer)
--- a/honeywood/gateway/controller/orders.py
+++ b/honeywood/gateway/controller/orders.py
@@ -9,6 +9,7 @@
 from honeywood.gateway.configuration.reader import read_configuration
 from honeywood.gateway.configuration.record import OrderOutcome
 from honeywood.gateway.errors import InvalidInput, NotFound, Unavailable, VersionConflict
+from honeywood.gateway.register.errors import RegisterUnavailable
 from honeywood.gateway.rollout import record, transitions
 from honeywood.gateway.routing.endpoints import DRAINING, READY
 
@@ -44,18 +45,20 @@
         return now - self.ticked > FROZEN or now - self.thawed < FRESH
 
     async def _read(self, step, key, peer):
-        found = await self.register.read(key)
-        if not found.ok:
-            raise Unavailable(step, found.why, peer)
-        self.publish(key, found.value)
-        return found.value
+        try:
+            value = await self.register.read(key)
+        except RegisterUnavailable as error:
+            raise Unavailable(step, error.reason, peer) from None
+        self.publish(key, value)
+        return value
 
     async def _change(self, step, key, change, peer):
-        found = await self.register.change(key, change)
-        if not found.ok:
-            raise Unavailable(step, found.why, peer)
-        self.publish(key, found.value)
-        return found.value
+        try:
+            value = await self.register.change(key, change)
+        except RegisterUnavailable as error:
+            raise Unavailable(step, error.reason, peer) from None
+        self.publish(key, value)
+        return value
 
     async def configuration(self, peer):
         """The newest configuration, packed; 404 where a majority holds none."""
--- a/honeywood/gateway/controller/rollout_loop.py
+++ b/honeywood/gateway/controller/rollout_loop.py
@@ -4,6 +4,7 @@
 from dataclasses import dataclass
 
 from honeywood.gateway.dissemination.rendezvous import order
+from honeywood.gateway.register.errors import RegisterUnavailable
 from honeywood.gateway.rollout import record, report, transitions
 from honeywood.gateway.rollout.evaluator import RolloutEvaluator
 
@@ -60,7 +61,7 @@
 
     async def _turn(self, rollout, key, value):
         """Waits for this controller's turn; whether what was decided before still holds."""
-        turns = order({*self.register.members, self.local_ip}, rollout.service)
+        turns = order({*self.register.membership.members, self.local_ip}, rollout.service)
         wait_s, decided_at = turns.index(self.local_ip) * TURN_S, self.clock()
         await asyncio.sleep(wait_s)
         now = self.clock()
@@ -73,10 +74,11 @@
             step = (rollout.version, rollout.revision, since_s, change.state, change.stage)
             return transitions.advance(held, *step)
 
-        found = await self.register.change(key, lambda value: transitions.update_stored(value, changed))
-        if not found.ok:
+        try:
+            value = await self.register.change(key, lambda value: transitions.update_stored(value, changed))
+        except RegisterUnavailable:
             return
-        self.publish(key, found.value)
+        self.publish(key, value)
         changes = {name: getattr(change, name) for name in ("state", "stage") if getattr(change, name)}
         told = {"svc": rollout.service, "to_ver": rollout.version, "why": change.reason}
         self.say("rollout", **told, **changes)
--- a/honeywood/gateway/register/__init__.py
+++ b/honeywood/gateway/register/__init__.py
@@ -1,4 +1,5 @@
-"""The register: versions on a majority of disks, changed by ballots, with no log and no leader.
+"""The replicated register: keys whose values a majority of disks agrees on, by CASPaxos.
 
-Start reading at acceptor.py and proposer.py (rules, pure), then disk.py and replica.py.
+There is neither a log nor a leader.
+Start reading at acceptor.py and proposal.py (the rules, pure), then row_store.py and register.py.
 """
--- a/honeywood/gateway/register/proposer.py
+++ b/honeywood/gateway/register/proposer.py
@@ -1,67 +1,160 @@
-"""The proposer of CASPaxos: a change of one key's value, prepare and accept with a majority each. Pure:
-replies are fed in.
-
-A reply carries `lives`: how often each disk has begun anew, as far as its sender knows, its own among them.
-What a disk told before it was lost counts no more as soon as another reply tells of its newer life: the disk
-has asked the others for their rows since, perhaps before they heard what it had answered to.
-"""
-
-from honeywood.gateway.register.row import NEVER
-
-FIRST = 1  # the life of a disk that was never lost
-
-
-def current(replies):
-    """Of {ip: reply} those whose disk is not known, by any of them, to have begun anew since."""
-    newest = {}
-    for reply in replies.values():
-        for ip, life in reply.lives.items():
-            newest[ip] = max(life, newest.get(ip, FIRST))
-    return [reply for ip, reply in replies.items() if reply.lives.get(ip, FIRST) == newest.get(ip, FIRST)]
-
-
-class Proposal:
-    """One ballot's way. `change` takes the value held (or None) and gives the one to hold."""
-
-    def __init__(self, ballot, majority, change):
-        self.ballot, self.majority, self.change = ballot, majority, change
-        self.promises, self.accepts, self.refused = {}, {}, NEVER
-        self.latest = self.value = None
-
-    def _enough(self, ip, reply, kept):
-        if not reply.ok:
-            self.refused = max(self.refused, reply.promised)
-            return ()
-        kept[ip] = reply
-        counted = current(kept)
-        return counted if len(counted) >= self.majority else ()
-
-    def promised(self, ip, reply):
-        """Takes a reply to prepare; whether a majority has promised, and `latest` is the promise that told
-        the value to go on from."""
-        counted = self._enough(ip, reply, self.promises)
-        if counted:
-            self.latest = max(counted, key=lambda one: one.accepted)
-        return bool(counted)
-
-    @property
-    def holders(self):
-        """The disks that told the value to go on from."""
-        return [ip for ip, reply in self.promises.items() if reply.accepted == self.latest.accepted]
-
-    def propose(self, held):
-        """Takes the value that `latest` told of; the value to be accepted."""
-        self.value = self.change(held)
-        return self.value
-
-    def accepted(self, ip, reply):
-        """Takes a reply to accept; whether a majority holds the value now."""
-        return bool(self._enough(ip, reply, self.accepts))
-
-
-def agreed(rows, majority):
-    """A row that a majority holds under one ballot, out of rows of different disks, or None. Rows that aren't
-    `sure` don't count: a disk that was rebuilt holds copies of what it never accepted, beside the promises of
-    others, and a later ballot may have been promised where nobody knew of the copied one."""
-    ballots = [row.accepted for row in rows if row.sure]
-    return next((row for row in rows if ballots.count(row.accepted) >= majority), None)
+"""Changes of one key's value: ballots over the members' disks until one wins."""
+
+from __future__ import annotations
+
+import asyncio
+
+from honeywood.gateway.register import membership_rules
+from honeywood.gateway.register.errors import (
+    ConcurrentChange,
+    NotBootstrapped,
+    QuorumUnavailable,
+    RegisterUnavailable,
+    ValueUnavailable,
+)
+from honeywood.gateway.register.proposal import Proposal
+from honeywood.gateway.register.replies import Accepted, BallotConflict, Promise, ValueMissing
+from honeywood.gateway.register.requests import Accept, Prepare
+from honeywood.gateway.register.retry_deadline import RetryDeadline
+from honeywood.gateway.register.row import EMPTY_ROW, NO_BALLOT, Ballot
+from honeywood.gateway.register.value_transfer import VALUE_TIMEOUT_S
+from honeywood.gateway.register.values import ValueReference
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable
+    from random import Random
+
+    from honeywood.gateway.configuration.settings import Settings
+    from honeywood.gateway.register.json_value import JsonValue
+    from honeywood.gateway.register.membership_configuration import MembershipConfiguration
+    from honeywood.gateway.register.membership_state import MembershipState
+    from honeywood.gateway.register.peer_client import PeerClient
+    from honeywood.gateway.register.persistent_state import PersistentState
+    from honeywood.gateway.register.replies import Reply
+    from honeywood.gateway.register.value_lookup import ValueLookup
+    from honeywood.gateway.register.value_transfer import ValueTransfer
+
+INITIAL_BACKOFF_S = 0.02
+"""After a ballot that lost, randomly up to twice as long; it doubles up to MAX_BACKOFF_S."""
+
+MAX_BACKOFF_S = 0.16
+
+
+class Proposer:
+    """The proposer of this controller; `highest_counter` is the highest of a ballot that it knows of."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        random: Random,
+        membership: MembershipState,
+        state: PersistentState,
+        lookup: ValueLookup,
+        peers: PeerClient,
+        transfer: ValueTransfer,
+    ) -> None:
+        """`random` draws the backoff."""
+        self._local_ip, self._random = settings.ip, random
+        self._membership, self._state, self._lookup = membership, state, lookup
+        self._peers, self._transfer = peers, transfer
+        self.highest_counter = 0
+
+    async def change(self, key: str, update: Callable[[JsonValue], JsonValue]) -> JsonValue:
+        """Return the value that a majority has accepted after `update` mapped the current value to it.
+
+        `update` is called once a ballot and may raise; that ends the change. Raises RegisterUnavailable
+        where no ballot won in time; the last ballot's value may be accepted all the same.
+        """
+        loop, backoff_s = asyncio.get_running_loop(), INITIAL_BACKOFF_S
+        deadline = RetryDeadline(loop.time())
+        while self._membership.intact:
+            configuration = self._membership.configuration
+            proposal = Proposal(self._next_ballot(key), membership_rules.majority(configuration))
+            failure: RegisterUnavailable
+            try:
+                current = await self._prepare(key, proposal, configuration, deadline)
+                value = update(current)
+                await self._accept(key, value, proposal, configuration, deadline)
+                return value
+            except (QuorumUnavailable, ValueUnavailable) as error:
+                failure = error
+            if proposal.highest_conflict != NO_BALLOT:
+                self.highest_counter = max(self.highest_counter, proposal.highest_conflict.counter)
+                failure = ConcurrentChange()
+            if loop.time() >= deadline.at:
+                raise failure
+            await asyncio.sleep(backoff_s * (1 + self._random.random()))
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
+        raise NotBootstrapped
+
+    def _next_ballot(self, key: str) -> Ballot:
+        promised = self._state.registers.get(key, EMPTY_ROW).promised
+        self.highest_counter = max(self.highest_counter, promised.counter) + 1
+        return Ballot(self.highest_counter, self._local_ip)
+
+    async def _prepare(
+        self, key: str, proposal: Proposal, configuration: MembershipConfiguration, deadline: RetryDeadline
+    ) -> JsonValue:
+        """Have a majority promise the ballot; return the key's current value."""
+
+        def on_reply(ip: str, reply: Reply) -> bool:
+            return isinstance(reply, Promise | BallotConflict) and proposal.on_prepare_reply(ip, reply)
+
+        request = Prepare(key, proposal.ballot, configuration.epoch)
+        if not await self._peers.call_all(configuration.members, request, on_reply):
+            raise QuorumUnavailable
+        loop = asyncio.get_running_loop()
+        started_at = loop.time()
+        try:
+            return await self._transfer.resolve(proposal.latest_promise.value, proposal.value_sources)
+        finally:
+            deadline.extend(loop.time() - started_at)
+
+    async def _accept(
+        self,
+        key: str,
+        value: JsonValue,
+        proposal: Proposal,
+        configuration: MembershipConfiguration,
+        deadline: RetryDeadline,
+    ) -> None:
+        """Have a majority accept the value under the ballot."""
+
+        def on_reply(ip: str, reply: Reply) -> bool:
+            return isinstance(reply, Accepted | BallotConflict) and proposal.on_accept_reply(ip, reply)
+
+        request = Accept(key, proposal.ballot, configuration.epoch, self._lookup.add_proposed(value))
+        if not isinstance(request.value, ValueReference):
+            accepted = await self._peers.call_all(configuration.members, request, on_reply)
+        else:
+            loop = asyncio.get_running_loop()
+            started_at = loop.time()
+            call = self._call_with_value(request, request.value)
+            accepted = await self._peers.call_all(
+                configuration.members, request, on_reply, call=call, timeout_s=VALUE_TIMEOUT_S
+            )
+            deadline.extend(loop.time() - started_at)
+        if not accepted:
+            raise QuorumUnavailable
+
+    def _call_with_value(
+        self, request: Accept, reference: ValueReference
+    ) -> Callable[[str], Awaitable[Reply]]:
+        """Return the call that has a member accept a large value, which is pushed where it is missing."""
+        text = self._lookup.store.text(asyncio.get_running_loop().time(), reference)
+        assert text is not None, "a proposed value was put into the store"
+
+        async def call(ip: str) -> Reply:
+            reply = await self._peers.call(ip, request)
+            if not isinstance(reply, ValueMissing):
+                return reply
+            received = reply.received_characters
+            if not await self._transfer.push(ip, request.key, reference, text, received):
+                raise ValueUnavailable
+            reply = await self._peers.call(ip, request)
+            if isinstance(reply, ValueMissing):
+                raise ValueUnavailable
+            return reply
+
+        return call
