--- a/tests/gateway/test_pages.py
+++ b/tests/gateway/test_pages.py
@@ -1,5 +1,6 @@
 """What the main pages name exists: paths, links, commands with their options, and the glossary's terms."""
 
+import ast
 import importlib
 import re
 from importlib.util import find_spec
@@ -11,15 +12,20 @@
 from honeywood.cli.main import main as honeywood
 
 ROOT = Path(__file__).resolve().parents[2]
+GATEWAY = ROOT / "honeywood" / "gateway"
 GLOSSARY = "docs/glossary.md"
+ON_CALL = "docs/on-call.md"
 PAGES = (
     "README.md",
     "CONTRIBUTING.md",
     "docs/architecture.md",
     "docs/balancer.md",
     GLOSSARY,
-    "docs/on-call.md",
+    ON_CALL,
 )
+LOG_METHODS = {"say", "_say", "info"}
+LEAST_EVENTS = 20
+
 TOP_FOLDERS = ("benchmarks", "deploy", "docs", "honeywood", "journal", "tests")
 QUOTED = re.compile(r"`([^`\n]+)`")
 PATH = re.compile(rf"(?:{'|'.join(TOP_FOLDERS)})/[\w./-]*")
@@ -28,6 +34,8 @@
 COMMAND = re.compile(r"(?:^|; |&& |bin/)(honeywood|make|python -m [\w.]+)((?: [\w./=*-]+)*)")
 TERM_ROW = re.compile(r"^\| (`[^|]+) \| [^|]+ \| ([^|]+) \| [^|]* \|$", re.MULTILINE)
 OLD_NAMES = re.compile(r"^## Old names$.*?(?=^## |\Z)", re.MULTILINE | re.DOTALL)
+EVENT_SECTION = re.compile(r"^## Events of .*?(?=^## )", re.MULTILINE | re.DOTALL)
+EVENT_ROW = re.compile(r"^\| (`[^|]+) \|", re.MULTILINE)
 # Groups that hand their words on to a command of their own, so that none of its libraries is imported before.
 HANDED_ON = {"emulator": "honeywood.cli.emulator", "soak": "honeywood.cli.soak"}
 
@@ -104,6 +112,48 @@
             assert find_spec(program.split()[-1]) is not None, (page, program)
 
 
+def calls_by_name(path, names):
+    """The calls in a file of methods of these names."""
+    nodes = ast.walk(ast.parse(path.read_text()))
+    calls = (node for node in nodes if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute))
+    return [call for call in calls if call.func.attr in names]
+
+
+def texts_in(node):
+    """The text constants in a syntax tree."""
+    constants = (part for part in ast.walk(node) if isinstance(part, ast.Constant))
+    return {part.value for part in constants if isinstance(part.value, str)}
+
+
+def logged_events():
+    """The events that the gateway logs by a constant."""
+    calls = [call for path in GATEWAY.rglob("*.py") for call in calls_by_name(path, LOG_METHODS) if call.args]
+    events = {event for call in calls for event in texts_in(call.args[0])}
+    assert len(events) >= LEAST_EVENTS, "the log is written by a method of another name"
+    return events
+
+
+def documented_events():
+    """The events in the tables of the on-call page."""
+    sections = EVENT_SECTION.findall(text_of(ON_CALL))
+    rows = [row for section in sections for row in EVENT_ROW.findall(section)]
+    return {event for row in rows for event in QUOTED.findall(row)}
+
+
+@test("the on-call page has every event that the gateway logs")
+def _():
+    assert not sorted(logged_events() - documented_events())
+
+
+@test("the gateway logs every event of the on-call page")
+def _():
+    texts = {
+        text for path in GATEWAY.rglob("*.py") for text in texts_in(ast.parse(path.read_text()))
+    }  # some events are values of an enumeration, or parts of a line that is written without the log
+    unknown = documented_events() - logged_events()
+    assert not sorted(event for event in unknown if not any(event in text for text in texts))
+
+
 @test("every term of the glossary stands in the module beside it")
 def _():
     rows = TERM_ROW.findall(text_of(GLOSSARY))
