--- a/honeywood/lab/model/power.py
+++ b/honeywood/lab/model/power.py
@@ -14,8 +14,8 @@
 
 import lmdb
 
-from honeywood.gateway.register.row_store import RowStore
 from honeywood.gateway.register.file_operations import FileOperations
+from honeywood.gateway.register.row_store import RowStore
 from honeywood.lab.model.platter import GONE, KEPT, MIXED, Platter
 
 POWER, KILL, HANG = "power", "kill", "hang"  # ends: after a call; in one that never comes back
