--- a/honeywood/cli/emulator.py
+++ b/honeywood/cli/emulator.py
@@ -146,21 +146,22 @@
     """All orders of messages and losses of the register's rules, up to a depth; then long ways by chance."""
     from random import Random
 
-    from honeywood.lab.model import register
-    from honeywood.lab.model.explore import explore, walk
+    from honeywood.lab.model.register_model import ModelOptions
+    from honeywood.lab.model.scenarios import outcomes_model, versions_model
+    from honeywood.lab.model.search import explore, random_walk
 
-    def model(**more):
-        return register.versions(writers, **more) if what == "versions" else register.outcomes(**more)
+    def build(options):
+        return versions_model(writers, options) if what == "versions" else outcomes_model(options)
 
-    found = explore(model(), depth, most)
-    whole = "whole" if found.whole else "not whole"
+    found = explore(build(ModelOptions()), depth, most)
+    whole = "whole" if found.exhaustive else "not whole"
     click.echo(
-        f"{found.states} states, {found.depth} steps deep, {whole}: {found.wrong or 'nothing is broken'}"
+        f"{found.states} states, {found.depth} steps deep, {whole}: {found.violation or 'nothing is broken'}"
     )
     click.echo("\n".join(found.trace))
-    chance, wrong, steps = Random(1), found.wrong, 0
+    chance, wrong, steps = Random(1), found.violation, 0
     for _ in range(walks):
-        taken, broken, trace = walk(model(again=1), chance, 80)
+        taken, broken, trace = random_walk(build(ModelOptions(retries=1)), chance, 80)
         steps, wrong = steps + taken, wrong or broken
         if broken:
             click.echo("\n".join([broken, *trace]))
--- /dev/null
+++ b/honeywood/lab/model/invariants.py
@@ -0,0 +1,60 @@
+"""What must hold in every state of the register's model."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator, Sequence
+from itertools import combinations
+from typing import TYPE_CHECKING
+
+from honeywood.lab.model.membership_chain import FIRST_EPOCH, MembershipChain
+from honeywood.lab.model.state import DiskState, SystemState
+
+if TYPE_CHECKING:
+    from honeywood.gateway.register.json_value import JsonValue
+
+STALE_READ = "a read misses a value acknowledged before it"
+CONFLICTING_OUTCOMES = "conflicting outcomes are acknowledged"
+LOST_VALUE = "a majority of intact disks misses an acknowledged value"
+
+
+class Invariants:
+    """The invariants of one scenario."""
+
+    def __init__(
+        self,
+        chain: MembershipChain,
+        misses: Callable[[JsonValue, JsonValue], bool],
+        conflict: Callable[[Sequence[JsonValue]], bool],
+    ) -> None:
+        """`misses(stored, acknowledged)` tells whether a stored value lacks an acknowledged one.
+
+        `conflict(acknowledged)` tells that values can't all have been acknowledged.
+        """
+        self._chain = chain
+        self._misses = misses
+        self._conflict = conflict
+
+    def violation(self, state: SystemState, acknowledged: Sequence[JsonValue]) -> str:
+        """Return the invariant that is violated, given all values acknowledged so far; empty where none."""
+        if state.has_stale_read:
+            return STALE_READ
+        if not acknowledged:
+            return ""
+        if self._conflict(acknowledged):
+            return CONFLICTING_OUTCOMES
+        for value in self._majority_values(state):
+            if any(self._misses(value, known) for known in acknowledged):
+                return LOST_VALUE
+        return ""
+
+    def _majority_values(self, state: SystemState) -> Iterator[JsonValue]:
+        """Return the value that a ballot would find at each majority of each epoch."""
+        for epoch in range(FIRST_EPOCH, state.agreed_epoch + 1):
+            members = [state.disks[index] for index in self._chain.members(epoch)]
+            able = [disk for disk in members if _is_open(disk, epoch)]
+            for quorum in combinations(able, self._chain.majority(epoch)):
+                yield max(quorum, key=lambda disk: disk.row.accepted).row.value
+
+
+def _is_open(disk: DiskState, epoch: int) -> bool:
+    return disk.intact and not disk.sealed and disk.epoch == epoch
--- /dev/null
+++ b/honeywood/lab/model/membership_steps.py
@@ -0,0 +1,108 @@
+"""How epochs follow each other and lost disks are rebuilt in the register's model, by the program's rules."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import replace
+from itertools import combinations
+
+from honeywood.gateway.register import membership_rules
+from honeywood.gateway.register.incarnations import next_incarnation
+from honeywood.lab.model.incarnation_table import address_of
+from honeywood.lab.model.membership_chain import MembershipChain
+from honeywood.lab.model.search import Step
+from honeywood.lab.model.state import DiskState, SystemState, replace_item
+from honeywood.lab.model.state_transfer import (
+    enter_epoch,
+    received_replies,
+    transfer_reply,
+    transfer_steps,
+)
+
+MIN_INCARNATION_REPLIES = 2
+
+
+class MembershipSteps:
+    """The steps of disks that are lost, that seal an epoch or have stayed behind in one."""
+
+    def __init__(self, chain: MembershipChain) -> None:
+        """`chain` names the members of each epoch."""
+        self._chain = chain
+
+    def steps(self, state: SystemState) -> Iterator[Step[SystemState]]:
+        """Return each step that changes the membership or rebuilds a disk."""
+        if state.agreed_epoch < self._chain.last_epoch:
+            yield from self._agree(state)
+        for index, disk in enumerate(state.disks):
+            if not disk.intact:
+                yield from self._rebuild(state, index)
+            elif disk.epoch < state.agreed_epoch and index in self._chain.members(state.agreed_epoch):
+                yield from self._advance(state, index)
+
+    def _agree(self, state: SystemState) -> Iterator[Step[SystemState]]:
+        """Each majority of the newest epoch may agree on the next one."""
+        epoch = state.agreed_epoch
+        members = self._chain.members(epoch)
+        able = [index for index in members if _is_intact_in(state.disks[index], epoch)]
+        for quorum in combinations(able, self._chain.majority(epoch)):
+            after = state
+            for index in quorum:
+                after = after.with_disk(index, replace(after.disks[index], accepted_successor=True))
+            yield Step(f"{quorum} agree on the next members", replace(after, agreed_epoch=epoch + 1))
+
+    def _advance(self, state: SystemState, index: int) -> Iterator[Step[SystemState]]:
+        """A disk of the previous epoch may enter the newest, once a majority of its own has sealed."""
+        disk = state.disks[index]
+        epoch = disk.epoch
+        members = self._chain.members(epoch)
+
+        def seal(sender: int, sending: DiskState) -> DiskState | None:
+            if sending.epoch == epoch + 1:
+                return sending
+            if sender not in members or sending.epoch != epoch:
+                return None
+            return replace(sending, sealed=True)
+
+        yield from transfer_steps(state, index, seal)
+        sealed = self._chain.configuration(epoch, sealed=True)
+        quorum = membership_rules.transition_quorum(sealed, received_replies(self._chain, disk))
+        if quorum:
+            entered = enter_epoch(state, index, self._chain.configuration(epoch + 1), quorum)
+            yield Step(f"{index} enters the next epoch", entered)
+
+    def _rebuild(self, state: SystemState, index: int) -> Iterator[Step[SystemState]]:
+        """A lost disk may first start a new incarnation, then enter an epoch as that."""
+        disk = state.disks[index]
+        if not disk.incarnation:
+            yield from self._start_incarnation(state, index)
+            return
+
+        def record_incarnation(sender: int, sending: DiskState) -> DiskState:
+            known = sending.known_incarnations
+            latest = max(known[index], disk.incarnation)
+            return replace(sending, known_incarnations=replace_item(known, index, latest))
+
+        yield from transfer_steps(state, index, record_incarnation)
+        replies = received_replies(self._chain, disk)
+        quorum = membership_rules.join_quorum(address_of(index), replies, True)
+        if quorum is not None:
+            entered = enter_epoch(state, index, quorum.configuration, quorum.replies)
+            yield Step(f"{index} is rebuilt", entered)
+
+    def _start_incarnation(self, state: SystemState, index: int) -> Iterator[Step[SystemState]]:
+        """Each set of intact disks with a quorum in it may reply which incarnation comes next."""
+        address = address_of(index)
+        intact = [(other, disk) for other, disk in enumerate(state.disks) if disk.intact]
+        for count in range(MIN_INCARNATION_REPLIES, len(intact) + 1):
+            for senders in combinations(intact, count):
+                replies = {address_of(at): transfer_reply(self._chain, at, disk) for at, disk in senders}
+                quorum = membership_rules.join_quorum(address, replies, True)
+                if quorum is None:
+                    continue
+                known = [reply.incarnations for reply in quorum.replies]
+                started = replace(state.disks[index], incarnation=next_incarnation(address, known))
+                yield Step(f"{index} starts an incarnation", state.with_disk(index, started))
+
+
+def _is_intact_in(disk: DiskState, epoch: int) -> bool:
+    return disk.intact and disk.epoch == epoch
--- a/honeywood/lab/model/state.py
+++ b/honeywood/lab/model/state.py
@@ -1,85 +1,145 @@
-"""What a state of the register's model is made of: disks, writers, a read under way; all hashable."""
+"""What a state of the register's model consists of: disks, writers, a read in progress. All hashable."""
 
-from dataclasses import dataclass
-from dataclasses import replace as _replaced
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+from enum import StrEnum
+from typing import TYPE_CHECKING, NamedTuple, TypeAlias, TypeVar
 
 from honeywood.gateway.register.incarnations import FIRST_INCARNATION
+from honeywood.gateway.register.replies import Accepted, BallotConflict, Promise, ReadReply
 from honeywood.gateway.register.row import EMPTY_ROW, Ballot, Row
+from honeywood.gateway.register.values import InlineValue
+from honeywood.lab.model.incarnation_table import IncarnationTable, incarnation_table
+from honeywood.lab.model.membership_chain import FIRST_EPOCH
 
-OUT, COMING, TAKEN = "out", "coming", "taken"  # a step's request; its answer on its way; its answer taken
-PREPARE, ACCEPT, TOLD = "prepare", "accept", "told"
+if TYPE_CHECKING:
+    from honeywood.gateway.register.json_value import JsonValue
+    from honeywood.gateway.register.values import CarriedValue
 
+T = TypeVar("T")
 
-@dataclass(frozen=True, slots=True)
-class Disk:
-    """`synced` is what a loss of power leaves of `row`. `sealed`: the next epoch is known and no step of this
-    one is taken; `follows`: it has accepted that there is to be a next."""
+WriteReply: TypeAlias = Promise | BallotConflict | Accepted
+
+
+class WriterPhase(StrEnum):
+    """What a writer does."""
+
+    PREPARE = "prepare"
+    ACCEPT = "accept"
+    ACKNOWLEDGED = "acknowledged"
 
-    lives: tuple
-    sound: bool = True
-    life: int = FIRST_INCARNATION
+
+class Delivery(StrEnum):
+    """How far a request to one disk, or its reply, has come."""
+
+    REQUEST_IN_FLIGHT = "request in flight"
+    REPLY_IN_FLIGHT = "reply in flight"
+    REPLY_RECEIVED = "reply received"
+
+
+@dataclass(frozen=True, slots=True)
+class DiskState:
+    """One disk; `intact` is false where it was lost and not rebuilt yet.
+
+    `known_incarnations` are those of all disks, by index, as this one knows them; its own is `incarnation`, 0
+    while it is not known. `synced_row` is what a loss of power leaves of `row`. `sealed` tells that the next
+    epoch is known and no request of this one is served any more, `accepted_successor` that this disk has
+    accepted that there is a next one. `transfers` are the states received so far by a disk that enters an
+    epoch.
+    """
+
+    known_incarnations: tuple[int, ...]
+    intact: bool = True
+    incarnation: int = FIRST_INCARNATION
     row: Row = EMPTY_ROW
-    synced: Row = EMPTY_ROW
-    epoch: int = 1
+    synced_row: Row = EMPTY_ROW
+    epoch: int = FIRST_EPOCH
     sealed: bool = False
-    follows: bool = False
-    pulls: tuple = ()  # (disk, what it told) for one that moves, or was lost and has the life it will have
+    accepted_successor: bool = False
+    transfers: tuple[Transfer, ...] = ()
 
-    def known(self, own):
-        """The lives that it tells of, in the order of the disks."""
-        return tuple(self.life if at == own else life for at, life in enumerate(self.lives))
+    def reported_incarnations(self, own_index: int) -> IncarnationTable:
+        """Return the incarnations that the disk of that index names in its replies."""
+        return incarnation_table(replace_item(self.known_incarnations, own_index, self.incarnation))
+
+
+class Transfer(NamedTuple):
+    """The complete state of another disk, received at one moment."""
+
+    sender: int
+    disk: DiskState
 
 
 @dataclass(frozen=True, slots=True)
 class Writer:
-    """A proposer in its step `step`; its requests' ways and the answers to them, by disk."""
+    """A proposer; how far its requests have come and what was replied to them, by the index of the disk."""
 
-    step: str
+    phase: WriterPhase
     epoch: int
     ballot: Ballot
-    value: object = None
-    ways: tuple = ()
-    answers: tuple = ()
-    again: int = 0  # how often it may still begin anew
+    value: JsonValue = None
+    deliveries: tuple[Delivery, ...] = ()
+    replies: tuple[WriteReply | None, ...] = ()
+    remaining_retries: int = 0
+
+
+class SentReadReply(NamedTuple):
+    """A disk's reply to the reader."""
+
+    sender: int
+    reply: ReadReply
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
-    """A read under way: what had been told when it began, and (disk, reply) of who answered."""
+class Read:
+    """A read in progress; `acknowledged` are the values that had been acknowledged when it began."""
 
     epoch: int
-    told: tuple
-    replies: tuple = ()
+    acknowledged: tuple[JsonValue, ...]
+    replies: tuple[SentReadReply, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class State:
-    """The whole system at one moment."""
+class SystemState:
+    """The whole system at one moment, with the numbers of faults and reads that may still come.
+
+    `agreed_epoch` is the newest epoch. `read_values` are the results of all reads; `has_stale_read` tells
+    that one of them missed a value that had been acknowledged before it began.
+    """
+
+    disks: tuple[DiskState, ...]
+    writers: tuple[Writer, ...]
+    remaining_disk_losses: int
+    remaining_power_losses: int
+    agreed_epoch: int = FIRST_EPOCH
+    remaining_reads: int = 0
+    read: Read | None = None
+    read_values: tuple[JsonValue, ...] = ()
+    has_stale_read: bool = False
+
+    def with_disk(self, index: int, disk: DiskState) -> SystemState:
+        """Return this state with another disk at an index."""
+        return replace(self, disks=replace_item(self.disks, index, disk))
 
-    disks: tuple
-    writers: tuple
-    wipes: int
-    powers: int
-    agreed: int = 1  # the newest epoch
-    reads: int = 0  # still to come
-    reading: object = None
-    found: tuple = ()  # what reads found
-    stale: bool = False  # one found less than was told before it
+    def with_writer(self, index: int, writer: Writer) -> SystemState:
+        """Return this state with another writer at an index."""
+        return replace(self, writers=replace_item(self.writers, index, writer))
 
-    def with_disk(self, place, disk):
-        """This state with another disk at a place."""
-        return _replaced(self, disks=put_at(self.disks, place, disk))
 
-    def with_writer(self, place, writer):
-        """This state with another writer at a place."""
-        return _replaced(self, writers=put_at(self.writers, place, writer))
+def replace_item(items: tuple[T, ...], index: int, item: T) -> tuple[T, ...]:
+    """Return a tuple with another item at an index."""
+    return (*items[:index], item, *items[index + 1 :])
 
 
-def put_at(items, place, item):
-    """A tuple with another item at a place."""
-    return items[:place] + (item,) + items[place + 1 :]
+def to_carried(value: JsonValue) -> CarriedValue:
+    """Return a value as messages of the model carry it, whatever its size."""
+    return None if value is None else InlineValue(value)
 
 
-def lives_by_place(reply):
-    """A reply whose lives stand in the order of the disks, as the program's rules take it."""
-    return _replaced(reply, incarnations=dict(enumerate(reply.incarnations)))
+def from_carried(carried: CarriedValue) -> JsonValue:
+    """Return the value that a message of the model carried."""
+    if carried is None:
+        return None
+    assert isinstance(carried, InlineValue), "the model sends no references"
+    return carried.value
--- /dev/null
+++ b/tests/gateway/lab/model/test_register_model.py
@@ -0,0 +1,250 @@
+"""The rules of register and rollouts in every order; the search finds each safeguard that is removed."""
+
+import random
+
+from ward import each, test
+
+from honeywood.gateway.register import acceptor, membership_rules, proposal
+from honeywood.gateway.register.row import EMPTY_ROW, Row
+from honeywood.lab.model import reader_steps
+from honeywood.lab.model.membership_chain import REPLACED_MEMBER, REPLACED_MEMBER_OF_FIVE, THREE_MEMBERS
+from honeywood.lab.model.register_model import ModelOptions
+from honeywood.lab.model.scenarios import acknowledged_version_model, outcomes_model, versions_model
+from honeywood.lab.model.search import explore, random_walk, replay
+
+
+@test("one writer, a lost disk and lost power: the search is exhaustive and finds no violation")
+def _():
+    result = explore(versions_model(1), 40)
+    assert result.exhaustive and not result.violation and result.states > 5000
+
+
+@test("two writers in {build_model.__name__}: all states up to eight steps, and random walks")
+def _(build_model=each(versions_model, outcomes_model)):
+    result = explore(build_model(), 8)
+    assert not result.violation
+    assert result.states > 10_000
+    chance = random.Random(1)
+    model = build_model(options=ModelOptions(retries=1))
+    for _ in range(300):
+        walk = random_walk(model, chance, 60)
+        assert not walk.violation, walk.trace
+
+
+def keep_all_replies(replies):
+    return dict(replies)
+
+
+def accept_any_ballot(row, ballot, value):
+    return Row(ballot, ballot, value)
+
+
+def merge_to_empty_row(replicas):
+    return {"key": EMPTY_ROW}
+
+
+def finds_violation(model):
+    """Whether a search, or else random walks, find a violation."""
+    if explore(model, 16, 150_000).violation:
+        return True
+    chance = random.Random(1)
+    return any(random_walk(model, chance, 40).violation for _ in range(3000))
+
+
+@test("without {safeguard} the search finds a lost value")
+def _(
+    safeguard=each("incarnations", "ballot conflicts", "the rows of others", "syncs before replies"),
+    module=each(proposal, acceptor, acceptor, None),
+    name=each("current_replies", "accept", "merge_rows", ""),
+    mutation=each(keep_all_replies, accept_any_ballot, merge_to_empty_row, None),
+    writers=each(1, 2, 1, 1),
+):
+    # `incarnations` was found by this search: a disk was lost after it had accepted, and rebuilt from one
+    # that had not received the change yet; the writer counted its old reply and its new one as a majority.
+    options = ModelOptions(
+        replies_before_sync=module is None,
+        disk_losses=int(writers == 1),
+        power_losses=int(module is None),
+    )
+    original = getattr(module, name) if module else None
+    if module:
+        setattr(module, name, mutation)
+    try:
+        assert finds_violation(versions_model(writers, options))
+    finally:
+        if module:
+            setattr(module, name, original)
+
+
+# Reads. Writer 1's ballot is promised at 1 and 2, where what 0 accepted was unknown.
+
+
+DOUBT = (
+    "prepare of 0 at 0; reply of 0 to 0; prepare of 0 at 1; reply of 1 to 0; accept of 0 at 0; "
+    "prepare of 1 at 1; reply of 1 to 1; prepare of 1 at 2; reply of 2 to 1; "
+)
+COPIED = DOUBT + "disk 1 is lost"
+READ_BEFORE_LOSS = DOUBT + "accept of 1 at 0; 0 replies to the reader; disk 0 is lost"
+
+
+def always_accepted(row):
+    return True
+
+
+def explore_read_after(path):
+    options = ModelOptions(disk_losses=1, power_losses=0, reads=1)
+    model = versions_model(2, options, highest_first=True)
+    model.start = replay(model, path.split("; "))
+    return explore(model, 40, 30_000)
+
+
+@test("a read {situation}: all states, no violation; without {safeguard} the search finds one")
+def _(
+    situation=each("of a copied row", "of a disk that is lost before the read ends"),
+    safeguard=each("counts_as_accepted", "incarnations"),
+    module=each(acceptor, reader_steps),
+    name=each("counts_as_accepted", "current_replies"),
+    mutation=each(always_accepted, keep_all_replies),
+    path=each(COPIED, READ_BEFORE_LOSS),
+    min_states=each(18_000, 29_000),
+):
+    # `counts_as_accepted`, found by review: the copy on a rebuilt disk counted as accepted there, a read
+    # returned its value, and a ballot promised before put another in its place. All 18,780 states from there
+    # hold; without the safeguard one is violated 7 steps on (4074 states). The model's own start, ten steps
+    # before, has too many states for a test. `incarnations`, found by this search: a reply that a disk sent
+    # the reader before it was lost, beside what another accepted once it had sent the lost one its rows
+    # (29,158 states hold; without, 6 steps, 3117).
+    result = explore_read_after(path)
+    assert result.exhaustive and not result.violation and result.states > min_states, result
+    original = getattr(module, name)
+    setattr(module, name, mutation)
+    try:
+        assert explore_read_after(path).violation
+    finally:
+        setattr(module, name, original)
+
+
+@test("two writers that retry, two reads and {name}: random walks")
+def _(
+    name=each("three members", "a replacement"),
+    chain=each(THREE_MEMBERS, REPLACED_MEMBER),
+    walks=each(200, 100),
+):
+    options = ModelOptions(retries=1, chain=chain, reads=2)
+    model, chance = versions_model(2, options, highest_first=True), random.Random(1)
+    for _ in range(walks):
+        walk = random_walk(model, chance, 100)
+        assert not walk.violation, walk.trace
+
+
+# Membership: disk 3 replaces disk 2.
+
+
+def acknowledged_model(options):
+    """A value that was acknowledged before, on a majority that the replaced disk belongs to."""
+    return acknowledged_version_model(options, holders=(0, 2))
+
+
+@test("a member is replaced, {disk_losses} disks lost, {power_losses} times power: no value is lost")
+def _(disk_losses=each(0, 1), power_losses=each(1, 0), min_states=each(5000, 10_000)):
+    options = ModelOptions(disk_losses, power_losses, chain=REPLACED_MEMBER)
+    result = explore(acknowledged_model(options), 40, 10_000)
+    assert not result.violation and result.states >= min_states, result
+    assert result.exhaustive or disk_losses  # docs/design/control.md has the exhaustive search with a loss
+
+
+@test("two writers and a reader while a member of {size} is replaced: five steps, and random walks")
+def _(size=each(3, 5), chain=each(REPLACED_MEMBER, REPLACED_MEMBER_OF_FIVE), walks=each(150, 60)):
+    model = versions_model(2, ModelOptions(retries=1, chain=chain), proposing_reader=True)
+    assert not explore(model, 5, 8000).violation
+    chance = random.Random(1)
+    for _ in range(walks):
+        walk = random_walk(model, chance, 100)
+        assert not walk.violation, walk.trace
+
+
+def labels(path):
+    return [label.strip() for label in path.split(";")]
+
+
+def entering(*disks):
+    """The steps by which each disk enters the next epoch."""
+    return "; ".join(
+        f"0 transfers to {disk}; 1 transfers to {disk}; {disk} enters the next epoch" for disk in disks
+    )
+
+
+PREPARED = "prepare of 0 at 0; reply of 0 to 0; prepare of 0 at 1; reply of 1 to 0; "
+AGREED = "(0, 1) agree on the next members; "
+ENTERED = AGREED + entering(0, 3)
+ACCEPTED = "".join(
+    f"; {phase} of 0 at {disk}; reply of {disk} to 0" for phase in ("prepare", "accept") for disk in (0, 3)
+)
+CONCURRENT = (
+    "1 retries; prepare of 1 at 0; reply of 0 to 1; prepare of 1 at 2; reply of 2 to 1; "
+    + "accept of 1 at 2; "
+    + AGREED
+    + entering(1, 3)
+    + "; 0 retries; prepare of 0 at 1; reply of 1 to 0; prepare of 0 at 3; reply of 3 to 0"
+)
+
+
+def accept_any_epoch(configuration, address, epoch):
+    return address in configuration.members
+
+
+def skip_replaced_member(configuration, replies):
+    return [reply for address, reply in replies.items() if address != "2"] if len(replies) > 1 else []
+
+
+def forget_rows(replicas):
+    return {}
+
+
+def forget_promises(replicas):
+    merged = original_merge_rows(replicas)
+    return {key: row._replace(promised=row.accepted) for key, row in merged.items()}
+
+
+def join_at_any_time(address, replies, lost):
+    return original_join_quorum(address, replies, False)
+
+
+original_merge_rows, original_join_quorum = acceptor.merge_rows, membership_rules.join_quorum
+
+
+@test("without {safeguard} a member's replacement loses an acknowledged value; with it, it doesn't")
+def _(
+    safeguard=each(
+        "epochs in requests",
+        "a majority of the old members",
+        "rows before a disk is a voter",
+        "the transfer of promises",
+        "a lost disk's wait for an epoch that may be over",
+    ),
+    module=each(membership_rules, membership_rules, acceptor, acceptor, membership_rules),
+    name=each("accepts_epoch", "transition_quorum", "merge_rows", "merge_rows", "join_quorum"),
+    mutation=each(accept_any_epoch, skip_replaced_member, forget_rows, forget_promises, join_at_any_time),
+    writers=each(1, 0, 0, 2, 1),
+    disk_losses=each(0, 0, 0, 0, 1),
+    path=each(PREPARED + ENTERED, "", "", CONCURRENT, ENTERED + "; 0 retries" + ACCEPTED),
+):
+    # The last one was found by reasoning: a disk that had been in the new epoch was lost, and came back with
+    # the rows of the old one from two that had not left it yet; with these it entered the new one again.
+    def explore_from_path():
+        options = ModelOptions(disk_losses, 0, retries=int(writers > 0), chain=REPLACED_MEMBER)
+        if writers:
+            model = versions_model(writers, options, highest_first=True)
+        else:
+            model = acknowledged_model(options)
+        if path:
+            model.start = replay(model, labels(path))
+        return explore(model, 14, 20_000)
+
+    original = getattr(module, name)
+    assert not explore_from_path().violation
+    setattr(module, name, mutation)
+    try:
+        assert explore_from_path().violation
+    finally:
+        setattr(module, name, original)
--- a/tests/gateway/register/test_row_store.py
+++ b/tests/gateway/register/test_row_store.py
@@ -8,29 +8,25 @@
 
 from honeywood.gateway.register.file_operations import FileOperations
 from honeywood.gateway.register.row_store import RowStore
-from honeywood.lab.model import power
-from honeywood.lab.model.power import (
-    DOUBT,
-    FULL,
-    GONE,
-    HANG,
-    KEPT,
-    MIXED,
-    REFUSED,
-    Platter,
-    every_call,
-    history,
-)
+from honeywood.lab.model.call_faults import CallFault
+from honeywood.lab.model.crash_histories import StoreTypes, fault_at_every_call, run_history
+from honeywood.lab.model.disk_model import DiskModel, UnsyncedWrites
+from honeywood.lab.model.faulty_file_operations import FaultyFileOperations, ProcessTerminated
 
 
-@test("power is lost at every call in turn, what was not synced {how}")
-def _(how=each(KEPT, GONE, MIXED)):
-    assert sum(every_call(seed, how) for seed in range(8)) > 60
+@test("power is lost at every call in turn, what was not synced {unsynced}")
+def _(unsynced=each(UnsyncedWrites.KEPT, UnsyncedWrites.DISCARDED, UnsyncedWrites.MIXED)):
+    assert sum(fault_at_every_call(seed, unsynced) for seed in range(8)) > 60
 
 
-@test("every call in turn is met by {what}, and then power is lost, what was not synced {how}")
-def _(what=each(HANG, REFUSED, FULL, DOUBT), how=each(MIXED, GONE, MIXED, GONE)):
-    assert sum(every_call(seed, how, what) for seed in range(8)) > 60
+@test("every call in turn meets {fault}, and then power is lost, what was not synced {unsynced}")
+def _(
+    fault=each(CallFault.HANG, CallFault.REFUSED, CallFault.DISK_FULL, CallFault.REFUSED_AFTER_EFFECT),
+    unsynced=each(
+        UnsyncedWrites.MIXED, UnsyncedWrites.DISCARDED, UnsyncedWrites.MIXED, UnsyncedWrites.DISCARDED
+    ),
+):
+    assert sum(fault_at_every_call(seed, unsynced, fault) for seed in range(8)) > 60
 
 
 @test("and at calls by chance in life after life: nothing that a put had ended is lost")
@@ -39,33 +35,34 @@
     # by an assertion of lmdb's: without the sums beside the files this test does not even end. Removals that
     # were lost are played too: seen by a hunt, a mark of an opening that had come back with power made two
     # machines put their newer file aside, and with it the version that had been acknowledged last.
-    assert sum(history(seed) for seed in range(300)) > 1500
+    assert sum(run_history(seed) for seed in range(300)) > 1500
 
 
 @test("a row that was refused after its bytes were down isn't found in the place of the one that ended then")
 def _():
     # Both attempts carried one number: the left file, come back with power, won by its name.
     with tempfile.TemporaryDirectory() as folder:
-        platter, refused = Platter(), "written, then refused"
 
-        class Once(power.Calls):
+        class RefusedOnce(FaultyFileOperations):
             left = []
+            refuses_next_write = False
 
             def remove(self, path):
                 with open(path, "rb") as file:
                     self.left.append((path, file.read()))
                 super().remove(path)
 
-            def write(self, path, text):
-                super().write(path, text)
-                if self.plan.pop(refused, None):
+            def write(self, path, content):
+                super().write(path, content)
+                if self.refuses_next_write:
+                    self.refuses_next_write = False
                     raise OSError(5, "refused")
 
-        calls = Once(folder, platter, {})
+        calls = RefusedOnce(DiskModel(), {})
         disk = RowStore(folder, calls)
         disk.put({"k": "first"})
         disk.put({"k": "second"})
-        calls.plan[refused] = True
+        calls.refuses_next_write = True
         try:
             disk.put({"k": "refused"})
         except OSError:
@@ -83,16 +80,16 @@
     # then lost: its answer had counted for a majority.
     for seed in range(30):
         with tempfile.TemporaryDirectory() as folder:
-            draw, platter = random.Random(seed), Platter()
-            calls = power.Calls(folder, platter, {6 + seed % 5: HANG})
+            chance, disk_model = random.Random(seed), DiskModel()
+            calls = FaultyFileOperations(disk_model, {6 + seed % 5: CallFault.HANG})
             try:
                 disk = RowStore(folder, calls)
                 for put in range(3):
                     disk.put({"k": put})
-            except power.Lost:
+            except ProcessTerminated:
                 calls.close()
-            found = RowStore(folder, power.Calls(folder, platter, {})).rows()
-            platter.power(folder, draw, GONE)
+            found = RowStore(folder, FaultyFileOperations(disk_model, {})).rows()
+            disk_model.lose_power(folder, chance, UnsyncedWrites.DISCARDED)
             assert RowStore(folder).rows() == found
 
 
@@ -142,13 +139,13 @@
         assert len(RowStore(folder).rows()) == 41
 
 
-class Alone(RowStore):
+class WithoutPreviousWrite(RowStore):
     """Writes to its two files in turn without the rows of the write before."""
 
     _previous_write = property(lambda self: {}, lambda self, rows: None)
 
 
-class Same(RowStore):
+class NumbersEndedAttempts(RowStore):
     """Numbers only those attempts that ended."""
 
     def put(self, rows):
@@ -159,44 +156,42 @@
             raise
 
 
-class Unsettled(RowStore):
+class WithoutSyncOfFound(RowStore):
     def _sync_found(self, name):
         pass
 
 
-class Unsynced(power.Calls):
-    def sync(self, env):
+class WithoutSync(FaultyFileOperations):
+    def sync(self, environment):
         self.call(lambda: None)
 
 
-class Nameless(power.Calls):
+class WithoutFolderSync(FaultyFileOperations):
     def sync_path(self, path):
         if not os.path.isdir(path):
             super().sync_path(path)
 
 
-@test("without {guard} a row is lost")
+@test("without {safeguard} a row is lost")
 def _(
-    guard=each(
+    safeguard=each(
         "the rows of the write before",
         "the sync",
         "a number for each attempt",
         "a sync of what was found",
         "a sync of the folder",
     ),
-    disk=each(Alone, RowStore, Same, Unsettled, RowStore),
-    calls=each(power.Calls, Unsynced, power.Calls, power.Calls, Nameless),
+    store=each(WithoutPreviousWrite, RowStore, NumbersEndedAttempts, WithoutSyncOfFound, RowStore),
+    operations=each(
+        FaultyFileOperations, WithoutSync, FaultyFileOperations, FaultyFileOperations, WithoutFolderSync
+    ),
 ):
     # Mutations: histories that can't see them would prove nothing.
-    lost, guarded = 0, power.Calls
-    power.Calls = calls
-    try:
-        for seed in range(3000):
-            try:
-                history(seed, disk=disk)
-            except AssertionError:
-                lost += 1
-                break
-    finally:
-        power.Calls = guarded
+    lost, types = 0, StoreTypes(store, operations)
+    for seed in range(3000):
+        try:
+            run_history(seed, types)
+        except AssertionError:
+            lost += 1
+            break
     assert lost
