--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -40,7 +40,7 @@
         place = (scope["method"], *scope["path"].strip("/").split("/"))
         inside = scope["server"][1] == self.controller.settings.controller_port
         if scope["server"][1] == self.controller.metrics_port:
-            return await self.controller.tell_figures(scope, send)
+            return await self.controller.serve_metrics(scope, send)
         call = self.ours.get(place) if inside else self.calls.get((*place, named))
         try:
             if call is None:
--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -18,7 +18,7 @@
 from honeywood.gateway.dissemination.epochs import EpochClock
 from honeywood.gateway.dissemination.local import LocalRecords
 from honeywood.gateway.dissemination.publisher import Publisher
-from honeywood.gateway.metrics import Figures
+from honeywood.gateway.metrics import Metrics
 from honeywood.gateway.program import COUNTS, Program
 from honeywood.gateway.register.disk import Disk
 from honeywood.gateway.register.paging import PagedCaller, PagedResponder
@@ -173,7 +173,7 @@
             **self.app.refused,
         )
 
-    def figures(self):
+    def metrics(self):
         """Sums since the start, and what stands now."""
         states = Counter(value["state"] for _, value in self.store.under("machine/"))
         stamp = self.store.stamp(CONFIG)
@@ -185,7 +185,7 @@
             "proxies": len(self.fleet.proxies),
             **{f"machines_{state}": count for state, count in states.items()},
         }
-        return Figures(self.app.refused, gauges)
+        return Metrics(self.app.refused, gauges)
 
     async def run(self):
         """Runs until it is stopped."""
--- a/honeywood/gateway/metrics.py
+++ b/honeywood/gateway/metrics.py
@@ -1,53 +1,64 @@
-"""A program's own figures as text, in the form that Prometheus reads, for whoever asks its metrics address.
+"""A program's metrics in the text format of Prometheus, served at `GET /metrics` on an address of its own.
 
-`GET /metrics` at the port that the command line gives (`--metrics PORT`). One family,
-`honeywood_events_total`, holds all sums since the start, by the names that the log's line `counts` uses; the
-others are figures of now.
+The port is given on the command line (`--metrics PORT`). One counter family, `honeywood_events_total`, holds
+all sums since the start, labelled with the names that the log's line `counts` uses; the others are gauges.
 """
 
+from __future__ import annotations
+
 import sys
-from collections.abc import Mapping
 from dataclasses import dataclass
 
-PATH = "/metrics"
-OPTION = "--metrics"
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Mapping, Sequence
+
+    Number = int | float
+
+METRICS_PATH = "/metrics"
+PORT_OPTION = "--metrics"
+PORT_MAX = 65535
 CONTENT_TYPE = (b"content-type", b"text/plain; version=0.0.4")
-EVENTS = "honeywood_events_total"
+EVENT_COUNTER = "honeywood_events_total"
 GAUGE_PREFIX = "honeywood_"
+EXIT_USAGE = 2  # status of a program whose command line can't be used
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """`events` are sums since the start by name, `gauges` what stands now."""
-
-    events: Mapping[str, int | float]
-    gauges: Mapping[str, int | float | bool]
-
-
-def render(figures: Figures) -> bytes:
-    """The page of a program's figures."""
-    lines = [f"# TYPE {EVENTS} counter"]
-    lines += [
-        f'{EVENTS}{{event="{_escape(name)}"}} {value}' for name, value in sorted(figures.events.items())
-    ]
-    for name, value in sorted(figures.gauges.items()):
-        metric = GAUGE_PREFIX + name
-        lines += [f"# TYPE {metric} gauge", f"{metric} {float(value):g}"]
+class Metrics:
+    """A reading of a program's metrics."""
+
+    events: Mapping[str, Number]  # sums since the start, by event
+    gauges: Mapping[str, Number]  # present values, by name without GAUGE_PREFIX
+
+
+def render(metrics: Metrics) -> bytes:
+    """Return the page that Prometheus reads."""
+    lines = [f"# TYPE {EVENT_COUNTER} counter"]
+    for event, count in sorted(metrics.events.items()):
+        lines.append(f'{EVENT_COUNTER}{{event="{_escape_label(event)}"}} {count}')
+    for name, value in sorted(metrics.gauges.items()):
+        gauge = GAUGE_PREFIX + name
+        lines += [f"# TYPE {gauge} gauge", f"{gauge} {float(value):g}"]
     return ("\n".join(lines) + "\n").encode()
 
 
-def _escape(value: str) -> str:
+def _escape_label(value: str) -> str:
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
-def port_of(arguments: list[str]) -> int | None:
-    """The metrics port that a program's command line names, None where it has none; ends the program with
-    status 2 where it can't be used. By hand: argparse would cost each process memory."""
+def parse_port(arguments: Sequence[str]) -> int | None:
+    """Return the port that a command line gives, None where it gives none.
+
+    Ends the program with EXIT_USAGE where it can't be used. Read by hand: argparse would cost each process
+    memory.
+    """
     if not arguments:
         return None
-    option, *rest = arguments
-    usable = option == OPTION and len(rest) == 1 and rest[0].isascii() and rest[0].isdecimal()
-    if not usable or not 0 < int(rest[0]) < 65536:
-        print(f"only {OPTION} PORT is known, not {' '.join(arguments)}", file=sys.stderr)
-        raise SystemExit(2)
-    return int(rest[0])
+    option, *values = arguments
+    if option == PORT_OPTION and len(values) == 1 and values[0].isascii() and values[0].isdecimal():
+        port = int(values[0])
+        if 0 < port <= PORT_MAX:
+            return port
+    print(f"only {PORT_OPTION} PORT is known, not {' '.join(arguments)}", file=sys.stderr)
+    raise SystemExit(EXIT_USAGE)
--- a/honeywood/gateway/program.py
+++ b/honeywood/gateway/program.py
@@ -13,8 +13,7 @@
 
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.configuration.settings import read
-from honeywood.gateway.metrics import CONTENT_TYPE, Figures, render
-from honeywood.gateway.metrics import PATH as METRICS_PATH
+from honeywood.gateway.metrics import CONTENT_TYPE, METRICS_PATH, Metrics, render
 from honeywood.gateway.rpc.asgi import answer
 from honeywood.gateway.rpc.client import Caller
 
@@ -32,7 +31,7 @@
         self.settings, self.clock, self.wall = settings or self.load(), clock, wall
         self.life, self.caller = f"{int(wall() * 1000):013x}", caller or Caller()
         self.loops, self.stopping, self.said = set(), asyncio.Event(), {}
-        self.metrics_port = None  # where figures are told; None: nowhere
+        self.metrics_port = None  # None: no metrics are served
         structlog.configure(
             processors=[
                 structlog.processors.TimeStamper(fmt="iso", utc=True),
@@ -89,9 +88,9 @@
     def found(self, controllers):
         """Controllers that are told of."""
 
-    def figures(self) -> Figures:
+    def metrics(self) -> Metrics:
         """What this program tells of itself."""
-        return Figures({}, {})
+        return Metrics({}, {})
 
     async def open_metrics(self, server):
         """Opens the metrics address on a server that is open; without it where the address is taken."""
@@ -103,11 +102,11 @@
             self.say("no metrics address", port=self.metrics_port, why=str(wrong))
             self.metrics_port = None
 
-    async def tell_figures(self, scope, send):
+    async def serve_metrics(self, scope, send):
         """Answers a request at the metrics address."""
         if scope["path"] != METRICS_PATH:
             return await answer(send, 404)
-        await answer(send, 200, [CONTENT_TYPE], render(self.figures()))
+        await answer(send, 200, [CONTENT_TYPE], render(self.metrics()))
 
     def loop(self, step, every):
         """Runs `step` again and again, `every` seconds after it ended; what it raises is logged."""
--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -50,7 +50,7 @@
         if port == self.news_port:
             return await self.news(scope, receive, send)
         if port == self.proxy.metrics_port:
-            return await self.proxy.tell_figures(scope, send)
+            return await self.proxy.serve_metrics(scope, send)
         context = scope[CONTEXT]
         early = context.early_response
         response = await (early if early is not None else self.client(scope, receive))
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -10,7 +10,7 @@
 from honeywood.gateway.dissemination.publisher import HOLD, SMALL, Publisher
 from honeywood.gateway.dissemination.rendezvous import order
 from honeywood.gateway.dissemination.subscriber import Subscriber
-from honeywood.gateway.metrics import Figures
+from honeywood.gateway.metrics import Metrics
 from honeywood.gateway.program import COUNTS, Program
 from honeywood.gateway.proxy.app import App
 from honeywood.gateway.proxy.connections import ConnectionPool
@@ -256,7 +256,7 @@
         """Violated invariants by name, for counts and metrics."""
         return {f"violated: {one.value}": count for one, count in self.invariants.violations.items()}
 
-    def figures(self):
+    def metrics(self):
         """Sums since the start, and what stands now."""
         endpoints = list(self.endpoints.by_id.values())
         events = {**self.forwarder.counts, **self.app.refusals, **self.violations()}
@@ -270,7 +270,7 @@
             "open_attempts": sum(endpoint.in_flight for endpoint in endpoints),
             "connections_opened": self.pool.opened,
         }
-        return Figures(events, gauges)
+        return Metrics(events, gauges)
 
     async def run(self):
         """Serves until the platform says to stop; then what is at work ends within the grace."""
--- a/honeywood/lab/soak/node.py
+++ b/honeywood/lab/soak/node.py
@@ -14,7 +14,7 @@
 
 from honeywood.gateway.configuration.outcome import Failed
 from honeywood.gateway.controller.program import Controller
-from honeywood.gateway.metrics import port_of
+from honeywood.gateway.metrics import parse_port
 from honeywood.gateway.proxy.program import Proxy
 from honeywood.gateway.rpc.client import UNAVAILABLE, Caller
 from honeywood.gateway.rpc.connection import Connection
@@ -74,7 +74,7 @@
         program = Proxy(None, CutCaller(cuts), connect=cut_connect(cuts))
     else:
         program = Controller(None, CutCaller(cuts))
-    program.metrics_port = port_of(arguments)
+    program.metrics_port = parse_port(arguments)
     asyncio.run(program.run())
 
 
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -5,7 +5,7 @@
 from socket_scene import GET, HEAD, Scene, ok, play
 from ward import each, raises, test
 
-from honeywood.gateway.metrics import Figures, port_of, render
+from honeywood.gateway.metrics import Metrics, parse_port, render
 from honeywood.gateway.rpc.departure import ClientDeparture
 
 
@@ -28,7 +28,7 @@
 
 @test("figures are told as text, with names escaped")
 def _():
-    page = render(Figures({'answered "200"\\': 2}, {"ready": True, "connections": 3}))
+    page = render(Metrics({'answered "200"\\': 2}, {"ready": True, "connections": 3}))
     assert page.decode().splitlines() == [
         "# TYPE honeywood_events_total counter",
         'honeywood_events_total{event="answered \\"200\\"\\\\"} 2',
@@ -41,13 +41,13 @@
 
 @test("the command line {given} names the metrics port {port}")
 def _(given=each([], ["--metrics", "9464"]), port=each(None, 9464)):
-    assert port_of(given) == port
+    assert parse_port(given) == port
 
 
 @test("a command line {given} that can't be used ends the program with status 2")
 def _(given=each(["--metrics"], ["--metrics", "x"], ["--metrics", "0"], ["--metrics", "65536"], ["-v"])):
     with raises(SystemExit) as ended:
-        port_of(given)
+        parse_port(given)
     assert ended.raised.code == 2
 
 
