--- a/honeywood/gateway/controller/machine_loop.py
+++ b/honeywood/gateway/controller/machine_loop.py
@@ -51,5 +51,5 @@
     def poll(self, now):
         """Takes silent machines for lost, where enough others have told all that they heard: parts of what
         they know are no silence of the machines that they hear."""
-        if self.contacts.in_quorum(now) and self.contacts.knows_all(now):
+        if self.contacts.in_quorum(now) and self.contacts.has_complete_view(now):
             self.machines.look(now)
--- a/honeywood/gateway/controller/membership_loop.py
+++ b/honeywood/gateway/controller/membership_loop.py
@@ -33,7 +33,7 @@
             return  # the others see to it
         bounds = self.settings.bounds
         soon_s, late_s = bounds["contact_s"], LATE * (bounds["contact_s"] + bounds["sync_s"])
-        states, now = self.contacts.states(), self.clock()
+        states, now = self.contacts.peer_states(), self.clock()
         found = replacement(self.register.here, self.settings.ip, states, now, soon_s, late_s)
         if found:
             self.say("member unusable", 1.0, member=found.lost, spare=found.spare, why=found.why)
--- a/honeywood/gateway/controller/peers.py
+++ b/honeywood/gateway/controller/peers.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from honeywood.gateway.controller.contact import disk_state
+from honeywood.gateway.controller.contacts import decode_disk_state
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.messages import Asker
 from honeywood.gateway.dissemination.subscriber import Subscriber
@@ -38,7 +38,7 @@
 
     def _asker(self):
         s = self.settings
-        stamps, disk = self.contacts.stamps(), self.local_disk().value
+        stamps, disk = self.contacts.stamps_to_echo(), self.local_disk().value
         return Asker(s.node, s.ip, controller=True, stamps=stamps, disk=disk)
 
     def start(self):
@@ -57,14 +57,14 @@
         reply = await self.subscriber.ask(ip, self.settings.controller_port, HOLD_S)
         if reply.ok:
             told = reply.value
-            self.contacts.answered(ip, asked_at, told.whole, told.stamp, disk_state(told.disk))
+            self.contacts.record_response(ip, asked_at, told.whole, told.stamp, decode_disk_state(told.disk))
         await asyncio.sleep(min(BACKOFF_S, self.subscriber.backoff.rest(ip, self.clock())))
 
     async def poll_all(self):
         """Polls all other controllers for what they know now; whether enough told all of it."""
         others = [ip for ip in self.addresses if ip != self.settings.ip]
         complete = await asyncio.gather(*[self._tells_all(ip) for ip in others])
-        return self.contacts.is_enough(ip for ip, told in zip(others, complete) if told)
+        return self.contacts.forms_quorum(ip for ip, told in zip(others, complete) if told)
 
     async def _tells_all(self, ip):
         reply = await self.subscriber.ask(ip, self.settings.controller_port, 0.0)
--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -5,15 +5,15 @@
 
 from honeywood.gateway.configuration.config import for_proxies
 from honeywood.gateway.controller.app import App
-from honeywood.gateway.controller.contact import Contacts, disk_state
+from honeywood.gateway.controller.contacts import Contacts, decode_disk_state
+from honeywood.gateway.controller.count_retention import is_count_needed
 from honeywood.gateway.controller.disk_health import CHECK_S
-from honeywood.gateway.controller.fleet import FLEET, Fleet
 from honeywood.gateway.controller.machine_loop import MachineLoop
 from honeywood.gateway.controller.membership_loop import MembershipLoop
 from honeywood.gateway.controller.orders import CONFIG, TICK, Orders
 from honeywood.gateway.controller.peers import PeerPolling
+from honeywood.gateway.controller.proxy_fleet import FLEET_PREFIX, ProxyFleet, ProxyLocation
 from honeywood.gateway.controller.replication import Replication
-from honeywood.gateway.controller.retention import still_counted
 from honeywood.gateway.controller.rollout_loop import RolloutLoop
 from honeywood.gateway.dissemination.epochs import EpochClock
 from honeywood.gateway.dissemination.local import LocalRecords
@@ -41,7 +41,7 @@
         super().__init__(*given)
         s, self.random, clock = self.settings, random or Random(), self.clock
         self.app, incarnation = App(self), self.store_incarnation()
-        self.publisher = Publisher(incarnation, self.on_record, self.on_ask, s.link, needed=still_counted)
+        self.publisher = Publisher(incarnation, self.on_record, self.on_ask, s.link, needed=is_count_needed)
         self.store, self.epochs = self.publisher.store, EpochClock()
         self.local = LocalRecords(self.store, int(self.life, 16), self.is_local)
         self.register = Register(s, PagedCaller(self.caller), self.random, self.say, disk)
@@ -59,7 +59,7 @@
             self.store, s.beat_s, self.register, self.contacts, self.replication, clock, self.say
         )
         self.machines = self.machine_loop.machines
-        self.fleet = Fleet(s.ip, self.store, self.contacts, self.local.tell)
+        self.fleet = ProxyFleet(s.ip, self.store, self.contacts, self.local.tell)
         self.rollouts = RolloutLoop(
             s.ip, self.store, self.register, self.contacts, self.fleet, self.publish, clock, self.say
         )
@@ -87,11 +87,11 @@
         """Another program asked for news that has all up to `revision`."""
         now = self.clock()
         if asker.proxy:
-            self.fleet.asked(now, asker)
+            self.fleet.record_poll(now, asker.node, ProxyLocation(asker.zone, asker.ip))
         elif asker.controller:
             self.found([asker.ip])
             stamp = asker.stamps.get(self.settings.ip)
-            self.contacts.asked(asker.ip, now, stamp, revision, disk_state(asker.disk))
+            self.contacts.record_request(asker.ip, now, stamp, revision, decode_disk_state(asker.disk))
             self.replication.notify()
 
     def beside(self, asker):
@@ -99,17 +99,17 @@
         proxies there are, the relays that it hears from, and which of its counts are known here."""
         found = {"in_quorum": self.in_quorum}
         if asker.controller:
-            found |= {"stamp": self.contacts.stamp(self.clock()), "disk": self.disk_state().value}
+            found |= {"stamp": self.contacts.issue_stamp(self.clock()), "disk": self.disk_state().value}
         if asker.proxy:
             counted = self.store.stamp(f"count/{asker.node}/{asker.life}")
-            found["fleet"] = len(self.fleet.proxies), self.fleet.relays(asker.node, asker.zone)
+            found["fleet"] = len(self.fleet.proxies), self.fleet.relays_of(asker.node, asker.zone)
             found["counted"] = counted[0] if counted else 0
         return found
 
     def is_local(self, key):
         """Whether a record is this controller's own, of this incarnation or an earlier one."""
         ip = self.settings.ip
-        return key == f"{CONTROLLER}{ip}" or key.startswith(f"{FLEET}{ip}/")
+        return key == f"{CONTROLLER}{ip}" or key.startswith(f"{FLEET_PREFIX}{ip}/")
 
     def on_record(self, key, value):
         """A record has come to the store, from here or from others."""
@@ -148,12 +148,12 @@
         """Looks at machines, proxies and the epoch of records."""
         now = self.clock()
         self.machine_loop.poll(now)
-        self.fleet.poll(now)
+        self.fleet.refresh(now)
         self.store.learn(self.epochs.next(now, self.store.epoch, self.in_quorum))
         self.local.refresh()
         if self.store.prune():
             told = {key.removeprefix(CONTROLLER) for key, _ in self.store.under(CONTROLLER)}
-            self.peers.forget_others(told | {*self.register.members} | self.contacts.vouching(now))
+            self.peers.forget_others(told | {*self.register.members} | self.contacts.observers(now))
 
     async def count(self):
         """A line of what stands now."""
--- /dev/null
+++ b/honeywood/gateway/controller/proxy_fleet.py
@@ -0,0 +1,98 @@
+"""Which proxies share the traffic: those that poll any controller in contact.
+
+Each controller publishes, under its own address, the location of every proxy that polls it.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from honeywood.gateway.dissemination.rendezvous import parents
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from honeywood.gateway.controller.contacts import Contacts
+    from honeywood.gateway.dissemination.store import Store
+
+FLEET_PREFIX = "fleet/"  # of the keys fleet/CONTROLLER_IP/PROXY_NODE
+PROXY_TIMEOUT_S = 3.0  # seconds without a poll after which a proxy shares in nothing
+
+
+class ProxyLocation(NamedTuple):
+    """Where a proxy is; a tuple, as rendezvous hashing takes it, and stored as [zone, ip]."""
+
+    zone: str
+    ip: str
+
+    def encode(self) -> list[str]:
+        """Return the value of its record."""
+        return list(self)
+
+    @classmethod
+    def decode(cls, value: list[str]) -> ProxyLocation:
+        """Return the location that a record holds."""
+        return cls(*value)
+
+
+@dataclass(frozen=True, slots=True)
+class ProxySighting:
+    """The latest poll of a proxy at this controller."""
+
+    polled_at: float
+    location: ProxyLocation
+
+
+class ProxyFleet:
+    """The proxies that poll this controller, and those that share the traffic."""
+
+    def __init__(
+        self,
+        local_ip: str,
+        store: Store,
+        contacts: Contacts,
+        publish_local: Callable[[str, list[str] | None], None],
+    ) -> None:
+        """Start without any proxy; `publish_local(key, value)` publishes a record of this controller."""
+        self.local_ip, self.store, self.contacts = local_ip, store, contacts
+        self.publish_local = publish_local
+        self.sightings: dict[str, ProxySighting] = {}  # by node, of the proxies that poll this controller
+        self.proxies: dict[str, ProxyLocation] = {}  # by node, of those that share the traffic
+        self._relays: dict[str, list[str]] = {}  # addresses by node, while `proxies` stands
+
+    def record_poll(self, now: float, node: str, location: ProxyLocation) -> None:
+        """Take note of a proxy that polls this controller."""
+        self.sightings[node] = ProxySighting(now, location)
+
+    def refresh(self, now: float) -> None:
+        """Publish which proxies poll this controller or have ceased to, and determine `proxies` anew."""
+        for node, sighting in list(self.sightings.items()):
+            silent = now - sighting.polled_at >= PROXY_TIMEOUT_S
+            key, value = self._local_key(node), None if silent else sighting.location.encode()
+            if self.store.get(key) != value:
+                self.publish_local(key, value)
+            if silent:
+                del self.sightings[node]
+        self.current_proxies(now)
+
+    def _local_key(self, node: str) -> str:
+        return f"{FLEET_PREFIX}{self.local_ip}/{node}"
+
+    def current_proxies(self, now: float) -> dict[str, ProxyLocation]:
+        """Return the proxies that share the traffic now, by node."""
+        observers, live = self.contacts.observers(now), {}
+        for key, value in self.store.under(FLEET_PREFIX):
+            _, observer, node = key.split("/", 2)
+            if value is not None and observer in observers:
+                live[node] = ProxyLocation.decode(value)
+        if live != self.proxies:
+            self.proxies, self._relays = live, {}
+        return live
+
+    def relays_of(self, node: str, zone: str) -> list[str]:
+        """Return the addresses of the relays that a proxy polls, the nearest first."""
+        if node not in self._relays:
+            self._relays[node] = parents(node, zone, self.proxies)
+        return self._relays[node]
--- a/honeywood/gateway/controller/replication.py
+++ b/honeywood/gateway/controller/replication.py
@@ -24,7 +24,7 @@
         revision, until, heard = self.store.rev, self.clock() + WITHIN_S, asyncio.Event()
         self._waiting.append(heard)
         try:
-            while not self.contacts.have_heard(revision):
+            while not self.contacts.is_replicated(revision):
                 heard.clear()
                 async with asyncio.timeout(until - self.clock()):
                     await heard.wait()
--- a/honeywood/gateway/controller/rollout_loop.py
+++ b/honeywood/gateway/controller/rollout_loop.py
@@ -104,7 +104,7 @@
         tallies = [tally for _, one in reports if self._since_order(one, rollout) for tally in one.tallies]
         ballots = [
             last[node].ballot(rollout.service) if node in last else None
-            for node in self.fleet.sharing(self.clock())
+            for node in self.fleet.current_proxies(self.clock())
         ]
         current = [one if one and one.revision == rollout.revision else None for one in ballots]
         votes = [one.vote if one else None for one in current]
--- a/tests/gateway/test_dissemination_mutations.py
+++ b/tests/gateway/test_dissemination_mutations.py
@@ -8,7 +8,7 @@
 from mutation import fails, scenarios
 from ward import each, test
 
-from honeywood.gateway.controller import contact, retention
+from honeywood.gateway.controller import contacts, count_retention
 from honeywood.gateway.controller.machine_records import MachineRecords
 from honeywood.gateway.controller.machines import DEPARTED_ROW, Machines
 from honeywood.gateway.dissemination import chunk, departed, epochs, store
@@ -118,12 +118,12 @@
     Mutation("counts always told", CountRecords, "records_for", counts_always, LINKS, "all controllers"),
     Mutation("no backoff", Backoff, "rest", lambda *given: 0.0, LINKS, "whoever gets no answers"),
     Mutation("own records of before", LocalRecords, "heard", unlike, LINKS, "a program that hears its own"),
-    Mutation("dead controllers", contact, "VOUCHES_S", FOREVER, LINKS, "a controller that is heard"),
+    Mutation("dead controllers", contacts, "OBSERVER_TIMEOUT_S", FOREVER, LINKS, "a controller that is heard"),
     Mutation("no order of waking", Publisher, "__init__", unordered, LINKS, "who waits is woken"),
     Mutation("all records wake all", Publisher, "_told", told_to_all, LINKS, "who waits is woken"),
     Mutation("no last look", Publisher, "_found", looked_up_before, LINKS, "a note that wakes nobody"),
     Mutation("nothing lapses", epochs, "lapsed", lambda *given: False, EPOCHS, "two days with hundreds"),
-    Mutation("counts lapse", retention, "_counts_for", lambda *given: False, EPOCHS, "counts of a proxy"),
+    Mutation("counts lapse", count_retention, "_is_needed_by", lambda *given: False, EPOCHS, "counts of a proxy"),
     Mutation("lapsed ones come back", Store, "_lapsed", lambda *given: False, EPOCHS, "what has lapsed"),
     Mutation("incarnations alone", Store, "_outlived", lambda *given: False, EPOCHS, "what has lapsed"),
     Mutation("no quorum", epochs.EpochClock, "next", without_quorum, EPOCHS, "the epoch needs a quorum"),
--- a/tests/gateway/test_epochs.py
+++ b/tests/gateway/test_epochs.py
@@ -8,7 +8,7 @@
 from timeline import World, machine
 from ward import each, test
 
-from honeywood.gateway.controller.retention import still_counted
+from honeywood.gateway.controller.count_retention import is_count_needed
 from honeywood.gateway.dissemination import departed, epochs
 from honeywood.gateway.dissemination.local import LocalRecords
 from honeywood.gateway.dissemination.record import Record
@@ -29,7 +29,7 @@
 
     def __init__(self, ip, incarnation, n):
         self.ip, self.heard, self.proxies = ip, {}, {}
-        self.store = Store(f"{ip}.{n}", self.hear, still_counted)
+        self.store = Store(f"{ip}.{n}", self.hear, is_count_needed)
         self.own = LocalRecords(self.store, incarnation, self.mine)
         self.clock = epochs.EpochClock()
         self.own.tell(f"bourse/{ip}", ip)
@@ -272,7 +272,7 @@
         assert held["f"] == shared, held["f"]
         fleet = {f"fleet/{ip}/f" for ip in "abc"}
         assert all(held[name] == shared | fleet | {f"count/f/{life}"} for name in "abc"), held
-        assert not set(world.nodes["a"].fleet.asking) - {"f"}
+        assert not set(world.nodes["a"].fleet.sightings) - {"f"}
         assert max(sizes[80:]) <= max(sizes[40:80]) * 1.1 and max(sizes) < 6000, sizes[::10]
         assert len({world.nodes[name].publisher.store.digest for name in "abcf"}) == 1
     finally:
--- a/tests/gateway/test_register.py
+++ b/tests/gateway/test_register.py
@@ -8,7 +8,7 @@
 from ward import each, test
 
 from honeywood.gateway.configuration.outcome import Done
-from honeywood.gateway.controller.contact import Contacts
+from honeywood.gateway.controller.contacts import Contacts
 from honeywood.gateway.register import acceptor, values
 from honeywood.gateway.register.membership import DiskState, PeerState, Replacement, replacement
 from honeywood.gateway.register.rebuild import Rebuild
@@ -489,15 +489,17 @@
 @test("a request shows contact when the answer was sent whose stamp it repeats, a copy nothing")
 def _():
     contacts = Contacts("a", "a1", 0.0, 1, lambda: ["a", "b", "c"])
-    contacts.asked("b", 1.0, None, 7, DiskState.WORKS)  # nothing of ours: it may be of any age
-    assert contacts.states()["b"].contact_at == 0.0 and not contacts.have_heard(7)
-    first, second = contacts.stamp(2.0), contacts.stamp(3.0)
-    contacts.asked("b", 3.1, second, 9, DiskState.WORKS)
-    contacts.asked("b", 8.0, first, 4, DiskState.WORKS)
-    contacts.asked("b", 8.0, second, 9, DiskState.WORKS)
-    contacts.asked("b", 8.0, ["a0", 7.0], 99, DiskState.WORKS)  # of an earlier life of this controller
-    assert contacts.states()["b"].contact_at == 3.0 and not contacts.have_heard(10)
-    assert contacts.vouching(5.9) == {"a", "b"} and contacts.vouching(6.1) == {"a"}
+    contacts.record_request("b", 1.0, None, 7, DiskState.WORKS)  # nothing of ours: it may be of any age
+    assert contacts.peer_states()["b"].contact_at == 0.0 and not contacts.is_replicated(7)
+    first, second = contacts.issue_stamp(2.0), contacts.issue_stamp(3.0)
+    contacts.record_request("b", 3.1, second, 9, DiskState.WORKS)
+    contacts.record_request("b", 8.0, first, 4, DiskState.WORKS)
+    contacts.record_request("b", 8.0, second, 9, DiskState.WORKS)
+    contacts.record_request(
+        "b", 8.0, ["a0", 7.0], 99, DiskState.WORKS
+    )  # of an earlier life of this controller
+    assert contacts.peer_states()["b"].contact_at == 3.0 and not contacts.is_replicated(10)
+    assert contacts.observers(5.9) == {"a", "b"} and contacts.observers(6.1) == {"a"}
 
 
 def refusing(world, name, until):
