--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -8,7 +8,8 @@
 from honeywood.gateway.configuration import config
 from honeywood.gateway.configuration.check import need, read_json
 from honeywood.gateway.configuration.outcome import Wrong
-from honeywood.gateway.controller import machines
+from honeywood.gateway.controller import heartbeat as heartbeats
+from honeywood.gateway.controller.machine_service import LEAVE_OPERATION
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH
 from honeywood.gateway.register import replica as register
@@ -68,13 +69,13 @@
 
     # machines
     async def heartbeat(self, of, body, peer):
-        stamp, value = machines.beat(of, read_json(body, machines.STEP, peer), peer)
-        await self.controller.machine_loop.heartbeat(of, stamp, value)
+        heartbeat = heartbeats.decode_heartbeat(of, read_json(body, heartbeats.OPERATION, peer), peer)
+        await self.controller.machine_service.heartbeat(of, heartbeat)
         return {}
 
     async def leave(self, of, body, peer):
-        machines.named("instances.leave", of, peer)
-        await self.controller.machine_loop.leave(of)
+        heartbeats.check_machine_id(LEAVE_OPERATION, of, peer)
+        await self.controller.machine_service.leave(of)
         return {}
 
     # operators
--- /dev/null
+++ b/honeywood/gateway/controller/machine_record.py
@@ -0,0 +1,101 @@
+"""What is known of one service machine: the record that controllers publish and keep on disk, and its stamp.
+
+The stored form is the JSON object {"svc", "ip", "port", "zone", "ver", "slots", "state", "cold"}; of a
+machine that has left only "state" remains.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+from typing import NamedTuple
+
+from honeywood.gateway.routing.endpoints import DRAINING, GONE, LOST, READY
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from typing import TypedDict
+
+    class StoredMachine(TypedDict, total=False):
+        """The stored form."""
+
+        svc: str
+        ip: str
+        port: int
+        zone: str
+        ver: str
+        slots: int
+        state: str
+        cold: float
+
+
+MACHINE_PREFIX = "machine/"  # of the keys of machines' records
+HEARTBEAT_PREFIX = "beat/"  # of the keys of records that carry the stamp of the latest heartbeat alone
+IN_SERVICE = (READY, DRAINING)  # states of machines that serve requests
+OUT_OF_SERVICE = (GONE, LOST)
+DEPARTED_SEQUENCE = 1 << 53  # above the number of any heartbeat: a machine that has left does not come back
+
+
+class MachineStamp(NamedTuple):
+    """Orders the records of one machine; the higher wins."""
+
+    sequence: int  # number of the heartbeat that the record came with
+    lost: int = 0  # 1 where the machine was silent for too long after that heartbeat
+
+    def encode(self) -> list[int]:
+        """Return the stamp as it stands in the store and in messages."""
+        return list(self)
+
+
+@dataclass(frozen=True, slots=True)
+class MachineRecord:
+    """A machine's state; its other attributes are None once it has left."""
+
+    state: str
+    service: str | None = None
+    ip: str | None = None
+    port: int | None = None
+    zone: str | None = None
+    version: str | None = None
+    slots: int | None = None  # requests that it serves at once
+    warmup_left_s: float | None = None
+
+    @property
+    def in_service(self) -> bool:
+        """Whether it serves requests."""
+        return self.state in IN_SERVICE
+
+    def differs_from(self, other: MachineRecord) -> bool:
+        """Return whether anything but the remaining warm-up differs: that runs down by itself."""
+        return replace(self, warmup_left_s=None) != replace(other, warmup_left_s=None)
+
+    def encode(self) -> dict[str, str | int | float]:
+        """Return the stored form."""
+        attributes = (
+            ("svc", self.service),
+            ("ip", self.ip),
+            ("port", self.port),
+            ("zone", self.zone),
+            ("ver", self.version),
+            ("slots", self.slots),
+            ("state", self.state),
+            ("cold", self.warmup_left_s),
+        )
+        return {key: value for key, value in attributes if value is not None}
+
+    @classmethod
+    def decode(cls, value: StoredMachine) -> MachineRecord:
+        """Return the record of a stored form, which a controller wrote."""
+        return cls(
+            state=value["state"],
+            service=value.get("svc"),
+            ip=value.get("ip"),
+            port=value.get("port"),
+            zone=value.get("zone"),
+            version=value.get("ver"),
+            slots=value.get("slots"),
+            warmup_left_s=value.get("cold"),
+        )
+
+
+DEPARTED = MachineRecord(GONE)
+DEPARTED_STAMP = MachineStamp(DEPARTED_SEQUENCE)
--- /dev/null
+++ b/honeywood/gateway/controller/machine_service.py
@@ -0,0 +1,85 @@
+"""Machines' calls at one controller, and the periodic tasks over what is known of machines."""
+
+from __future__ import annotations
+
+import asyncio
+
+from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.controller import heartbeat as heartbeats
+from honeywood.gateway.controller.machine_row_writer import MachineRowWriter
+from honeywood.gateway.controller.machine_table import MachineTable
+from honeywood.gateway.routing.endpoints import DRAINING
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from honeywood.gateway.controller.contacts import Contacts
+    from honeywood.gateway.controller.heartbeat import Heartbeat
+    from honeywood.gateway.controller.replication import Replication
+    from honeywood.gateway.dissemination.store import Store
+    from honeywood.gateway.register.replica import Register
+
+LEAVE_OPERATION = "instances.leave"
+DISK_TIMEOUT_S = 0.2  # seconds that an acknowledgement waits for this disk, besides other controllers
+
+
+class MachineService:
+    """The machines that are known, acknowledged to them as far as this controller is in quorum."""
+
+    def __init__(
+        self,
+        store: Store,
+        heartbeat_interval_s: float,
+        register: Register,
+        contacts: Contacts,
+        replication: Replication,
+        clock: Callable[[], float],
+        say: Callable[..., None],
+    ) -> None:
+        """Start without any machine."""
+        self.register, self.contacts, self.replication = register, contacts, replication
+        self.clock, self.say = clock, say
+        self.rows = MachineRowWriter(register.keep_notes)
+        self.machines = MachineTable(store, heartbeat_interval_s, self.rows.update)
+
+    async def heartbeat(self, machine_id: str, heartbeat: Heartbeat) -> None:
+        """Take a machine's heartbeat; one that begins draining returns once enough others know it."""
+        self._require_quorum(heartbeats.OPERATION)
+        self.machines.record_heartbeat(self.clock(), machine_id, heartbeat)
+        if heartbeat.record.state == DRAINING:
+            await self._replicate()
+
+    async def leave(self, machine_id: str) -> None:
+        """Take a machine's departure; returns once enough others know it."""
+        self._require_quorum(LEAVE_OPERATION)
+        self.machines.record_departure(machine_id)
+        await self._replicate()
+
+    def _require_quorum(self, operation: str) -> None:
+        if not self.contacts.in_quorum(self.clock()):
+            raise Wrong(operation, "cut off from the other controllers", "", 503)
+
+    async def _replicate(self) -> None:
+        """Wait for other controllers, and for this disk if it is fast: a slow one delays no answer long."""
+        await asyncio.gather(self.replication.wait(), self._save_within_timeout())
+
+    async def _save_within_timeout(self) -> None:
+        saving = asyncio.ensure_future(self.save_rows())
+        await asyncio.wait((saving,), timeout=DISK_TIMEOUT_S)
+
+    async def save_rows(self) -> None:
+        """Put the rows that have changed on this disk."""
+        try:
+            if self.register.sound:
+                await self.rows.flush()
+        except Wrong as error:
+            self.say("notes not kept", 5.0, why=str(error))
+
+    def expire(self, now: float) -> None:
+        """Mark silent machines as lost, where enough others have lately sent all that they know.
+
+        While part of it is missing, a machine that other controllers hear may seem silent.
+        """
+        if self.contacts.in_quorum(now) and self.contacts.has_complete_view(now):
+            self.machines.expire(now)
--- /dev/null
+++ b/honeywood/gateway/controller/machine_table.py
@@ -0,0 +1,143 @@
+"""The service machines that are known at one controller.
+
+Their records are published only when they change; a record of its own, with a stamp alone, shows each
+heartbeat to the other controllers. Nothing here reads a clock: times are passed in, in steady seconds.
+"""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from honeywood.gateway.controller.heartbeat import RESERVED_CHARACTER
+from honeywood.gateway.controller.machine_record import (
+    DEPARTED,
+    DEPARTED_STAMP,
+    HEARTBEAT_PREFIX,
+    MACHINE_PREFIX,
+    OUT_OF_SERVICE,
+    MachineRecord,
+    MachineStamp,
+)
+from honeywood.gateway.dissemination import departed
+from honeywood.gateway.dissemination.history import History
+from honeywood.gateway.routing.endpoints import GONE, LOST
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+
+    from honeywood.gateway.controller.heartbeat import Heartbeat
+    from honeywood.gateway.controller.machine_record import StoredMachine
+    from honeywood.gateway.dissemination.store import Store
+
+    Row = list[object] | None  # on this controller's disk: [stamp, value], or None where it is to be removed
+
+DEPARTED_ROW_PREFIX = RESERVED_CHARACTER  # of the keys of rows that hold names of machines that left
+MISSED_HEARTBEATS = 3.4  # heartbeat intervals of silence after which a machine is lost
+
+
+class MachineTable:
+    """Machines by id, as records on the store tell of them."""
+
+    def __init__(
+        self, store: Store, heartbeat_interval_s: float, on_change: Callable[[str, Row], None]
+    ) -> None:
+        """Start without any machine; `on_change(key, row)` takes each row that this disk should hold."""
+        self.store, self.on_change = store, on_change
+        self.timeout_s = MISSED_HEARTBEATS * heartbeat_interval_s
+        self.last_seen_at: dict[str, float] = {}
+        self.history = History(store)
+
+    def record_heartbeat(self, now: float, machine_id: str, heartbeat: Heartbeat) -> None:
+        """Take a heartbeat; one of a machine that has left changes nothing."""
+        known = self._get(machine_id)
+        if known is not None and known.state == GONE:
+            return
+        self.record_alive(now, machine_id)
+        stamp, record = heartbeat.stamp.encode(), heartbeat.record
+        self.store.put(HEARTBEAT_PREFIX + machine_id, stamp, None)
+        if known is None or known.differs_from(record):
+            self.store.put(MACHINE_PREFIX + machine_id, stamp, record.encode())
+
+    def record_alive(self, now: float, machine_id: str) -> None:
+        """Take note of a heartbeat that has arrived here or at another controller."""
+        self.last_seen_at[machine_id] = now
+
+    def record_departure(self, machine_id: str) -> None:
+        """Publish that a machine has left for good, also one that is not known here: others may know it."""
+        self.store.put(MACHINE_PREFIX + machine_id, DEPARTED_STAMP.encode(), DEPARTED.encode())
+
+    def merge_record(self, now: float, machine_id: str, value: StoredMachine) -> None:
+        """Take note of a machine's record that has come to the store, from here or from others."""
+        state = value["state"]
+        self.history.hear(now, machine_id, state)
+        if state in OUT_OF_SERVICE:
+            self.last_seen_at.pop(machine_id, None)
+        if state == GONE:
+            self.store.drop(HEARTBEAT_PREFIX + machine_id)
+        self.on_change(machine_id, [self.store.stamp(MACHINE_PREFIX + machine_id), value])
+
+    def merge_departed(self, key: str, bucket: str) -> None:
+        """Take note of a bucket of names of machines that left, which has come to the store.
+
+        Machines of these names that late copies of their heartbeats brought back meanwhile leave once more,
+        so that whoever has received the copies learns of that too.
+        """
+        self.on_change(DEPARTED_ROW_PREFIX + key, [self.store.stamp(key), bucket])
+        names = departed.decode(bucket)
+        for stored_key, value in self.store.under(MACHINE_PREFIX):
+            machine_id = stored_key.removeprefix(MACHINE_PREFIX)
+            if value["state"] != GONE and departed.hashed(machine_id) in names:
+                self.record_departure(machine_id)
+
+    def restore(self, rows: Iterable[tuple[str, list[int], StoredMachine | str]]) -> None:
+        """Take over the rows (key, stamp, value) that this disk held at the start.
+
+        Any newer record wins, and a machine that sends no heartbeat is found silent as usual.
+        """
+        records = []
+        for key, stamp, value in rows:
+            if isinstance(value, str):  # a bucket of names, which must be known before any record is
+                self.store.put(key.removeprefix(DEPARTED_ROW_PREFIX), stamp, value)
+            else:
+                records.append((key, stamp, MachineRecord.decode(value)))
+        for machine_id, stamp, record in records:
+            self.store.put(MACHINE_PREFIX + machine_id, stamp, replace(record, warmup_left_s=0.0).encode())
+
+    def expire(self, now: float) -> None:
+        """Mark machines that have been silent for long as lost, and forget what ended long ago."""
+        for machine_id in self.history.look(now):
+            self.on_change(machine_id, None)
+        known = dict(self._known())
+        self._forget_unknown(known)
+        for machine_id, record in known.items():
+            silent_s = now - self.last_seen_at.setdefault(machine_id, now) if record.in_service else 0.0
+            if silent_s > self.timeout_s:
+                self._mark_lost(machine_id, record)
+
+    def _forget_unknown(self, known: dict[str, MachineRecord]) -> None:
+        """Drop heartbeats of machines without a record."""
+        for machine_id in self.last_seen_at.keys() - known:
+            del self.last_seen_at[machine_id]
+        for key, _ in self.store.under(HEARTBEAT_PREFIX):
+            if key.removeprefix(HEARTBEAT_PREFIX) not in known:
+                self.store.drop(key)
+
+    def _mark_lost(self, machine_id: str, record: MachineRecord) -> None:
+        """Publish that a machine is silent, below its next heartbeat, which makes it known again."""
+        heartbeat_stamp = self.store.stamp(HEARTBEAT_PREFIX + machine_id)
+        record_stamp = self.store.stamp(MACHINE_PREFIX + machine_id)
+        latest = max(record_stamp[0], heartbeat_stamp[0] if heartbeat_stamp else 0)
+        stamp = MachineStamp(latest, lost=1)
+        self.store.put(MACHINE_PREFIX + machine_id, stamp.encode(), replace(record, state=LOST).encode())
+
+    def _get(self, machine_id: str) -> MachineRecord | None:
+        value = self.store.get(MACHINE_PREFIX + machine_id)
+        return None if value is None else MachineRecord.decode(value)
+
+    def _known(self) -> list[tuple[str, MachineRecord]]:
+        """Return all machines by id with their records."""
+        return [
+            (key.removeprefix(MACHINE_PREFIX), MachineRecord.decode(value))
+            for key, value in self.store.under(MACHINE_PREFIX)
+        ]
--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -8,7 +8,7 @@
 from honeywood.gateway.controller.contacts import Contacts, decode_disk_state
 from honeywood.gateway.controller.count_retention import is_count_needed
 from honeywood.gateway.controller.disk_health import CHECK_S
-from honeywood.gateway.controller.machine_loop import MachineLoop
+from honeywood.gateway.controller.machine_service import MachineService
 from honeywood.gateway.controller.membership_loop import MembershipLoop
 from honeywood.gateway.controller.orders import CONFIG, TICK, Orders
 from honeywood.gateway.controller.peers import PeerPolling
@@ -30,7 +30,7 @@
 STEER_S = 0.1  # seconds between looks at rollouts
 SURVEY_S = 1.0  # seconds between surveys of the register
 FLEET_S = 0.5  # seconds between looks at machines and proxies
-RECORDS_S = 0.5  # seconds between looks at whether records of machines have changed
+SAVE_ROWS_S = 0.5  # seconds between writes of machines' rows that have changed
 
 
 class Controller(Program):
@@ -55,10 +55,10 @@
             s, self.register, self.contacts, self.peers, self.publish, clock, self.say
         )
         self.replication = Replication(self.store, self.contacts, clock)
-        self.machine_loop = MachineLoop(
+        self.machine_service = MachineService(
             self.store, s.beat_s, self.register, self.contacts, self.replication, clock, self.say
         )
-        self.machines = self.machine_loop.machines
+        self.machines = self.machine_service.machines
         self.fleet = ProxyFleet(s.ip, self.store, self.contacts, self.local.tell)
         self.rollouts = RolloutLoop(
             s.ip, self.store, self.register, self.contacts, self.fleet, self.publish, clock, self.say
@@ -118,11 +118,11 @@
         if kind == "bourse":
             self.found([name])
         elif kind == "beat":
-            self.machines.alive(self.clock(), name, None)
+            self.machines.record_alive(self.clock(), name)
         elif kind == "machine":
-            self.machines.hear(self.clock(), name, value)
+            self.machines.merge_record(self.clock(), name, value)
         elif kind == "left":
-            self.machines.hear_departed(key, value)
+            self.machines.merge_departed(key, value)
         elif kind == "rollout":
             self.rollouts.heard(name, value["n"])
 
@@ -147,7 +147,7 @@
     async def poll(self):
         """Looks at machines, proxies and the epoch of records."""
         now = self.clock()
-        self.machine_loop.poll(now)
+        self.machine_service.expire(now)
         self.fleet.refresh(now)
         self.store.learn(self.epochs.next(now, self.store.epoch, self.in_quorum))
         self.local.refresh()
@@ -204,13 +204,13 @@
         """Starts the loops."""
         s = self.settings
         self.local.tell(f"{CONTROLLER}{s.ip}", s.node)
-        self.machines.recall(self.register.notes)
+        self.machines.restore(self.register.notes)
         self.peers.start()
         self.loop(self.membership.settle, SETTLE_S)
         self.loop(self.membership.survey, SURVEY_S)
         self.loop(self.poll, FLEET_S)
         self.loop(self.rollouts.steer, STEER_S)
         self.loop(self.orders.tick, TICK)
-        self.loop(self.machine_loop.keep_records, RECORDS_S)
+        self.loop(self.machine_service.save_rows, SAVE_ROWS_S)
         self.loop(self.membership.check_disk, CHECK_S)
         self.loop(self.count, COUNTS)
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -11,7 +11,7 @@
 from honeywood.gateway.configuration import config as configs
 from honeywood.gateway.configuration import settings as files
 from honeywood.gateway.configuration.outcome import Wrong
-from honeywood.gateway.controller import machines
+from honeywood.gateway.controller.heartbeat import check_machine_id, decode_heartbeat
 from honeywood.lab.emulator.boot import boot
 
 
@@ -137,10 +137,10 @@
 def _():
     # Found by review: a whole number too large for a fraction ended each request's choice of a machine.
     sent = {"svc": "s", "addr": "10.0.0.1:80", "seq": 1, "state": "ready"}
-    assert machines.beat("i-1", {**sent, "slots": 6}, "")[1]["slots"] == 6
+    assert decode_heartbeat("i-1", {**sent, "slots": 6}, "").record.slots == 6
     for slots in (10**400, 0, 1 << 21):
         try:
-            machines.beat("i-1", {**sent, "slots": slots}, "")
+            decode_heartbeat("i-1", {**sent, "slots": slots}, "")
         except Wrong as wrong:
             assert "slots" in wrong.failed.why
         else:
@@ -169,7 +169,7 @@
     # Host names were taken: proxies would have waited for a resolver, or found nobody, request by request.
     sent = {"svc": "s", "addr": addr, "seq": 1, "state": "ready"}
     try:
-        machines.beat("i-1", sent, "10.0.0.9")
+        decode_heartbeat("i-1", sent, "10.0.0.9")
     except Wrong as wrong:
         assert wrong.failed.status == 400 and "addr" in str(wrong) and wrong.failed.peer == "10.0.0.9"
     else:
@@ -179,7 +179,7 @@
 @test("ids that no row on disk can bear are refused: {id!r}")
 def _(id=each("", "i\0left/00", "i" * 257, "é" * 129)):
     # lmdb's keys hold 511 bytes: one longer id, and no note of any machine was kept on that disk any more.
-    for call in (lambda: machines.beat(id, {}, "p"), lambda: machines.named("instances.leave", id, "p")):
+    for call in (lambda: decode_heartbeat(id, {}, "p"), lambda: check_machine_id("instances.leave", id, "p")):
         try:
             call()
         except Wrong as wrong:
--- a/tests/gateway/test_dissemination_mutations.py
+++ b/tests/gateway/test_dissemination_mutations.py
@@ -9,8 +9,8 @@
 from ward import each, test
 
 from honeywood.gateway.controller import contacts, count_retention
-from honeywood.gateway.controller.machine_records import MachineRecords
-from honeywood.gateway.controller.machines import DEPARTED_ROW, Machines
+from honeywood.gateway.controller.machine_row_writer import MachineRowWriter
+from honeywood.gateway.controller.machine_table import DEPARTED_ROW_PREFIX, MachineTable
 from honeywood.gateway.dissemination import chunk, departed, epochs, store
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.link_pacer import LinkPacer
@@ -66,9 +66,9 @@
     self.waiting = Unordered()
 
 
-def machines_alone(self, id, record, change=MachineRecords.change):
-    if not id.startswith(DEPARTED_ROW):
-        change(self, id, record)
+def machines_alone(self, key, row, update=MachineRowWriter.update):
+    if not key.startswith(DEPARTED_ROW_PREFIX):
+        update(self, key, row)
 
 
 def without_names(self, *given, since=Store.since, **more):
@@ -118,19 +118,23 @@
     Mutation("counts always told", CountRecords, "records_for", counts_always, LINKS, "all controllers"),
     Mutation("no backoff", Backoff, "rest", lambda *given: 0.0, LINKS, "whoever gets no answers"),
     Mutation("own records of before", LocalRecords, "heard", unlike, LINKS, "a program that hears its own"),
-    Mutation("dead controllers", contacts, "OBSERVER_TIMEOUT_S", FOREVER, LINKS, "a controller that is heard"),
+    Mutation(
+        "dead controllers", contacts, "OBSERVER_TIMEOUT_S", FOREVER, LINKS, "a controller that is heard"
+    ),
     Mutation("no order of waking", Publisher, "__init__", unordered, LINKS, "who waits is woken"),
     Mutation("all records wake all", Publisher, "_told", told_to_all, LINKS, "who waits is woken"),
     Mutation("no last look", Publisher, "_found", looked_up_before, LINKS, "a note that wakes nobody"),
     Mutation("nothing lapses", epochs, "lapsed", lambda *given: False, EPOCHS, "two days with hundreds"),
-    Mutation("counts lapse", count_retention, "_is_needed_by", lambda *given: False, EPOCHS, "counts of a proxy"),
+    Mutation(
+        "counts lapse", count_retention, "_is_needed_by", lambda *given: False, EPOCHS, "counts of a proxy"
+    ),
     Mutation("lapsed ones come back", Store, "_lapsed", lambda *given: False, EPOCHS, "what has lapsed"),
     Mutation("incarnations alone", Store, "_outlived", lambda *given: False, EPOCHS, "what has lapsed"),
     Mutation("no quorum", epochs.EpochClock, "next", without_quorum, EPOCHS, "the epoch needs a quorum"),
     Mutation("asks without epoch", Asker, "encode", no_epoch, EPOCHS, "programs: controllers that all begin"),
-    Mutation("no disk", MachineRecords, "change", machines_alone, EPOCHS, "a machine that left stays"),
+    Mutation("no disk", MachineRowWriter, "update", machines_alone, EPOCHS, "a machine that left stays"),
     Mutation("names not told", Store, "since", without_names, EPOCHS, "a machine that left stays"),
-    Mutation("copies stay", Machines, "hear_departed", heard_alone, EPOCHS, "a copy taken before"),
+    Mutation("copies stay", MachineTable, "merge_departed", heard_alone, EPOCHS, "a copy taken before"),
 )
 
 
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -11,7 +11,7 @@
 
 from honeywood.gateway.configuration import config
 from honeywood.gateway.configuration.outcome import Wrong
-from honeywood.gateway.controller import machines
+from honeywood.gateway.controller import heartbeat
 from honeywood.gateway.controller.app import App
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.store import Store
@@ -196,9 +196,9 @@
     return {}
 
 
-def always_ready(id, body, peer, beat=machines.beat):
+def always_ready(id, body, peer, decode=heartbeat.decode_heartbeat):
     """Whatever a machine says, it is ready."""
-    return beat(id, {**body, "state": "ready"}, peer)
+    return decode(id, {**body, "state": "ready"}, peer)
 
 
 def three_routes(self, config, init=RouteTable.__init__):
@@ -244,7 +244,7 @@
         lambda: unrefused("state"),
         lambda: [(members, "majority", lambda here: len(here["members"]))],
         lambda: [(Proxy, "listen", gives_up), (Proxy, "poll", idle)],
-        lambda: [(App, "leave", unheeded), (machines, "beat", always_ready)],
+        lambda: [(App, "leave", unheeded), (heartbeat, "decode_heartbeat", always_ready)],
         lambda: [(RouteTable, "__init__", three_routes)],
         lambda: [(AttemptSender, "abandon", lambda self, request: None)],
     ),
--- a/tests/gateway/test_history.py
+++ b/tests/gateway/test_history.py
@@ -6,8 +6,10 @@
 from ward import test
 
 from honeywood.gateway.configuration.outcome import Wrong
-from honeywood.gateway.controller.machine_records import MachineRecords
-from honeywood.gateway.controller.machines import DEPARTED_ROW, Machines
+from honeywood.gateway.controller.heartbeat import Heartbeat
+from honeywood.gateway.controller.machine_record import MachineRecord, MachineStamp
+from honeywood.gateway.controller.machine_row_writer import MachineRowWriter
+from honeywood.gateway.controller.machine_table import DEPARTED_ROW_PREFIX, MachineTable
 from honeywood.gateway.dissemination.history import KEEP, MOST, History
 from honeywood.gateway.dissemination import departed
 from honeywood.gateway.dissemination.record import Record
@@ -55,10 +57,10 @@
         world.nodes["c"].publisher.store.hear(late)
         world.run(KEEP + 7.0)
         assert not any(told(world, name, "m") for name in "abcf")
-        assert "m" not in world.nodes["b"].machines.heard
+        assert "m" not in world.nodes["b"].machines.last_seen_at
         rows = world.nodes["a"].register.rows
         kept = [key for key in rows if key.startswith("note/")]
-        assert kept == ["note/" + DEPARTED_ROW + departed.key_of("m")], "its name alone stays on disk"
+        assert kept == ["note/" + DEPARTED_ROW_PREFIX + departed.key_of("m")], "its name alone stays on disk"
     finally:
         world.close()
 
@@ -121,19 +123,29 @@
 
 @test("after ten thousand lives of machines a store holds as much as after two thousand")
 def _():
-    store = Store("x", lambda key, value: key.startswith("machine/") and machines.hear(now, key[8:], value))
-    machines, rows, now = Machines(store, 1.5), {}, 0.0
-    machines.changed = lambda id, note: rows.pop(id, None) if note is None else rows.__setitem__(id, note)
+    def merge(key, value):
+        if key.startswith("machine/"):
+            machines.merge_record(now, key[8:], value)
+
+    def save(id, row):
+        if row is None:
+            rows.pop(id, None)
+        else:
+            rows[id] = row
+
+    store, rows, now = Store("x", merge), {}, 0.0
+    machines = MachineTable(store, 1.5, save)
+    heartbeat = Heartbeat(MachineStamp(1), MachineRecord.decode(BEAT))
     for life in range(10_000):
         now += 0.01
-        machines.beat(now, f"i-{life}", [1, 0], BEAT)
-        machines.leave(f"i-{life}") if life % 2 else None
+        machines.record_heartbeat(now, f"i-{life}", heartbeat)
+        machines.record_departure(f"i-{life}") if life % 2 else None
         if life % 100 == 0:
-            machines.look(now)
-    machines.look(now)
+            machines.expire(now)
+    machines.expire(now)
     names = departed.BUCKETS * departed.MOST
     assert len(store.records) < 2 * (MOST + 600) + departed.BUCKETS
-    assert len(rows) < MOST + 600 and len(machines.heard) < 600
+    assert len(rows) < MOST + 600 and len(machines.last_seen_at) < 600
     assert 1000 < store.departed <= names
     for life in range(20_000):
         store.forget(f"j-{life}", True)
@@ -162,10 +174,10 @@
             if len(writes) == 1:
                 raise Wrong("register", "the disk refuses", "a", 503)
 
-        notes, found = MachineRecords(write), []
+        rows, found = MachineRowWriter(write), []
         for n in range(50):
-            notes.change(f"i-{n}", [[1, 0], BEAT])
-            found.append(asyncio.ensure_future(notes.keep()))
+            rows.update(f"i-{n}", [[1, 0], BEAT])
+            found.append(asyncio.ensure_future(rows.flush()))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         assert len(writes) == 1 and len(asyncio.all_tasks()) <= 53
