--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -1,109 +1,121 @@
-"""The controller's ASGI application: one dispatch of machines', operators' and our own calls."""
+"""The controller's ASGI application: dispatches calls, and turns their results and errors into answers."""
+
+from __future__ import annotations
 
 import json
 from collections import Counter
-from dataclasses import replace
 from urllib.parse import parse_qs
 
 from honeywood.gateway.configuration import config
-from honeywood.gateway.configuration.check import need, read_json
+from honeywood.gateway.configuration.check import read_json
 from honeywood.gateway.configuration.outcome import Wrong
-from honeywood.gateway.controller import heartbeat as heartbeats
-from honeywood.gateway.controller.machine_service import LEAVE_OPERATION
+from honeywood.gateway.controller.call import Call
 from honeywood.gateway.dissemination.messages import Ask
-from honeywood.gateway.dissemination.record import PATH
-from honeywood.gateway.register import replica as register
+from honeywood.gateway.dissemination.record import PATH as POLL_PATH
+from honeywood.gateway.register.fields import PATH as REGISTER_PATH
 from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of
 
-MOST = 8 << 20  # bytes of a call's body
-JSON = [(b"content-type", b"application/json")]
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable, Mapping
+    from typing import Any
+
+    from honeywood.gateway.controller.operations import Operations
+    from honeywood.gateway.controller.poll_service import PollService
+    from honeywood.gateway.metrics_endpoint import MetricsEndpoint
+
+    Answer = bytes | Mapping[str, object]
+    Handler = Callable[[Call], Awaitable[Answer]]
+    RegisterResponder = Callable[[Mapping[str, Any], str], Awaitable[Mapping[str, object]]]
+
+BODY_MAX_BYTES = 8 << 20
+RPC_PATH = "/v1/rpc"
+METHOD = "POST"
+JSON_HEADERS = [(b"content-type", b"application/json")]
+OK, NOT_FOUND, TOO_LARGE = 200, 404, 413
+REFUSAL_LOG_INTERVAL_S = 1.0
 
 
 class App:
-    def __init__(self, controller):
-        self.controller, self.refused = controller, Counter()  # refusals by step and status
-        self.calls = {
-            ("POST", "v1", "rpc", "instances.heartbeat"): self.heartbeat,
-            ("POST", "v1", "rpc", "instances.leave"): self.leave,
-            ("POST", "v1", "rpc", "config.replace"): self.replace,
-            ("POST", "v1", "rpc", "config.read"): self.read,
-            ("POST", "v1", "rpc", "rollouts.start"): self.start,
-            ("POST", "v1", "rpc", "rollouts.read"): self.rollout,
-        }
-        self.ours = {("POST", "news"): self.news, ("POST", "register"): self.register}
-
-    limits = config.Limits()  # callers here are machines, operators and our own programs
-
-    async def __call__(self, scope, receive, send):
+    """The calls of machines and operators on the operators' address, those of our own programs on another."""
+
+    limits = config.Limits()  # the server's; callers are machines, operators and our own programs
+
+    def __init__(
+        self,
+        operations: Operations,
+        polls: PollService,
+        register: RegisterResponder,
+        metrics: MetricsEndpoint,
+        internal_port: int,
+        clock: Callable[[], float],
+        say: Callable[..., None],
+    ) -> None:
+        """Serve our own programs on `internal_port`, others elsewhere; `clock` gives steady seconds."""
+        self.operations, self.polls, self.register = operations, polls, register
+        self.metrics, self.internal_port, self.clock, self.say = metrics, internal_port, clock, say
+        self.refused: Counter[str] = Counter()  # refused calls by call and status
+        self.internal_handlers = {POLL_PATH: self.poll, REGISTER_PATH: self.register_step}
+
+    async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
+        """Answer one request."""
+        if scope["server"][1] == self.metrics.port:
+            await self.metrics.serve(scope, send)
+            return
         peer = scope["client"][0]
-        asked = parse_qs(scope["query_string"].decode("latin-1"))
-        named, of = (asked.get(key, [""])[0] for key in ("call", "of"))
-        place = (scope["method"], *scope["path"].strip("/").split("/"))
-        inside = scope["server"][1] == self.controller.settings.controller_port
-        if scope["server"][1] == self.controller.metrics_port:
-            return await self.controller.serve_metrics(scope, send)
-        call = self.ours.get(place) if inside else self.calls.get((*place, named))
+        query = parse_qs(scope["query_string"].decode("latin-1"))
+        name, subject = (query.get(key, [""])[0] for key in ("call", "of"))
         try:
-            if call is None:
-                raise Wrong("dispatch", f"no such call: {scope['method']} {scope['path']} {named}", peer, 404)
-            body = await body_of(receive, MOST)
+            handler = self._handler(scope, name, peer)
+            body = await body_of(receive, BODY_MAX_BYTES)
             if body is None:
-                raise Wrong(named, "the body is too long or broken off", peer, 413)
-            # an order begins nothing for a caller that has gone, nor is it told what others wait for
+                raise Wrong(name, "the body is too long or broken off", peer, TOO_LARGE)
             departure = scope[CONTEXT].departure
-            clock = self.controller.clock
-            heeds_departure = call in (self.start, self.news)
-            more = {"left": lambda: departure.check(clock())} if heeds_departure else {}
-            found = await call(of, body, peer, **more)
-        except Wrong as wrong:
-            failed = wrong.failed
-            self.refused[f"refused: {named or failed.step} {failed.status}"] += 1
-            self.controller.say(
-                "refused", 1.0, step=failed.step, peer=peer, why=failed.why, status=failed.status
-            )
-            found = json.dumps({"step": failed.step, "peer": peer, "why": failed.why}).encode()
-            return await answer(send, failed.status, JSON, found)
-        if not isinstance(found, bytes):
-            found = json.dumps(found, separators=(",", ":")).encode()
-        await answer(send, 200, JSON, found)
-
-    # machines
-    async def heartbeat(self, of, body, peer):
-        heartbeat = heartbeats.decode_heartbeat(of, read_json(body, heartbeats.OPERATION, peer), peer)
-        await self.controller.machine_service.heartbeat(of, heartbeat)
-        return {}
-
-    async def leave(self, of, body, peer):
-        heartbeats.check_machine_id(LEAVE_OPERATION, of, peer)
-        await self.controller.machine_service.leave(of)
-        return {}
-
-    # operators
-    async def replace(self, of, body, peer):
-        found, ver = await self.controller.orders.replace(config.read(body, peer).version, body, peer)
-        return {"outcome": found, "ver": f"{ver:08x}"}
-
-    async def read(self, of, body, peer):
-        return config.unpack(await self.controller.orders.configuration(peer), peer)
-
-    async def start(self, of, body, peer, left=lambda: False):
-        order = read_json(body, "rollouts.start", peer)
-        svc, to_ver = (need(order, key, str, "rollouts.start") for key in ("svc", "to_ver"))
-        over_s = need(order, "over_s", float, "rollouts.start", least=0.001)
-        return self.told(await self.controller.orders.order(svc, to_ver, over_s, peer, left))
-
-    async def rollout(self, of, body, peer):
-        return self.told(await self.controller.orders.rollout(of, peer))
-
-    @staticmethod
-    def told(rollout):
-        return {"state": rollout.state, "to_ver": rollout.version}
-
-    # our own
-    async def news(self, of, body, peer, left=lambda: False):
-        ask = Ask.decode(read_json(body, PATH, peer), peer)
-        answer = await self.controller.publisher.serve(ask, left)
-        return replace(answer, **self.controller.beside(ask.who)).encode()
-
-    async def register(self, of, body, peer):
-        return await self.controller.register_responder(read_json(body, register.PATH, peer), peer)
+            result = await handler(Call(subject, body, peer, lambda: departure.check(self.clock())))
+        except Wrong as error:
+            await self._refuse(send, error, name, peer)
+        else:
+            await answer(send, OK, JSON_HEADERS, _encode(result))
+
+    def _handler(self, scope: Any, name: str, peer: str) -> Handler:
+        """Return the handler of a request; raises outcome.Wrong where there is none."""
+        path = "/" + scope["path"].strip("/")
+        handler = None
+        if scope["method"] == METHOD:
+            if scope["server"][1] == self.internal_port:
+                handler = self.internal_handlers.get(path)
+            elif path == RPC_PATH:
+                handler = self.operations.handlers.get(name)
+        if handler is None:
+            reason = f"no such call: {scope['method']} {scope['path']} {name}"
+            raise Wrong("dispatch", reason, peer, NOT_FOUND)
+        return handler
+
+    async def _refuse(self, send: Any, error: Wrong, name: str, peer: str) -> None:
+        """Count, log and answer a call that was refused."""
+        failed = error.failed
+        self.refused[f"refused: {name or failed.step} {failed.status}"] += 1
+        self.say(
+            "refused",
+            REFUSAL_LOG_INTERVAL_S,
+            step=failed.step,
+            peer=peer,
+            why=failed.why,
+            status=failed.status,
+        )
+        body = json.dumps({"step": failed.step, "peer": peer, "why": failed.why}).encode()
+        await answer(send, failed.status, JSON_HEADERS, body)
+
+    async def poll(self, call: Call) -> Answer:
+        """Answer another program's poll of the store."""
+        ask = Ask.decode(read_json(call.body, POLL_PATH, call.peer), call.peer)
+        return (await self.polls.answer(ask, call.has_left)).encode()
+
+    async def register_step(self, call: Call) -> Answer:
+        """Answer another controller's step of the register's protocol."""
+        return await self.register(read_json(call.body, REGISTER_PATH, call.peer), call.peer)
+
+
+def _encode(result: Answer) -> bytes:
+    """Return an answer's body."""
+    return result if isinstance(result, bytes) else json.dumps(result, separators=(",", ":")).encode()
--- a/honeywood/gateway/controller/disk_health.py
+++ b/honeywood/gateway/controller/disk_health.py
@@ -1,45 +1,61 @@
-"""Whether this controller's disk takes writes: a small write now and then, and what came of the latest."""
+"""Whether this controller's disk accepts writes: a small trial write now and then, and its outcome."""
+
+from __future__ import annotations
 
 import asyncio
 
 from honeywood.gateway.configuration.outcome import Wrong
 
-CHECK_S = 1.0  # seconds between writes that show it; a disk that hangs for longer takes none
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable
+
+
+CHECK_INTERVAL_S = 1.0  # seconds between trial writes; one that takes longer counts as refused
+LOG_INTERVAL_S = 5.0  # seconds between two lines of a disk that goes on refusing
 
 
 class DiskHealth:
-    """`write` puts nothing on the disk, which costs a sync, or raises outcome.Wrong. `refused_since` is when
-    the first write of a row of refused ones was begun, None while the disk takes them."""
+    """The outcome of the latest trial writes."""
 
-    def __init__(self, write, clock, say):
-        self.write, self.clock, self.say = write, clock, say
-        self.refused_since, self._pending = None, None
+    def __init__(
+        self, write: Callable[[], Awaitable[None]], clock: Callable[[], float], say: Callable[..., None]
+    ) -> None:
+        """Start with a disk that works; `write` syncs without any content, or raises outcome.Wrong."""
+        self._write, self._clock, self._say = write, clock, say
+        self.refused_since: float | None = None  # when the first of an unbroken row of refused writes began
+        self._pending: asyncio.Future[None] | None = None
 
     @property
-    def refuses_writes(self):
+    def refuses_writes(self) -> bool:
         """Whether the latest write was refused, or hangs."""
         return self.refused_since is not None
 
-    async def check(self):
-        """One write, or a look at one that hangs."""
-        begun = self.clock()
+    async def check(self) -> None:
+        """Begins a write, or waits on for one that hangs."""
+        began_at = self._clock()
         if self._pending is None:
-            self._pending = asyncio.ensure_future(self._write(begun))
-        await asyncio.wait((self._pending,), timeout=CHECK_S)
+            self._pending = asyncio.ensure_future(self._try_write(began_at))
+        await asyncio.wait((self._pending,), timeout=CHECK_INTERVAL_S)
         if not self._pending.done():
-            return self._refused(begun, "it hangs")
-        written, self._pending = self._pending, None
-        written.result()
+            self._record_refusal(began_at, "it hangs")
+            return
+        finished, self._pending = self._pending, None
+        finished.result()
 
-    async def _write(self, begun):
+    async def _try_write(self, began_at: float) -> None:
         try:
-            await self.write()
-        except Wrong as wrong:
-            return self._refused(begun, str(wrong))
+            await self._write()
+        except Wrong as error:
+            self._record_refusal(began_at, str(error))
+            return
         if self.refused_since is not None:
-            self.say("disk takes writes again", refused_s=round(self.clock() - self.refused_since, 1))
+            refused_s = round(self._clock() - self.refused_since, 1)
+            self._say("disk takes writes again", refused_s=refused_s)
         self.refused_since = None
 
-    def _refused(self, begun, why):
-        self.refused_since = begun if self.refused_since is None else self.refused_since
-        self.say("disk refuses writes", 5.0, why=why, refused_s=round(self.clock() - self.refused_since, 1))
+    def _record_refusal(self, began_at: float, reason: str) -> None:
+        if self.refused_since is None:
+            self.refused_since = began_at
+        refused_s = round(self._clock() - self.refused_since, 1)
+        self._say("disk refuses writes", LOG_INTERVAL_S, why=reason, refused_s=refused_s)
--- /dev/null
+++ b/honeywood/gateway/controller/membership.py
@@ -0,0 +1,84 @@
+"""How a controller takes part in the register.
+
+Its disk is brought to where it belongs, what a majority of the disks holds is published, and a member that
+can't be used is replaced.
+"""
+
+from __future__ import annotations
+
+from honeywood.gateway.controller.disk_health import DiskHealth
+from honeywood.gateway.register.membership import DiskState, replacement
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from honeywood.gateway.configuration.settings import Settings
+    from honeywood.gateway.controller.contacts import Contacts
+    from honeywood.gateway.controller.peer_polling import PeerPolling
+    from honeywood.gateway.register.replica import Register
+
+# A member that can't be used is replaced by a spare that was there all the time after so many times
+# `contact_s` + `sync_s`: a member that restarts comes back sooner, with its disk.
+REPLACE_AFTER_FACTOR = 3.0
+LOG_INTERVAL_S = 1.0  # seconds between two lines of one member that can't be used
+
+
+class Membership:
+    """Keeps this disk and the register's members usable."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        register: Register,
+        contacts: Contacts,
+        peers: PeerPolling,
+        publish: Callable[[str, object], None],
+        clock: Callable[[], float],
+        say: Callable[..., None],
+    ) -> None:
+        """Start; `publish(key, value)` publishes a value that a majority holds, `clock` is steady."""
+        self.settings, self.register, self.contacts, self.peers = settings, register, contacts, peers
+        self.publish, self.clock, self.say = publish, clock, say
+        self.disk_health = DiskHealth(lambda: register.keep_notes({}), clock, say)
+
+    @property
+    def disk(self) -> DiskState:
+        """The state of this disk as other controllers are told it."""
+        if not self.register.sound:
+            return DiskState.LOST
+        return DiskState.REFUSES if self.disk_health.refuses_writes else DiskState.WORKS
+
+    async def synchronize(self) -> None:
+        """Bring this disk to where it belongs; once it is there, look after the other members."""
+        if not self.register.settled:
+            await self.register.settle(self.peers.addresses)
+        elif self.disk is DiskState.WORKS:  # otherwise the others see to this one
+            await self._replace_unusable_member()
+
+    async def _replace_unusable_member(self) -> None:
+        """Propose a spare controller for the place of a member that can't be used."""
+        bounds = self.settings.bounds
+        soon_s = bounds["contact_s"]
+        late_s = REPLACE_AFTER_FACTOR * (bounds["contact_s"] + bounds["sync_s"])
+        states, now = self.contacts.peer_states(), self.clock()
+        proposed = replacement(self.register.here, self.settings.ip, states, now, soon_s, late_s)
+        if proposed is None:
+            return
+        self.say(
+            "member unusable", LOG_INTERVAL_S, member=proposed.lost, spare=proposed.spare, why=proposed.why
+        )
+        await self.register.replace(proposed.lost, proposed.spare)
+
+    async def check_disk(self) -> None:
+        """Find out whether this disk accepts writes."""
+        if self.register.sound:
+            await self.disk_health.check()
+
+    async def publish_register(self) -> None:
+        """Publish all that a majority of the members holds."""
+        self.peers.start()
+        found = await self.register.survey()
+        if found.ok:
+            for key, value in found.value.items():
+                self.publish(key, value)
--- /dev/null
+++ b/honeywood/gateway/controller/peer_polling.py
@@ -0,0 +1,110 @@
+"""Polls the other controllers for changes of their stores, each by a task of its own.
+
+Their answers show contact.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+from honeywood.gateway.controller.contacts import decode_disk_state
+from honeywood.gateway.dissemination.backoff import Backoff
+from honeywood.gateway.dissemination.messages import Asker
+from honeywood.gateway.dissemination.subscriber import Subscriber
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable, Iterable
+    from random import Random
+
+    from honeywood.gateway.configuration.settings import Settings
+    from honeywood.gateway.controller.contacts import Contacts
+    from honeywood.gateway.dissemination.publisher import Publisher
+    from honeywood.gateway.register.membership import DiskState
+    from honeywood.gateway.rpc.client import Caller
+
+LONG_POLL_S = 0.5  # seconds that another controller holds a poll while nothing is new
+BACKOFF_MAX_S = 0.5  # seconds for which a controller that does not answer is not polled
+POLL_INTERVAL_S = 0.05  # seconds between an answer and the next poll
+
+
+class PeerPolling:
+    """The other controllers that are known, and the tasks that poll them."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        publisher: Publisher,
+        caller: Caller,
+        random: Random,
+        contacts: Contacts,
+        local_disk: Callable[[], DiskState],
+        clock: Callable[[], float],
+        start_task: Callable[[Callable[[], Awaitable[None]], float], None],
+    ) -> None:
+        """Start with the seeds.
+
+        `local_disk()` gives the state of this controller's disk, `start_task(step, interval_s)` begins to run
+        a step again and again.
+        """
+        self.settings, self.contacts, self.local_disk = settings, contacts, local_disk
+        self.clock, self.start_task = clock, start_task
+        self.subscriber = Subscriber(publisher, caller, self._asker, Backoff(random, BACKOFF_MAX_S))
+        self.addresses = [ip for ip, _ in settings.seeds]  # of all known controllers, this one's too
+        self.polled: set[str] = set()  # the addresses that have a task
+
+    def discover(self, addresses: Iterable[str]) -> None:
+        """Take note of controllers: where there are more than three, no one has all of them as seeds."""
+        self.addresses += [ip for ip in addresses if ip not in self.addresses]
+
+    def forget_others(self, known: set[str]) -> None:
+        """Stop polling whoever is neither `known` nor a seed."""
+        known = known | {ip for ip, _ in self.settings.seeds}
+        for ip in set(self.addresses) - known:
+            self.addresses = [one for one in self.addresses if one != ip]
+            self.subscriber.forget(ip)
+            self.contacts.forget(ip)
+
+    def _asker(self) -> Asker:
+        """Return what this controller says of itself in a poll."""
+        return Asker(
+            self.settings.node,
+            self.settings.ip,
+            controller=True,
+            stamps=self.contacts.stamps_to_echo(),
+            disk=self.local_disk().value,
+        )
+
+    def start(self) -> None:
+        """Begin to poll each controller that is known and isn't polled yet."""
+        for ip in self.addresses:
+            if ip != self.settings.ip and ip not in self.polled:
+                self.polled.add(ip)
+                self.start_task(lambda ip=ip: self.poll(ip), POLL_INTERVAL_S)
+
+    async def poll(self, ip: str) -> None:
+        """Poll a controller once, and back off where it does not answer.
+
+        Ends the task whose step this is (by CancelledError) once that controller is not known any more.
+        """
+        if ip not in self.addresses:
+            self.polled.discard(ip)
+            raise asyncio.CancelledError
+        sent_at = self.clock()  # its answer may lie unread while this process is stalled
+        reply = await self.subscriber.ask(ip, self.settings.controller_port, LONG_POLL_S)
+        if reply.ok:
+            response = reply.value
+            disk = decode_disk_state(response.disk)
+            self.contacts.record_response(ip, sent_at, response.whole, response.stamp, disk)
+        backoff_s = self.subscriber.backoff.rest(ip, self.clock())
+        await asyncio.sleep(min(BACKOFF_MAX_S, backoff_s))
+
+    async def poll_all(self) -> bool:
+        """Poll all other controllers for what they know now; return whether enough sent all of it."""
+        others = [ip for ip in self.addresses if ip != self.settings.ip]
+        complete = await asyncio.gather(*[self._poll_completely(ip) for ip in others])
+        return self.contacts.forms_quorum(ip for ip, done in zip(others, complete, strict=True) if done)
+
+    async def _poll_completely(self, ip: str) -> bool:
+        reply = await self.subscriber.ask(ip, self.settings.controller_port, 0.0)
+        return reply.ok and reply.value.whole
--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -1,216 +1,244 @@
-"""The controller's program: its parts, which of them hears what, and the loops."""
+"""The controller's program: makes its parts, connects them, and runs their periodic tasks."""
+
+from __future__ import annotations
 
-from collections import Counter
 from random import Random
 
-from honeywood.gateway.configuration.config import for_proxies
+from honeywood.gateway.controller import disk_health, stall_detector
 from honeywood.gateway.controller.app import App
-from honeywood.gateway.controller.contacts import Contacts, decode_disk_state
+from honeywood.gateway.controller.configuration_orders import ConfigurationOrders
+from honeywood.gateway.controller.contacts import Contacts
 from honeywood.gateway.controller.count_retention import is_count_needed
-from honeywood.gateway.controller.disk_health import CHECK_S
 from honeywood.gateway.controller.machine_service import MachineService
-from honeywood.gateway.controller.membership_loop import MembershipLoop
-from honeywood.gateway.controller.orders import CONFIG, TICK, Orders
-from honeywood.gateway.controller.peers import PeerPolling
-from honeywood.gateway.controller.proxy_fleet import FLEET_PREFIX, ProxyFleet, ProxyLocation
+from honeywood.gateway.controller.membership import Membership
+from honeywood.gateway.controller.operations import Operations
+from honeywood.gateway.controller.peer_polling import PeerPolling
+from honeywood.gateway.controller.poll_service import PollService
+from honeywood.gateway.controller.proxy_fleet import FLEET_PREFIX, ProxyFleet
+from honeywood.gateway.controller.record_keys import CONTROLLER_PREFIX
+from honeywood.gateway.controller.record_router import RecordRouter
+from honeywood.gateway.controller.register_access import RegisterAccess
+from honeywood.gateway.controller.register_publication import RegisterPublication
 from honeywood.gateway.controller.replication import Replication
-from honeywood.gateway.controller.rollout_loop import RolloutLoop
+from honeywood.gateway.controller.rollout_evidence import RolloutEvidence
+from honeywood.gateway.controller.rollout_orders import RolloutOrders
+from honeywood.gateway.controller.rollout_steering import RolloutSteering
+from honeywood.gateway.controller.stall_detector import StallDetector
+from honeywood.gateway.controller.status import ControllerStatus
 from honeywood.gateway.dissemination.epochs import EpochClock
 from honeywood.gateway.dissemination.local import LocalRecords
 from honeywood.gateway.dissemination.publisher import Publisher
-from honeywood.gateway.metrics import Metrics
 from honeywood.gateway.program import COUNTS, Program
 from honeywood.gateway.register.disk import Disk
 from honeywood.gateway.register.paging import PagedCaller, PagedResponder
 from honeywood.gateway.register.replica import Register
 from honeywood.gateway.rpc.server import HttpServer
 
-CONTROLLER = "bourse/"  # before a controller's address: that there is one
-SETTLE_S = 0.1  # seconds between looks at whether this disk is where it counts
-STEER_S = 0.1  # seconds between looks at rollouts
-SURVEY_S = 1.0  # seconds between surveys of the register
-FLEET_S = 0.5  # seconds between looks at machines and proxies
-SAVE_ROWS_S = 0.5  # seconds between writes of machines' rows that have changed
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+    from typing import Any
+
+    from honeywood.gateway.dissemination.messages import Asker
+    from honeywood.gateway.metrics import Metrics
+    from honeywood.gateway.register.membership import DiskState
+
+# Seconds between two runs of periodic tasks.
+SYNCHRONIZE_INTERVAL_S = 0.1
+STEER_INTERVAL_S = 0.1
+PUBLISH_REGISTER_INTERVAL_S = 1.0
+MAINTENANCE_INTERVAL_S = 0.5
+SAVE_ROWS_INTERVAL_S = 0.5
+CLOSE_MARGIN_S = 1.0  # seconds of the grace period that are left for the end of the process
 
 
 class Controller(Program):
-    """One controller: the parts are made in the order in which they rest on each other."""
+    """One controller: its parts are made in the order in which they depend on each other."""
 
-    def __init__(self, *given, random=None, disk=Disk):
-        """`disk` makes the disk out of its folder; chance may be handed in."""
+    def __init__(self, *given: Any, random: Random | None = None, disk: Callable[[str], Disk] = Disk) -> None:
+        """Make the parts; `disk` opens a folder, randomness may be passed in for tests."""
         super().__init__(*given)
-        s, self.random, clock = self.settings, random or Random(), self.clock
-        self.app, incarnation = App(self), self.store_incarnation()
-        self.publisher = Publisher(incarnation, self.on_record, self.on_ask, s.link, needed=is_count_needed)
+        self.random = random or Random()
+        self._make_store()
+        self.register = Register(self.settings, PagedCaller(self.caller), self.random, self.say, disk)
+        self._make_peers()
+        self._make_machines()
+        self._make_rollouts()
+        self._make_calls()
+        self.status = ControllerStatus(self)
+
+    def _make_store(self) -> None:
+        """Make the store of records, and what this controller publishes of itself."""
+        self.publisher = Publisher(
+            self.store_incarnation(),
+            self.on_record,
+            self.on_poll,
+            self.settings.link,
+            needed=is_count_needed,
+        )
         self.store, self.epochs = self.publisher.store, EpochClock()
-        self.local = LocalRecords(self.store, int(self.life, 16), self.is_local)
-        self.register = Register(s, PagedCaller(self.caller), self.random, self.say, disk)
-        self.register_responder = PagedResponder(self.register.serve, clock)
-        self.orders = Orders(self)
-        self.contacts = Contacts(s.ip, self.store.life, clock(), s.bear, lambda: self.register.members)
+        self.local_records = LocalRecords(self.store, int(self.life, 16), self.is_local)
+        self.publication = RegisterPublication(self.store)
+
+    def _make_peers(self) -> None:
+        """Make what deals with other controllers."""
+        settings, clock = self.settings, self.clock
+        self.contacts = Contacts(
+            settings.ip, self.store.life, clock(), settings.bear, lambda: self.register.members
+        )
         self.peers = PeerPolling(
-            s, self.publisher, self.caller, self.random, self.contacts, self.disk_state, clock, self.loop
+            settings,
+            self.publisher,
+            self.caller,
+            self.random,
+            self.contacts,
+            self.disk_state,
+            clock,
+            self.loop,
         )
-        self.membership = MembershipLoop(
-            s, self.register, self.contacts, self.peers, self.publish, clock, self.say
+        self.membership = Membership(
+            settings, self.register, self.contacts, self.peers, self.publication.publish, clock, self.say
         )
         self.replication = Replication(self.store, self.contacts, clock)
+
+    def _make_machines(self) -> None:
+        """Make what deals with machines and proxies."""
         self.machine_service = MachineService(
-            self.store, s.beat_s, self.register, self.contacts, self.replication, clock, self.say
+            self.store,
+            self.settings.beat_s,
+            self.register,
+            self.contacts,
+            self.replication,
+            self.clock,
+            self.say,
         )
         self.machines = self.machine_service.machines
-        self.fleet = ProxyFleet(s.ip, self.store, self.contacts, self.local.tell)
-        self.rollouts = RolloutLoop(
-            s.ip, self.store, self.register, self.contacts, self.fleet, self.publish, clock, self.say
+        self.fleet = ProxyFleet(self.settings.ip, self.store, self.contacts, self.local_records.tell)
+
+    def _make_rollouts(self) -> None:
+        """Make what deals with rollouts."""
+        self.evidence = RolloutEvidence(self.store, self.fleet, self.clock)
+        self.rollouts = RolloutSteering(
+            self.settings.ip,
+            self.store,
+            self.register,
+            self.contacts,
+            self.evidence,
+            self.publication,
+            self.clock,
+            self.say,
+        )
+        self.router = RecordRouter(self.peers, self.machines, self.evidence, self.clock)
+
+    def _make_calls(self) -> None:
+        """Make what answers calls."""
+        settings, clock = self.settings, self.clock
+        access = RegisterAccess(self.register, self.publication)
+        self.stalls = StallDetector(clock, self.say)
+        self.configuration_orders = ConfigurationOrders(access, self.say)
+        self.rollout_orders = RolloutOrders(
+            access,
+            self.store,
+            self.evidence,
+            self.peers,
+            self.stalls,
+            settings.bounds["ack_s"],
+            clock,
+            self.say,
+        )
+        operations = Operations(self.machine_service, self.configuration_orders, self.rollout_orders)
+        self.polls = PollService(
+            settings.ip,
+            self.publisher,
+            self.contacts,
+            self.peers,
+            self.fleet,
+            self.replication,
+            self.disk_state,
+            clock,
+        )
+        self.app = App(
+            operations,
+            self.polls,
+            PagedResponder(self.register.serve, clock),
+            self.metrics_endpoint,
+            settings.controller_port,
+            clock,
+            self.say,
         )
 
-    def config_held(self):
-        """The version of the configuration that the store holds, for the log."""
-        stamp = self.store.stamp(CONFIG)
-        return f"{stamp[0]:08x}" if stamp else None
+    def config_held(self) -> str | None:
+        """Return the version of the configuration that the store holds, for the log."""
+        version = self.publication.configuration_version
+        return None if version is None else f"{version:08x}"
 
-    def found(self, controllers):
-        """Controllers that a settings file or others tell of."""
+    def found(self, controllers: Iterable[str]) -> None:
+        """Take note of the seeds of a settings file that has changed."""
         self.peers.discover(controllers)
 
+    def metrics(self) -> Metrics:
+        """Return a reading of the metrics."""
+        return self.status.metrics()
+
     @property
-    def in_quorum(self):
+    def in_quorum(self) -> bool:
         """Whether enough other controllers are in contact."""
         return self.contacts.in_quorum(self.clock())
 
-    def disk_state(self):
-        """What others are told of this disk."""
+    def disk_state(self) -> DiskState:
+        """Return the state of this disk as other controllers are told it."""
         return self.membership.disk
 
-    # what is heard
-    def on_ask(self, asker, revision):
-        """Another program asked for news that has all up to `revision`."""
-        now = self.clock()
-        if asker.proxy:
-            self.fleet.record_poll(now, asker.node, ProxyLocation(asker.zone, asker.ip))
-        elif asker.controller:
-            self.found([asker.ip])
-            stamp = asker.stamps.get(self.settings.ip)
-            self.contacts.record_request(asker.ip, now, stamp, revision, decode_disk_state(asker.disk))
-            self.replication.notify()
-
-    def beside(self, asker):
-        """What goes with an answer to news: whether enough others are in contact; for a proxy how many
-        proxies there are, the relays that it hears from, and which of its counts are known here."""
-        found = {"in_quorum": self.in_quorum}
-        if asker.controller:
-            found |= {"stamp": self.contacts.issue_stamp(self.clock()), "disk": self.disk_state().value}
-        if asker.proxy:
-            counted = self.store.stamp(f"count/{asker.node}/{asker.life}")
-            found["fleet"] = len(self.fleet.proxies), self.fleet.relays_of(asker.node, asker.zone)
-            found["counted"] = counted[0] if counted else 0
-        return found
-
-    def is_local(self, key):
-        """Whether a record is this controller's own, of this incarnation or an earlier one."""
+    def is_local(self, key: str) -> bool:
+        """Return whether a record is this controller's own, of this incarnation or an earlier one."""
         ip = self.settings.ip
-        return key == f"{CONTROLLER}{ip}" or key.startswith(f"{FLEET_PREFIX}{ip}/")
-
-    def on_record(self, key, value):
-        """A record has come to the store, from here or from others."""
-        self.local.heard(key)
-        kind, _, name = key.partition("/")
-        if kind == "bourse":
-            self.found([name])
-        elif kind == "beat":
-            self.machines.record_alive(self.clock(), name)
-        elif kind == "machine":
-            self.machines.merge_record(self.clock(), name, value)
-        elif kind == "left":
-            self.machines.merge_departed(key, value)
-        elif kind == "rollout":
-            self.rollouts.heard(name, value["n"])
-
-    def publish(self, key, value):
-        """Tells of what a majority's disks hold."""
-        if key == CONFIG and value is not None:
-            self.publish_configuration(value["ver"], value["text"])
-        elif value is not None:
-            self.store.put(key, [value["n"]], value)
-
-    def publish_configuration(self, version, text):
-        """Tells of a configuration, without the keys of its tenants."""
-        if self.store.stamp(CONFIG) != [version]:
-            self.store.put(CONFIG, [version], for_proxies(text))
-
-    # what orders rest on
-    async def hear_others(self):
-        """Polls all other controllers for what they know now; whether enough told all of it."""
-        return await self.peers.poll_all()
-
-    # loops
-    async def poll(self):
-        """Looks at machines, proxies and the epoch of records."""
+        return key == f"{CONTROLLER_PREFIX}{ip}" or key.startswith(f"{FLEET_PREFIX}{ip}/")
+
+    def on_record(self, key: str, value: object) -> None:
+        """Take note of a record that has come to the store, from here or from others."""
+        self.local_records.heard(key)
+        self.router.route(key, value)
+
+    def on_poll(self, asker: Asker, revision: int) -> None:
+        """Take note of a program that polls, and holds all changes of this store up to `revision`."""
+        self.polls.record_asker(asker, revision)
+
+    async def maintain(self) -> None:
+        """Expire machines, proxies and records of owners that have ended."""
         now = self.clock()
         self.machine_service.expire(now)
         self.fleet.refresh(now)
         self.store.learn(self.epochs.next(now, self.store.epoch, self.in_quorum))
-        self.local.refresh()
+        self.local_records.refresh()
         if self.store.prune():
-            told = {key.removeprefix(CONTROLLER) for key, _ in self.store.under(CONTROLLER)}
-            self.peers.forget_others(told | {*self.register.members} | self.contacts.observers(now))
-
-    async def count(self):
-        """A line of what stands now."""
-        states = Counter(value["state"] for _, value in self.store.under("machine/"))
-        self.say(
-            "counts",
-            machines=dict(states),
-            fronts=len(self.fleet.proxies),
-            told=dict(self.publisher.told),
-            called=dict(self.caller.carried),
-            joined=self.in_quorum,
-            sound=self.register.sound,
-            disk=self.disk_state().value,
-            epoch=self.register.epoch,
-            counts=self.register.counts,
-            refused=self.app.refused.total(),
-            **self.app.refused,
-        )
-
-    def metrics(self):
-        """Sums since the start, and what stands now."""
-        states = Counter(value["state"] for _, value in self.store.under("machine/"))
-        stamp = self.store.stamp(CONFIG)
-        gauges = {
-            "in_quorum": self.in_quorum,
-            "register_synced": self.register.sound,
-            "epoch": self.register.epoch,
-            "config_version": stamp[0] if stamp else 0,
-            "proxies": len(self.fleet.proxies),
-            **{f"machines_{state}": count for state, count in states.items()},
-        }
-        return Metrics(self.app.refused, gauges)
-
-    async def run(self):
-        """Runs until it is stopped."""
-        s = self.settings
+            published = {
+                key.removeprefix(CONTROLLER_PREFIX) for key, _ in self.store.under(CONTROLLER_PREFIX)
+            }
+            self.peers.forget_others(published | {*self.register.members} | self.contacts.observers(now))
+
+    async def run(self) -> None:
+        """Serve until the program is stopped."""
+        settings = self.settings
         await self.register.open()
         server = HttpServer(self.app)
-        await server.open([s.listen["ctl"], (s.ip, s.controller_port)])
-        await self.open_metrics(server)
-        self.say("started", role=s.role)
+        await server.open([settings.listen["ctl"], (settings.ip, settings.controller_port)])
+        await self.metrics_endpoint.open(server)
+        self.say("started", role=settings.role)
         self.begin()
         await self.until_stopped()
-        await server.close(s.bounds["grace_s"] - 1.0)
+        await server.close(settings.bounds["grace_s"] - CLOSE_MARGIN_S)
         self.say("stopped")
 
-    def begin(self):
-        """Starts the loops."""
-        s = self.settings
-        self.local.tell(f"{CONTROLLER}{s.ip}", s.node)
+    def begin(self) -> None:
+        """Publish what this controller knows of itself and from its disk, and start the periodic tasks."""
+        self.local_records.tell(f"{CONTROLLER_PREFIX}{self.settings.ip}", self.settings.node)
         self.machines.restore(self.register.notes)
         self.peers.start()
-        self.loop(self.membership.settle, SETTLE_S)
-        self.loop(self.membership.survey, SURVEY_S)
-        self.loop(self.poll, FLEET_S)
-        self.loop(self.rollouts.steer, STEER_S)
-        self.loop(self.orders.tick, TICK)
-        self.loop(self.machine_service.save_rows, SAVE_ROWS_S)
-        self.loop(self.membership.check_disk, CHECK_S)
-        self.loop(self.count, COUNTS)
+        self.loop(self.membership.synchronize, SYNCHRONIZE_INTERVAL_S)
+        self.loop(self.membership.publish_register, PUBLISH_REGISTER_INTERVAL_S)
+        self.loop(self.maintain, MAINTENANCE_INTERVAL_S)
+        self.loop(self.rollouts.steer, STEER_INTERVAL_S)
+        self.loop(self.stalls.tick, stall_detector.TICK_INTERVAL_S)
+        self.loop(self.machine_service.save_rows, SAVE_ROWS_INTERVAL_S)
+        self.loop(self.membership.check_disk, disk_health.CHECK_INTERVAL_S)
+        self.loop(self.status.log_counts, COUNTS)
--- /dev/null
+++ b/honeywood/gateway/controller/record_router.py
@@ -0,0 +1,59 @@
+"""Hands each record that comes to a controller's store to the part that it concerns."""
+
+from __future__ import annotations
+
+from honeywood.gateway.controller.machine_record import HEARTBEAT_PREFIX, MACHINE_PREFIX
+from honeywood.gateway.controller.record_keys import CONTROLLER_PREFIX, ROLLOUT_PREFIX
+from honeywood.gateway.dissemination.departed import PREFIX as DEPARTED_PREFIX
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping
+
+    from honeywood.gateway.controller.machine_record import StoredMachine
+    from honeywood.gateway.controller.machine_table import MachineTable
+    from honeywood.gateway.controller.peer_polling import PeerPolling
+    from honeywood.gateway.controller.rollout_evidence import RolloutEvidence
+
+
+class RecordRouter:
+    """Takes the records that this controller and others publish."""
+
+    def __init__(
+        self,
+        peers: PeerPolling,
+        machines: MachineTable,
+        rollouts: RolloutEvidence,
+        clock: Callable[[], float],
+    ) -> None:
+        """Hand records on to these; `clock` gives steady seconds."""
+        self.peers, self.machines, self.rollouts, self.clock = peers, machines, rollouts, clock
+        self.receivers = {
+            CONTROLLER_PREFIX: self._receive_controller,
+            HEARTBEAT_PREFIX: self._receive_heartbeat,
+            MACHINE_PREFIX: self._receive_machine,
+            DEPARTED_PREFIX: self._receive_departed,
+            ROLLOUT_PREFIX: self._receive_rollout,
+        }
+
+    def route(self, key: str, value: object) -> None:
+        """Hand on a record that has changed; those of other kinds concern nobody here."""
+        kind, slash, name = key.partition("/")
+        receive = self.receivers.get(kind + slash)
+        if receive is not None:
+            receive(name, value)
+
+    def _receive_controller(self, ip: str, _value: object) -> None:
+        self.peers.discover([ip])
+
+    def _receive_heartbeat(self, machine_id: str, _value: object) -> None:
+        self.machines.record_alive(self.clock(), machine_id)
+
+    def _receive_machine(self, machine_id: str, value: StoredMachine) -> None:
+        self.machines.merge_record(self.clock(), machine_id, value)
+
+    def _receive_departed(self, bucket_name: str, bucket: str) -> None:
+        self.machines.merge_departed(DEPARTED_PREFIX + bucket_name, bucket)
+
+    def _receive_rollout(self, service: str, value: Mapping[str, int]) -> None:
+        self.rollouts.record_revision(service, value["n"])
--- /dev/null
+++ b/honeywood/gateway/controller/register_access.py
@@ -0,0 +1,42 @@
+"""Reads and changes of the replicated register on behalf of operators' calls.
+
+Each rests on a majority of the register's disks at some moment since the call arrived. Without a majority the
+call is refused as unavailable, and its caller goes on to another controller.
+"""
+
+from __future__ import annotations
+
+from honeywood.gateway.configuration.outcome import Wrong
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from honeywood.gateway.controller.register_publication import RegisterPublication
+    from honeywood.gateway.register.replica import Register
+
+UNAVAILABLE = 503
+
+
+class RegisterAccess:
+    """The register, with what it holds published at once."""
+
+    def __init__(self, register: Register, publication: RegisterPublication) -> None:
+        """Use `register`, and publish what it holds by `publication`."""
+        self.register, self.publication = register, publication
+
+    async def read(self, operation: str, key: str, peer: str) -> object:
+        """Return the value under `key`, or None; raises outcome.Wrong without a majority."""
+        found = await self.register.read(key)
+        if not found.ok:
+            raise Wrong(operation, found.why, peer, UNAVAILABLE)
+        self.publication.publish(key, found.value)
+        return found.value
+
+    async def change(self, operation: str, key: str, update: Callable[[object], object], peer: str) -> object:
+        """Return the value under `key` after `update`; raises outcome.Wrong without a majority."""
+        found = await self.register.change(key, update)
+        if not found.ok:
+            raise Wrong(operation, found.why, peer, UNAVAILABLE)
+        self.publication.publish(key, found.value)
+        return found.value
--- /dev/null
+++ b/honeywood/gateway/controller/register_publication.py
@@ -0,0 +1,40 @@
+"""Publishes values of the replicated register to all programs, once a majority of its disks holds them."""
+
+from __future__ import annotations
+
+from honeywood.gateway.configuration.config import for_proxies
+from honeywood.gateway.controller.record_keys import CONFIGURATION_KEY
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from honeywood.gateway.dissemination.store import Store
+
+
+class RegisterPublication:
+    """The register's values on this controller's store."""
+
+    def __init__(self, store: Store) -> None:
+        """Publish on `store`."""
+        self.store = store
+
+    def publish(self, key: str, value: Mapping[str, object] | None) -> None:
+        """Publish the value under a key; None, where nothing is held, changes nothing."""
+        if value is None:
+            return
+        if key == CONFIGURATION_KEY:
+            self._publish_configuration(value["ver"], value["text"])
+        else:
+            self.store.put(key, [value["n"]], value)
+
+    def _publish_configuration(self, version: int, text: str) -> None:
+        """Publish a configuration, with hashes in place of its tenants' keys."""
+        if self.store.stamp(CONFIGURATION_KEY) != [version]:
+            self.store.put(CONFIGURATION_KEY, [version], for_proxies(text))
+
+    @property
+    def configuration_version(self) -> int | None:
+        """The number of the configuration that is published, None before the first."""
+        stamp = self.store.stamp(CONFIGURATION_KEY)
+        return stamp[0] if stamp else None
--- a/honeywood/gateway/controller/replication.py
+++ b/honeywood/gateway/controller/replication.py
@@ -1,34 +1,46 @@
-"""Waiting until enough other controllers have heard what the store says, before it is acknowledged."""
+"""Delays an acknowledgement until enough other controllers hold what it acknowledges."""
+
+from __future__ import annotations
 
 import asyncio
 
 from honeywood.gateway.configuration.outcome import Wrong
 
-WITHIN_S = 0.8  # seconds in which enough others must have heard
-
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
-class Replication:
-    """`notify` is to be called whenever another controller may have heard more."""
+    from honeywood.gateway.controller.contacts import Contacts
+    from honeywood.gateway.dissemination.store import Store
 
-    def __init__(self, store, contacts, clock):
-        """Nobody waits."""
-        self.store, self.contacts, self.clock, self._waiting = store, contacts, clock, []
+OPERATION = "instances"
+REPLICATION_TIMEOUT_S = 0.8  # seconds in which enough other controllers must hold a change
 
-    def notify(self):
-        """Has those who wait look again."""
-        for heard in self._waiting:
-            heard.set()
 
-    async def wait(self):
-        """Ends when enough others have all that the store says now; raises outcome.Wrong otherwise."""
-        revision, until, heard = self.store.rev, self.clock() + WITHIN_S, asyncio.Event()
-        self._waiting.append(heard)
+class Replication:
+    """Waits for other controllers to acknowledge changes of the local store."""
+
+    def __init__(self, store: Store, contacts: Contacts, clock: Callable[[], float]) -> None:
+        """Nothing waits; `clock` gives steady seconds."""
+        self.store, self.contacts, self.clock = store, contacts, clock
+        self._waiters: list[asyncio.Event] = []
+
+    def notify(self) -> None:
+        """Another controller may have acknowledged more: all who wait check again."""
+        for acknowledged in self._waiters:
+            acknowledged.set()
+
+    async def wait(self) -> None:
+        """Return when enough others hold all changes made so far; raises outcome.Wrong at the time-out."""
+        revision, deadline = self.store.rev, self.clock() + REPLICATION_TIMEOUT_S
+        acknowledged = asyncio.Event()
+        self._waiters.append(acknowledged)
         try:
             while not self.contacts.is_replicated(revision):
-                heard.clear()
-                async with asyncio.timeout(until - self.clock()):
-                    await heard.wait()
+                acknowledged.clear()
+                async with asyncio.timeout(deadline - self.clock()):
+                    await acknowledged.wait()
         except TimeoutError:
-            raise Wrong("instances", "too few other controllers heard it in time", "", 503) from None
+            raise Wrong(OPERATION, "too few other controllers heard it in time", "", 503) from None
         finally:
-            self._waiting.remove(heard)
+            self._waiters.remove(acknowledged)
--- /dev/null
+++ b/honeywood/gateway/controller/rollout_orders.py
@@ -0,0 +1,161 @@
+"""Operators' calls that start a rollout of a version and read what has come of it."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+from honeywood.gateway.configuration import config
+from honeywood.gateway.configuration.check import need
+from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.controller.call import CallName, never
+from honeywood.gateway.controller.machine_record import MACHINE_PREFIX, MachineRecord
+from honeywood.gateway.controller.record_keys import CONFIGURATION_KEY, ROLLOUT_PREFIX
+from honeywood.gateway.rollout import record
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping
+
+    from honeywood.gateway.controller.peer_polling import PeerPolling
+    from honeywood.gateway.controller.register_access import RegisterAccess
+    from honeywood.gateway.controller.rollout_evidence import RolloutEvidence
+    from honeywood.gateway.controller.stall_detector import StallDetector
+    from honeywood.gateway.dissemination.store import Store
+    from honeywood.gateway.rollout.record import Rollout
+
+ORDER_LIFETIME_S = 1.0  # seconds after which whoever sent an order has given up: an older one begins nothing
+# Seconds besides `ack_s` in which an order may arrive once more: its sender's last attempt may take so long.
+REPEAT_MARGIN_S = 1.0
+# Seconds that an order for a version that was sent back waits for its caller's end: behind bytes that were
+# held up by a network partition comes the end of a caller who gave up.
+DEPARTURE_GRACE_S = 0.25
+DURATION_MIN_S = 0.001
+NOT_FOUND, UNAVAILABLE = 404, 503
+
+
+@dataclass(frozen=True, slots=True)
+class RolloutOrder:
+    """An operator's order to bring a service to a version within some time."""
+
+    service: str
+    version: str
+    duration_s: float
+
+    @classmethod
+    def decode(cls, body: Mapping[str, object]) -> RolloutOrder:
+        """Return the order of a call's body; raises outcome.Wrong that names the key."""
+        service = need(body, "svc", str, CallName.START_ROLLOUT)
+        version = need(body, "to_ver", str, CallName.START_ROLLOUT)
+        duration_s = need(body, "over_s", float, CallName.START_ROLLOUT, least=DURATION_MIN_S)
+        return cls(service, version, duration_s)
+
+
+class RolloutOrders:
+    """The rollouts of this system as operators see them."""
+
+    def __init__(
+        self,
+        register: RegisterAccess,
+        store: Store,
+        evidence: RolloutEvidence,
+        peers: PeerPolling,
+        stalls: StallDetector,
+        acknowledge_within_s: float,
+        clock: Callable[[], float],
+        say: Callable[..., None],
+    ) -> None:
+        """Start; operators repeat an order for `acknowledge_within_s` seconds, `clock` is steady."""
+        self.register, self.store, self.evidence, self.peers = register, store, evidence, peers
+        self.stalls, self.clock, self.say = stalls, clock, say
+        self.repeat_within_s = acknowledge_within_s + REPEAT_MARGIN_S
+
+    async def read(self, service: str, peer: str) -> Rollout:
+        """Return the rollout of a service; raises outcome.Wrong (404) where a majority holds none."""
+        value = await self.register.read(CallName.READ_ROLLOUT, ROLLOUT_PREFIX + service, peer)
+        if value is None:
+            raise Wrong(CallName.READ_ROLLOUT, f"no rollout of {service!r}", peer, NOT_FOUND)
+        return record.decode(value)
+
+    async def start(self, order: RolloutOrder, peer: str, has_left: Callable[[], bool] = never) -> Rollout:
+        """Return the rollout once it has begun, or the one in which this order was taken before.
+
+        Raises outcome.Wrong (503) where the order may be an old one, or its caller has left: nothing is begun
+        that nobody waits for.
+        """
+        arrived_at = self.clock()
+        if self.stalls.resumed_recently:
+            raise self._refusal("this controller stood still; the order may be an old one", peer)
+        current = await self._current_rollout(order.service, peer)
+        is_only_version = await self._is_only_version_anywhere(order, peer)
+        if record.sent_back(current, order.version):
+            await asyncio.sleep(DEPARTURE_GRACE_S)
+
+        def begin(held: Rollout | None) -> Rollout:
+            if has_left():
+                raise self._refusal("its caller has left", peer)
+            if self.clock() - arrived_at > ORDER_LIFETIME_S:
+                raise self._refusal("too late; it is no longer waited for", peer)
+            return self._begun(order, held, is_only_version and self._is_only_version(order))
+
+        def update(value: object) -> object:
+            return record.rewritten(value, begin)
+
+        key = ROLLOUT_PREFIX + order.service
+        rollout = record.decode(await self.register.change(CallName.START_ROLLOUT, key, update, peer))
+        self.say(
+            "rollout ordered",
+            svc=order.service,
+            to_ver=order.version,
+            over_s=order.duration_s,
+            n=rollout.revision,
+            state=rollout.state,
+        )
+        return rollout
+
+    @staticmethod
+    def _refusal(reason: str, peer: str) -> Wrong:
+        """Return the error that sends an order to another controller."""
+        return Wrong(CallName.START_ROLLOUT, reason, peer, UNAVAILABLE)
+
+    def _begun(self, order: RolloutOrder, held: Rollout | None, is_only_version: bool) -> Rollout:
+        """Return the rollout after an order, given the one before."""
+        known_s = 0.0 if held is None else self.evidence.known_for_s(held)
+        return record.start(
+            held,
+            order.service,
+            order.version,
+            order.duration_s,
+            known_s,
+            self.repeat_within_s,
+            is_only_version,
+        )
+
+    async def _current_rollout(self, service: str, peer: str) -> Rollout | None:
+        """Return the rollout of a service, or None; refuses a service that no configuration names."""
+        configuration, value = await asyncio.gather(
+            self.register.read(CallName.START_ROLLOUT, CONFIGURATION_KEY, peer),
+            self.register.read(CallName.START_ROLLOUT, ROLLOUT_PREFIX + service, peer),
+        )
+        if configuration is not None:
+            services = config.read(config.unpack(configuration["text"])).services
+            if service not in services:
+                raise Wrong(CallName.START_ROLLOUT, f"svc {service!r} is not known", peer)
+        return None if value is None else record.decode(value)
+
+    def _is_only_version(self, order: RolloutOrder) -> bool:
+        """Return whether all machines of the service that are known here to serve are of that version."""
+        machines = (MachineRecord.decode(value) for _, value in self.store.under(MACHINE_PREFIX))
+        serving = (machine for machine in machines if machine.in_service)
+        return {one.version for one in serving if one.service == order.service} == {order.version}
+
+    async def _is_only_version_anywhere(self, order: RolloutOrder, peer: str) -> bool:
+        """Return the same by all that enough controllers know, polled since the order arrived.
+
+        Such an order is answered as done at once, and then the operator stops all machines of other versions.
+        """
+        if not self._is_only_version(order):
+            return False
+        if not await self.peers.poll_all():
+            raise self._refusal("too few other controllers told which machines they know", peer)
+        return self._is_only_version(order)
--- /dev/null
+++ b/honeywood/gateway/controller/rollout_steering.py
@@ -0,0 +1,99 @@
+"""Steers rollouts at one controller: decides on the next step of each, and takes it by a register change."""
+
+from __future__ import annotations
+
+import asyncio
+
+from honeywood.gateway.controller.record_keys import ROLLOUT_PREFIX
+from honeywood.gateway.dissemination.rendezvous import order
+from honeywood.gateway.rollout import record
+from honeywood.gateway.rollout.verdict import Verdict
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from honeywood.gateway.controller.contacts import Contacts
+    from honeywood.gateway.controller.register_publication import RegisterPublication
+    from honeywood.gateway.controller.rollout_evidence import RolloutEvidence
+    from honeywood.gateway.dissemination.store import Store
+    from honeywood.gateway.register.replica import Register
+    from honeywood.gateway.rollout.record import Rollout
+    from honeywood.gateway.rollout.verdict import Change
+
+STAGGER_S = 0.15  # seconds by which controllers act after each other, so that mostly one does
+DECISION_LIFETIME_S = 0.5  # seconds beyond the stagger after which a decision is taken anew
+
+
+class RolloutSteering:
+    """The rollouts that one controller knows of."""
+
+    def __init__(
+        self,
+        local_ip: str,
+        store: Store,
+        register: Register,
+        contacts: Contacts,
+        evidence: RolloutEvidence,
+        publication: RegisterPublication,
+        clock: Callable[[], float],
+        say: Callable[..., None],
+    ) -> None:
+        """Start without any rollout; `clock` gives steady seconds."""
+        self.local_ip, self.store, self.register = local_ip, store, register
+        self.contacts, self.evidence, self.publication = contacts, evidence, publication
+        self.clock, self.say = clock, say
+        self.verdicts: dict[str, Verdict] = {}  # by service
+
+    async def steer(self) -> None:
+        """Advance rollouts, or take them back.
+
+        Without a quorum nothing is decided: what is known here of proxies' counts may be as old as the
+        network partition or the stall that took it away.
+        """
+        if not self.contacts.in_quorum(self.clock()):
+            return
+        for key, value in self.store.under(ROLLOUT_PREFIX):
+            rollout = record.decode(value)
+            if not rollout.active:
+                self.verdicts.pop(rollout.service, None)
+                continue
+            change = self._next_change(rollout)
+            if change is not None and await self._still_holds_after_stagger(rollout, key, value):
+                await self._apply(key, rollout, change)
+
+    def _next_change(self, rollout: Rollout) -> Change | None:
+        """Return the change that is due, or None."""
+        verdict = self.verdicts.get(rollout.service)
+        if verdict is None or verdict.revision != rollout.revision:
+            verdict = self.verdicts[rollout.service] = Verdict(rollout.revision)
+        evidence = self.evidence.collect(rollout)
+        elapsed_s = rollout.held_s + self.evidence.known_for_s(rollout)
+        return verdict.look(
+            self.clock(), elapsed_s, rollout, evidence.tallies, evidence.votes, evidence.all_left
+        )
+
+    async def _still_holds_after_stagger(self, rollout: Rollout, key: str, value: object) -> bool:
+        """Wait as long as this controller's rank says; return whether the decision still holds then."""
+        ranked = order({*self.register.members, self.local_ip}, rollout.service)
+        wait_s, decided_at = ranked.index(self.local_ip) * STAGGER_S, self.clock()
+        await asyncio.sleep(wait_s)
+        now = self.clock()
+        in_time = now - decided_at - wait_s <= DECISION_LIFETIME_S
+        return in_time and self.contacts.in_quorum(now) and self.store.get(key) == value
+
+    async def _apply(self, key: str, rollout: Rollout, change: Change) -> None:
+        """Take a step by a register change, and publish its result; without a majority nothing happens."""
+
+        def advance(held: Rollout | None) -> Rollout | None:
+            known_s = self.evidence.known_for_s(rollout)
+            return record.advance(
+                held, rollout.version, rollout.revision, known_s, change.state, change.stage
+            )
+
+        found = await self.register.change(key, lambda value: record.rewritten(value, advance))
+        if not found.ok:
+            return
+        self.publication.publish(key, found.value)
+        changed = {name: getattr(change, name) for name in ("state", "stage") if getattr(change, name)}
+        self.say("rollout", svc=rollout.service, to_ver=rollout.version, why=change.why, **changed)
--- /dev/null
+++ b/honeywood/gateway/controller/status.py
@@ -0,0 +1,54 @@
+"""What a controller reports of itself: the line `counts` of its log, and its metrics."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from honeywood.gateway.controller.machine_record import MACHINE_PREFIX
+from honeywood.gateway.metrics import Metrics
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from honeywood.gateway.controller.program import Controller
+
+
+class ControllerStatus:
+    """Readings of one controller."""
+
+    def __init__(self, controller: Controller) -> None:
+        """Read from `controller`."""
+        self.controller = controller
+
+    def _machines_by_state(self) -> Counter[str]:
+        return Counter(value["state"] for _, value in self.controller.store.under(MACHINE_PREFIX))
+
+    async def log_counts(self) -> None:
+        """Log sums since the start, and present values."""
+        one = self.controller
+        one.say(
+            "counts",
+            machines=dict(self._machines_by_state()),
+            fronts=len(one.fleet.proxies),
+            told=dict(one.publisher.told),
+            called=dict(one.caller.carried),
+            joined=one.in_quorum,
+            sound=one.register.sound,
+            disk=one.membership.disk.value,
+            epoch=one.register.epoch,
+            counts=one.register.counts,
+            refused=one.app.refused.total(),
+            **one.app.refused,
+        )
+
+    def metrics(self) -> Metrics:
+        """Return a reading of the metrics."""
+        one = self.controller
+        gauges = {
+            "in_quorum": one.in_quorum,
+            "register_synced": one.register.sound,
+            "epoch": one.register.epoch,
+            "config_version": one.publication.configuration_version or 0,
+            "proxies": len(one.fleet.proxies),
+        }
+        gauges |= {f"machines_{state}": count for state, count in self._machines_by_state().items()}
+        return Metrics(one.app.refused, gauges)
--- a/honeywood/gateway/program.py
+++ b/honeywood/gateway/program.py
@@ -13,8 +13,8 @@
 
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.configuration.settings import read
-from honeywood.gateway.metrics import CONTENT_TYPE, METRICS_PATH, Metrics, render
-from honeywood.gateway.rpc.asgi import answer
+from honeywood.gateway.metrics import Metrics
+from honeywood.gateway.metrics_endpoint import MetricsEndpoint
 from honeywood.gateway.rpc.client import Caller
 
 FILE = "HONEYWOOD_NODE_FILE"
@@ -31,7 +31,7 @@
         self.settings, self.clock, self.wall = settings or self.load(), clock, wall
         self.life, self.caller = f"{int(wall() * 1000):013x}", caller or Caller()
         self.loops, self.stopping, self.said = set(), asyncio.Event(), {}
-        self.metrics_port = None  # None: no metrics are served
+        self.metrics_endpoint = MetricsEndpoint(self.settings.ip, lambda: self.metrics(), self.say)
         structlog.configure(
             processors=[
                 structlog.processors.TimeStamper(fmt="iso", utc=True),
@@ -92,22 +92,6 @@
         """What this program tells of itself."""
         return Metrics({}, {})
 
-    async def open_metrics(self, server):
-        """Opens the metrics address on a server that is open; without it where the address is taken."""
-        if self.metrics_port is None:
-            return
-        try:
-            await server.open([(self.settings.ip, self.metrics_port)])
-        except OSError as wrong:
-            self.say("no metrics address", port=self.metrics_port, why=str(wrong))
-            self.metrics_port = None
-
-    async def serve_metrics(self, scope, send):
-        """Answers a request at the metrics address."""
-        if scope["path"] != METRICS_PATH:
-            return await answer(send, 404)
-        await answer(send, 200, [CONTENT_TYPE], render(self.metrics()))
-
     def loop(self, step, every):
         """Runs `step` again and again, `every` seconds after it ended; what it raises is logged."""
 
--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -49,8 +49,8 @@
             return await answer(send, OK if self.proxy.ready else UNAVAILABLE)
         if port == self.news_port:
             return await self.news(scope, receive, send)
-        if port == self.proxy.metrics_port:
-            return await self.proxy.serve_metrics(scope, send)
+        if port == self.proxy.metrics_endpoint.port:
+            return await self.proxy.metrics_endpoint.serve(scope, send)
         context = scope[CONTEXT]
         early = context.early_response
         response = await (early if early is not None else self.client(scope, receive))
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -277,7 +277,7 @@
         s = self.settings
         self.server = HttpServer(self.app)
         await self.server.open([s.listen["http"], s.listen["ready"], (s.ip, s.proxy_port)])
-        await self.open_metrics(self.server)
+        await self.metrics_endpoint.open(self.server)
         self.say("started", role=s.role)
         self.begin()
         await self.until_stopped()
--- a/honeywood/gateway/startup.py
+++ b/honeywood/gateway/startup.py
@@ -24,7 +24,7 @@
     asyncio = importlib.import_module("asyncio")
     program = getattr(importlib.import_module(module_name), program_name)()
     metrics = importlib.import_module("honeywood.gateway.metrics")
-    program.metrics_port = metrics.parse_port(sys.argv[1:])
+    program.metrics_endpoint.port = metrics.parse_port(sys.argv[1:])
     asyncio.run(program.run())
 
 
--- a/honeywood/lab/emulator/network.py
+++ b/honeywood/lab/emulator/network.py
@@ -10,6 +10,7 @@
 from contextvars import Context
 
 from honeywood.gateway.configuration.outcome import Done, Failed, Wrong
+from honeywood.gateway.controller.call import Call
 
 OUTSIDE = "outside"  # clients, machines and operators, as one end of a link
 COPY_AFTER_S = 0.2  # seconds after which a copy of a call comes at the earliest
@@ -112,7 +113,7 @@
     def _handler(self, node, target, path, raw, source):
         """What a program does with a call of another one."""
         if target in self.controllers:
-            return node.app.ours["POST", path.strip("/")]("", raw.encode(), source)
+            return node.app.internal_handlers[path](Call("", raw.encode(), source))
         return node.app.hear(raw.encode(), source)
 
     async def _copy(self, source, target, path, raw):
@@ -131,7 +132,7 @@
             return 0, None
         if again and self._doubled():
             self.loop.create_task(self._ask_again(name, call, of, raw))
-        work = self.processes[name].run(node.app.calls["POST", "v1", "rpc", call](of, raw, "op"))
+        work = self.processes[name].run(node.app.operations.handlers[call](Call(of, raw, "op")))
         work.add_done_callback(self._note_raised)
         await asyncio.wait((work,), timeout=within)  # what is given up goes on at the program
         if not work.done() or work.cancelled() or self.lost(name, OUTSIDE) or life != self.lives.get(name):
--- a/honeywood/lab/soak/node.py
+++ b/honeywood/lab/soak/node.py
@@ -74,7 +74,7 @@
         program = Proxy(None, CutCaller(cuts), connect=cut_connect(cuts))
     else:
         program = Controller(None, CutCaller(cuts))
-    program.metrics_port = parse_port(arguments)
+    program.metrics_endpoint.port = parse_port(arguments)
     asyncio.run(program.run())
 
 
--- a/tests/gateway/test_architecture.py
+++ b/tests/gateway/test_architecture.py
@@ -19,6 +19,7 @@
     "routing": 2,
     "rollout": 2,
     "metrics": 1,
+    "metrics_endpoint": 2,
     "program": 3,
     "startup": 3,
     "proxy": 4,
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -12,7 +12,7 @@
 from honeywood.gateway.configuration import config
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.controller import heartbeat
-from honeywood.gateway.controller.app import App
+from honeywood.gateway.controller.operations import Operations
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.proxy import polling, sender
@@ -151,35 +151,35 @@
         await asyncio.sleep(99.0)
 
 
-async def by_number(self, of, body, peer, replace=App.replace):
+async def by_number(self, call, replace=Operations.replace_configuration):
     """A configuration is confirmed by its number, whatever it holds."""
     try:
-        return await replace(self, of, body, peer)
+        return await replace(self, call)
     except Wrong:
-        stamp = self.controller.store.stamp("config")
-        if stamp is None or stamp[0] != int(json.loads(body)["ver"], 16):
+        stamp = self.rollouts.store.stamp("config")
+        if stamp is None or stamp[0] != int(json.loads(call.body)["ver"], 16):
             raise
         return {}
 
 
-async def once_only(self, of, body, peer, start=App.start):
+async def once_only(self, call, start=Operations.start_rollout):
     """An order that is known is refused."""
-    svc = json.loads(body)["svc"]
-    if self.controller.store.get(f"rollout/{svc}"):
-        raise Wrong("rollouts.start", "there is one", peer, 409)
-    return await start(self, of, body, peer)
+    svc = json.loads(call.body)["svc"]
+    if self.rollouts.store.get(f"rollout/{svc}"):
+        raise Wrong("rollouts.start", "there is one", call.peer, 409)
+    return await start(self, call)
 
 
-async def own_board(self, of, body, peer):
+async def own_board(self, call):
     """A configuration is read from this controller's store."""
-    held = self.controller.store.get("config")
+    held = self.rollouts.store.get("config")
     return config.unpack(held) if held else b'{"ver":"00000000"}'
 
 
-async def own_state(self, of, body, peer, rollout=App.rollout):
+async def own_state(self, call, read=Operations.read_rollout):
     """So is a rollout."""
-    held = self.controller.store.get(f"rollout/{of}")
-    return {"state": held["state"], "to_ver": held["to_ver"]} if held else await rollout(self, of, body, peer)
+    held = self.rollouts.store.get(f"rollout/{call.subject}")
+    return {"state": held["state"], "to_ver": held["to_ver"]} if held else await read(self, call)
 
 
 def forgetful(held, *order, start=record.start):
@@ -187,11 +187,11 @@
     return start(replace(held, earlier=()) if held else held, *order)
 
 
-async def unlooked(self, of, body, peer):
+async def unlooked(self, call):
     return {}["nothing"]
 
 
-async def unheeded(self, of, body, peer):
+async def unheeded(self, call):
     """A machine's leaving is confirmed, and forgotten."""
     return {}
 
@@ -231,12 +231,12 @@
         lambda: [(RetryBudget, "allows", lambda self, now, fronts: True)],
         lambda: [(Stage, "room", lambda self, now, ask: True)],
         lambda: [(Storage, "keep", unwritten)],
-        lambda: [(App, "replace", by_number)],
-        lambda: [(App, "start", once_only)],
-        lambda: [(App, "read", own_board)],
-        lambda: [(App, "rollout", own_state)],
+        lambda: [(Operations, "replace_configuration", by_number)],
+        lambda: [(Operations, "start_rollout", once_only)],
+        lambda: [(Operations, "read_configuration", own_board)],
+        lambda: [(Operations, "read_rollout", own_state)],
         lambda: [(members, "majority", lambda here: len(here["members"]))],
-        lambda: [(App, "start", unlooked)],
+        lambda: [(Operations, "start_rollout", unlooked)],
         lambda: [(record, "start", forgetful)],
         lambda: [(Storage, "keep", unwritten)],
         lambda: [(Storage, "keep", unwritten)],
@@ -244,7 +244,7 @@
         lambda: unrefused("state"),
         lambda: [(members, "majority", lambda here: len(here["members"]))],
         lambda: [(Proxy, "listen", gives_up), (Proxy, "poll", idle)],
-        lambda: [(App, "leave", unheeded), (heartbeat, "decode_heartbeat", always_ready)],
+        lambda: [(Operations, "leave", unheeded), (heartbeat, "decode_heartbeat", always_ready)],
         lambda: [(RouteTable, "__init__", three_routes)],
         lambda: [(AttemptSender, "abandon", lambda self, request: None)],
     ),
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -77,16 +77,16 @@
     async def work():
         async with Scene([ok]) as scene:
             proxy = scene.proxy
-            taken = proxy.metrics_port = scene.port
-            await proxy.open_metrics(scene.server)
-            assert proxy.metrics_port is None and taken == scene.port
+            taken = proxy.metrics_endpoint.port = scene.port
+            await proxy.metrics_endpoint.open(scene.server)
+            assert proxy.metrics_endpoint.port is None and taken == scene.port
             await scene.get()
-            proxy.metrics_port = scene.machines[0].port + 1
-            await proxy.open_metrics(scene.server)
-            page = await read_page("127.0.0.1", proxy.metrics_port, b"/metrics")
+            proxy.metrics_endpoint.port = scene.machines[0].port + 1
+            await proxy.metrics_endpoint.open(scene.server)
+            page = await read_page("127.0.0.1", proxy.metrics_endpoint.port, b"/metrics")
             assert b"200 OK" in page and b'honeywood_events_total{event="answered 200"} 1\n' in page
             assert b"honeywood_config_version 5\n" in page and b"honeywood_open_requests 0\n" in page
-            assert b" 404 " in await read_page("127.0.0.1", proxy.metrics_port, b"/other")
+            assert b" 404 " in await read_page("127.0.0.1", proxy.metrics_endpoint.port, b"/other")
 
     play(work)
 
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -9,7 +9,8 @@
 from honeywood.gateway.configuration.config import unpack
 from honeywood.gateway.dissemination.messages import Answer
 from honeywood.gateway.configuration.outcome import Done
-from honeywood.gateway.controller.orders import Orders
+from honeywood.gateway.controller.register_access import RegisterAccess
+from honeywood.gateway.controller.rollout_orders import RolloutOrder
 from honeywood.gateway.rollout import record as rollouts
 from honeywood.gateway.rpc.asgi import CONTEXT, RequestContext
 from honeywood.gateway.rpc.departure import ClientDeparture
@@ -408,7 +409,7 @@
             """)
             world.run(2.0)
             world.delay = 0.25  # 0.25 to 0.5 s a way: read and prepare take a second or more
-            world.loop.create_task(world.nodes["a"].orders.order("s", "v2", 14.0, "op"))
+            world.loop.create_task(world.nodes["a"].rollout_orders.start(RolloutOrder("s", "v2", 14.0), "op"))
             world.run(5.0)
             world.delay = 0.001
             world.run(8.0)
@@ -518,18 +519,18 @@
         world.close()
 
 
-async def by_board(self, step, key, peer):
+async def by_board(self, operation, key, peer):
     """The mutation: reads from this controller's own store."""
-    value = self.controller.store.get(key)
+    value = self.publication.store.get(key)
     if key != "config" or value is None:
         return value
     mark = held.digest(unpack(value))
-    return {"ver": self.controller.store.stamp(key)[0], "text": value, "digest": mark, "past": []}
+    return {"ver": self.publication.store.stamp(key)[0], "text": value, "digest": mark, "past": []}
 
 
 @test("without the read of a majority {call} is answered from what a cut-off controller last heard")
 def _(call=each("state", "read", "send 5x"), word=each("state", "read", "5x")):
-    guarded, Orders._read = Orders._read, by_board
+    guarded, RegisterAccess.read = RegisterAccess.read, by_board
     try:
         played(CUT_OFF.format(call=call, word=word, joined=200))
     except AssertionError as wrong:
@@ -537,7 +538,7 @@
     else:
         raise AssertionError("nothing seen")
     finally:
-        Orders._read = guarded
+        RegisterAccess.read = guarded
 
 
 @test("a number stands for the content that was noted first, in force or overtaken")
--- a/tests/gateway/test_pinned_controller.py
+++ b/tests/gateway/test_pinned_controller.py
@@ -46,7 +46,7 @@
 
 def open_metrics_port(world, name):
     """Has a controller answer at its metrics address."""
-    world.nodes[name].metrics_port = METRICS_PORT
+    world.nodes[name].metrics_endpoint.port = METRICS_PORT
 
 
 def refuse_writes(world, name):
--- a/tests/gateway/test_rollouts.py
+++ b/tests/gateway/test_rollouts.py
@@ -588,7 +588,7 @@
             tally = Tally("s", front, "v2", 9, 9, ())
             told = report.encode(report.Report((tally,), {"s": Ballot(n, 0, None, 1.0)}))
             controller.store.put(f"count/{front}/1", [1], told)
-        assert [tally.route for tally in controller.rollouts.counted(held)[0]] == ["after"]
+        assert [tally.route for tally in controller.evidence.collect(held).tallies] == ["after"]
     finally:
         world.close()
 
