--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -8,12 +8,13 @@
 
 from honeywood.gateway.configuration import config
 from honeywood.gateway.configuration.check import read_json
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.controller.call import Call
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH as POLL_PATH
+from honeywood.gateway.errors import GatewayError, NotFound, PayloadTooLarge
 from honeywood.gateway.register.fields import PATH as REGISTER_PATH
 from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of
+from honeywood.gateway.rpc.statuses import status_of
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -32,7 +33,7 @@
 RPC_PATH = "/v1/rpc"
 METHOD = "POST"
 JSON_HEADERS = [(b"content-type", b"application/json")]
-OK, NOT_FOUND, TOO_LARGE = 200, 404, 413
+OK = 200
 REFUSAL_LOG_INTERVAL_S = 1.0
 
 
@@ -69,16 +70,16 @@
             handler = self._handler(scope, name, peer)
             body = await body_of(receive, BODY_MAX_BYTES)
             if body is None:
-                raise Wrong(name, "the body is too long or broken off", peer, TOO_LARGE)
+                raise PayloadTooLarge(name, "the body is too long or broken off", peer)
             departure = scope[CONTEXT].departure
             result = await handler(Call(subject, body, peer, lambda: departure.check(self.clock())))
-        except Wrong as error:
+        except GatewayError as error:
             await self._refuse(send, error, name, peer)
         else:
             await answer(send, OK, JSON_HEADERS, _encode(result))
 
     def _handler(self, scope: Any, name: str, peer: str) -> Handler:
-        """Return the handler of a request; raises outcome.Wrong where there is none."""
+        """Return the handler of a request; raises NotFound where there is none."""
         path = "/" + scope["path"].strip("/")
         handler = None
         if scope["method"] == METHOD:
@@ -88,23 +89,23 @@
                 handler = self.operations.handlers.get(name)
         if handler is None:
             reason = f"no such call: {scope['method']} {scope['path']} {name}"
-            raise Wrong("dispatch", reason, peer, NOT_FOUND)
+            raise NotFound("dispatch", reason, peer)
         return handler
 
-    async def _refuse(self, send: Any, error: Wrong, name: str, peer: str) -> None:
+    async def _refuse(self, send: Any, error: GatewayError, name: str, peer: str) -> None:
         """Count, log and answer a call that was refused."""
-        failed = error.failed
-        self.refused[f"refused: {name or failed.step} {failed.status}"] += 1
+        status = status_of(error)
+        self.refused[f"refused: {name or error.operation} {status}"] += 1
         self.say(
             "refused",
             REFUSAL_LOG_INTERVAL_S,
-            step=failed.step,
+            step=error.operation,
             peer=peer,
-            why=failed.why,
-            status=failed.status,
+            why=error.reason,
+            status=status,
         )
-        body = json.dumps({"step": failed.step, "peer": peer, "why": failed.why}).encode()
-        await answer(send, failed.status, JSON_HEADERS, body)
+        body = json.dumps({"step": error.operation, "peer": peer, "why": error.reason}).encode()
+        await answer(send, status, JSON_HEADERS, body)
 
     async def poll(self, call: Call) -> Answer:
         """Answer another program's poll of the store."""
--- a/honeywood/gateway/controller/configuration_orders.py
+++ b/honeywood/gateway/controller/configuration_orders.py
@@ -5,9 +5,9 @@
 from typing import NamedTuple
 
 from honeywood.gateway.configuration import config, versions
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.controller.call import CallName
 from honeywood.gateway.controller.record_keys import CONFIGURATION_KEY
+from honeywood.gateway.errors import NotFound, VersionConflict
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -15,8 +15,6 @@
 
     from honeywood.gateway.controller.register_access import RegisterAccess
 
-NOT_FOUND, CONFLICT = 404, 412
-
 
 class ReplaceResult(NamedTuple):
     """What an order came to, and the version that is in force after it."""
@@ -33,14 +31,14 @@
         self.register, self.say = register, say
 
     async def read(self, peer: str) -> str:
-        """Return the newest configuration, packed; raises outcome.Wrong (404) where a majority holds none."""
+        """Return the newest configuration, packed; raises NotFound where a majority holds none."""
         held = await self.register.read(CallName.READ_CONFIGURATION, CONFIGURATION_KEY, peer)
         if held is None:
-            raise Wrong(CallName.READ_CONFIGURATION, "none yet", peer, NOT_FOUND)
+            raise NotFound(CallName.READ_CONFIGURATION, "none yet", peer)
         return held["text"]
 
     async def replace(self, version: int, raw: bytes, peer: str) -> ReplaceResult:
-        """Order a configuration, `raw` as it came; outcome.Wrong (412) for a number with another content."""
+        """Order a configuration, `raw` as it came; VersionConflict for a number with another content."""
         digest = versions.digest(raw)
         outcome, held = await self._recorded_outcome(version, digest, peer)
         if outcome is None:
@@ -50,7 +48,7 @@
             self.say(outcome, ordered=f"{version:08x}", held=f"{held['ver']:08x}", digest=digest)
         if outcome == versions.OTHER:
             reason = f"{version:08x} stands for another content; take a higher one"
-            raise Wrong(CallName.REPLACE_CONFIGURATION, reason, peer, CONFLICT)
+            raise VersionConflict(CallName.REPLACE_CONFIGURATION, reason, peer)
         return ReplaceResult(outcome, held["ver"])
 
     async def _recorded_outcome(self, version: int, digest: str, peer: str) -> tuple[str | None, object]:
--- a/honeywood/gateway/controller/disk_health.py
+++ b/honeywood/gateway/controller/disk_health.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import GatewayError
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
     def __init__(
         self, write: Callable[[], Awaitable[None]], clock: Callable[[], float], say: Callable[..., None]
     ) -> None:
-        """Start with a disk that works; `write` syncs without any content, or raises outcome.Wrong."""
+        """Start with a disk that works; `write` syncs without any content, or raises Unavailable."""
         self._write, self._clock, self._say = write, clock, say
         self.refused_since: float | None = None  # when the first of an unbroken row of refused writes began
         self._pending: asyncio.Future[None] | None = None
@@ -46,7 +46,7 @@
     async def _try_write(self, began_at: float) -> None:
         try:
             await self._write()
-        except Wrong as error:
+        except GatewayError as error:
             self._record_refusal(began_at, str(error))
             return
         if self.refused_since is not None:
--- a/honeywood/gateway/controller/heartbeat.py
+++ b/honeywood/gateway/controller/heartbeat.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass
 
 from honeywood.gateway.configuration.check import address, need
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.controller.machine_record import (
     DEPARTED_SEQUENCE,
     IN_SERVICE,
     MachineRecord,
     MachineStamp,
 )
+from honeywood.gateway.errors import InvalidInput
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -37,19 +37,19 @@
 
 
 def check_machine_id(operation: str, machine_id: str, peer: str) -> None:
-    """Raise outcome.Wrong where a call names no machine, or by what can't be stored."""
+    """Raise InvalidInput where a call names no machine, or by what can't be stored."""
     if not machine_id:
-        raise Wrong(operation, "of is missing", peer)
+        raise InvalidInput(operation, "of is missing", peer)
     if RESERVED_CHARACTER in machine_id or len(machine_id.encode()) > MACHINE_ID_MAX_BYTES:
-        raise Wrong(operation, "of is no id: it holds a NUL or is too long", peer)
+        raise InvalidInput(operation, "of is no id: it holds a NUL or is too long", peer)
 
 
 def decode_heartbeat(machine_id: str, body: Mapping[str, object], peer: str) -> Heartbeat:
-    """Return the heartbeat of a call; raises outcome.Wrong that names the key."""
+    """Return the heartbeat of a call; raises InvalidInput that names the key."""
     check_machine_id(OPERATION, machine_id, peer)
     state = need(body, "state", str, OPERATION, peer=peer)
     if state not in IN_SERVICE:
-        raise Wrong(OPERATION, f"state {state!r} is not known", peer)
+        raise InvalidInput(OPERATION, f"state {state!r} is not known", peer)
     ip, port = address(need(body, "addr", str, OPERATION, peer=peer), f"{OPERATION}: addr", peer)
     sequence = need(body, "seq", int, OPERATION, least=0, most=SEQUENCE_MAX, peer=peer)
     record = MachineRecord(
--- a/honeywood/gateway/controller/machine_row_writer.py
+++ b/honeywood/gateway/controller/machine_row_writer.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import GatewayError
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
     """
 
     def __init__(self, write: Callable[[dict[str, Row]], Awaitable[None]]) -> None:
-        """Start without any change; `write` puts rows on disk, or raises outcome.Wrong."""
+        """Start without any change; `write` puts rows on disk, or raises Unavailable."""
         self._write = write
         self._changed: dict[str, Row] = {}
         self._writing: asyncio.Future[None] | None = None
@@ -32,7 +32,7 @@
         self._changed[key] = row
 
     async def flush(self) -> None:
-        """Return when what has changed by now is on disk; raises outcome.Wrong where the disk refuses."""
+        """Return when what has changed by now is on disk; raises Unavailable where the disk refuses."""
         if self._waiting is None:
             self._waiting = asyncio.ensure_future(self._write_after(self._writing))
         await asyncio.shield(self._waiting)
@@ -45,6 +45,6 @@
         try:
             if changed:
                 await self._write(changed)
-        except Wrong:
+        except GatewayError:
             self._changed = {**changed, **self._changed}
             raise
--- a/honeywood/gateway/controller/machine_service.py
+++ b/honeywood/gateway/controller/machine_service.py
@@ -4,10 +4,10 @@
 
 import asyncio
 
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.controller import heartbeat as heartbeats
 from honeywood.gateway.controller.machine_row_writer import MachineRowWriter
 from honeywood.gateway.controller.machine_table import MachineTable
+from honeywood.gateway.errors import GatewayError, Unavailable
 from honeywood.gateway.routing.endpoints import DRAINING
 
 TYPE_CHECKING = False
@@ -58,7 +58,7 @@
 
     def _require_quorum(self, operation: str) -> None:
         if not self.contacts.in_quorum(self.clock()):
-            raise Wrong(operation, "cut off from the other controllers", "", 503)
+            raise Unavailable(operation, "cut off from the other controllers")
 
     async def _replicate(self) -> None:
         """Wait for other controllers, and for this disk if it is fast: a slow one delays no answer long."""
@@ -73,7 +73,7 @@
         try:
             if self.register.sound:
                 await self.rows.flush()
-        except Wrong as error:
+        except GatewayError as error:
             self.say("notes not kept", 5.0, why=str(error))
 
     def expire(self, now: float) -> None:
--- a/honeywood/gateway/controller/operations.py
+++ b/honeywood/gateway/controller/operations.py
@@ -22,7 +22,7 @@
 
 
 class Operations:
-    """The handlers of the public calls. All raise outcome.Wrong where a call is refused."""
+    """The handlers of the public calls. All raise a GatewayError where a call is refused."""
 
     def __init__(
         self, machines: MachineService, configurations: ConfigurationOrders, rollouts: RolloutOrders
--- a/honeywood/gateway/controller/peer_polling.py
+++ b/honeywood/gateway/controller/peer_polling.py
@@ -6,11 +6,13 @@
 from __future__ import annotations
 
 import asyncio
+from contextlib import suppress
 
 from honeywood.gateway.controller.contacts import decode_disk_state
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.messages import Asker
 from honeywood.gateway.dissemination.subscriber import Subscriber
+from honeywood.gateway.errors import CallFailed
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -91,9 +93,8 @@
             self.polled.discard(ip)
             raise asyncio.CancelledError
         sent_at = self.clock()  # its answer may lie unread while this process is stalled
-        reply = await self.subscriber.ask(ip, self.settings.controller_port, LONG_POLL_S)
-        if reply.ok:
-            response = reply.value
+        with suppress(CallFailed):
+            response = await self.subscriber.ask(ip, self.settings.controller_port, LONG_POLL_S)
             disk = decode_disk_state(response.disk)
             self.contacts.record_response(ip, sent_at, response.whole, response.stamp, disk)
         backoff_s = self.subscriber.backoff.rest(ip, self.clock())
@@ -106,5 +107,8 @@
         return self.contacts.forms_quorum(ip for ip, done in zip(others, complete, strict=True) if done)
 
     async def _poll_completely(self, ip: str) -> bool:
-        reply = await self.subscriber.ask(ip, self.settings.controller_port, 0.0)
-        return reply.ok and reply.value.whole
+        try:
+            response = await self.subscriber.ask(ip, self.settings.controller_port, 0.0)
+        except CallFailed:
+            return False
+        return response.whole
--- a/honeywood/gateway/controller/register_access.py
+++ b/honeywood/gateway/controller/register_access.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import Unavailable
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -15,8 +15,6 @@
     from honeywood.gateway.controller.register_publication import RegisterPublication
     from honeywood.gateway.register.replica import Register
 
-UNAVAILABLE = 503
-
 
 class RegisterAccess:
     """The register, with what it holds published at once."""
@@ -26,17 +24,17 @@
         self.register, self.publication = register, publication
 
     async def read(self, operation: str, key: str, peer: str) -> object:
-        """Return the value under `key`, or None; raises outcome.Wrong without a majority."""
+        """Return the value under `key`, or None; raises Unavailable without a majority."""
         found = await self.register.read(key)
         if not found.ok:
-            raise Wrong(operation, found.why, peer, UNAVAILABLE)
+            raise Unavailable(operation, found.why, peer)
         self.publication.publish(key, found.value)
         return found.value
 
     async def change(self, operation: str, key: str, update: Callable[[object], object], peer: str) -> object:
-        """Return the value under `key` after `update`; raises outcome.Wrong without a majority."""
+        """Return the value under `key` after `update`; raises Unavailable without a majority."""
         found = await self.register.change(key, update)
         if not found.ok:
-            raise Wrong(operation, found.why, peer, UNAVAILABLE)
+            raise Unavailable(operation, found.why, peer)
         self.publication.publish(key, found.value)
         return found.value
--- a/honeywood/gateway/controller/replication.py
+++ b/honeywood/gateway/controller/replication.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.errors import Unavailable
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
             acknowledged.set()
 
     async def wait(self) -> None:
-        """Return when enough others hold all changes made so far; raises outcome.Wrong at the time-out."""
+        """Return when enough others hold all changes made so far; raises Unavailable at the time-out."""
         revision, deadline = self.store.rev, self.clock() + REPLICATION_TIMEOUT_S
         acknowledged = asyncio.Event()
         self._waiters.append(acknowledged)
@@ -41,6 +41,6 @@
                 async with asyncio.timeout(deadline - self.clock()):
                     await acknowledged.wait()
         except TimeoutError:
-            raise Wrong(OPERATION, "too few other controllers heard it in time", "", 503) from None
+            raise Unavailable(OPERATION, "too few other controllers heard it in time") from None
         finally:
             self._waiters.remove(acknowledged)
--- a/honeywood/gateway/controller/rollout_orders.py
+++ b/honeywood/gateway/controller/rollout_orders.py
@@ -7,10 +7,10 @@
 
 from honeywood.gateway.configuration import config
 from honeywood.gateway.configuration.check import need
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.controller.call import CallName, never
 from honeywood.gateway.controller.machine_record import MACHINE_PREFIX, MachineRecord
 from honeywood.gateway.controller.record_keys import CONFIGURATION_KEY, ROLLOUT_PREFIX
+from honeywood.gateway.errors import InvalidInput, NotFound, Unavailable
 from honeywood.gateway.rollout import record
 
 TYPE_CHECKING = False
@@ -31,7 +31,6 @@
 # held up by a network partition comes the end of a caller who gave up.
 DEPARTURE_GRACE_S = 0.25
 DURATION_MIN_S = 0.001
-NOT_FOUND, UNAVAILABLE = 404, 503
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +43,7 @@
 
     @classmethod
     def decode(cls, body: Mapping[str, object]) -> RolloutOrder:
-        """Return the order of a call's body; raises outcome.Wrong that names the key."""
+        """Return the order of a call's body; raises InvalidInput that names the key."""
         service = need(body, "svc", str, CallName.START_ROLLOUT)
         version = need(body, "to_ver", str, CallName.START_ROLLOUT)
         duration_s = need(body, "over_s", float, CallName.START_ROLLOUT, least=DURATION_MIN_S)
@@ -71,16 +70,16 @@
         self.repeat_within_s = acknowledge_within_s + REPEAT_MARGIN_S
 
     async def read(self, service: str, peer: str) -> Rollout:
-        """Return the rollout of a service; raises outcome.Wrong (404) where a majority holds none."""
+        """Return the rollout of a service; raises NotFound where a majority holds none."""
         value = await self.register.read(CallName.READ_ROLLOUT, ROLLOUT_PREFIX + service, peer)
         if value is None:
-            raise Wrong(CallName.READ_ROLLOUT, f"no rollout of {service!r}", peer, NOT_FOUND)
+            raise NotFound(CallName.READ_ROLLOUT, f"no rollout of {service!r}", peer)
         return record.decode(value)
 
     async def start(self, order: RolloutOrder, peer: str, has_left: Callable[[], bool] = never) -> Rollout:
         """Return the rollout once it has begun, or the one in which this order was taken before.
 
-        Raises outcome.Wrong (503) where the order may be an old one, or its caller has left: nothing is begun
+        Raises Unavailable where the order may be an old one, or its caller has left: nothing is begun
         that nobody waits for.
         """
         arrived_at = self.clock()
@@ -114,9 +113,9 @@
         return rollout
 
     @staticmethod
-    def _refusal(reason: str, peer: str) -> Wrong:
+    def _refusal(reason: str, peer: str) -> Unavailable:
         """Return the error that sends an order to another controller."""
-        return Wrong(CallName.START_ROLLOUT, reason, peer, UNAVAILABLE)
+        return Unavailable(CallName.START_ROLLOUT, reason, peer)
 
     def _begun(self, order: RolloutOrder, held: Rollout | None, is_only_version: bool) -> Rollout:
         """Return the rollout after an order, given the one before."""
@@ -140,7 +139,7 @@
         if configuration is not None:
             services = config.read(config.unpack(configuration["text"])).services
             if service not in services:
-                raise Wrong(CallName.START_ROLLOUT, f"svc {service!r} is not known", peer)
+                raise InvalidInput(CallName.START_ROLLOUT, f"svc {service!r} is not known", peer)
         return None if value is None else record.decode(value)
 
     def _is_only_version(self, order: RolloutOrder) -> bool:
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -10,9 +10,9 @@
 from ward import each, test
 
 from honeywood.gateway.configuration import config
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.controller import heartbeat
 from honeywood.gateway.controller.operations import Operations
+from honeywood.gateway.errors import GatewayError, VersionConflict
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.proxy import polling, sender
@@ -155,7 +155,7 @@
     """A configuration is confirmed by its number, whatever it holds."""
     try:
         return await replace(self, call)
-    except Wrong:
+    except GatewayError:
         stamp = self.rollouts.store.stamp("config")
         if stamp is None or stamp[0] != int(json.loads(call.body)["ver"], 16):
             raise
@@ -166,7 +166,7 @@
     """An order that is known is refused."""
     svc = json.loads(call.body)["svc"]
     if self.rollouts.store.get(f"rollout/{svc}"):
-        raise Wrong("rollouts.start", "there is one", call.peer, 409)
+        raise VersionConflict("rollouts.start", "there is one", call.peer)
     return await start(self, call)
 
 
--- a/tests/gateway/test_history.py
+++ b/tests/gateway/test_history.py
@@ -5,11 +5,11 @@
 from timeline import World
 from ward import test
 
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.controller.heartbeat import Heartbeat
 from honeywood.gateway.controller.machine_record import MachineRecord, MachineStamp
 from honeywood.gateway.controller.machine_row_writer import MachineRowWriter
 from honeywood.gateway.controller.machine_table import DEPARTED_ROW_PREFIX, MachineTable
+from honeywood.gateway.errors import Unavailable
 from honeywood.gateway.dissemination.history import KEEP, MOST, History
 from honeywood.gateway.dissemination import departed
 from honeywood.gateway.dissemination.record import Record
@@ -172,7 +172,7 @@
             writes.append(changed)
             await gate.wait()
             if len(writes) == 1:
-                raise Wrong("register", "the disk refuses", "a", 503)
+                raise Unavailable("register", "the disk refuses", "a")
 
         rows, found = MachineRowWriter(write), []
         for n in range(50):
@@ -183,7 +183,8 @@
         assert len(writes) == 1 and len(asyncio.all_tasks()) <= 53
         gate.set()
         done = await asyncio.gather(*found, return_exceptions=True)
-        assert len(writes) == 2 and len(writes[1]) == 50 and isinstance(done[0], Wrong) and done[-1] is None
+        assert len(writes) == 2 and len(writes[1]) == 50
+        assert isinstance(done[0], Unavailable) and done[-1] is None
 
     asyncio.run(play())
 
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -8,7 +8,6 @@
 from honeywood.gateway.configuration import versions as held
 from honeywood.gateway.configuration.config import unpack
 from honeywood.gateway.dissemination.messages import Answer
-from honeywood.gateway.configuration.outcome import Done
 from honeywood.gateway.controller.register_access import RegisterAccess
 from honeywood.gateway.controller.rollout_orders import RolloutOrder
 from honeywood.gateway.rollout import record as rollouts
@@ -478,7 +477,7 @@
 
         async def old(ip, port, hold):
             world.loop.now += 20.0  # all stand still while the answer lies there
-            return Done(Answer("", 0, in_quorum=True))
+            return Answer("", 0, in_quorum=True)
 
         controller.peers.subscriber.ask = front.poller.ask = old
         world.loop.run_until_complete(controller.peers.poll("b"))
--- a/tests/gateway/test_register.py
+++ b/tests/gateway/test_register.py
@@ -7,8 +7,8 @@
 from timeline import World, config
 from ward import each, test
 
-from honeywood.gateway.configuration.outcome import Done
 from honeywood.gateway.controller.contacts import Contacts
+from honeywood.gateway.register.outcome import Done
 from honeywood.gateway.register import acceptor, values
 from honeywood.gateway.register.membership import DiskState, PeerState, Replacement, replacement
 from honeywood.gateway.register.rebuild import Rebuild
