--- /dev/null
+++ b/honeywood/balancer/decisions/send_policy.py
@@ -0,0 +1,142 @@
+"""The rules that every attempt keeps, and the one place that every attempt passes."""
+
+from __future__ import annotations
+
+from collections import deque
+
+from honeywood.balancer.decisions.limits import MIN_SERVER_AGE
+from honeywood.balancer.decisions.time_window import trimmed
+from honeywood.balancer.model import (
+    NEVER_RAN,
+    Attempt,
+    AttemptResult,
+    Exclusion,
+    Idempotency,
+    ReleaseState,
+    ServerStatus,
+)
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from honeywood.balancer.decisions.cold_servers import ColdServers
+    from honeywood.balancer.decisions.release_verdict import ReleaseVerdict
+    from honeywood.balancer.interface import Host
+    from honeywood.balancer.model import Method, Rpc, Server, Time
+    from honeywood.balancer.settings import Settings
+
+
+class SendPolicy:
+    """Says what keeps an RPC from a server, and sends where nothing does."""
+
+    def __init__(
+        self, settings: Settings, host: Host, release: ReleaseVerdict, cold_servers: ColdServers
+    ) -> None:
+        """Nothing was sent yet."""
+        self._host, self._release, self._cold_servers = host, release, cold_servers
+        self._resolution, self._window = settings.clock_resolution, settings.exposure_window
+        self._allowance, self._per_method = settings.exposure_allowance, settings.exposure_per_method
+        self._max_attempts, self._may_duplicate = settings.max_attempts, settings.may_duplicate
+        self._guarded_steps, self._one_way = settings.guarded_steps, settings.one_way
+        self._arrivals: list[deque[Time]] = [deque() for _ in settings.methods]  # by exposure class
+        self._sends: dict[tuple[int, int], deque[Time]] = {}  # by build and exposure class
+        self._answered_builds: dict[int, int] = {}  # one way: the latest build that answered a key
+
+    def on_request(self, now: Time, rpc: Rpc) -> None:
+        """Count an RPC that has come: exposure is a share of these."""
+        arrivals = self._arrivals[self._exposure_class(rpc.method)]
+        trimmed(arrivals, now - self._window).append(rpc.arrived_at)
+
+    def exclusion(self, now: Time, rpc: Rpc, server: Server) -> int:
+        """The rule that keeps the RPC from the server, Exclusion.NONE where it may be sent."""
+        if rpc.done or server.status != ServerStatus.READY:
+            return Exclusion.DONE if rpc.done else Exclusion.NOT_READY
+        if len(rpc.attempts) >= self._max_attempts or now >= rpc.deadline:
+            return Exclusion.MAX_ATTEMPTS if now < rpc.deadline else Exclusion.DEADLINE
+        may_have_run = [attempt for attempt in rpc.attempts if attempt.result not in NEVER_RAN]
+        if may_have_run and self._repeat_is_barred(rpc, may_have_run):
+            return Exclusion.MAY_HAVE_RUN
+        if rpc.method.idempotency == Idempotency.KEYED and not all(
+            self._drops_repeat(now, attempt, server) for attempt in may_have_run
+        ):
+            return Exclusion.DEDUPLICATION
+        if self._one_way and self._goes_back(rpc, server):
+            return Exclusion.ONE_WAY
+        if not self._within_exposure(now, server.build, rpc.method):
+            return Exclusion.EXPOSURE
+        return Exclusion.NONE if self._cold_servers.may_send(now, server) else Exclusion.COLD_BUDGET
+
+    def may_reject(self, rpc: Rpc) -> bool:
+        """Whether the client may be told to retry: its RPC did not run, or may run twice."""
+        method = rpc.method
+        if method.idempotency == Idempotency.IDEMPOTENT:
+            return True
+        if method.idempotency == Idempotency.KEYED and method.dedup_scope == "all":
+            return True
+        return all(attempt.result in NEVER_RAN for attempt in rpc.attempts)
+
+    def send(self, now: Time, rpc: Rpc, server: Server) -> bool:
+        """Send an attempt unless a rule keeps the RPC from the server; whether it was sent."""
+        if self.exclusion(now, rpc, server):
+            return False
+        attempt = Attempt(
+            rpc=rpc,
+            server=server,
+            number=len(rpc.attempts),
+            build=server.build,
+            sent_at=now,
+            on_young_server=now - server.started_at < MIN_SERVER_AGE,
+        )
+        rpc.attempts.append(attempt)
+        if not server.in_flight:
+            server.answered_at = now
+        server.in_flight += 1
+        self._cold_servers.on_send(now, server)
+        sends = self._sends.setdefault((server.build, self._exposure_class(rpc.method)), deque())
+        trimmed(sends, now - self._window - self._resolution).append(now)
+        self._host.send(attempt, rpc.deadline)
+        return True
+
+    def on_result(self, now: Time, attempt: Attempt) -> None:
+        """An attempt has ended."""
+        attempt.server.in_flight -= 1
+        self._cold_servers.on_result(now, attempt)
+        if attempt.result == AttemptResult.OK and self._one_way and attempt.rpc.key:
+            latest = self._answered_builds.get(attempt.rpc.key, 0)
+            self._answered_builds[attempt.rpc.key] = max(attempt.build, latest)
+
+    def _exposure_class(self, method: Method) -> int:
+        """Methods whose exposure is counted together: each by itself, or all."""
+        return method.index * self._per_method
+
+    def _within_exposure(self, now: Time, build: int, method: Method) -> bool:
+        """Whether one more attempt at a build on trial keeps its cap over the exposure window."""
+        trial = self._release.trial_of(build)
+        if trial is None:
+            return True
+        if trial.step < self._guarded_steps and method.idempotency != Idempotency.IDEMPOTENT:
+            return False
+        exposure_class = self._exposure_class(method)
+        # The window is taken a little too short for arrivals and too long for sends: clocks are coarse.
+        arrivals = trimmed(self._arrivals[exposure_class], now - self._window + self._resolution + 1)
+        sends = self._sends.get((build, exposure_class))
+        sent = len(trimmed(sends, now - self._window - self._resolution)) if sends is not None else 0
+        return trial.cap > 0 and sent + 1 <= self._allowance + trial.cap * len(arrivals)
+
+    def _repeat_is_barred(self, rpc: Rpc, may_have_run: list[Attempt]) -> bool:
+        if rpc.method.idempotency == Idempotency.NON_IDEMPOTENT:
+            return True
+        return not self._may_duplicate and any(attempt.result is None for attempt in may_have_run)
+
+    def _drops_repeat(self, now: Time, attempt: Attempt, server: Server) -> bool:
+        """Whether a server would drop the repeat of an attempt by its idempotency key."""
+        method = attempt.rpc.method
+        scope = method.dedup_scope
+        same = scope == "all" or getattr(attempt.server, scope) == getattr(server, scope)
+        return same and now + self._resolution < attempt.sent_at + method.dedup_window
+
+    def _goes_back(self, rpc: Rpc, server: Server) -> bool:
+        """Whether the server has an older build than one that answered the RPC's key."""
+        release = self._release
+        if release.build is None or release.state not in (ReleaseState.ON_TRIAL, ReleaseState.RELEASED):
+            return False
+        return server.build < release.build == self._answered_builds.get(rpc.key)
--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -11,6 +11,8 @@
 from timeline import config, machine
 from ward import each, test
 
+from honeywood.balancer.protocol import http
+from honeywood.balancer.transport.buffer import Buffer
 from honeywood.gateway.configuration.config import Limits
 from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.proxy import responses, sender
@@ -19,14 +21,11 @@
 from honeywood.gateway.proxy.sender import LATE_ANSWER_S
 from honeywood.gateway.routing.attempts import PendingRequest
 from honeywood.gateway.routing.outcomes import PROMISES, AttemptOutcome, classify
-from honeywood.gateway.rpc import connection
-from honeywood.gateway.rpc import stream
+from honeywood.gateway.rpc import connection, stream
 from honeywood.gateway.rpc.client import Caller
 from honeywood.gateway.rpc.server import HttpProtocol, HttpServer
 from honeywood.lab.emulator import world
 from honeywood.lab.emulator.boot import settings
-from honeywood.protocol import http
-from honeywood.transport.buffer import Buffer
 
 HEAD = b"HTTP/1.1 %s\r\nX-Try-Id: %s\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\n%s"
 FULL = b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Try-Id: %s\r\nContent-Length: 0\r\n\r\n"
@@ -207,7 +206,6 @@
     """An answer cut at every byte by an end, a reset or silence; the same on a kept connection."""
     for n in range(len(whole) + 1):
         for how in ("eof", "reset", None):
-
             scenario = CallScenario(kind)
 
             def script(line, id, n=n, how=how, scenario=scenario):
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -12,9 +12,9 @@
 from honeywood.gateway.configuration import config
 from honeywood.gateway.controller import heartbeat
 from honeywood.gateway.controller.operations import Operations
-from honeywood.gateway.errors import GatewayError, VersionConflict
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.store import Store
+from honeywood.gateway.errors import GatewayError, VersionConflict
 from honeywood.gateway.proxy import polling, sender
 from honeywood.gateway.proxy.forwarding import Forwarder
 from honeywood.gateway.proxy.program import Proxy
--- a/tests/gateway/test_history.py
+++ b/tests/gateway/test_history.py
@@ -9,11 +9,11 @@
 from honeywood.gateway.controller.machine_record import MachineRecord, MachineStamp
 from honeywood.gateway.controller.machine_row_writer import MachineRowWriter
 from honeywood.gateway.controller.machine_table import DEPARTED_ROW_PREFIX, MachineTable
-from honeywood.gateway.errors import Unavailable
-from honeywood.gateway.dissemination.history import KEEP, MOST, History
 from honeywood.gateway.dissemination import departed
+from honeywood.gateway.dissemination.history import KEEP, MOST, History
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.store import Store
+from honeywood.gateway.errors import Unavailable
 
 BEAT = {"svc": "s", "ip": "m", "port": 1, "zone": "z", "ver": "v1", "slots": 4, "state": "ready", "cold": 0.0}
 
