--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -23,6 +23,7 @@
 
     from honeywood.gateway.controller.operations import Operations
     from honeywood.gateway.controller.poll_service import PollService
+    from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.metrics_endpoint import MetricsEndpoint
 
     Answer = bytes | Mapping[str, object]
@@ -50,11 +51,11 @@
         metrics: MetricsEndpoint,
         internal_port: int,
         clock: Callable[[], float],
-        say: Callable[..., None],
+        log: EventLog,
     ) -> None:
         """Serve our own programs on `internal_port`, others elsewhere; `clock` gives steady seconds."""
         self.operations, self.polls, self.register = operations, polls, register
-        self.metrics, self.internal_port, self.clock, self.say = metrics, internal_port, clock, say
+        self.metrics, self.internal_port, self.clock, self.log = metrics, internal_port, clock, log
         self.refused: Counter[str] = Counter()  # refused calls by call and status
         self.internal_handlers = {POLL_PATH: self.poll, REGISTER_PATH: self.register_step}
 
@@ -96,9 +97,9 @@
         """Count, log and answer a call that was refused."""
         status = status_of(error)
         self.refused[f"refused: {name or error.operation} {status}"] += 1
-        self.say(
+        self.log.info(
             "refused",
-            REFUSAL_LOG_INTERVAL_S,
+            min_interval_s=REFUSAL_LOG_INTERVAL_S,
             step=error.operation,
             peer=peer,
             why=error.reason,
--- a/honeywood/gateway/controller/configuration_orders.py
+++ b/honeywood/gateway/controller/configuration_orders.py
@@ -11,9 +11,8 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from collections.abc import Callable
-
     from honeywood.gateway.controller.register_access import RegisterAccess
+    from honeywood.gateway.event_log import EventLog
 
 
 class ReplaceResult(NamedTuple):
@@ -26,9 +25,9 @@
 class ConfigurationOrders:
     """The configuration of this system as operators see it."""
 
-    def __init__(self, register: RegisterAccess, say: Callable[..., None]) -> None:
+    def __init__(self, register: RegisterAccess, log: EventLog) -> None:
         """Read and change the configuration by `register`."""
-        self.register, self.say = register, say
+        self.register, self.log = register, log
 
     async def read(self, peer: str) -> str:
         """Return the newest configuration, packed; raises NotFound where a majority holds none."""
@@ -45,7 +44,7 @@
             held = await self._change(version, raw, digest, peer)
             outcome = versions.outcome(held, version, digest)
         if outcome != versions.TAKEN:
-            self.say(outcome, ordered=f"{version:08x}", held=f"{held['ver']:08x}", digest=digest)
+            self.log.info(outcome, ordered=f"{version:08x}", held=f"{held['ver']:08x}", digest=digest)
         if outcome == versions.OTHER:
             reason = f"{version:08x} stands for another content; take a higher one"
             raise VersionConflict(CallName.REPLACE_CONFIGURATION, reason, peer)
--- a/honeywood/gateway/controller/disk_health.py
+++ b/honeywood/gateway/controller/disk_health.py
@@ -10,6 +10,8 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
+    from honeywood.gateway.event_log import EventLog
+
 
 CHECK_INTERVAL_S = 1.0  # seconds between trial writes; one that takes longer counts as refused
 LOG_INTERVAL_S = 5.0  # seconds between two lines of a disk that goes on refusing
@@ -19,10 +21,10 @@
     """The outcome of the latest trial writes."""
 
     def __init__(
-        self, write: Callable[[], Awaitable[None]], clock: Callable[[], float], say: Callable[..., None]
+        self, write: Callable[[], Awaitable[None]], clock: Callable[[], float], log: EventLog
     ) -> None:
         """Start with a disk that works; `write` syncs without any content, or raises Unavailable."""
-        self._write, self._clock, self._say = write, clock, say
+        self._write, self._clock, self._log = write, clock, log
         self.refused_since: float | None = None  # when the first of an unbroken row of refused writes began
         self._pending: asyncio.Future[None] | None = None
 
@@ -51,11 +53,11 @@
             return
         if self.refused_since is not None:
             refused_s = round(self._clock() - self.refused_since, 1)
-            self._say("disk takes writes again", refused_s=refused_s)
+            self._log.info("disk takes writes again", refused_s=refused_s)
         self.refused_since = None
 
     def _record_refusal(self, began_at: float, reason: str) -> None:
         if self.refused_since is None:
             self.refused_since = began_at
         refused_s = round(self._clock() - self.refused_since, 1)
-        self._say("disk refuses writes", LOG_INTERVAL_S, why=reason, refused_s=refused_s)
+        self._log.info("disk refuses writes", min_interval_s=LOG_INTERVAL_S, why=reason, refused_s=refused_s)
--- a/honeywood/gateway/controller/machine_service.py
+++ b/honeywood/gateway/controller/machine_service.py
@@ -18,6 +18,7 @@
     from honeywood.gateway.controller.heartbeat import Heartbeat
     from honeywood.gateway.controller.replication import Replication
     from honeywood.gateway.dissemination.store import Store
+    from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.register.replica import Register
 
 LEAVE_OPERATION = "instances.leave"
@@ -35,11 +36,11 @@
         contacts: Contacts,
         replication: Replication,
         clock: Callable[[], float],
-        say: Callable[..., None],
+        log: EventLog,
     ) -> None:
         """Start without any machine."""
         self.register, self.contacts, self.replication = register, contacts, replication
-        self.clock, self.say = clock, say
+        self.clock, self.log = clock, log
         self.rows = MachineRowWriter(register.keep_notes)
         self.machines = MachineTable(store, heartbeat_interval_s, self.rows.update)
 
@@ -74,7 +75,7 @@
             if self.register.sound:
                 await self.rows.flush()
         except GatewayError as error:
-            self.say("notes not kept", 5.0, why=str(error))
+            self.log.info("notes not kept", min_interval_s=5.0, why=str(error))
 
     def expire(self, now: float) -> None:
         """Mark silent machines as lost, where enough others have lately sent all that they know.
--- a/honeywood/gateway/controller/membership.py
+++ b/honeywood/gateway/controller/membership.py
@@ -16,6 +16,7 @@
     from honeywood.gateway.configuration.settings import Settings
     from honeywood.gateway.controller.contacts import Contacts
     from honeywood.gateway.controller.peer_polling import PeerPolling
+    from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.register.replica import Register
 
 # A member that can't be used is replaced by a spare that was there all the time after so many times
@@ -35,12 +36,12 @@
         peers: PeerPolling,
         publish: Callable[[str, object], None],
         clock: Callable[[], float],
-        say: Callable[..., None],
+        log: EventLog,
     ) -> None:
         """Start; `publish(key, value)` publishes a value that a majority holds, `clock` is steady."""
         self.settings, self.register, self.contacts, self.peers = settings, register, contacts, peers
-        self.publish, self.clock, self.say = publish, clock, say
-        self.disk_health = DiskHealth(lambda: register.keep_notes({}), clock, say)
+        self.publish, self.clock, self.log = publish, clock, log
+        self.disk_health = DiskHealth(lambda: register.keep_notes({}), clock, log)
 
     @property
     def disk(self) -> DiskState:
@@ -65,8 +66,12 @@
         proposed = replacement(self.register.here, self.settings.ip, states, now, soon_s, late_s)
         if proposed is None:
             return
-        self.say(
-            "member unusable", LOG_INTERVAL_S, member=proposed.lost, spare=proposed.spare, why=proposed.why
+        self.log.info(
+            "member unusable",
+            min_interval_s=LOG_INTERVAL_S,
+            member=proposed.lost,
+            spare=proposed.spare,
+            why=proposed.why,
         )
         await self.register.replace(proposed.lost, proposed.spare)
 
--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -40,6 +40,7 @@
     from typing import Any
 
     from honeywood.gateway.dissemination.messages import Asker
+    from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.metrics import Metrics
     from honeywood.gateway.register.membership import DiskState
 
@@ -55,12 +56,18 @@
 class Controller(Program):
     """One controller: its parts are made in the order in which they depend on each other."""
 
-    def __init__(self, *given: Any, random: Random | None = None, disk: Callable[[str], Disk] = Disk) -> None:
+    def __init__(
+        self,
+        *given: Any,
+        random: Random | None = None,
+        disk: Callable[[str], Disk] = Disk,
+        log: EventLog | None = None,
+    ) -> None:
         """Make the parts; `disk` opens a folder, randomness may be passed in for tests."""
-        super().__init__(*given)
+        super().__init__(*given, log=log)
         self.random = random or Random()
         self._make_store()
-        self.register = Register(self.settings, PagedCaller(self.caller), self.random, self.say, disk)
+        self.register = Register(self.settings, PagedCaller(self.caller), self.random, self.log, disk)
         self._make_peers()
         self._make_machines()
         self._make_rollouts()
@@ -97,7 +104,7 @@
             self.loop,
         )
         self.membership = Membership(
-            settings, self.register, self.contacts, self.peers, self.publication.publish, clock, self.say
+            settings, self.register, self.contacts, self.peers, self.publication.publish, clock, self.log
         )
         self.replication = Replication(self.store, self.contacts, clock)
 
@@ -110,7 +117,7 @@
             self.contacts,
             self.replication,
             self.clock,
-            self.say,
+            self.log,
         )
         self.machines = self.machine_service.machines
         self.fleet = ProxyFleet(self.settings.ip, self.store, self.contacts, self.local_records.tell)
@@ -126,7 +133,7 @@
             self.evidence,
             self.publication,
             self.clock,
-            self.say,
+            self.log,
         )
         self.router = RecordRouter(self.peers, self.machines, self.evidence, self.clock)
 
@@ -134,8 +141,8 @@
         """Make what answers calls."""
         settings, clock = self.settings, self.clock
         access = RegisterAccess(self.register, self.publication)
-        self.stalls = StallDetector(clock, self.say)
-        self.configuration_orders = ConfigurationOrders(access, self.say)
+        self.stalls = StallDetector(clock, self.log)
+        self.configuration_orders = ConfigurationOrders(access, self.log)
         self.rollout_orders = RolloutOrders(
             access,
             self.store,
@@ -144,7 +151,7 @@
             self.stalls,
             settings.bounds["ack_s"],
             clock,
-            self.say,
+            self.log,
         )
         operations = Operations(self.machine_service, self.configuration_orders, self.rollout_orders)
         self.polls = PollService(
@@ -164,7 +171,7 @@
             self.metrics_endpoint,
             settings.controller_port,
             clock,
-            self.say,
+            self.log,
         )
 
     def config_held(self) -> str | None:
@@ -223,11 +230,11 @@
         server = HttpServer(self.app)
         await server.open([settings.listen["ctl"], (settings.ip, settings.controller_port)])
         await self.metrics_endpoint.open(server)
-        self.say("started", role=settings.role)
+        self.log.info("started", role=settings.role)
         self.begin()
         await self.until_stopped()
         await server.close(settings.bounds["grace_s"] - CLOSE_MARGIN_S)
-        self.say("stopped")
+        self.log.info("stopped")
 
     def begin(self) -> None:
         """Publish what this controller knows of itself and from its disk, and start the periodic tasks."""
--- a/honeywood/gateway/controller/rollout_orders.py
+++ b/honeywood/gateway/controller/rollout_orders.py
@@ -22,6 +22,7 @@
     from honeywood.gateway.controller.rollout_evidence import RolloutEvidence
     from honeywood.gateway.controller.stall_detector import StallDetector
     from honeywood.gateway.dissemination.store import Store
+    from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.rollout.record import Rollout
 
 ORDER_LIFETIME_S = 1.0  # seconds after which whoever sent an order has given up: an older one begins nothing
@@ -62,11 +63,11 @@
         stalls: StallDetector,
         acknowledge_within_s: float,
         clock: Callable[[], float],
-        say: Callable[..., None],
+        log: EventLog,
     ) -> None:
         """Start; operators repeat an order for `acknowledge_within_s` seconds, `clock` is steady."""
         self.register, self.store, self.evidence, self.peers = register, store, evidence, peers
-        self.stalls, self.clock, self.say = stalls, clock, say
+        self.stalls, self.clock, self.log = stalls, clock, log
         self.repeat_within_s = acknowledge_within_s + REPEAT_MARGIN_S
 
     async def read(self, service: str, peer: str) -> Rollout:
@@ -102,7 +103,7 @@
 
         key = ROLLOUT_PREFIX + order.service
         rollout = record.decode(await self.register.change(CallName.START_ROLLOUT, key, update, peer))
-        self.say(
+        self.log.info(
             "rollout ordered",
             svc=order.service,
             to_ver=order.version,
--- a/honeywood/gateway/controller/rollout_steering.py
+++ b/honeywood/gateway/controller/rollout_steering.py
@@ -17,6 +17,7 @@
     from honeywood.gateway.controller.register_publication import RegisterPublication
     from honeywood.gateway.controller.rollout_evidence import RolloutEvidence
     from honeywood.gateway.dissemination.store import Store
+    from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.register.replica import Register
     from honeywood.gateway.rollout.record import Rollout
     from honeywood.gateway.rollout.verdict import Change
@@ -37,12 +38,12 @@
         evidence: RolloutEvidence,
         publication: RegisterPublication,
         clock: Callable[[], float],
-        say: Callable[..., None],
+        log: EventLog,
     ) -> None:
         """Start without any rollout; `clock` gives steady seconds."""
         self.local_ip, self.store, self.register = local_ip, store, register
         self.contacts, self.evidence, self.publication = contacts, evidence, publication
-        self.clock, self.say = clock, say
+        self.clock, self.log = clock, log
         self.verdicts: dict[str, Verdict] = {}  # by service
 
     async def steer(self) -> None:
@@ -96,4 +97,4 @@
             return
         self.publication.publish(key, found.value)
         changed = {name: getattr(change, name) for name in ("state", "stage") if getattr(change, name)}
-        self.say("rollout", svc=rollout.service, to_ver=rollout.version, why=change.why, **changed)
+        self.log.info("rollout", svc=rollout.service, to_ver=rollout.version, why=change.why, **changed)
--- a/honeywood/gateway/controller/stall_detector.py
+++ b/honeywood/gateway/controller/stall_detector.py
@@ -9,6 +9,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from honeywood.gateway.event_log import EventLog
+
 TICK_INTERVAL_S = 0.1  # seconds between two ticks
 STALL_THRESHOLD_S = 0.5  # seconds without a tick that count as a stall
 RECOVERY_S = 1.0  # seconds after a stall in which what arrives may have been sent before or during it
@@ -17,9 +19,9 @@
 class StallDetector:
     """Compares the times of its own ticks, which a periodic task drives every TICK_INTERVAL_S seconds."""
 
-    def __init__(self, clock: Callable[[], float], say: Callable[..., None]) -> None:
+    def __init__(self, clock: Callable[[], float], log: EventLog) -> None:
         """Start without a stall; `clock` gives steady seconds."""
-        self._clock, self._say = clock, say
+        self._clock, self._log = clock, log
         self._last_tick_at = clock()
         self._resumed_at = clock() - RECOVERY_S
 
@@ -29,7 +31,7 @@
         gap_s = now - self._last_tick_at
         if gap_s > STALL_THRESHOLD_S:
             self._resumed_at = now
-            self._say("frozen", gap_s=round(gap_s, 1))
+            self._log.info("frozen", gap_s=round(gap_s, 1))
         self._last_tick_at = now
 
     @property
--- a/honeywood/gateway/controller/status.py
+++ b/honeywood/gateway/controller/status.py
@@ -25,7 +25,7 @@
     async def log_counts(self) -> None:
         """Log sums since the start, and present values."""
         one = self.controller
-        one.say(
+        one.log.info(
             "counts",
             machines=dict(self._machines_by_state()),
             fronts=len(one.fleet.proxies),
--- a/honeywood/gateway/metrics_endpoint.py
+++ b/honeywood/gateway/metrics_endpoint.py
@@ -10,6 +10,7 @@
     from collections.abc import Callable
     from typing import Any
 
+    from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.rpc.server import HttpServer
 
 OK, NOT_FOUND = 200, 404
@@ -18,9 +19,9 @@
 class MetricsEndpoint:
     """Serves readings of `read` at one port of a program's server; without a port it serves nothing."""
 
-    def __init__(self, ip: str, read: Callable[[], Metrics], say: Callable[..., None]) -> None:
+    def __init__(self, ip: str, read: Callable[[], Metrics], log: EventLog) -> None:
         """Start without a port."""
-        self.ip, self.read, self.say = ip, read, say
+        self.ip, self.read, self.log = ip, read, log
         self.port: int | None = None
 
     async def open(self, server: HttpServer) -> None:
@@ -30,7 +31,7 @@
         try:
             await server.open([(self.ip, self.port)])
         except OSError as error:
-            self.say("no metrics address", port=self.port, why=str(error))
+            self.log.info("no metrics address", port=self.port, why=str(error))
             self.port = None
 
     async def serve(self, scope: Any, send: Any) -> None:
--- a/honeywood/gateway/program.py
+++ b/honeywood/gateway/program.py
@@ -3,14 +3,11 @@
 import asyncio
 import gc
 import json
-import logging
 import os
 import signal
-import sys
 import time
 
-import structlog
-
+from honeywood.gateway import event_log
 from honeywood.gateway.configuration.settings import read
 from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.metrics import Metrics
@@ -27,22 +24,13 @@
     """A process of the system: `life` tells its lives apart, the later the higher. Time of day and the steady
     clock (seconds) may be handed in, as may the way to call others."""
 
-    def __init__(self, settings=None, caller=None, clock=time.monotonic, wall=time.time):
+    def __init__(self, settings=None, caller=None, clock=time.monotonic, wall=time.time, log=None):
         self.settings, self.clock, self.wall = settings or self.load(), clock, wall
         self.life, self.caller = f"{int(wall() * 1000):013x}", caller or Caller()
-        self.loops, self.stopping, self.said = set(), asyncio.Event(), {}
-        self.metrics_endpoint = MetricsEndpoint(self.settings.ip, lambda: self.metrics(), self.say)
-        structlog.configure(
-            processors=[
-                structlog.processors.TimeStamper(fmt="iso", utc=True),
-                structlog.processors.JSONRenderer(),
-            ],
-            logger_factory=structlog.PrintLoggerFactory(sys.stdout),
-        )
-        logging.basicConfig(
-            level=logging.ERROR, stream=sys.stdout, format='{"event":"library","why":"%(message)s"}'
-        )
-        self.log = structlog.get_logger().bind(node=self.settings.node, life=self.life)
+        self.loops, self.stopping = set(), asyncio.Event()
+        event_log.configure()
+        self.log = log or event_log.EventLog(self.settings.node, self.life, clock, self.config_held)
+        self.metrics_endpoint = MetricsEndpoint(self.settings.ip, lambda: self.metrics(), self.log)
         gc.set_threshold(COLLECT, 50, 100)
 
     def store_incarnation(self):
@@ -60,13 +48,6 @@
             print(json.dumps({"event": "settings", "why": f"{self.path}: {wrong}"}), flush=True)
             raise SystemExit(2) from None
 
-    def say(self, event, every=0.0, **more):
-        """A line in the log, of one event at most once in `every` seconds."""
-        now = self.clock()
-        if now - self.said.get(event, -every) >= every:
-            self.said[event] = now
-            self.log.info(event, config=self.config_held(), **more)
-
     def config_held(self):
         """The version of the configuration that this program goes by, in digits as operators send it."""
         return None
@@ -81,9 +62,9 @@
             self.changed = changed
             with open(self.path, encoding="utf-8") as file:
                 self.found([ip for ip, _ in read(file.read()).seeds])
-            self.say("settings read again")
+            self.log.info("settings read again")
         except (OSError, UnicodeDecodeError, GatewayError) as wrong:
-            self.say("settings not taken", 5.0, why=str(wrong))
+            self.log.info("settings not taken", min_interval_s=5.0, why=str(wrong))
 
     def found(self, controllers):
         """Controllers that are told of."""
@@ -101,7 +82,13 @@
                     await step()
                 except Exception as error:  # one turn's failure must not end a loop that others rely on
                     foreseen = isinstance(error, GatewayError)
-                    self.say("loop failed", 1.0, step=step.__qualname__, why=repr(error), foreseen=foreseen)
+                    self.log.info(
+                        "loop failed",
+                        min_interval_s=1.0,
+                        step=step.__qualname__,
+                        why=repr(error),
+                        foreseen=foreseen,
+                    )
                 await asyncio.sleep(every)
 
         task = asyncio.get_running_loop().create_task(run())
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -44,9 +44,9 @@
 class Proxy(Program):
     """The data plane's process: its state, and the loops that keep it up to date."""
 
-    def __init__(self, *given, random=None, connect=Connection.open):
+    def __init__(self, *given, random=None, connect=Connection.open, log=None):
         """`given` is what Program takes; `connect` opens connections to endpoints."""
-        super().__init__(*given)
+        super().__init__(*given, log=log)
         s, self.app, self.random = self.settings, App(self), random or Random()
         self.table, self.limits, self.config_at, self.server = None, config.Limits(), None, None
         self.endpoints, self.budgets, self.fleet = Endpoints(), {}, FleetSize(self.clock)
@@ -129,7 +129,7 @@
         most = self.endpoints.max_connections
         most.clear()
         most.update({name: service.max_conns for name, service in read.services.items()})
-        self.say("configuration")
+        self.log.info("configuration")
 
     def hear_endpoint(self, id, value):
         """An endpoint has changed; one that leaves service keeps no idle connection."""
@@ -169,7 +169,7 @@
                     self.stage.active, self.fronts(), len(self.controllers), self.random.random()
                 )
                 return await asyncio.sleep(pause_s)
-        self.say("no controller answers", SAY_AGAIN_S)
+        self.log.info("no controller answers", min_interval_s=SAY_AGAIN_S)
         await asyncio.sleep(FIRST)
 
     async def ask_controller(self, ip):
@@ -210,7 +210,7 @@
         if not self.met_majority:  # the configuration may be that of a controller cut off from the others
             if self.clock() - self.config_at < self.settings.bounds["contact_s"]:
                 return False
-            self.say("ready without a controller that hears a majority", SAY_AGAIN_S)
+            self.log.info("ready without a controller that hears a majority", min_interval_s=SAY_AGAIN_S)
         known = self.table.services <= set(self.endpoints.by_service)
         return known or self.clock() - self.config_at > SETTLE_S
 
@@ -237,7 +237,7 @@
     async def count(self):
         """A line of what was done since the start, and of what stands now."""
         endpoints = self.endpoints.by_id.values()
-        self.say(
+        self.log.info(
             "counts",
             **self.forwarder.counts,
             **self.app.refusals,
@@ -253,7 +253,7 @@
 
     def on_violation(self, violation, details):
         """What must always hold didn't: a fault of ours, which has to be seen."""
-        self.say("invariant violated", SAY_AGAIN_S, what=violation.value, details=details)
+        self.log.info("invariant violated", min_interval_s=SAY_AGAIN_S, what=violation.value, details=details)
 
     def violations(self):
         """Violated invariants by name, for counts and metrics."""
@@ -281,13 +281,13 @@
         self.server = HttpServer(self.app)
         await self.server.open([s.listen["http"], s.listen["ready"], (s.ip, s.proxy_port)])
         await self.metrics_endpoint.open(self.server)
-        self.say("started", role=s.role)
+        self.log.info("started", role=s.role)
         self.begin()
         await self.until_stopped()
-        self.say("stopping")
+        self.log.info("stopping")
         await asyncio.sleep(UNREADY_SEEN_S)
         await self.server.close(s.bounds["grace_s"] - UNREADY_SEEN_S - STOP_MARGIN_S)
-        self.say("stopped")
+        self.log.info("stopped")
 
     def begin(self):
         """Starts the loops."""
--- a/honeywood/gateway/register/epochs.py
+++ b/honeywood/gateway/register/epochs.py
@@ -11,8 +11,8 @@
     """`here` is the configuration this disk goes by, `newer` one further on that was told, `sound` whether
     the disk holds all that it ever told others; `lock` orders what is written."""
 
-    def __init__(self, settings, storage, say):
-        self.settings, self.storage, self.say = settings, storage, say
+    def __init__(self, settings, storage, log):
+        self.settings, self.storage, self.log = settings, storage, log
         self.here = self.newer = None
         self.sound, self.lock = False, asyncio.Lock()
 
@@ -75,4 +75,6 @@
         await self.storage.keep({**dict(rows), **beside, MEMBERS: here})
         self.here, self.sound = here, True
         self._arrived(here["epoch"])
-        self.say("entered", epoch=here["epoch"], members=here["members"], counts=self.counts, rows=len(rows))
+        self.log.info(
+            "entered", epoch=here["epoch"], members=here["members"], counts=self.counts, rows=len(rows)
+        )
--- a/honeywood/gateway/register/rebuild.py
+++ b/honeywood/gateway/register/rebuild.py
@@ -20,8 +20,8 @@
 class Rebuild:
     """Brings this controller's disk to where it counts."""
 
-    def __init__(self, settings, say, storage, epochs, peers, rounds):
-        self.settings, self.say, self.storage, self.epochs = settings, say, storage, epochs
+    def __init__(self, settings, log, storage, epochs, peers, rounds):
+        self.settings, self.log, self.storage, self.epochs = settings, log, storage, epochs
         self.peers, self.rounds, self.began = peers, rounds, None
 
     async def begin(self):
@@ -36,9 +36,9 @@
                 await storage.keep({BORN: FIRST, MEMBERS: seeds})
                 epochs.sound, epochs.here = True, seeds
             except GatewayError as wrong:  # taken for a lost one until it can be written to
-                self.say("register not begun", why=str(wrong))
+                self.log.info("register not begun", why=str(wrong))
         told = {"sound": epochs.sound, "rows": len(storage.rows)}
-        self.say("register", **told, epoch=epochs.epoch, members=epochs.members)
+        self.log.info("register", **told, epoch=epochs.epoch, members=epochs.members)
 
     async def settle(self, known):
         """Brings this disk to where it counts, as far as the controllers `known` allow it now."""
@@ -56,7 +56,7 @@
             elif epochs.newer or not await self._move():
                 await self._join(known)
         except GatewayError as wrong:
-            self.say("register waits for its disk", 5.0, why=str(wrong))
+            self.log.info("register waits for its disk", min_interval_s=5.0, why=str(wrong))
 
     async def _found(self, known):
         """The seeds of the first start agree on the first members; any 2 bear + 1 will do."""
@@ -71,7 +71,7 @@
         """Has `spare` take the place of the member `lost`, if nobody changes the members meanwhile."""
         found = await self._agree(sorted({*self.epochs.members, spare} - {lost}))
         if found.ok:
-            self.say("members", lost=lost, spare=spare, **found.value)
+            self.log.info("members", lost=lost, spare=spare, **found.value)
         return found
 
     async def _agree(self, wanted):
@@ -162,7 +162,7 @@
             lives = acceptor.known_lives([*own, *(pull.lives for pull in counted)])
             await epochs.enter(here, rows, **{LIVES: lives, BORN: life})
         told_by = len(counted)
-        self.say("rebuilt", rows=len(rows), told_by=told_by, disk_life=life, counts=epochs.counts)
+        self.log.info("rebuilt", rows=len(rows), told_by=told_by, disk_life=life, counts=epochs.counts)
 
 
 def _uncarried(row, mine):
--- a/honeywood/gateway/register/replica.py
+++ b/honeywood/gateway/register/replica.py
@@ -22,10 +22,10 @@
 class Register:
     """This disk and the way to the others. `settings.bear` disks may be lost at once, so 2 bear + 1 count."""
 
-    def __init__(self, settings, caller, random, say, disk):
+    def __init__(self, settings, caller, random, log, disk):
         self.settings = settings
-        self.storage = Storage(settings, disk, say)
-        self.epochs = Epochs(settings, self.storage, say)
+        self.storage = Storage(settings, disk, log)
+        self.epochs = Epochs(settings, self.storage, log)
         self.lookup = ValueLookup(self.storage, ValueStore())
         self.service = AcceptorService(settings, self.storage, self.epochs, self.lookup)
         self.peers = Peers(settings, caller, self.epochs, self.service.serve)
@@ -34,7 +34,7 @@
             settings, random, self.epochs, self.storage, self.lookup, self.peers, self.transfer
         )
         self.reads = Reads(self.epochs, self.storage, self.peers, self.rounds)
-        self.rebuild = Rebuild(settings, say, self.storage, self.epochs, self.peers, self.rounds)
+        self.rebuild = Rebuild(settings, log, self.storage, self.epochs, self.peers, self.rounds)
 
     @property
     def rows(self):
--- a/honeywood/gateway/register/storage.py
+++ b/honeywood/gateway/register/storage.py
@@ -22,8 +22,8 @@
 class Storage:
     """The rows of a disk, as they are on it; one thread writes them."""
 
-    def __init__(self, settings, make_disk, say):
-        self.settings, self.make_disk, self.say = settings, make_disk, say
+    def __init__(self, settings, make_disk, log):
+        self.settings, self.make_disk, self.log = settings, make_disk, log
         self.rows, self.disk, self.thread = {}, None, ThreadPoolExecutor(1)
 
     async def _on_disk(self, work, *given):
@@ -35,7 +35,7 @@
             try:
                 self.disk = await self._on_disk(self.make_disk, self.settings.datadir)
             except OSError as wrong:
-                self.say("disk not opened", 5.0, why=str(wrong))
+                self.log.info("disk not opened", min_interval_s=5.0, why=str(wrong))
                 await asyncio.sleep(REOPEN_S)
         rows = await self._on_disk(self.disk.rows)
         self.rows = {key: row_from_disk(row) if _is_register(key) else row for key, row in rows.items()}
--- a/honeywood/lab/emulator/world.py
+++ b/honeywood/lab/emulator/world.py
@@ -12,6 +12,7 @@
 from honeywood.lab.emulator.loop import Loop
 from honeywood.lab.emulator.network import OUTSIDE, Network, Wire
 from honeywood.lab.emulator.process import Process
+from honeywood.lab.emulator.silent_log import SilentLog
 
 __all__ = ["OUTSIDE", "Loop", "MemoryDisk", "World"]
 
@@ -40,6 +41,19 @@
             del self.mine[key]
 
 
+class FailureLog(SilentLog):
+    """Records only loops that failed for a reason that nobody foresaw, in `raised`."""
+
+    def __init__(self, raised: list) -> None:
+        """Append to `raised`."""
+        self.raised = raised
+
+    def info(self, event: str, min_interval_s: float = 0.0, **fields: object) -> None:
+        """Take an event of a program."""
+        if event == "loop failed" and not fields["foreseen"]:
+            self.raised.append(RuntimeError(f"{fields['step']}: {fields['why']}"))
+
+
 class World(Network):
     """Programs by name: `controllers` a b c ..., `fronts` (proxies) f g h ...; a name in no `zones` is in
     "z". What calls the system from outside is OUTSIDE in `cuts`, which are pairs (from, to)."""
@@ -53,6 +67,7 @@
         self.fresh, self.skew = True, {}  # seconds by which a node's time of day is off
         self.seeds, self.held = {}, {}  # a node's own seeds; its pace
         self.gone = set()  # machines that were removed for good
+        self.log = FailureLog(self.raised)  # of all programs
 
     def start(self, name):
         """Starts a program, unless its machine was removed for good."""
@@ -80,14 +95,8 @@
             kind, more = Controller, {"disk": self._disk()}
         else:
             kind, more = Proxy, self.more(name)
-        quiet = type("Quiet", (kind,), {"say": self._said})
         chance = random.Random(self.random.random())
-        return quiet(found, Wire(self, name), clock, time_of_day, random=chance, **more)
-
-    def _said(self, event, every=0.0, **more):
-        """In place of a program's log: only loops that failed for what nobody foresaw are noted."""
-        if event == "loop failed" and not more["foreseen"]:
-            self.raised.append(RuntimeError(f"{more['step']}: {more['why']}"))
+        return kind(found, Wire(self, name), clock, time_of_day, random=chance, log=self.log, **more)
 
     def _disk(self):
         return type("Disk", (MemoryDisk,), {"kept": self.disks})
--- a/tests/gateway/socket_scene.py
+++ b/tests/gateway/socket_scene.py
@@ -11,6 +11,7 @@
 from honeywood.gateway.proxy.program import Proxy
 from honeywood.gateway.rpc.server import HttpServer
 from honeywood.lab.emulator.boot import boot
+from honeywood.lab.emulator.silent_log import SilentLog
 from honeywood.standins.requests import read_request
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Try-Id: %s\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\n"
@@ -128,8 +129,7 @@
 
     async def __aenter__(self):
         text = boot("127.0.0.1", bear=0, ports=(free_port(), free_port(), free_port(), 7000, 7010))
-        quiet = type("Quiet", (Proxy,), {"say": lambda *said, **more: None})
-        self.proxy = quiet(read(text))
+        self.proxy = Proxy(read(text), log=SilentLog())
         self.configure(self.configuration())
         self.machines = []
         for n, script in enumerate(self.scripts):
--- a/tests/gateway/test_architecture.py
+++ b/tests/gateway/test_architecture.py
@@ -19,6 +19,7 @@
     "dissemination": 2,
     "routing": 2,
     "rollout": 2,
+    "event_log": 1,
     "metrics": 1,
     "metrics_endpoint": 2,
     "program": 3,
@@ -151,8 +152,8 @@
 
 def events():
     """The events that the gateway's programs log, but for those whose names are worked out."""
-    said = [call.args[0] for path in GATEWAY.rglob("*.py") for call in calls(path, "say")]
-    return {event.value for event in said if isinstance(event, ast.Constant)}
+    logged = [call.args[0] for path in GATEWAY.rglob("*.py") for call in calls(path, "info") if call.args]
+    return {event.value for event in logged if isinstance(event, ast.Constant)}
 
 
 @test("every event in a log stands on the on-call page, before its table of old names")
--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -26,6 +26,7 @@
 from honeywood.gateway.rpc.server import HttpProtocol, HttpServer
 from honeywood.lab.emulator import world
 from honeywood.lab.emulator.boot import settings
+from honeywood.lab.emulator.silent_log import SilentLog
 
 HEAD = b"HTTP/1.1 %s\r\nX-Try-Id: %s\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\n%s"
 FULL = b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Try-Id: %s\r\nContent-Length: 0\r\n\r\n"
@@ -132,9 +133,8 @@
         self.method = b"POST"
         self.served = False  # whether nothing keeps a request from being served
         asyncio.set_event_loop(self.loop)
-        quiet = type("Quiet", (Proxy,), {"say": lambda *said, **more: None})
         given = settings("f", bear=0), None, self.loop.time, self.loop.time
-        self.proxy, self.ran, self.answers = quiet(*given, random=Random(1)), Counter(), {}
+        self.proxy, self.ran, self.answers = Proxy(*given, random=Random(1), log=SilentLog()), Counter(), {}
         self.proxy.hear("config", json.dumps(config(5, kind=kind)))
         for id in "mn":
             self.proxy.hear(f"machine/{id}", machine(id))
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -14,6 +14,7 @@
 from honeywood.gateway.errors import InvalidInput
 from honeywood.gateway.rpc.statuses import status_of
 from honeywood.lab.emulator.boot import boot
+from honeywood.lab.emulator.silent_log import SilentLog
 
 
 def refused(raw):
@@ -315,7 +316,7 @@
 
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "boot.toml")
-        proxy = type("Quiet", (Proxy,), {"say": lambda *said, **more: None})(files.read(GOOD))
+        proxy = Proxy(files.read(GOOD), log=SilentLog())
         proxy.path, proxy.changed = path, 0
         for at, (text, known) in enumerate(
             (
--- a/tests/gateway/test_pinned_proxy.py
+++ b/tests/gateway/test_pinned_proxy.py
@@ -41,6 +41,7 @@
 from honeywood.gateway.routing.outcomes import AttemptOutcome
 from honeywood.gateway.rpc.server import HttpServer
 from honeywood.lab.emulator.boot import BOUNDS, boot
+from honeywood.lab.emulator.silent_log import SilentLog
 
 RECORDED = json.loads((Path(__file__).parent / "recorded" / "proxy.json").read_text())
 LONGEST_BODY = 2000  # bytes that are recorded as they are
@@ -56,11 +57,10 @@
 # Accessors: everything below that depends on names of the code, besides the imports.
 def make_proxy(text: str, frozen: bool) -> Proxy:
     """A proxy with these settings that logs nothing; its incarnation is always the same."""
-    quiet = type("Quiet", (Proxy,), {"say": lambda *said, **more: None})
     now = asyncio.get_running_loop().time
     began_at = now()
     clock = (lambda: began_at) if frozen else now
-    proxy = quiet(read(text), None, clock, lambda: 1.7e9, random=Random(1))
+    proxy = Proxy(read(text), None, clock, lambda: 1.7e9, random=Random(1), log=SilentLog())
     proxy.server = HttpServer(proxy.app)
     return proxy
 
@@ -68,9 +68,9 @@
 async def listen(proxy: Proxy) -> None:
     """Opens all listeners of a proxy."""
     s = proxy.settings
-    proxy.metrics_port = free_port()
+    proxy.metrics_endpoint.port = free_port()
     await proxy.server.open([s.listen["http"], s.listen["ready"], (s.ip, s.proxy_port)])
-    await proxy.open_metrics(proxy.server)
+    await proxy.metrics_endpoint.open(proxy.server)
 
 
 def deliver(proxy: Proxy, key: str, value: object) -> None:
@@ -320,7 +320,7 @@
 
 def port_of(proxy: Proxy, name: str) -> int:
     s = proxy.settings
-    return {"proxies": s.proxy_port, "metrics": proxy.metrics_port}.get(name) or s.listen[name][1]
+    return {"proxies": s.proxy_port, "metrics": proxy.metrics_endpoint.port}.get(name) or s.listen[name][1]
 
 
 async def play(case: Case) -> dict[str, list[str]]:
--- a/tests/gateway/test_pinned_register.py
+++ b/tests/gateway/test_pinned_register.py
@@ -24,6 +24,7 @@
 from honeywood.gateway.register.storage import row_from_disk
 from honeywood.gateway.rpc.statuses import status_of
 from honeywood.lab.emulator.boot import boot
+from honeywood.lab.emulator.silent_log import SilentLog
 
 RECORDED = Path(__file__).parent / "recorded"
 LONGEST_TEXT = 1500  # characters of a message that are recorded; of a longer one its hash is
@@ -33,7 +34,7 @@
 
 
 def register_with(settings, caller, make_disk):
-    return Register(settings, caller, random.Random(1), lambda *event, **fields: None, make_disk)
+    return Register(settings, caller, random.Random(1), SilentLog(), make_disk)
 
 
 def paged(register, caller):
--- a/tests/gateway/test_pinned_rpc.py
+++ b/tests/gateway/test_pinned_rpc.py
@@ -25,6 +25,7 @@
 from honeywood.gateway.rpc import asgi, client, connection, server
 from honeywood.gateway.rpc.statuses import status_of
 from honeywood.lab.emulator.boot import boot
+from honeywood.lab.emulator.silent_log import SilentLog
 
 RECORDED = Path(__file__).resolve().parent / "recorded"
 SAFETY_S = 10.0  # far beyond any exchange here; a hung one fails
@@ -133,7 +134,7 @@
     ports = [free_port() for _ in range(4)]
     settings = read(boot("127.0.0.1", data=folder, ports=(*ports, ports[3] + 3)))
     program = {"controller": Controller, "proxy": Proxy}[role]
-    made = type("Quiet", (program,), {"say": lambda *said, **more: None})(settings)
+    made = program(settings, log=SilentLog())
     inside = settings.controller_port if role == "controller" else settings.proxy_port
     return made, {"http": ports[0], "ready": ports[1], "operators": ports[2], "inside": inside}
 
--- a/tests/gateway/test_sockets.py
+++ b/tests/gateway/test_sockets.py
@@ -211,7 +211,7 @@
             assert status(found.upper()) == 503 and b"no machine free: state" in found
             assert b"retry-after: 0.1" in found
             told = []
-            scene.proxy.say = lambda event, *given, **more: told.append((event, more))
+            scene.proxy.log.info = lambda event, **more: told.append((event, more))
             await scene.proxy.count()
             (event, more), counts = told[0], scene.proxy.forwarder.counts
             assert event == "counts" and more["answered 200"] == more["answered 503"] == 1
