--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -13,7 +13,8 @@
 from honeywood.gateway.dissemination.record import PATH as POLL_PATH
 from honeywood.gateway.errors import GatewayError, NotFound, PayloadTooLarge
 from honeywood.gateway.register.fields import PATH as REGISTER_PATH
-from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of
+from honeywood.gateway.rpc.asgi import read_body, send_response
+from honeywood.gateway.rpc.request_context import CONTEXT
 from honeywood.gateway.rpc.statuses import status_of
 
 TYPE_CHECKING = False
@@ -59,6 +60,9 @@
         self.refused: Counter[str] = Counter()  # refused calls by call and status
         self.internal_handlers = {POLL_PATH: self.poll, REGISTER_PATH: self.register_step}
 
+    def begin_early(self, scope: Any) -> None:
+        """Begin nothing early: the calls of one connection are answered one after the other."""
+
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         """Answer one request."""
         if scope["server"][1] == self.metrics.port:
@@ -69,15 +73,15 @@
         name, subject = (query.get(key, [""])[0] for key in ("call", "of"))
         try:
             handler = self._handler(scope, name, peer)
-            body = await body_of(receive, BODY_MAX_BYTES)
+            body = await read_body(receive, BODY_MAX_BYTES)
             if body is None:
                 raise PayloadTooLarge(name, "the body is too long or broken off", peer)
-            departure = scope[CONTEXT].departure
-            result = await handler(Call(subject, body, peer, lambda: departure.check(self.clock())))
+            disconnect = scope[CONTEXT].disconnect
+            result = await handler(Call(subject, body, peer, lambda: disconnect.check(self.clock())))
         except GatewayError as error:
             await self._refuse(send, error, name, peer)
         else:
-            await answer(send, OK, JSON_HEADERS, _encode(result))
+            await send_response(send, OK, JSON_HEADERS, _encode(result))
 
     def _handler(self, scope: Any, name: str, peer: str) -> Handler:
         """Return the handler of a request; raises NotFound where there is none."""
@@ -106,7 +110,7 @@
             status=status,
         )
         body = json.dumps({"step": error.operation, "peer": peer, "why": error.reason}).encode()
-        await answer(send, status, JSON_HEADERS, body)
+        await send_response(send, status, JSON_HEADERS, body)
 
     async def poll(self, call: Call) -> Answer:
         """Answer another program's poll of the store."""
--- a/honeywood/gateway/controller/status.py
+++ b/honeywood/gateway/controller/status.py
@@ -30,7 +30,7 @@
             machines=dict(self._machines_by_state()),
             fronts=len(one.fleet.proxies),
             told=dict(one.publisher.told),
-            called=dict(one.caller.carried),
+            called=dict(one.caller.bytes_by_path),
             joined=one.in_quorum,
             sound=one.register.sound,
             disk=one.membership.disk.value,
--- a/honeywood/gateway/metrics_endpoint.py
+++ b/honeywood/gateway/metrics_endpoint.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from honeywood.gateway.metrics import CONTENT_TYPE, METRICS_PATH, Metrics, render
-from honeywood.gateway.rpc.asgi import answer
+from honeywood.gateway.rpc.asgi import send_response
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -37,6 +37,6 @@
     async def serve(self, scope: Any, send: Any) -> None:
         """Answer a request that came to this port."""
         if scope["path"] == METRICS_PATH:
-            await answer(send, OK, [CONTENT_TYPE], render(self.read()))
+            await send_response(send, OK, [CONTENT_TYPE], render(self.read()))
         else:
-            await answer(send, NOT_FOUND)
+            await send_response(send, NOT_FOUND)
--- a/tests/gateway/test_pinned_controller.py
+++ b/tests/gateway/test_pinned_controller.py
@@ -16,8 +16,8 @@
 from ward import each, test
 
 from honeywood.gateway.register.disk import Disk
-from honeywood.gateway.rpc.asgi import CONTEXT, RequestContext
-from honeywood.gateway.rpc.departure import ClientDeparture
+from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
+from honeywood.gateway.rpc.request_context import CONTEXT, RequestContext
 from honeywood.lab.emulator.world import World
 
 RECORDED = Path(__file__).parent / "recorded"
@@ -67,7 +67,7 @@
 
 def request_context(target, left):
     """What the server hands over beside an ASGI scope."""
-    return RequestContext(target, ClientDeparture(lambda: left))
+    return RequestContext(target, ClientDisconnect(lambda: left))
 
 
 class DiskWorld(World):
