--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -28,7 +28,7 @@
 from honeywood.gateway.dissemination.epochs import EpochClock
 from honeywood.gateway.dissemination.local import LocalRecords
 from honeywood.gateway.dissemination.publisher import Publisher
-from honeywood.gateway.program import COUNTS, Program
+from honeywood.gateway.program import COUNTS_INTERVAL_S, Program
 from honeywood.gateway.register.disk import Disk
 from honeywood.gateway.register.paging import PagedCaller, PagedResponder
 from honeywood.gateway.register.replica import Register
@@ -64,8 +64,7 @@
         log: EventLog | None = None,
     ) -> None:
         """Make the parts; `disk` opens a folder, randomness may be passed in for tests."""
-        super().__init__(*given, log=log)
-        self.random = random or Random()
+        super().__init__(*given, log=log, random=random)
         self._make_store()
         self.register = Register(self.settings, PagedCaller(self.caller), self.random, self.log, disk)
         self._make_peers()
@@ -84,7 +83,7 @@
             needed=is_count_needed,
         )
         self.store, self.epochs = self.publisher.store, EpochClock()
-        self.local_records = LocalRecords(self.store, int(self.life, 16), self.is_local)
+        self.local_records = LocalRecords(self.store, int(self.incarnation, 16), self.is_local)
         self.publication = RegisterPublication(self.store)
 
     def _make_peers(self) -> None:
@@ -101,7 +100,7 @@
             self.contacts,
             self.disk_state,
             clock,
-            self.loop,
+            self.periodic_tasks.start,
         )
         self.membership = Membership(
             settings, self.register, self.contacts, self.peers, self.publication.publish, clock, self.log
@@ -174,12 +173,12 @@
             self.log,
         )
 
-    def config_held(self) -> str | None:
+    def configuration_version(self) -> str | None:
         """Return the version of the configuration that the store holds, for the log."""
         version = self.publication.configuration_version
         return None if version is None else f"{version:08x}"
 
-    def found(self, controllers: Iterable[str]) -> None:
+    def discover_controllers(self, controllers: Iterable[str]) -> None:
         """Take note of the seeds of a settings file that has changed."""
         self.peers.discover(controllers)
 
@@ -232,7 +231,7 @@
         await self.metrics_endpoint.open(server)
         self.log.info("started", role=settings.role)
         self.begin()
-        await self.until_stopped()
+        await self.wait_until_stopped()
         await server.close(settings.bounds["grace_s"] - CLOSE_MARGIN_S)
         self.log.info("stopped")
 
@@ -241,11 +240,11 @@
         self.local_records.tell(f"{CONTROLLER_PREFIX}{self.settings.ip}", self.settings.node)
         self.machines.restore(self.register.notes)
         self.peers.start()
-        self.loop(self.membership.synchronize, SYNCHRONIZE_INTERVAL_S)
-        self.loop(self.membership.publish_register, PUBLISH_REGISTER_INTERVAL_S)
-        self.loop(self.maintain, MAINTENANCE_INTERVAL_S)
-        self.loop(self.rollouts.steer, STEER_INTERVAL_S)
-        self.loop(self.stalls.tick, stall_detector.TICK_INTERVAL_S)
-        self.loop(self.machine_service.save_rows, SAVE_ROWS_INTERVAL_S)
-        self.loop(self.membership.check_disk, disk_health.CHECK_INTERVAL_S)
-        self.loop(self.status.log_counts, COUNTS)
+        self.periodic_tasks.start(self.membership.synchronize, SYNCHRONIZE_INTERVAL_S)
+        self.periodic_tasks.start(self.membership.publish_register, PUBLISH_REGISTER_INTERVAL_S)
+        self.periodic_tasks.start(self.maintain, MAINTENANCE_INTERVAL_S)
+        self.periodic_tasks.start(self.rollouts.steer, STEER_INTERVAL_S)
+        self.periodic_tasks.start(self.stalls.tick, stall_detector.TICK_INTERVAL_S)
+        self.periodic_tasks.start(self.machine_service.save_rows, SAVE_ROWS_INTERVAL_S)
+        self.periodic_tasks.start(self.membership.check_disk, disk_health.CHECK_INTERVAL_S)
+        self.periodic_tasks.start(self.status.log_counts, COUNTS_INTERVAL_S)
--- /dev/null
+++ b/honeywood/gateway/periodic_tasks.py
@@ -0,0 +1,49 @@
+"""Steps that a program runs again and again for as long as it lives."""
+
+from __future__ import annotations
+
+import asyncio
+
+from honeywood.gateway.errors import GatewayError
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable
+
+    from honeywood.gateway.event_log import EventLog
+
+    Step = Callable[[], Awaitable[None]]
+
+FAILURE_LOG_INTERVAL_S = 1.0
+
+
+class PeriodicTasks:
+    """The running tasks of a program."""
+
+    def __init__(self, log: EventLog) -> None:
+        """Start without tasks; failures of their steps go to `log`."""
+        self.log = log
+        self.tasks: set[asyncio.Task[None]] = set()
+
+    def start(self, step: Step, interval_s: float) -> None:
+        """Run `step` again and again, `interval_s` seconds after it ended.
+
+        A step ends its task by raising CancelledError.
+        """
+        self.tasks.add(asyncio.get_running_loop().create_task(self._repeat(step, interval_s)))
+
+    async def _repeat(self, step: Step, interval_s: float) -> None:
+        while True:
+            try:
+                await step()
+            # Every exception of a step ends here, foreseen or not: other parts rely on the task, and the
+            # next run may succeed. None is hidden: each is logged with its type.
+            except Exception as error:
+                self.log.info(
+                    "loop failed",
+                    min_interval_s=FAILURE_LOG_INTERVAL_S,
+                    step=step.__qualname__,
+                    why=repr(error),
+                    foreseen=isinstance(error, GatewayError),
+                )
+            await asyncio.sleep(interval_s)
--- a/honeywood/gateway/program.py
+++ b/honeywood/gateway/program.py
@@ -1,103 +1,110 @@
-"""What both programs share: settings, log, signals, and loops that end with the program."""
+"""What both programs share: settings, log, metrics, signals, and periodic tasks."""
+
+from __future__ import annotations
 
 import asyncio
 import gc
 import json
-import os
 import signal
 import time
+from random import Random
 
 from honeywood.gateway import event_log
-from honeywood.gateway.configuration.settings import read
-from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.metrics import Metrics
 from honeywood.gateway.metrics_endpoint import MetricsEndpoint
+from honeywood.gateway.periodic_tasks import PeriodicTasks
 from honeywood.gateway.rpc.client import Caller
+from honeywood.gateway.settings_file import FAILURES, SettingsFile
 
-FILE = "HONEYWOOD_NODE_FILE"
-REREAD = 2.0  # seconds between looks at whether the settings file has changed
-COUNTS = 10.0  # seconds between lines of counts in the log
-COLLECT = 20_000  # objects after which the youngest are collected: little here is circular
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
 
+    from honeywood.gateway.configuration.settings import Settings
+    from honeywood.gateway.event_log import EventLog
+
+RELOAD_INTERVAL_S = 2.0  # seconds between two checks whether the settings file has changed
+RELOAD_LOG_INTERVAL_S = 5.0
+COUNTS_INTERVAL_S = 10.0  # seconds between two lines of counts in the log
+# Objects after which the garbage collector runs: few here are part of reference cycles.
+COLLECTION_THRESHOLDS = (20_000, 50, 100)
+EXIT_USAGE = 2  # status of a program whose settings can't be used
 
-class Program:
-    """A process of the system: `life` tells its lives apart, the later the higher. Time of day and the steady
-    clock (seconds) may be handed in, as may the way to call others."""
 
-    def __init__(self, settings=None, caller=None, clock=time.monotonic, wall=time.time, log=None):
-        self.settings, self.clock, self.wall = settings or self.load(), clock, wall
-        self.life, self.caller = f"{int(wall() * 1000):013x}", caller or Caller()
-        self.loops, self.stopping = set(), asyncio.Event()
+class Program:
+    """A process of the gateway."""
+
+    def __init__(
+        self,
+        settings: Settings | None = None,
+        caller: Caller | None = None,
+        clock: Callable[[], float] = time.monotonic,
+        wall_clock: Callable[[], float] = time.time,
+        log: EventLog | None = None,
+        random: Random | None = None,
+    ) -> None:
+        """Read the settings file, unless settings are passed.
+
+        `clock` gives steady seconds, `wall_clock` the time of day. The incarnation is the higher, the later
+        the program was started, as far as the time of day was right.
+        """
+        self.settings_file = SettingsFile.from_environment()
+        self.settings = settings or self._read_settings()
+        self.clock, self.wall_clock = clock, wall_clock
+        self.random = random or Random()
+        self.incarnation = f"{int(wall_clock() * 1000):013x}"
+        self.caller = caller or Caller()
+        self.stopping = asyncio.Event()
         event_log.configure()
-        self.log = log or event_log.EventLog(self.settings.node, self.life, clock, self.config_held)
+        self.log = log or event_log.EventLog(
+            self.settings.node, self.incarnation, clock, self.configuration_version
+        )
+        self.periodic_tasks = PeriodicTasks(self.log)
         self.metrics_endpoint = MetricsEndpoint(self.settings.ip, lambda: self.metrics(), self.log)
-        gc.set_threshold(COLLECT, 50, 100)
-
-    def store_incarnation(self):
-        """What tells stores apart whose counts began anew, also where a clock was set back."""
-        return f"{self.life}.{self.random.getrandbits(32):08x}"
+        gc.set_threshold(*COLLECTION_THRESHOLDS)
 
-    def load(self):
-        """The settings; ends the program with status 2 where they can't be used."""
-        self.path = os.environ.get(FILE, "/etc/honeywood/boot.toml")
+    def _read_settings(self) -> Settings:
+        """Return the settings of the file; ends the program with EXIT_USAGE where they can't be used."""
         try:
-            self.changed = os.stat(self.path).st_mtime_ns
-            with open(self.path, encoding="utf-8") as file:
-                return read(file.read())
-        except (OSError, UnicodeDecodeError, GatewayError) as wrong:
-            print(json.dumps({"event": "settings", "why": f"{self.path}: {wrong}"}), flush=True)
-            raise SystemExit(2) from None
-
-    def config_held(self):
-        """The version of the configuration that this program goes by, in digits as operators send it."""
+            return self.settings_file.read()
+        except FAILURES as error:
+            reason = f"{self.settings_file.path}: {error}"
+            print(json.dumps({"event": "settings", "why": reason}), flush=True)
+            raise SystemExit(EXIT_USAGE) from None
+
+    def store_incarnation(self) -> str:
+        """Return what tells a store from earlier ones, also where the time of day was set back."""
+        return f"{self.incarnation}.{self.random.getrandbits(32):08x}"
+
+    def configuration_version(self) -> str | None:
+        """Return the configuration's version that is in use, as operators write it, for the log."""
         return None
 
-    async def reread(self):
-        """Takes over the seeds of a settings file that has changed, signal or not. What can't be used
-        leaves all as it was; other fields wait for a restart."""
-        try:
-            changed = os.stat(self.path).st_mtime_ns
-            if changed == self.changed:
-                return
-            self.changed = changed
-            with open(self.path, encoding="utf-8") as file:
-                self.found([ip for ip, _ in read(file.read()).seeds])
-            self.log.info("settings read again")
-        except (OSError, UnicodeDecodeError, GatewayError) as wrong:
-            self.log.info("settings not taken", min_interval_s=5.0, why=str(wrong))
-
-    def found(self, controllers):
-        """Controllers that are told of."""
+    def discover_controllers(self, addresses: Iterable[str]) -> None:
+        """Take note of controllers that the settings file names."""
 
     def metrics(self) -> Metrics:
-        """What this program tells of itself."""
+        """Return a reading of the metrics."""
         return Metrics({}, {})
 
-    def loop(self, step, every):
-        """Runs `step` again and again, `every` seconds after it ended; what it raises is logged."""
-
-        async def run():
-            while True:
-                try:
-                    await step()
-                except Exception as error:  # one turn's failure must not end a loop that others rely on
-                    foreseen = isinstance(error, GatewayError)
-                    self.log.info(
-                        "loop failed",
-                        min_interval_s=1.0,
-                        step=step.__qualname__,
-                        why=repr(error),
-                        foreseen=foreseen,
-                    )
-                await asyncio.sleep(every)
-
-        task = asyncio.get_running_loop().create_task(run())
-        self.loops.add(task)
-
-    async def until_stopped(self):
-        """Returns at SIGTERM; until then reads the settings again at SIGHUP and when the file has changed."""
+    async def reload_settings(self) -> None:
+        """Take over the seeds of a settings file that has changed; other fields wait for a restart.
+
+        A file that can't be used changes nothing.
+        """
+        try:
+            settings = self.settings_file.read_if_modified()
+        except FAILURES as error:
+            self.log.info("settings not taken", min_interval_s=RELOAD_LOG_INTERVAL_S, why=str(error))
+            return
+        if settings is not None:
+            self.discover_controllers([ip for ip, _ in settings.seeds])
+            self.log.info("settings read again")
+
+    async def wait_until_stopped(self) -> None:
+        """Return at SIGTERM; until then reload the settings at SIGHUP and when the file has changed."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.stopping.set)
-        loop.add_signal_handler(signal.SIGHUP, lambda: loop.create_task(self.reread()))
-        self.loop(self.reread, REREAD)
+        loop.add_signal_handler(signal.SIGHUP, lambda: loop.create_task(self.reload_settings()))
+        self.periodic_tasks.start(self.reload_settings, RELOAD_INTERVAL_S)
         await self.stopping.wait()
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -1,7 +1,6 @@
 """The proxy's program: what it wants to know, and the loops that bring it there."""
 
 import asyncio
-from random import Random
 
 from honeywood.gateway.configuration import config
 from honeywood.gateway.dissemination.backoff import FIRST, Backoff
@@ -12,7 +11,7 @@
 from honeywood.gateway.dissemination.subscriber import Subscriber
 from honeywood.gateway.errors import CallFailed
 from honeywood.gateway.metrics import Metrics
-from honeywood.gateway.program import COUNTS, Program
+from honeywood.gateway.program import COUNTS_INTERVAL_S, Program
 from honeywood.gateway.proxy.app import App
 from honeywood.gateway.proxy.connections import ConnectionPool
 from honeywood.gateway.proxy.count_records import CountRecords
@@ -46,8 +45,8 @@
 
     def __init__(self, *given, random=None, connect=Connection.open, log=None):
         """`given` is what Program takes; `connect` opens connections to endpoints."""
-        super().__init__(*given, log=log)
-        s, self.app, self.random = self.settings, App(self), random or Random()
+        super().__init__(*given, log=log, random=random)
+        s, self.app = self.settings, App(self)
         self.table, self.limits, self.config_at, self.server = None, config.Limits(), None, None
         self.endpoints, self.budgets, self.fleet = Endpoints(), {}, FleetSize(self.clock)
         self.stage = Stage(self.endpoints, s.bounds["canary_share"], s.bounds["canary_slack"], self.fronts)
@@ -59,7 +58,7 @@
         self.publisher = Publisher(self.store_incarnation(), self.hear, rate=s.link)
         store, backoff = self.publisher.store, Backoff(self.random, BACKOFF_MOST_S)
         self.history, self.doubted_at = History(store), None
-        self.counts = CountRecords(self.stage, self.clock, s.node, self.life, store)
+        self.counts = CountRecords(self.stage, self.clock, s.node, self.incarnation, store)
         self.subscriber = Subscriber(self.publisher, self.caller, self.who, backoff)
         told = self.counts.records_for, self.poll_most
         self.poller = Subscriber(self.publisher, self.caller, self.who, backoff, *told)
@@ -67,11 +66,11 @@
         self.turn, self.met_majority = 0, False
         self.started_at = self.listened_at = self.clock()  # `listen` was answered last
 
-    def config_held(self):
+    def configuration_version(self):
         """The version in force here, in digits as operators send it."""
         return f"{self.table.version:08x}" if self.table else None
 
-    def found(self, controllers):
+    def discover_controllers(self, controllers):
         """Controllers that are told of."""
         self.controllers += [ip for ip in controllers if ip not in self.controllers]
 
@@ -108,7 +107,7 @@
     def who(self):
         """Who asks for news."""
         s = self.settings
-        return Asker(s.node, s.ip, s.zone, self.life, proxy=True)
+        return Asker(s.node, s.ip, s.zone, self.incarnation, proxy=True)
 
     def hear(self, key, value):
         """A record has come, or has changed."""
@@ -120,7 +119,7 @@
         elif kind == "rollout":
             self.stage.hear(self.clock(), record.decode(value))
         elif kind == "bourse":
-            self.found([name])
+            self.discover_controllers([name])
 
     def hear_config(self, read):
         """Another configuration is in force here."""
@@ -283,7 +282,7 @@
         await self.metrics_endpoint.open(self.server)
         self.log.info("started", role=s.role)
         self.begin()
-        await self.until_stopped()
+        await self.wait_until_stopped()
         self.log.info("stopping")
         await asyncio.sleep(UNREADY_SEEN_S)
         await self.server.close(s.bounds["grace_s"] - UNREADY_SEEN_S - STOP_MARGIN_S)
@@ -291,7 +290,7 @@
 
     def begin(self):
         """Starts the loops."""
-        self.loop(self.listen, LISTEN_PAUSE_S)
-        self.loop(self.poll, POLL_PAUSE_S)
-        self.loop(self.tidy, TIDY_S)
-        self.loop(self.count, COUNTS)
+        self.periodic_tasks.start(self.listen, LISTEN_PAUSE_S)
+        self.periodic_tasks.start(self.poll, POLL_PAUSE_S)
+        self.periodic_tasks.start(self.tidy, TIDY_S)
+        self.periodic_tasks.start(self.count, COUNTS_INTERVAL_S)
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -313,11 +313,12 @@
     import tempfile
 
     from honeywood.gateway.proxy.program import Proxy
+    from honeywood.gateway.settings_file import SettingsFile
 
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "boot.toml")
         proxy = Proxy(files.read(GOOD), log=SilentLog())
-        proxy.path, proxy.changed = path, 0
+        proxy.settings_file = SettingsFile(path)
         for at, (text, known) in enumerate(
             (
                 (GOOD, ["10.0.0.1"]),
@@ -328,7 +329,7 @@
             with open(path, "w") as file:
                 file.write(text)
             os.utime(path, ns=(at + 1, at + 1))
-            asyncio.run(proxy.reread())
+            asyncio.run(proxy.reload_settings())
             assert proxy.controllers == (known or ["10.0.0.1", "10.0.0.2"])
 
 
--- a/tests/gateway/test_epochs.py
+++ b/tests/gateway/test_epochs.py
@@ -267,7 +267,7 @@
             sizes.append(max(sum(store.size(key) for key in store.records) for store in stores))
         world.run(world.loop.time() + 60.0)
         held = {name: set(world.nodes[name].publisher.store.records) for name in "abcf"}
-        life = world.nodes["f"].life
+        life = world.nodes["f"].incarnation
         shared = {"bourse/a", "bourse/b", "bourse/c"}
         assert held["f"] == shared, held["f"]
         fleet = {f"fleet/{ip}/f" for ip in "abc"}
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -474,7 +474,7 @@
             world.start(name)
         world.run(2.0)
         controller, front = world.nodes["a"], world.nodes["f"]
-        for task in front.loops:
+        for task in front.periodic_tasks.tasks:
             task.cancel()
 
         async def old(ip, port, hold):
