--- a/honeywood/balancer/decisions/send_policy.py
+++ b/honeywood/balancer/decisions/send_policy.py
@@ -18,8 +18,8 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from honeywood.balancer.decisions.warm_up import WarmUpBudget
     from honeywood.balancer.decisions.release_verdict import ReleaseVerdict
+    from honeywood.balancer.decisions.warm_up import WarmUpBudget
     from honeywood.balancer.interface import Host
     from honeywood.balancer.model import Method, Rpc, Server, Time
     from honeywood.balancer.settings import Settings
--- a/honeywood/balancer/interface.py
+++ b/honeywood/balancer/interface.py
@@ -14,11 +14,11 @@
         Duration,
         Method,
         PlatformCounts,
+        ReleaseTestResult,
         ReleaseUpdate,
         Rpc,
         Server,
         ServerEntry,
-        ReleaseTestResult,
         Time,
         Vote,
     )
--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -6,8 +6,8 @@
 from collections import Counter
 from urllib.parse import parse_qs
 
-from honeywood.gateway.configuration import config
 from honeywood.gateway.configuration.check import read_json
+from honeywood.gateway.configuration.model import Limits
 from honeywood.gateway.controller.call import Call
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH as POLL_PATH
@@ -42,7 +42,7 @@
 class App:
     """The calls of machines and operators on the operators' address, those of our own programs on another."""
 
-    limits = config.Limits()  # the server's; callers are machines, operators and our own programs
+    limits = Limits()  # the server's; callers are machines, operators and our own programs
 
     def __init__(
         self,
--- a/honeywood/gateway/controller/configuration_orders.py
+++ b/honeywood/gateway/controller/configuration_orders.py
@@ -4,21 +4,23 @@
 
 from typing import NamedTuple
 
-from honeywood.gateway.configuration import config, versions
+from honeywood.gateway.configuration import packing, record
+from honeywood.gateway.configuration.record import OrderOutcome
 from honeywood.gateway.controller.call import CallName
 from honeywood.gateway.controller.record_keys import CONFIGURATION_KEY
 from honeywood.gateway.errors import NotFound, VersionConflict
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from honeywood.gateway.controller.register_access import RegisterAccess
+    from honeywood.gateway.configuration.record import ConfigurationRecord
+    from honeywood.gateway.controller.register_access import RegisterAccess, StoredValue
     from honeywood.gateway.event_log import EventLog
 
 
 class ReplaceResult(NamedTuple):
     """What an order came to, and the version that is in force after it."""
 
-    outcome: str
+    outcome: OrderOutcome
     version: int
 
 
@@ -31,42 +33,46 @@
 
     async def read(self, peer: str) -> str:
         """Return the newest configuration, packed; raises NotFound where a majority holds none."""
-        held = await self.register.read(CallName.READ_CONFIGURATION, CONFIGURATION_KEY, peer)
-        if held is None:
+        current = await self._current(CallName.READ_CONFIGURATION, peer)
+        if current is None:
             raise NotFound(CallName.READ_CONFIGURATION, "none yet", peer)
-        return held["text"]
+        return current.text
 
     async def replace(self, version: int, raw: bytes, peer: str) -> ReplaceResult:
-        """Order a configuration, `raw` as it came; VersionConflict for a number with another content."""
-        digest = versions.digest(raw)
-        outcome, held = await self._recorded_outcome(version, digest, peer)
-        if outcome is None:
-            held = await self._change(version, raw, digest, peer)
-            outcome = versions.outcome(held, version, digest)
-        if outcome != versions.TAKEN:
-            self.log.info(outcome, ordered=f"{version:08x}", held=f"{held['ver']:08x}", digest=digest)
-        if outcome == versions.OTHER:
+        """Order a configuration, `raw` as it came; VersionConflict for a version with another content."""
+        digest = record.content_digest(raw)
+        current, outcome = None, None
+        if self._may_be_known(version):
+            current = await self._current(CallName.REPLACE_CONFIGURATION, peer)
+            outcome = record.order_outcome(current, version, digest)
+        if current is None or outcome is None:
+            current = await self._order(version, raw, digest, peer)
+            outcome = record.order_outcome(current, version, digest)
+        if outcome is not OrderOutcome.ACCEPTED:
+            self.log.info(
+                outcome.value, ordered=f"{version:08x}", held=f"{current.version:08x}", digest=digest
+            )
+        if outcome is OrderOutcome.CONFLICT:
             reason = f"{version:08x} stands for another content; take a higher one"
             raise VersionConflict(CallName.REPLACE_CONFIGURATION, reason, peer)
-        return ReplaceResult(outcome, held["ver"])
+        return ReplaceResult(outcome, current.version)
 
-    async def _recorded_outcome(self, version: int, digest: str, peer: str) -> tuple[str | None, object]:
-        """Return what the order has come to before, and the record that says so.
-
-        Only a number up to the published one is looked up: it is likely a repeated order, and a read costs
-        less than a change.
-        """
+    def _may_be_known(self, version: int) -> bool:
+        """Return whether an order is likely a repeated one, which a read finds at less cost than a change."""
         published = self.register.publication.configuration_version
-        if published is None or published < version:
-            return None, None
-        held = await self.register.read(CallName.REPLACE_CONFIGURATION, CONFIGURATION_KEY, peer)
-        return versions.outcome(held, version, digest), held
+        return published is not None and version <= published
+
+    async def _current(self, operation: str, peer: str) -> ConfigurationRecord | None:
+        """Return the record that a majority holds."""
+        value = await self.register.read(operation, CONFIGURATION_KEY, peer)
+        return None if value is None else record.decode(value)
 
-    async def _change(self, version: int, raw: bytes, digest: str, peer: str) -> object:
+    async def _order(self, version: int, raw: bytes, digest: str, peer: str) -> ConfigurationRecord:
         """Return the record that a majority holds after the order."""
-        text = config.pack(raw)
+        text = packing.pack(raw)
 
-        def update(held: object) -> object:
-            return versions.ordered(held, version, text, digest)
+        def update(stored: StoredValue | None) -> StoredValue | None:
+            return record.update_stored(stored, version, text, digest)
 
-        return await self.register.change(CallName.REPLACE_CONFIGURATION, CONFIGURATION_KEY, update, peer)
+        operation = CallName.REPLACE_CONFIGURATION
+        return record.decode(await self.register.change(operation, CONFIGURATION_KEY, update, peer))
--- a/honeywood/gateway/controller/count_retention.py
+++ b/honeywood/gateway/controller/count_retention.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from honeywood.gateway.rollout.record import ACTIVE
+from honeywood.gateway.rollout.record import RolloutState
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -33,4 +33,4 @@
     """Return whether a rollout's stored record needs counts that were taken in `revision` of it."""
     if rollout is None or rollout["n"] < revision:
         return True
-    return rollout["state"] == ACTIVE and revision >= rollout["order"]
+    return rollout["state"] == RolloutState.ACTIVE and revision >= rollout["order"]
--- a/honeywood/gateway/controller/heartbeat.py
+++ b/honeywood/gateway/controller/heartbeat.py
@@ -8,7 +8,8 @@
 
 from dataclasses import dataclass
 
-from honeywood.gateway.configuration.check import address, need
+from honeywood.gateway.configuration.addresses import parse_address
+from honeywood.gateway.configuration.check import need
 from honeywood.gateway.controller.machine_record import (
     DEPARTED_SEQUENCE,
     IN_SERVICE,
@@ -50,7 +51,7 @@
     state = need(body, "state", str, OPERATION, peer=peer)
     if state not in IN_SERVICE:
         raise InvalidInput(OPERATION, f"state {state!r} is not known", peer)
-    ip, port = address(need(body, "addr", str, OPERATION, peer=peer), f"{OPERATION}: addr", peer)
+    ip, port = parse_address(need(body, "addr", str, OPERATION, peer=peer), f"{OPERATION}: addr", peer)
     sequence = need(body, "seq", int, OPERATION, least=0, most=SEQUENCE_MAX, peer=peer)
     record = MachineRecord(
         state=state,
--- a/honeywood/gateway/controller/membership.py
+++ b/honeywood/gateway/controller/membership.py
@@ -60,8 +60,8 @@
     async def _replace_unusable_member(self) -> None:
         """Propose a spare controller for the place of a member that can't be used."""
         bounds = self.settings.bounds
-        soon_s = bounds["contact_s"]
-        late_s = REPLACE_AFTER_FACTOR * (bounds["contact_s"] + bounds["sync_s"])
+        soon_s = bounds.contact_s
+        late_s = REPLACE_AFTER_FACTOR * (bounds.contact_s + bounds.sync_s)
         states, now = self.contacts.peer_states(), self.clock()
         proposed = replacement(self.register.here, self.settings.ip, states, now, soon_s, late_s)
         if proposed is None:
--- a/honeywood/gateway/controller/operations.py
+++ b/honeywood/gateway/controller/operations.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from honeywood.gateway.configuration import config
+from honeywood.gateway.configuration import packing
 from honeywood.gateway.configuration.check import read_json
+from honeywood.gateway.configuration.reader import read_configuration
 from honeywood.gateway.controller import heartbeat as heartbeats
 from honeywood.gateway.controller.call import CallName
 from honeywood.gateway.controller.rollout_orders import RolloutOrder
@@ -53,13 +54,13 @@
 
     async def replace_configuration(self, call: Call) -> Answer:
         """Take an operator's configuration."""
-        version = config.read(call.body, call.peer).version
+        version = read_configuration(call.body, call.peer).version
         result = await self.configurations.replace(version, call.body, call.peer)
         return {"outcome": result.outcome, "ver": f"{result.version:08x}"}
 
     async def read_configuration(self, call: Call) -> bytes:
         """Return the configuration as it was sent."""
-        return config.unpack(await self.configurations.read(call.peer), call.peer)
+        return packing.unpack(await self.configurations.read(call.peer), call.peer)
 
     async def start_rollout(self, call: Call) -> Answer:
         """Take an operator's order of a rollout."""
--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -79,7 +79,7 @@
             self.store_incarnation(),
             self.on_record,
             self.on_poll,
-            self.settings.link,
+            self.settings.link_bytes_per_s,
             needed=is_count_needed,
         )
         self.store, self.epochs = self.publisher.store, EpochClock()
@@ -90,7 +90,7 @@
         """Make what deals with other controllers."""
         settings, clock = self.settings, self.clock
         self.contacts = Contacts(
-            settings.ip, self.store.life, clock(), settings.bear, lambda: self.register.members
+            settings.ip, self.store.life, clock(), settings.tolerated_failures, lambda: self.register.members
         )
         self.peers = PeerPolling(
             settings,
@@ -111,7 +111,7 @@
         """Make what deals with machines and proxies."""
         self.machine_service = MachineService(
             self.store,
-            self.settings.beat_s,
+            self.settings.heartbeat_interval_s,
             self.register,
             self.contacts,
             self.replication,
@@ -148,7 +148,7 @@
             self.evidence,
             self.peers,
             self.stalls,
-            settings.bounds["ack_s"],
+            settings.bounds.ack_s,
             clock,
             self.log,
         )
@@ -227,12 +227,12 @@
         settings = self.settings
         await self.register.open()
         server = HttpServer(self.app)
-        await server.open([settings.listen["ctl"], (settings.ip, settings.controller_port)])
+        await server.open([settings.listen.ctl, (settings.ip, settings.controller_port)])
         await self.metrics_endpoint.open(server)
         self.log.info("started", role=settings.role)
         self.begin()
         await self.wait_until_stopped()
-        await server.close(settings.bounds["grace_s"] - CLOSE_MARGIN_S)
+        await server.close(settings.bounds.grace_s - CLOSE_MARGIN_S)
         self.log.info("stopped")
 
     def begin(self) -> None:
--- a/honeywood/gateway/controller/register_access.py
+++ b/honeywood/gateway/controller/register_access.py
@@ -11,10 +11,14 @@
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from collections.abc import Callable
+    from typing import Any
 
     from honeywood.gateway.controller.register_publication import RegisterPublication
     from honeywood.gateway.register.replica import Register
 
+    StoredValue = dict[str, Any]  # a JSON object; its codec is beside the type that it encodes
+    Update = Callable[[StoredValue | None], StoredValue | None]
+
 
 class RegisterAccess:
     """The register, with what it holds published at once."""
@@ -23,7 +27,7 @@
         """Use `register`, and publish what it holds by `publication`."""
         self.register, self.publication = register, publication
 
-    async def read(self, operation: str, key: str, peer: str) -> object:
+    async def read(self, operation: str, key: str, peer: str) -> StoredValue | None:
         """Return the value under `key`, or None; raises Unavailable without a majority."""
         found = await self.register.read(key)
         if not found.ok:
@@ -31,7 +35,7 @@
         self.publication.publish(key, found.value)
         return found.value
 
-    async def change(self, operation: str, key: str, update: Callable[[object], object], peer: str) -> object:
+    async def change(self, operation: str, key: str, update: Update, peer: str) -> StoredValue:
         """Return the value under `key` after `update`; raises Unavailable without a majority."""
         found = await self.register.change(key, update)
         if not found.ok:
--- a/honeywood/gateway/controller/register_publication.py
+++ b/honeywood/gateway/controller/register_publication.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from honeywood.gateway.configuration.config import for_proxies
+from honeywood.gateway.configuration import record as configuration_record
+from honeywood.gateway.configuration.packing import pack_for_proxies
 from honeywood.gateway.controller.record_keys import CONFIGURATION_KEY
 
 TYPE_CHECKING = False
@@ -24,14 +25,15 @@
         if value is None:
             return
         if key == CONFIGURATION_KEY:
-            self._publish_configuration(value["ver"], value["text"])
+            current = configuration_record.decode(value)
+            self._publish_configuration(current.version, current.text)
         else:
             self.store.put(key, [value["n"]], value)
 
     def _publish_configuration(self, version: int, text: str) -> None:
         """Publish a configuration, with hashes in place of its tenants' keys."""
         if self.store.stamp(CONFIGURATION_KEY) != [version]:
-            self.store.put(CONFIGURATION_KEY, [version], for_proxies(text))
+            self.store.put(CONFIGURATION_KEY, [version], pack_for_proxies(text))
 
     @property
     def configuration_version(self) -> int | None:
--- a/honeywood/gateway/controller/rollout_evidence.py
+++ b/honeywood/gateway/controller/rollout_evidence.py
@@ -14,7 +14,7 @@
     from honeywood.gateway.controller.proxy_fleet import ProxyFleet
     from honeywood.gateway.dissemination.store import Store
     from honeywood.gateway.rollout.record import Rollout
-    from honeywood.gateway.rollout.report import Ballot, Report, Tally
+    from honeywood.gateway.rollout.report import OutcomeCounts, ProxyReport, RolloutStatus, Vote
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,8 +29,8 @@
 class ProxyEvidence:
     """What proxies say of one revision of a rollout."""
 
-    tallies: list[Tally]  # of all proxies since the order, also of those that have ended
-    votes: list[str | None]  # of each proxy that shares the traffic; None: it has not voted on this revision
+    outcome_counts: list[OutcomeCounts]  # of all proxies since the order, also of those that have ended
+    votes: list[Vote | None]  # of each proxy that shares the traffic; None: it has not voted on this revision
     all_left: bool  # whether all of these follow it and have nothing in flight where its stage leaves
 
 
@@ -56,9 +56,10 @@
         if local is not None and local.revision == rollout.revision:
             known_s.append(self.clock() - local.since)
         for _, value in self.store.under(COUNT_PREFIX):
-            ballot = report.decode(value).ballot(rollout.service)
-            if ballot is not None and ballot.revision == rollout.revision and ballot.known_s is not None:
-                known_s.append(ballot.known_s)
+            status = report.decode(value).status(rollout.service)
+            if status is None or status.revision != rollout.revision or status.revision_age_s is None:
+                continue
+            known_s.append(status.revision_age_s)
         return max(known_s, default=0.0)
 
     def collect(self, rollout: Rollout) -> ProxyEvidence:
@@ -66,30 +67,34 @@
         reports = self._reports()
         # What arrived last is of the incarnation that runs, whatever its clock said: a later entry wins.
         latest = dict(reports)
-        tallies = [tally for _, one in reports if _follows_order(one, rollout) for tally in one.tallies]
-        ballots = [
-            self._current_ballot(latest.get(node), rollout)
+        outcome_counts = [
+            counts for _, one in reports if _follows_order(one, rollout) for counts in one.outcome_counts
+        ]
+        statuses = [
+            self._current_status(latest.get(node), rollout)
             for node in self.fleet.current_proxies(self.clock())
         ]
         return ProxyEvidence(
-            tallies=tallies,
-            votes=[ballot.vote if ballot else None for ballot in ballots],
-            all_left=bool(ballots) and all(ballot and not ballot.pending for ballot in ballots),
+            outcome_counts=outcome_counts,
+            votes=[status.vote if status else None for status in statuses],
+            all_left=bool(statuses) and all(status and not status.pending for status in statuses),
         )
 
-    def _reports(self) -> list[tuple[str, Report]]:
+    def _reports(self) -> list[tuple[str, ProxyReport]]:
         """Return each incarnation's report with its proxy's node, in the order of their arrival."""
         by_arrival = sorted(self.store.heard(COUNT_PREFIX), key=lambda received: received[2])
         return [(key.split("/")[1], report.decode(value)) for key, value, _ in by_arrival]
 
     @staticmethod
-    def _current_ballot(latest: Report | None, rollout: Rollout) -> Ballot | None:
-        """Return a proxy's ballot on the rollout's present revision, or None."""
-        ballot = None if latest is None else latest.ballot(rollout.service)
-        return ballot if ballot is not None and ballot.revision == rollout.revision else None
+    def _current_status(latest: ProxyReport | None, rollout: Rollout) -> RolloutStatus | None:
+        """Return a proxy's status in the rollout's present revision, or None."""
+        status = None if latest is None else latest.status(rollout.service)
+        return status if status is not None and status.revision == rollout.revision else None
 
 
-def _follows_order(one: Report, rollout: Rollout) -> bool:
+def _follows_order(report_of_proxy: ProxyReport, rollout: Rollout) -> bool:
     """Return whether a report is of a proxy that knew the rollout's order."""
-    ballot = one.ballot(rollout.service)
-    return ballot is not None and ballot.known_s is not None and ballot.revision >= rollout.ordered_at
+    status = report_of_proxy.status(rollout.service)
+    if status is None or status.revision_age_s is None:
+        return False
+    return status.revision >= rollout.order_revision
--- a/honeywood/gateway/controller/rollout_orders.py
+++ b/honeywood/gateway/controller/rollout_orders.py
@@ -5,13 +5,15 @@
 import asyncio
 from dataclasses import dataclass
 
-from honeywood.gateway.configuration import config
+from honeywood.gateway.configuration import packing
+from honeywood.gateway.configuration import record as configuration_record
 from honeywood.gateway.configuration.check import need
+from honeywood.gateway.configuration.reader import read_configuration
 from honeywood.gateway.controller.call import CallName, never
 from honeywood.gateway.controller.machine_record import MACHINE_PREFIX, MachineRecord
 from honeywood.gateway.controller.record_keys import CONFIGURATION_KEY, ROLLOUT_PREFIX
 from honeywood.gateway.errors import InvalidInput, NotFound, Unavailable
-from honeywood.gateway.rollout import record
+from honeywood.gateway.rollout import record, transitions
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -88,7 +90,7 @@
             raise self._refusal("this controller stood still; the order may be an old one", peer)
         current = await self._current_rollout(order.service, peer)
         is_only_version = await self._is_only_version_anywhere(order, peer)
-        if record.sent_back(current, order.version):
+        if transitions.was_reverted(current, order.version):
             await asyncio.sleep(DEPARTURE_GRACE_S)
 
         def begin(held: Rollout | None) -> Rollout:
@@ -99,7 +101,7 @@
             return self._begun(order, held, is_only_version and self._is_only_version(order))
 
         def update(value: object) -> object:
-            return record.rewritten(value, begin)
+            return transitions.update_stored(value, begin)
 
         key = ROLLOUT_PREFIX + order.service
         rollout = record.decode(await self.register.change(CallName.START_ROLLOUT, key, update, peer))
@@ -121,7 +123,7 @@
     def _begun(self, order: RolloutOrder, held: Rollout | None, is_only_version: bool) -> Rollout:
         """Return the rollout after an order, given the one before."""
         known_s = 0.0 if held is None else self.evidence.known_for_s(held)
-        return record.start(
+        return transitions.start_rollout(
             held,
             order.service,
             order.version,
@@ -138,8 +140,8 @@
             self.register.read(CallName.START_ROLLOUT, ROLLOUT_PREFIX + service, peer),
         )
         if configuration is not None:
-            services = config.read(config.unpack(configuration["text"])).services
-            if service not in services:
+            raw = packing.unpack(configuration_record.decode(configuration).text)
+            if service not in read_configuration(raw).services:
                 raise InvalidInput(CallName.START_ROLLOUT, f"svc {service!r} is not known", peer)
         return None if value is None else record.decode(value)
 
--- a/honeywood/gateway/controller/rollout_steering.py
+++ b/honeywood/gateway/controller/rollout_steering.py
@@ -6,8 +6,8 @@
 
 from honeywood.gateway.controller.record_keys import ROLLOUT_PREFIX
 from honeywood.gateway.dissemination.rendezvous import order
-from honeywood.gateway.rollout import record
-from honeywood.gateway.rollout.verdict import Verdict
+from honeywood.gateway.rollout import record, transitions
+from honeywood.gateway.rollout.evaluator import RolloutEvaluator
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -19,8 +19,8 @@
     from honeywood.gateway.dissemination.store import Store
     from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.register.replica import Register
+    from honeywood.gateway.rollout.evaluator import RolloutChange
     from honeywood.gateway.rollout.record import Rollout
-    from honeywood.gateway.rollout.verdict import Change
 
 STAGGER_S = 0.15  # seconds by which controllers act after each other, so that mostly one does
 DECISION_LIFETIME_S = 0.5  # seconds beyond the stagger after which a decision is taken anew
@@ -44,7 +44,7 @@
         self.local_ip, self.store, self.register = local_ip, store, register
         self.contacts, self.evidence, self.publication = contacts, evidence, publication
         self.clock, self.log = clock, log
-        self.verdicts: dict[str, Verdict] = {}  # by service
+        self.evaluators: dict[str, RolloutEvaluator] = {}  # by service
 
     async def steer(self) -> None:
         """Advance rollouts, or take them back.
@@ -57,21 +57,21 @@
         for key, value in self.store.under(ROLLOUT_PREFIX):
             rollout = record.decode(value)
             if not rollout.active:
-                self.verdicts.pop(rollout.service, None)
+                self.evaluators.pop(rollout.service, None)
                 continue
             change = self._next_change(rollout)
             if change is not None and await self._still_holds_after_stagger(rollout, key, value):
                 await self._apply(key, rollout, change)
 
-    def _next_change(self, rollout: Rollout) -> Change | None:
+    def _next_change(self, rollout: Rollout) -> RolloutChange | None:
         """Return the change that is due, or None."""
-        verdict = self.verdicts.get(rollout.service)
-        if verdict is None or verdict.revision != rollout.revision:
-            verdict = self.verdicts[rollout.service] = Verdict(rollout.revision)
+        evaluator = self.evaluators.get(rollout.service)
+        if evaluator is None or evaluator.revision != rollout.revision:
+            evaluator = self.evaluators[rollout.service] = RolloutEvaluator(rollout.revision)
         evidence = self.evidence.collect(rollout)
-        elapsed_s = rollout.held_s + self.evidence.known_for_s(rollout)
-        return verdict.look(
-            self.clock(), elapsed_s, rollout, evidence.tallies, evidence.votes, evidence.all_left
+        elapsed_s = rollout.elapsed_s + self.evidence.known_for_s(rollout)
+        return evaluator.evaluate(
+            self.clock(), elapsed_s, rollout, evidence.outcome_counts, evidence.votes, evidence.all_left
         )
 
     async def _still_holds_after_stagger(self, rollout: Rollout, key: str, value: object) -> bool:
@@ -83,18 +83,18 @@
         in_time = now - decided_at - wait_s <= DECISION_LIFETIME_S
         return in_time and self.contacts.in_quorum(now) and self.store.get(key) == value
 
-    async def _apply(self, key: str, rollout: Rollout, change: Change) -> None:
+    async def _apply(self, key: str, rollout: Rollout, change: RolloutChange) -> None:
         """Take a step by a register change, and publish its result; without a majority nothing happens."""
 
         def advance(held: Rollout | None) -> Rollout | None:
             known_s = self.evidence.known_for_s(rollout)
-            return record.advance(
+            return transitions.advance(
                 held, rollout.version, rollout.revision, known_s, change.state, change.stage
             )
 
-        found = await self.register.change(key, lambda value: record.rewritten(value, advance))
+        found = await self.register.change(key, lambda value: transitions.update_stored(value, advance))
         if not found.ok:
             return
         self.publication.publish(key, found.value)
         changed = {name: getattr(change, name) for name in ("state", "stage") if getattr(change, name)}
-        self.log.info("rollout", svc=rollout.service, to_ver=rollout.version, why=change.why, **changed)
+        self.log.info("rollout", svc=rollout.service, to_ver=rollout.version, why=change.reason, **changed)
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -2,7 +2,9 @@
 
 import asyncio
 
-from honeywood.gateway.configuration import config
+from honeywood.gateway.configuration.model import Limits
+from honeywood.gateway.configuration.packing import unpack
+from honeywood.gateway.configuration.reader import read_configuration
 from honeywood.gateway.dissemination.backoff import FIRST, Backoff
 from honeywood.gateway.dissemination.history import CUT, History
 from honeywood.gateway.dissemination.messages import Asker
@@ -20,7 +22,7 @@
 from honeywood.gateway.proxy.invariants import InvariantChecks
 from honeywood.gateway.proxy.polling import poll_pause
 from honeywood.gateway.rollout import record
-from honeywood.gateway.rollout.stage import Stage
+from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 from honeywood.gateway.routing.attempts import AttemptPolicy
 from honeywood.gateway.routing.budget import RetryBudget
 from honeywood.gateway.routing.endpoints import LOST, Endpoints
@@ -47,15 +49,17 @@
         """`given` is what Program takes; `connect` opens connections to endpoints."""
         super().__init__(*given, log=log, random=random)
         s, self.app = self.settings, App(self)
-        self.table, self.limits, self.config_at, self.server = None, config.Limits(), None, None
+        self.table, self.limits, self.config_at, self.server = None, Limits(), None, None
         self.endpoints, self.budgets, self.fleet = Endpoints(), {}, FleetSize(self.clock)
-        self.stage = Stage(self.endpoints, s.bounds["canary_share"], s.bounds["canary_slack"], self.fronts)
+        self.stage = RolloutTrafficPolicy(
+            self.endpoints, s.bounds.canary_share, s.bounds.canary_slack, self.fronts
+        )
         self.pool, self.tasks = ConnectionPool(self.clock, connect), set()
         self.policy = AttemptPolicy(self.budget_of, self.fronts, self.stage, self.endpoints.max_connections)
         parts = self.endpoints, self.policy, self.stage, self.pool, self.budget_of
         self.invariants = InvariantChecks(self, self.on_violation)
         self.forwarder = Forwarder(self.clock, self.random, s.zone, *parts, self.invariants.attempt_begins)
-        self.publisher = Publisher(self.store_incarnation(), self.hear, rate=s.link)
+        self.publisher = Publisher(self.store_incarnation(), self.hear, rate=s.link_bytes_per_s)
         store, backoff = self.publisher.store, Backoff(self.random, BACKOFF_MOST_S)
         self.history, self.doubted_at = History(store), None
         self.counts = CountRecords(self.stage, self.clock, s.node, self.incarnation, store)
@@ -94,9 +98,7 @@
         """A service's RetryBudget."""
         if service not in self.budgets:
             bounds = self.settings.bounds
-            self.budgets[service] = RetryBudget(
-                bounds["retry_ratio"], bounds["retry_slack"], bounds["retry_win_s"]
-            )
+            self.budgets[service] = RetryBudget(bounds.retry_ratio, bounds.retry_slack, bounds.retry_win_s)
         return self.budgets[service]
 
     def fronts(self):
@@ -113,11 +115,11 @@
         """A record has come, or has changed."""
         kind, _, name = key.partition("/")
         if kind == "config":
-            self.hear_config(config.read(config.unpack(value), hashed=True))
+            self.hear_config(read_configuration(unpack(value), hashed_keys=True))
         elif kind == "machine":
             self.hear_endpoint(name, value)
         elif kind == "rollout":
-            self.stage.hear(self.clock(), record.decode(value))
+            self.stage.update(self.clock(), record.decode(value))
         elif kind == "bourse":
             self.discover_controllers([name])
 
@@ -127,7 +129,7 @@
         self.config_at = self.config_at or self.clock()
         most = self.endpoints.max_connections
         most.clear()
-        most.update({name: service.max_conns for name, service in read.services.items()})
+        most.update({name: service.max_connections for name, service in read.services.items()})
         self.log.info("configuration")
 
     def hear_endpoint(self, id, value):
@@ -165,7 +167,7 @@
             if answer is not None and answer.in_quorum:
                 self.met_quorum(asked_at, answer)
                 pause_s = poll_pause(
-                    self.stage.active, self.fronts(), len(self.controllers), self.random.random()
+                    self.stage.has_active_rollout, self.fronts(), len(self.controllers), self.random.random()
                 )
                 return await asyncio.sleep(pause_s)
         self.log.info("no controller answers", min_interval_s=SAY_AGAIN_S)
@@ -190,9 +192,9 @@
     def met_quorum(self, asked_at, answer):
         """A controller that hears a majority has answered."""
         if answer.whole:  # else what ends a stage may be among what was not told
-            if self.met_majority and asked_at - self.stage.heard_at > CUT:
+            if self.met_majority and asked_at - self.stage.controller_contact_at > CUT:
                 self.doubt()
-            self.stage.heard_at = asked_at
+            self.stage.controller_contact_at = asked_at
         self.met_majority = True
 
     def poll_most(self):
@@ -207,7 +209,7 @@
         if self.stopping.is_set() or self.table is None:
             return False
         if not self.met_majority:  # the configuration may be that of a controller cut off from the others
-            if self.clock() - self.config_at < self.settings.bounds["contact_s"]:
+            if self.clock() - self.config_at < self.settings.bounds.contact_s:
                 return False
             self.log.info("ready without a controller that hears a majority", min_interval_s=SAY_AGAIN_S)
         known = self.table.services <= set(self.endpoints.by_service)
@@ -278,14 +280,14 @@
         """Serves until the platform says to stop; then what is at work ends within the grace."""
         s = self.settings
         self.server = HttpServer(self.app)
-        await self.server.open([s.listen["http"], s.listen["ready"], (s.ip, s.proxy_port)])
+        await self.server.open([s.listen.http, s.listen.ready, (s.ip, s.proxy_port)])
         await self.metrics_endpoint.open(self.server)
         self.log.info("started", role=s.role)
         self.begin()
         await self.wait_until_stopped()
         self.log.info("stopping")
         await asyncio.sleep(UNREADY_SEEN_S)
-        await self.server.close(s.bounds["grace_s"] - UNREADY_SEEN_S - STOP_MARGIN_S)
+        await self.server.close(s.bounds.grace_s - UNREADY_SEEN_S - STOP_MARGIN_S)
         self.log.info("stopped")
 
     def begin(self):
--- a/honeywood/gateway/settings_file.py
+++ b/honeywood/gateway/settings_file.py
@@ -4,7 +4,7 @@
 
 import os
 
-from honeywood.gateway.configuration.settings import read
+from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.errors import InvalidInput
 
 TYPE_CHECKING = False
@@ -34,7 +34,7 @@
         """Return the settings; raises one of FAILURES."""
         self._modified_at_ns = os.stat(self.path).st_mtime_ns
         with open(self.path, encoding="utf-8") as file:
-            return read(file.read())
+            return read_settings(file.read())
 
     def read_if_modified(self) -> Settings | None:
         """Return the settings, or None where the file is as it was read last; raises one of FAILURES."""
--- a/tests/balancer/flow_control/test_minimum_rates.py
+++ b/tests/balancer/flow_control/test_minimum_rates.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 
 from honeywood.balancer.flow_control.minimum_rates import (
-    CHECK_INTERVAL,
     BUCKETS,
+    CHECK_INTERVAL,
     Phase,
     RunningTime,
     TransferMeter,
