--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -8,7 +8,7 @@
 
 from honeywood.gateway.configuration.check import read_json
 from honeywood.gateway.configuration.model import Limits
-from honeywood.gateway.controller.call import Call
+from honeywood.gateway.controller.call import Call, CallName
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH as POLL_PATH
 from honeywood.gateway.errors import GatewayError, NotFound, PayloadTooLarge
@@ -22,13 +22,11 @@
     from collections.abc import Awaitable, Callable, Mapping
     from typing import Any
 
-    from honeywood.gateway.controller.operations import Operations
+    from honeywood.gateway.controller.operations import Answer, Handler, Operations
     from honeywood.gateway.controller.poll_service import PollService
     from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.metrics_endpoint import MetricsEndpoint
 
-    Answer = bytes | Mapping[str, object]
-    Handler = Callable[[Call], Awaitable[Answer]]
     RegisterResponder = Callable[[Mapping[str, Any], str], Awaitable[Mapping[str, object]]]
 
 BODY_MAX_BYTES = 8 << 20
@@ -37,6 +35,7 @@
 JSON_HEADERS = [(b"content-type", b"application/json")]
 OK = 200
 REFUSAL_LOG_INTERVAL_S = 1.0
+CALL_NAMES = frozenset(CallName)
 
 
 class App:
@@ -86,12 +85,12 @@
     def _handler(self, scope: Any, name: str, peer: str) -> Handler:
         """Return the handler of a request; raises NotFound where there is none."""
         path = "/" + scope["path"].strip("/")
-        handler = None
+        handler: Handler | None = None
         if scope["method"] == METHOD:
             if scope["server"][1] == self.internal_port:
                 handler = self.internal_handlers.get(path)
             elif path == RPC_PATH:
-                handler = self.operations.handlers.get(name)
+                handler = self.operations.handlers.get(CallName(name)) if name in CALL_NAMES else None
         if handler is None:
             reason = f"no such call: {scope['method']} {scope['path']} {name}"
             raise NotFound("dispatch", reason, peer)
@@ -115,11 +114,13 @@
     async def poll(self, call: Call) -> Answer:
         """Answer another program's poll of the store."""
         ask = Ask.decode(read_json(call.body, POLL_PATH, call.peer), call.peer)
-        return (await self.polls.answer(ask, call.has_left)).encode()
+        answer: Answer = (await self.polls.answer(ask, call.has_left)).encode()
+        return answer
 
     async def register_step(self, call: Call) -> Answer:
         """Answer another controller's step of the register's protocol."""
-        return await self.register(read_json(call.body, REGISTER_PATH, call.peer), call.peer)
+        reply: Answer = await self.register(read_json(call.body, REGISTER_PATH, call.peer), call.peer)
+        return reply
 
 
 def _encode(result: Answer) -> bytes:
--- a/honeywood/gateway/controller/configuration_orders.py
+++ b/honeywood/gateway/controller/configuration_orders.py
@@ -41,13 +41,13 @@
     async def replace(self, version: int, raw: bytes, peer: str) -> ReplaceResult:
         """Order a configuration, `raw` as it came; VersionConflict for a version with another content."""
         digest = record.content_digest(raw)
-        current, outcome = None, None
+        current = None
         if self._may_be_known(version):
             current = await self._current(CallName.REPLACE_CONFIGURATION, peer)
-            outcome = record.order_outcome(current, version, digest)
-        if current is None or outcome is None:
+        if current is None or record.order_outcome(current, version, digest) is None:
             current = await self._order(version, raw, digest, peer)
-            outcome = record.order_outcome(current, version, digest)
+        outcome = record.order_outcome(current, version, digest)
+        assert outcome is not None, "an order that a majority holds has an outcome"
         if outcome is not OrderOutcome.ACCEPTED:
             self.log.info(
                 outcome.value, ordered=f"{version:08x}", held=f"{current.version:08x}", digest=digest
--- a/honeywood/gateway/controller/count_retention.py
+++ b/honeywood/gateway/controller/count_retention.py
@@ -2,35 +2,32 @@
 
 from __future__ import annotations
 
+from honeywood.gateway.controller.record_keys import COUNT_PREFIX, ROLLOUT_PREFIX
 from honeywood.gateway.rollout.record import RolloutState
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from collections.abc import Mapping
-
+    from honeywood.gateway.controller.register_access import StoredValue
     from honeywood.gateway.dissemination.store import Store
 
-COUNT_PREFIX = "count/"  # of the keys of proxies' counts
-ROLLOUT_PREFIX = "rollout/"  # of the keys of rollouts' records
-
 
-def is_count_needed(store: Store, key: str, value: Mapping[str, Mapping[str, list[float]]]) -> bool:
+def is_count_needed(store: Store, key: str, value: StoredValue) -> bool:
     """Return whether a record holds counts of an active rollout, or of one that is not known here yet.
 
-    The revisions of a rollout's record, `n` and `order`, only rise: counts that are not needed any more never
-    are again.
+    The revisions of a rollout and of its order only rise: counts that are not needed any more never are
+    again.
     """
     if not key.startswith(COUNT_PREFIX):
         return False
-    revisions = {service: revision for service, (revision, _) in value["known"].items()}
     return any(
         _is_needed_by(store.get(ROLLOUT_PREFIX + service), revision)
-        for service, revision in revisions.items()
+        for service, (revision, _) in value["known"].items()
     )
 
 
-def _is_needed_by(rollout: Mapping[str, str | int] | None, revision: float) -> bool:
-    """Return whether a rollout's stored record needs counts that were taken in `revision` of it."""
-    if rollout is None or rollout["n"] < revision:
+def _is_needed_by(stored_rollout: StoredValue | None, revision: int) -> bool:
+    """Return whether a rollout, in its stored form, needs counts that were taken in `revision` of it."""
+    if stored_rollout is None or stored_rollout["n"] < revision:
         return True
-    return rollout["state"] == RolloutState.ACTIVE and revision >= rollout["order"]
+    is_active = bool(stored_rollout["state"] == RolloutState.ACTIVE)
+    return is_active and revision >= int(stored_rollout["order"])
--- a/honeywood/gateway/controller/membership.py
+++ b/honeywood/gateway/controller/membership.py
@@ -16,6 +16,7 @@
     from honeywood.gateway.configuration.settings import Settings
     from honeywood.gateway.controller.contacts import Contacts
     from honeywood.gateway.controller.peer_polling import PeerPolling
+    from honeywood.gateway.controller.register_access import StoredValue
     from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.register.replica import Register
 
@@ -34,7 +35,7 @@
         register: Register,
         contacts: Contacts,
         peers: PeerPolling,
-        publish: Callable[[str, object], None],
+        publish: Callable[[str, StoredValue | None], None],
         clock: Callable[[], float],
         log: EventLog,
     ) -> None:
--- a/honeywood/gateway/controller/operations.py
+++ b/honeywood/gateway/controller/operations.py
@@ -11,7 +11,7 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from collections.abc import Mapping
+    from collections.abc import Awaitable, Callable, Mapping
 
     from honeywood.gateway.controller.call import Call
     from honeywood.gateway.controller.configuration_orders import ConfigurationOrders
@@ -19,7 +19,8 @@
     from honeywood.gateway.controller.rollout_orders import RolloutOrders
     from honeywood.gateway.rollout.record import Rollout
 
-    Answer = Mapping[str, object]
+    Answer = bytes | Mapping[str, object]  # a body as it is, or an object that is encoded as JSON
+    Handler = Callable[[Call], Awaitable[Answer]]
 
 
 class Operations:
@@ -30,7 +31,7 @@
     ) -> None:
         """Hand calls on to these."""
         self.machines, self.configurations, self.rollouts = machines, configurations, rollouts
-        self.handlers = {
+        self.handlers: dict[CallName, Handler] = {
             CallName.HEARTBEAT: self.heartbeat,
             CallName.LEAVE: self.leave,
             CallName.REPLACE_CONFIGURATION: self.replace_configuration,
--- a/honeywood/gateway/controller/peer_polling.py
+++ b/honeywood/gateway/controller/peer_polling.py
@@ -81,8 +81,14 @@
         """Begin to poll each controller that is known and isn't polled yet."""
         for ip in self.addresses:
             if ip != self.settings.ip and ip not in self.polled:
-                self.polled.add(ip)
-                self.start_task(lambda ip=ip: self.poll(ip), POLL_INTERVAL_S)
+                self._start_polling(ip)
+
+    def _start_polling(self, ip: str) -> None:
+        async def poll_peer() -> None:
+            await self.poll(ip)
+
+        self.polled.add(ip)
+        self.start_task(poll_peer, POLL_INTERVAL_S)
 
     async def poll(self, ip: str) -> None:
         """Poll a controller once, and back off where it does not answer.
--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from random import Random
+import time
 
 from honeywood.gateway.controller import disk_health, stall_detector
 from honeywood.gateway.controller.app import App
@@ -37,12 +37,14 @@
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
-    from typing import Any
+    from random import Random
 
+    from honeywood.gateway.configuration.settings import Settings
     from honeywood.gateway.dissemination.messages import Asker
     from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.metrics import Metrics
     from honeywood.gateway.register.membership import DiskState
+    from honeywood.gateway.rpc.client import Caller
 
 # Seconds between two runs of periodic tasks.
 SYNCHRONIZE_INTERVAL_S = 0.1
@@ -58,13 +60,17 @@
 
     def __init__(
         self,
-        *given: Any,
+        settings: Settings | None = None,
+        caller: Caller | None = None,
+        clock: Callable[[], float] = time.monotonic,
+        wall_clock: Callable[[], float] = time.time,
+        *,
         random: Random | None = None,
         disk: Callable[[str], Disk] = Disk,
         log: EventLog | None = None,
     ) -> None:
-        """Make the parts; `disk` opens a folder, randomness may be passed in for tests."""
-        super().__init__(*given, log=log, random=random)
+        """Make the parts; `disk` opens a folder, the others are those of Program."""
+        super().__init__(settings, caller, clock, wall_clock, log, random)
         self._make_store()
         self.register = Register(self.settings, PagedCaller(self.caller), self.random, self.log, disk)
         self._make_peers()
--- a/honeywood/gateway/controller/record_router.py
+++ b/honeywood/gateway/controller/record_router.py
@@ -9,12 +9,15 @@
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
+    from typing import Any
 
     from honeywood.gateway.controller.machine_record import StoredMachine
     from honeywood.gateway.controller.machine_table import MachineTable
     from honeywood.gateway.controller.peer_polling import PeerPolling
     from honeywood.gateway.controller.rollout_evidence import RolloutEvidence
 
+    Receiver = Callable[[str, Any], None]  # takes the rest of the key, and the record's value
+
 
 class RecordRouter:
     """Takes the records that this controller and others publish."""
@@ -28,7 +31,7 @@
     ) -> None:
         """Hand records on to these; `clock` gives steady seconds."""
         self.peers, self.machines, self.rollouts, self.clock = peers, machines, rollouts, clock
-        self.receivers = {
+        self.receivers: dict[str, Receiver] = {
             CONTROLLER_PREFIX: self._receive_controller,
             HEARTBEAT_PREFIX: self._receive_heartbeat,
             MACHINE_PREFIX: self._receive_machine,
--- a/honeywood/gateway/controller/register_publication.py
+++ b/honeywood/gateway/controller/register_publication.py
@@ -8,8 +8,7 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from collections.abc import Mapping
-
+    from honeywood.gateway.controller.register_access import StoredValue
     from honeywood.gateway.dissemination.store import Store
 
 
@@ -20,7 +19,7 @@
         """Publish on `store`."""
         self.store = store
 
-    def publish(self, key: str, value: Mapping[str, object] | None) -> None:
+    def publish(self, key: str, value: StoredValue | None) -> None:
         """Publish the value under a key; None, where nothing is held, changes nothing."""
         if value is None:
             return
--- a/honeywood/gateway/controller/rollout_orders.py
+++ b/honeywood/gateway/controller/rollout_orders.py
@@ -20,7 +20,7 @@
     from collections.abc import Callable, Mapping
 
     from honeywood.gateway.controller.peer_polling import PeerPolling
-    from honeywood.gateway.controller.register_access import RegisterAccess
+    from honeywood.gateway.controller.register_access import RegisterAccess, StoredValue
     from honeywood.gateway.controller.rollout_evidence import RolloutEvidence
     from honeywood.gateway.controller.stall_detector import StallDetector
     from honeywood.gateway.dissemination.store import Store
@@ -100,8 +100,8 @@
                 raise self._refusal("too late; it is no longer waited for", peer)
             return self._begun(order, held, is_only_version and self._is_only_version(order))
 
-        def update(value: object) -> object:
-            return transitions.update_stored(value, begin)
+        def update(stored: StoredValue | None) -> StoredValue | None:
+            return transitions.update_stored(stored, begin)
 
         key = ROLLOUT_PREFIX + order.service
         rollout = record.decode(await self.register.change(CallName.START_ROLLOUT, key, update, peer))
