--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -12,7 +12,7 @@
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH as POLL_PATH
 from honeywood.gateway.errors import GatewayError, NotFound, PayloadTooLarge
-from honeywood.gateway.register.fields import PATH as REGISTER_PATH
+from honeywood.gateway.register.message_fields import PATH as REGISTER_PATH
 from honeywood.gateway.rpc.asgi import read_body, send_response
 from honeywood.gateway.rpc.request_context import CONTEXT
 from honeywood.gateway.rpc.statuses import status_of
--- a/honeywood/gateway/controller/contacts.py
+++ b/honeywood/gateway/controller/contacts.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from math import inf
 
-from honeywood.gateway.register.membership import DiskState, PeerState
+from honeywood.gateway.register.replacement import DiskState, PeerState
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
--- a/honeywood/gateway/controller/machine_row_writer.py
+++ b/honeywood/gateway/controller/machine_row_writer.py
@@ -10,7 +10,9 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    Row = list[object] | None
+    from honeywood.gateway.register.state_update import HeartbeatRecord
+
+    Row = HeartbeatRecord | None
 
 
 class MachineRowWriter:
@@ -28,7 +30,7 @@
         self._waiting: asyncio.Future[None] | None = None
 
     def update(self, key: str, row: Row) -> None:
-        """Take a row that has changed: [stamp, value], or None where it is to be removed."""
+        """Take a row that has changed, None where it is to be removed."""
         self._changed[key] = row
 
     async def flush(self) -> None:
--- a/honeywood/gateway/controller/machine_service.py
+++ b/honeywood/gateway/controller/machine_service.py
@@ -19,7 +19,7 @@
     from honeywood.gateway.controller.replication import Replication
     from honeywood.gateway.dissemination.store import Store
     from honeywood.gateway.event_log import EventLog
-    from honeywood.gateway.register.replica import Register
+    from honeywood.gateway.register.register import Register
 
 LEAVE_OPERATION = "instances.leave"
 DISK_TIMEOUT_S = 0.2  # seconds that an acknowledgement waits for this disk, besides other controllers
@@ -41,7 +41,7 @@
         """Start without any machine."""
         self.register, self.contacts, self.replication = register, contacts, replication
         self.clock, self.log = clock, log
-        self.rows = MachineRowWriter(register.keep_notes)
+        self.rows = MachineRowWriter(register.write_heartbeats)
         self.machines = MachineTable(store, heartbeat_interval_s, self.rows.update)
 
     async def heartbeat(self, machine_id: str, heartbeat: Heartbeat) -> None:
@@ -72,7 +72,7 @@
     async def save_rows(self) -> None:
         """Put the rows that have changed on this disk."""
         try:
-            if self.register.sound:
+            if self.register.membership.intact:
                 await self.rows.flush()
         except GatewayError as error:
             self.log.info("notes not kept", min_interval_s=5.0, why=str(error))
--- a/honeywood/gateway/controller/machine_table.py
+++ b/honeywood/gateway/controller/machine_table.py
@@ -20,18 +20,17 @@
 )
 from honeywood.gateway.dissemination import departed
 from honeywood.gateway.dissemination.history import History
+from honeywood.gateway.register.state_update import HeartbeatRecord
 from honeywood.gateway.routing.endpoints import GONE, LOST
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from collections.abc import Callable, Iterable
+    from collections.abc import Callable, Mapping
 
     from honeywood.gateway.controller.heartbeat import Heartbeat
     from honeywood.gateway.controller.machine_record import StoredMachine
     from honeywood.gateway.dissemination.store import Store
 
-    Row = list[object] | None  # on this controller's disk: [stamp, value], or None where it is to be removed
-
 DEPARTED_ROW_PREFIX = RESERVED_CHARACTER  # of the keys of rows that hold names of machines that left
 MISSED_HEARTBEATS = 3.4  # heartbeat intervals of silence after which a machine is lost
 
@@ -40,7 +39,10 @@
     """Machines by id, as records on the store tell of them."""
 
     def __init__(
-        self, store: Store, heartbeat_interval_s: float, on_change: Callable[[str, Row], None]
+        self,
+        store: Store,
+        heartbeat_interval_s: float,
+        on_change: Callable[[str, HeartbeatRecord | None], None],
     ) -> None:
         """Start without any machine; `on_change(key, row)` takes each row that this disk should hold."""
         self.store, self.on_change = store, on_change
@@ -75,7 +77,7 @@
             self.last_seen_at.pop(machine_id, None)
         if state == GONE:
             self.store.drop(HEARTBEAT_PREFIX + machine_id)
-        self.on_change(machine_id, [self.store.stamp(MACHINE_PREFIX + machine_id), value])
+        self.on_change(machine_id, HeartbeatRecord(self.store.stamp(MACHINE_PREFIX + machine_id), value))
 
     def merge_departed(self, key: str, bucket: str) -> None:
         """Take note of a bucket of names of machines that left, which has come to the store.
@@ -83,20 +85,20 @@
         Machines of these names that late copies of their heartbeats brought back meanwhile leave once more,
         so that whoever has received the copies learns of that too.
         """
-        self.on_change(DEPARTED_ROW_PREFIX + key, [self.store.stamp(key), bucket])
+        self.on_change(DEPARTED_ROW_PREFIX + key, HeartbeatRecord(self.store.stamp(key), bucket))
         names = departed.decode(bucket)
         for stored_key, value in self.store.under(MACHINE_PREFIX):
             machine_id = stored_key.removeprefix(MACHINE_PREFIX)
             if value["state"] != GONE and departed.hashed(machine_id) in names:
                 self.record_departure(machine_id)
 
-    def restore(self, rows: Iterable[tuple[str, list[int], StoredMachine | str]]) -> None:
-        """Take over the rows (key, stamp, value) that this disk held at the start.
+    def restore(self, rows: Mapping[str, HeartbeatRecord]) -> None:
+        """Take over the rows that this disk held at the start.
 
         Any newer record wins, and a machine that sends no heartbeat is found silent as usual.
         """
         records = []
-        for key, stamp, value in rows:
+        for key, (stamp, value) in rows.items():
             if isinstance(value, str):  # a bucket of names, which must be known before any record is
                 self.store.put(key.removeprefix(DEPARTED_ROW_PREFIX), stamp, value)
             else:
--- a/honeywood/gateway/controller/peer_polling.py
+++ b/honeywood/gateway/controller/peer_polling.py
@@ -22,7 +22,7 @@
     from honeywood.gateway.configuration.settings import Settings
     from honeywood.gateway.controller.contacts import Contacts
     from honeywood.gateway.dissemination.publisher import Publisher
-    from honeywood.gateway.register.membership import DiskState
+    from honeywood.gateway.register.replacement import DiskState
     from honeywood.gateway.rpc.client import Caller
 
 LONG_POLL_S = 0.5  # seconds that another controller holds a poll while nothing is new
--- a/honeywood/gateway/controller/poll_service.py
+++ b/honeywood/gateway/controller/poll_service.py
@@ -18,7 +18,7 @@
     from honeywood.gateway.controller.replication import Replication
     from honeywood.gateway.dissemination.messages import Answer, Ask, Asker
     from honeywood.gateway.dissemination.publisher import Publisher
-    from honeywood.gateway.register.membership import DiskState
+    from honeywood.gateway.register.replacement import DiskState
 
 
 class PollService:
--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -29,9 +29,10 @@
 from honeywood.gateway.dissemination.local import LocalRecords
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.program import COUNTS_INTERVAL_S, Program
-from honeywood.gateway.register.disk import Disk
-from honeywood.gateway.register.paging import PagedCaller, PagedResponder
-from honeywood.gateway.register.replica import Register
+from honeywood.gateway.register.paged_caller import PagedCaller
+from honeywood.gateway.register.paged_responder import PagedResponder
+from honeywood.gateway.register.register import Register
+from honeywood.gateway.register.row_store import RowStore
 from honeywood.gateway.rpc.server import HttpServer
 
 TYPE_CHECKING = False
@@ -43,7 +44,8 @@
     from honeywood.gateway.dissemination.messages import Asker
     from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.metrics import Metrics
-    from honeywood.gateway.register.membership import DiskState
+    from honeywood.gateway.register.persistent_state import Store
+    from honeywood.gateway.register.replacement import DiskState
     from honeywood.gateway.rpc.client import Caller
 
 # Seconds between two runs of periodic tasks.
@@ -66,7 +68,7 @@
         wall_clock: Callable[[], float] = time.time,
         *,
         random: Random | None = None,
-        disk: Callable[[str], Disk] = Disk,
+        disk: Callable[[str], Store] = RowStore,
         log: EventLog | None = None,
     ) -> None:
         """Make the parts; `disk` opens a folder, the others are those of Program."""
@@ -96,7 +98,11 @@
         """Make what deals with other controllers."""
         settings, clock = self.settings, self.clock
         self.contacts = Contacts(
-            settings.ip, self.store.life, clock(), settings.tolerated_failures, lambda: self.register.members
+            settings.ip,
+            self.store.life,
+            clock(),
+            settings.tolerated_failures,
+            lambda: self.register.membership.members,
         )
         self.peers = PeerPolling(
             settings,
@@ -226,12 +232,14 @@
             published = {
                 key.removeprefix(CONTROLLER_PREFIX) for key, _ in self.store.under(CONTROLLER_PREFIX)
             }
-            self.peers.forget_others(published | {*self.register.members} | self.contacts.observers(now))
+            self.peers.forget_others(
+                published | {*self.register.membership.members} | self.contacts.observers(now)
+            )
 
     async def run(self) -> None:
         """Serve until the program is stopped."""
         settings = self.settings
-        await self.register.open()
+        await self.register.manager.open()
         server = HttpServer(self.app)
         await server.open([settings.listen.ctl, (settings.ip, settings.controller_port)])
         await self.metrics_endpoint.open(server)
@@ -244,7 +252,7 @@
     def begin(self) -> None:
         """Publish what this controller knows of itself and from its disk, and start the periodic tasks."""
         self.local_records.tell(f"{CONTROLLER_PREFIX}{self.settings.ip}", self.settings.node)
-        self.machines.restore(self.register.notes)
+        self.machines.restore(self.register.state.heartbeats)
         self.peers.start()
         self.periodic_tasks.start(self.membership.synchronize, SYNCHRONIZE_INTERVAL_S)
         self.periodic_tasks.start(self.membership.publish_register, PUBLISH_REGISTER_INTERVAL_S)
--- a/honeywood/gateway/controller/register_access.py
+++ b/honeywood/gateway/controller/register_access.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from honeywood.gateway.errors import Unavailable
+from honeywood.gateway.register.errors import RegisterUnavailable
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -14,7 +15,7 @@
     from typing import Any
 
     from honeywood.gateway.controller.register_publication import RegisterPublication
-    from honeywood.gateway.register.replica import Register
+    from honeywood.gateway.register.register import Register
 
     StoredValue = dict[str, Any]  # a JSON object; its codec is beside the type that it encodes
     Update = Callable[[StoredValue | None], StoredValue | None]
@@ -29,16 +30,18 @@
 
     async def read(self, operation: str, key: str, peer: str) -> StoredValue | None:
         """Return the value under `key`, or None; raises Unavailable without a majority."""
-        found = await self.register.read(key)
-        if not found.ok:
-            raise Unavailable(operation, found.why, peer)
-        self.publication.publish(key, found.value)
-        return found.value
+        try:
+            value: StoredValue | None = await self.register.read(key)
+        except RegisterUnavailable as error:
+            raise Unavailable(operation, error.reason, peer) from None
+        self.publication.publish(key, value)
+        return value
 
     async def change(self, operation: str, key: str, update: Update, peer: str) -> StoredValue:
         """Return the value under `key` after `update`; raises Unavailable without a majority."""
-        found = await self.register.change(key, update)
-        if not found.ok:
-            raise Unavailable(operation, found.why, peer)
-        self.publication.publish(key, found.value)
-        return found.value
+        try:
+            value: StoredValue = await self.register.change(key, update)
+        except RegisterUnavailable as error:
+            raise Unavailable(operation, error.reason, peer) from None
+        self.publication.publish(key, value)
+        return value
--- a/honeywood/gateway/controller/rollout_steering.py
+++ b/honeywood/gateway/controller/rollout_steering.py
@@ -6,6 +6,7 @@
 
 from honeywood.gateway.controller.record_keys import ROLLOUT_PREFIX
 from honeywood.gateway.dissemination.rendezvous import order
+from honeywood.gateway.register.errors import RegisterUnavailable
 from honeywood.gateway.rollout import record, transitions
 from honeywood.gateway.rollout.evaluator import RolloutEvaluator
 
@@ -18,7 +19,7 @@
     from honeywood.gateway.controller.rollout_evidence import RolloutEvidence
     from honeywood.gateway.dissemination.store import Store
     from honeywood.gateway.event_log import EventLog
-    from honeywood.gateway.register.replica import Register
+    from honeywood.gateway.register.register import Register
     from honeywood.gateway.rollout.evaluator import RolloutChange
     from honeywood.gateway.rollout.record import Rollout
 
@@ -76,7 +77,7 @@
 
     async def _still_holds_after_stagger(self, rollout: Rollout, key: str, value: object) -> bool:
         """Wait as long as this controller's rank says; return whether the decision still holds then."""
-        ranked = order({*self.register.members, self.local_ip}, rollout.service)
+        ranked = order({*self.register.membership.members, self.local_ip}, rollout.service)
         wait_s, decided_at = ranked.index(self.local_ip) * STAGGER_S, self.clock()
         await asyncio.sleep(wait_s)
         now = self.clock()
@@ -92,9 +93,10 @@
                 held, rollout.version, rollout.revision, known_s, change.state, change.stage
             )
 
-        found = await self.register.change(key, lambda value: transitions.update_stored(value, advance))
-        if not found.ok:
+        try:
+            value = await self.register.change(key, lambda stored: transitions.update_stored(stored, advance))
+        except RegisterUnavailable:
             return
-        self.publication.publish(key, found.value)
+        self.publication.publish(key, value)
         changed = {name: getattr(change, name) for name in ("state", "stage") if getattr(change, name)}
         self.log.info("rollout", svc=rollout.service, to_ver=rollout.version, why=change.reason, **changed)
--- a/honeywood/gateway/controller/status.py
+++ b/honeywood/gateway/controller/status.py
@@ -32,10 +32,10 @@
             told=dict(one.publisher.told),
             called=dict(one.caller.bytes_by_path),
             joined=one.in_quorum,
-            sound=one.register.sound,
+            sound=one.register.membership.intact,
             disk=one.membership.disk.value,
-            epoch=one.register.epoch,
-            counts=one.register.counts,
+            epoch=one.register.membership.epoch,
+            counts=one.register.membership.is_voter,
             refused=one.app.refused.total(),
             **one.app.refused,
         )
@@ -45,8 +45,8 @@
         one = self.controller
         gauges = {
             "in_quorum": one.in_quorum,
-            "register_synced": one.register.sound,
-            "epoch": one.register.epoch,
+            "register_synced": one.register.membership.intact,
+            "epoch": one.register.membership.epoch,
             "config_version": one.publication.configuration_version or 0,
             "proxies": len(one.fleet.proxies),
         }
--- a/honeywood/lab/emulator/world.py
+++ b/honeywood/lab/emulator/world.py
@@ -76,8 +76,10 @@
         program = self._program(name)
         self.lives[name] = self.lives.get(name, 0) + 1
         if name in self.controllers:
-            self.loop.trouble[program.register.thread] = self.loop.trouble.pop(self.executors.get(name), 1.0)
-            self.executors[name] = program.register.thread
+            self.loop.trouble[program.register.state.executor] = self.loop.trouble.pop(
+                self.executors.get(name), 1.0
+            )
+            self.executors[name] = program.register.state.executor
         process = self.processes[name] = Process(self.loop, name)
         process.hold(self.held.get(name, 1.0))
         process.run(self._begin(name, program, self.lives[name]))
@@ -107,7 +109,7 @@
 
     async def _begin(self, name, program, life):
         if name in self.controllers:
-            await program.register.open()
+            await program.register.manager.open()
         if self.lives[name] == life:  # not killed meanwhile
             self.nodes[name] = program
             program.begin()
