--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -137,9 +137,7 @@
             admission,
         )
         response = await self.proxy.forwarder.forward(route, request)
-        if (
-            response.remainder is not None and route.idempotent
-        ):  # it may wait long for its turn to be passed on
+        if response.remainder is not None and route.idempotent:  # it may wait long for its turn
             context.disconnect.subscribe(response.remainder.abandon)
         return response
 
--- a/honeywood/gateway/register/paged_caller.py
+++ b/honeywood/gateway/register/paged_caller.py
@@ -12,7 +12,7 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from collections.abc import Hashable, Mapping
+    from collections.abc import Hashable
 
     from honeywood.gateway.register.json_value import JsonValue
     from honeywood.gateway.rpc.client import Caller
@@ -41,10 +41,10 @@
         ip: str,
         port: int,
         path: str,
-        body: Mapping[str, JsonValue],
+        body: dict[str, JsonValue],
         timeout_s: float,
         idempotent: bool = False,
-    ) -> Mapping[str, JsonValue]:
+    ) -> dict[str, JsonValue]:
         """Return the complete answer's object; raise GatewayError where there is none."""
         step = body.get("step")
         if step not in PAGED_STEPS:
@@ -63,10 +63,10 @@
         ip: str,
         port: int,
         path: str,
-        body: Mapping[str, JsonValue],
+        body: dict[str, JsonValue],
         timeout_s: float,
         idempotent: bool,
-    ) -> Mapping[str, JsonValue]:
+    ) -> dict[str, JsonValue]:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + max(ANSWER_TIMEOUT_S, timeout_s)
         while (remaining_s := deadline - loop.time()) > 0:
--- a/honeywood/gateway/register/register.py
+++ b/honeywood/gateway/register/register.py
@@ -65,7 +65,7 @@
             settings, log, self.state, self.membership, peers, self.proposer, transfer
         )
 
-    async def serve(self, body: Mapping[str, JsonValue], peer: str) -> dict[str, JsonValue]:
+    async def serve(self, body: dict[str, JsonValue], peer: str) -> dict[str, JsonValue]:
         """Return the answer to another controller's request, both as JSON objects.
 
         Raises InvalidMessage where the request can't be read, DiskUnavailable where the disk can't be used.
--- a/honeywood/lab/model/epochs.py
+++ b/honeywood/lab/model/epochs.py
@@ -3,8 +3,7 @@
 from dataclasses import replace
 from itertools import combinations
 
-from honeywood.gateway.register import acceptor
-from honeywood.gateway.register import membership_rules
+from honeywood.gateway.register import acceptor, membership_rules
 from honeywood.gateway.register.incarnations import (
     FIRST_INCARNATION,
     merge_incarnations,
