--- a/tests/gateway/controller/test_contacts.py
+++ b/tests/gateway/controller/test_contacts.py
@@ -1,5 +1,8 @@
-"""What shows that another controller is in contact."""
+"""What shows that another controller is in contact, and who is in quorum by that."""
 
+import asyncio
+
+from timeline import World
 from ward import test
 
 from honeywood.gateway.controller.contacts import Contacts
@@ -15,6 +18,34 @@
     contacts.record_request("b", 3.1, second, 9, DiskState.WORKS)
     contacts.record_request("b", 8.0, first, 4, DiskState.WORKS)
     contacts.record_request("b", 8.0, second, 9, DiskState.WORKS)
-    contacts.record_request("b", 8.0, ["a0", 7.0], 99, DiskState.WORKS)  # of an earlier life of this controller
+    earlier_incarnation = ["a0", 7.0]
+    contacts.record_request("b", 8.0, earlier_incarnation, 99, DiskState.WORKS)
     assert contacts.peer_states()["b"].contact_at == 3.0 and not contacts.is_replicated(10)
     assert contacts.observers(5.9) == {"a", "b"} and contacts.observers(6.1) == {"a"}
+
+
+@test("of two sides of a cut one at most is in quorum, however many controllers there are besides members")
+def _():
+    # Any one other controller was enough: each side took the machines that beat at the other one for lost.
+    world = World("abcd", fronts="f")
+
+    async def beats():
+        for seq in range(9):
+            for name in "bc":
+                body = {"svc": "s", "addr": f"10.0.0.{ord(name)}:1", "state": "ready", "seq": seq}
+                world.loop.create_task(world.ask(name, "instances.heartbeat", f"m{name}", body))
+            await asyncio.sleep(1.5)
+
+    try:
+        for name in "abcdf":
+            world.start(name)
+        world.run(2.0)
+        world.loop.create_task(beats())
+        world.run(4.0)
+        for name in "ad":
+            world.cut(name, "bc")
+        world.run(12.0)
+        assert [world.nodes[name].in_quorum for name in "abcd"] == [False, True, True, False]
+        assert [world.state("f", f"m{name}") for name in "bc"] == ["ready", "ready"]
+    finally:
+        world.close()
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/controller/test_operator_calls.py
@@ -19,7 +19,7 @@
 CONTENTS = {"x": 1, "y": 2, "z": 3}  # contents under one number, by their routes
 
 
-class Desk(World):
+class OperatorWorld(World):
     """Words for operators: `send 7x` a configuration, `order v2 14`, `read` it, `state` of the rollout; `says
     WORD STATUS` looks at the answer to the last call of that word at the column's controller (0: none)."""
 
@@ -63,7 +63,7 @@
 
 
 def played(chart, **more):
-    world = Desk(**more)
+    world = OperatorWorld(**more)
     try:
         return world.play(chart)
     finally:
@@ -117,7 +117,7 @@
 @test("a service brought in by a version that this controller has not heard of is known all the same")
 def _():
     # 400 ends an operator's call for good; it was told from this controller's store alone.
-    world = Desk()
+    world = OperatorWorld()
     try:
         world.play("""
           at   | a       | b     | c
@@ -144,7 +144,7 @@
 
 @test("restarted while cut off, a controller refuses nothing for good and confirms nothing")
 def _():
-    world = Desk()
+    world = OperatorWorld()
     try:
         world.play("""
           at  | a       | b     | c
@@ -187,7 +187,7 @@
 @test("cut between prepare and accept, {share} of it done: no clear answer, and one content in the end")
 def _(share=each(0.3, 1.3, 2.3, 3.3)):
     # The delay is 50 to 100 ms a way, so that the cut falls into the round after `share` of its ways.
-    world = Desk()
+    world = OperatorWorld()
     try:
         world.play("""
           at   | a       | b     | c
@@ -220,7 +220,7 @@
 @test("one order eight at once at all controllers, answers lost: acknowledged or no clear answer, never 4xx")
 def _(order=each("send 7x", "order v2 14"), word=each("7x", "v2")):
     for seed in range(6):
-        world = Desk(seed=seed)
+        world = OperatorWorld(seed=seed)
         try:
             world.play("""
               at   | a       | b     | c
@@ -248,7 +248,7 @@
 @test("an order that lay unread while its controller stood still begins nothing; the next one is taken")
 def _():
     # Its operator had gone on: what a thawed controller finds in its sockets may be twenty seconds old.
-    world = Desk()
+    world = OperatorWorld()
     try:
         world.play("""
           at  | a       | b     | c
@@ -310,7 +310,7 @@
     when=each("before", "before", "right after it", "before"),
 ):
     # Held up in a cut for longer than `ack_s` + 1 s, a copy began a version anew that had been sent back.
-    world = Desk()
+    world = OperatorWorld()
     try:
         world.play("""
           at   | a           | b     | c
@@ -334,7 +334,7 @@
         world.close()
 
 
-def heard_of(world, name, id, ver):
+def send_heartbeat(world, name, id, ver):
     """A machine of a version beats at one controller."""
     body = {"svc": "s", "addr": "10.0.0.1:1", "zone": "z", "ver": ver, "slots": 4}
     world.call(name, id, "instances.heartbeat", id, {**body, "state": "ready", "cold_left_s": 0, "seq": 1})
@@ -344,14 +344,14 @@
 def _():
     # It went on trial: the service's only machines were then given a tenth of its requests, the rest had
     # nowhere to go.
-    world = Desk(fronts="f")
+    world = OperatorWorld(fronts="f")
     try:
         world.play("""
           at   | a           | b     | c     | f
           0    | start       | start | start | start
           1    | send 5x     |       |       |
         """)
-        heard_of(world, "a", "m", "v1")
+        send_heartbeat(world, "a", "m", "v1")
         world.run(2.0)
         world.play("""
           at   | a           | b
@@ -373,7 +373,7 @@
     state=each("active", "", "active"),
 ):
     # An operator stops all other machines at `done`: one controller's old view must not say so.
-    world = Desk()
+    world = OperatorWorld()
     try:
         world.play("""
           at   | a           | b     | c
@@ -381,11 +381,11 @@
           1    | send 5x     |       |
         """)
         if what != "no machines":
-            heard_of(world, "a", "m", "v1")
+            send_heartbeat(world, "a", "m", "v1")
         world.run(3.0)
         world.cut("a", "bc")
         if what == "a version known to others alone":
-            heard_of(world, "b", "n", "v2")
+            send_heartbeat(world, "b", "n", "v2")
             world.run(5.0)
         if what != "too few others to ask":
             world.join()
@@ -402,7 +402,7 @@
 @test("an order whose rounds take longer than its operator waits begins nothing")
 def _():
     for seed in range(4):
-        world = Desk(seed=seed)
+        world = OperatorWorld(seed=seed)
         try:
             world.play("""
               at  | a       | b     | c
@@ -441,7 +441,7 @@
 
 @test("thirty times as slow, a controller answers by what holds now, by 503, or not in time")
 def _():
-    world, told = Desk(), []
+    world, told = OperatorWorld(), []
     try:
         world.play("""
           at   | a                      | b     | c
@@ -469,7 +469,7 @@
 @test("an answer left unread shows no contact: thawed, neither controller nor front takes itself for joined")
 def _():
     # What was asked before a freeze of twenty seconds was answered then; read now, it made a lease of 1.6 s.
-    world = Desk(fronts="f")
+    world = OperatorWorld(fronts="f")
     try:
         for name in "abcf":
             world.start(name)
@@ -495,7 +495,7 @@
 @test("a front started beside a cut-off controller serves its configuration and is ready after contact_s")
 def _():
     # It took the old configuration of a controller cut off from the others and called itself ready by it.
-    world = Desk(fronts="fg", bounds={**BOUNDS, "contact_s": 3.0})
+    world = OperatorWorld(fronts="fg", bounds={**BOUNDS, "contact_s": 3.0})
     try:
         for name in "abcf":
             world.start(name)
@@ -521,7 +521,7 @@
         world.close()
 
 
-async def by_board(self, operation, key, peer):
+async def read_local_store(self, operation, key, peer):
     """The mutation: reads from this controller's own store."""
     value = self.publication.store.get(key)
     if key != "config" or value is None:
@@ -532,7 +532,7 @@
 
 @test("without the read of a majority {call} is answered from what a cut-off controller last heard")
 def _(call=each("state", "read", "send 5x"), word=each("state", "read", "5x")):
-    guarded, RegisterAccess.read = RegisterAccess.read, by_board
+    guarded, RegisterAccess.read = RegisterAccess.read, read_local_store
     try:
         played(CUT_OFF.format(call=call, word=word, joined=200))
     except AssertionError as wrong:
