--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -9,7 +9,7 @@
 from honeywood.gateway.configuration.check import read_json
 from honeywood.gateway.configuration.model import Limits
 from honeywood.gateway.controller.call import Call, CallName
-from honeywood.gateway.dissemination.messages import Ask
+from honeywood.gateway.dissemination.messages import PollRequest
 from honeywood.gateway.dissemination.record import PATH as POLL_PATH
 from honeywood.gateway.errors import GatewayError, NotFound, PayloadTooLarge
 from honeywood.gateway.register.message_fields import PATH as REGISTER_PATH
@@ -113,9 +113,8 @@
 
     async def poll(self, call: Call) -> Answer:
         """Answer another program's poll of the store."""
-        ask = Ask.decode(read_json(call.body, POLL_PATH, call.peer), call.peer)
-        answer: Answer = (await self.polls.answer(ask, call.has_left)).encode()
-        return answer
+        request = PollRequest.decode(read_json(call.body, POLL_PATH, call.peer), call.peer)
+        return (await self.polls.answer(request, call.has_left)).encode()
 
     async def register_step(self, call: Call) -> Answer:
         """Answer another controller's step of the register's protocol."""
--- a/honeywood/gateway/controller/configuration_orders.py
+++ b/honeywood/gateway/controller/configuration_orders.py
@@ -7,7 +7,7 @@
 from honeywood.gateway.configuration import packing, record
 from honeywood.gateway.configuration.record import OrderOutcome
 from honeywood.gateway.controller.call import CallName
-from honeywood.gateway.controller.record_keys import CONFIGURATION_KEY
+from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.errors import NotFound, VersionConflict
 
 TYPE_CHECKING = False
@@ -64,7 +64,7 @@
 
     async def _current(self, operation: str, peer: str) -> ConfigurationRecord | None:
         """Return the record that a majority holds."""
-        value = await self.register.read(operation, CONFIGURATION_KEY, peer)
+        value = await self.register.read(operation, RecordKind.CONFIGURATION, peer)
         return None if value is None else record.decode(value)
 
     async def _order(self, version: int, raw: bytes, digest: str, peer: str) -> ConfigurationRecord:
@@ -75,4 +75,4 @@
             return record.update_stored(stored, version, text, digest)
 
         operation = CallName.REPLACE_CONFIGURATION
-        return record.decode(await self.register.change(operation, CONFIGURATION_KEY, update, peer))
+        return record.decode(await self.register.change(operation, RecordKind.CONFIGURATION, update, peer))
--- a/honeywood/gateway/controller/count_retention.py
+++ b/honeywood/gateway/controller/count_retention.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from honeywood.gateway.controller.record_keys import COUNT_PREFIX, ROLLOUT_PREFIX
+from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.rollout.record import RolloutState
 
 TYPE_CHECKING = False
@@ -17,10 +17,10 @@
     The revisions of a rollout and of its order only rise: counts that are not needed any more never are
     again.
     """
-    if not key.startswith(COUNT_PREFIX):
+    if not key.startswith(RecordKind.PROXY_COUNTS.prefix):
         return False
     return any(
-        _is_needed_by(store.get(ROLLOUT_PREFIX + service), revision)
+        _is_needed_by(store.get(RecordKind.ROLLOUT.key(service)), revision)
         for service, (revision, _) in value["known"].items()
     )
 
--- a/honeywood/gateway/controller/heartbeat.py
+++ b/honeywood/gateway/controller/heartbeat.py
@@ -14,7 +14,7 @@
     DEPARTED_SEQUENCE,
     IN_SERVICE,
     MachineRecord,
-    MachineStamp,
+    heartbeat_stamp,
 )
 from honeywood.gateway.errors import InvalidInput
 
@@ -22,6 +22,8 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
+    from honeywood.gateway.dissemination.record import Stamp
+
 OPERATION = "instances.heartbeat"
 SEQUENCE_MAX = DEPARTED_SEQUENCE - 1
 SLOTS_MAX = 1 << 20
@@ -33,7 +35,7 @@
 class Heartbeat:
     """What a machine reports of itself."""
 
-    stamp: MachineStamp
+    stamp: Stamp
     record: MachineRecord
 
 
@@ -63,4 +65,4 @@
         slots=need(body, "slots", int, OPERATION, 1, least=1, most=SLOTS_MAX, peer=peer),
         warmup_left_s=max(0.0, need(body, "cold_left_s", float, OPERATION, 0.0, peer=peer)),
     )
-    return Heartbeat(MachineStamp(sequence), record)
+    return Heartbeat(heartbeat_stamp(sequence), record)
--- a/honeywood/gateway/controller/machine_record.py
+++ b/honeywood/gateway/controller/machine_record.py
@@ -1,5 +1,8 @@
 """What is known of one service machine: the record that controllers publish and keep on disk, and its stamp.
 
+A record's stamp are two numbers: that of the heartbeat it came with, and 1 where the machine was silent for
+too long after that heartbeat, else 0.
+
 The stored form is the JSON object {"svc", "ip", "port", "zone", "ver", "slots", "state", "cold"}; of a
 machine that has left only "state" remains.
 """
@@ -7,8 +10,8 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
-from typing import NamedTuple
 
+from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.routing.endpoints import DRAINING, GONE, LOST, READY
 
 TYPE_CHECKING = False
@@ -28,22 +31,19 @@
         cold: float
 
 
-MACHINE_PREFIX = "machine/"  # of the keys of machines' records
-HEARTBEAT_PREFIX = "beat/"  # of the keys of records that carry the stamp of the latest heartbeat alone
 IN_SERVICE = (READY, DRAINING)  # states of machines that serve requests
 OUT_OF_SERVICE = (GONE, LOST)
 DEPARTED_SEQUENCE = 1 << 53  # above the number of any heartbeat: a machine that has left does not come back
 
 
-class MachineStamp(NamedTuple):
-    """Orders the records of one machine; the higher wins."""
+def heartbeat_stamp(sequence: int) -> Stamp:
+    """Return the stamp of what came with a heartbeat."""
+    return Stamp.of(sequence, 0)
 
-    sequence: int  # number of the heartbeat that the record came with
-    lost: int = 0  # 1 where the machine was silent for too long after that heartbeat
 
-    def encode(self) -> list[int]:
-        """Return the stamp as it stands in the store and in messages."""
-        return list(self)
+def lost_stamp(sequence: int) -> Stamp:
+    """Return the stamp of a record that says that no heartbeat followed this one in time."""
+    return Stamp.of(sequence, 1)
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,4 +98,4 @@
 
 
 DEPARTED = MachineRecord(GONE)
-DEPARTED_STAMP = MachineStamp(DEPARTED_SEQUENCE)
+DEPARTED_STAMP = heartbeat_stamp(DEPARTED_SEQUENCE)
--- a/honeywood/gateway/controller/machine_table.py
+++ b/honeywood/gateway/controller/machine_table.py
@@ -12,14 +12,14 @@
 from honeywood.gateway.controller.machine_record import (
     DEPARTED,
     DEPARTED_STAMP,
-    HEARTBEAT_PREFIX,
-    MACHINE_PREFIX,
     OUT_OF_SERVICE,
     MachineRecord,
-    MachineStamp,
+    lost_stamp,
 )
-from honeywood.gateway.dissemination import departed
-from honeywood.gateway.dissemination.history import History
+from honeywood.gateway.dissemination import tombstones
+from honeywood.gateway.dissemination.keys import RecordKind, name_of
+from honeywood.gateway.dissemination.record import Stamp
+from honeywood.gateway.dissemination.retired_machines import RetiredMachines
 from honeywood.gateway.register.state_update import HeartbeatRecord
 from honeywood.gateway.routing.endpoints import GONE, LOST
 
@@ -48,7 +48,7 @@
         self.store, self.on_change = store, on_change
         self.timeout_s = MISSED_HEARTBEATS * heartbeat_interval_s
         self.last_seen_at: dict[str, float] = {}
-        self.history = History(store)
+        self.retired = RetiredMachines(store)
 
     def record_heartbeat(self, now: float, machine_id: str, heartbeat: Heartbeat) -> None:
         """Take a heartbeat; one of a machine that has left changes nothing."""
@@ -56,10 +56,10 @@
         if known is not None and known.state == GONE:
             return
         self.record_alive(now, machine_id)
-        stamp, record = heartbeat.stamp.encode(), heartbeat.record
-        self.store.put(HEARTBEAT_PREFIX + machine_id, stamp, None)
+        stamp, record = heartbeat.stamp, heartbeat.record
+        self.store.put(RecordKind.HEARTBEAT.key(machine_id), stamp, None)
         if known is None or known.differs_from(record):
-            self.store.put(MACHINE_PREFIX + machine_id, stamp, record.encode())
+            self.store.put(RecordKind.MACHINE.key(machine_id), stamp, record.encode())
 
     def record_alive(self, now: float, machine_id: str) -> None:
         """Take note of a heartbeat that has arrived here or at another controller."""
@@ -67,17 +67,17 @@
 
     def record_departure(self, machine_id: str) -> None:
         """Publish that a machine has left for good, also one that is not known here: others may know it."""
-        self.store.put(MACHINE_PREFIX + machine_id, DEPARTED_STAMP.encode(), DEPARTED.encode())
+        self.store.put(RecordKind.MACHINE.key(machine_id), DEPARTED_STAMP, DEPARTED.encode())
 
     def merge_record(self, now: float, machine_id: str, value: StoredMachine) -> None:
         """Take note of a machine's record that has come to the store, from here or from others."""
         state = value["state"]
-        self.history.hear(now, machine_id, state)
+        self.retired.observe(now, machine_id, state)
         if state in OUT_OF_SERVICE:
             self.last_seen_at.pop(machine_id, None)
         if state == GONE:
-            self.store.drop(HEARTBEAT_PREFIX + machine_id)
-        self.on_change(machine_id, HeartbeatRecord(self.store.stamp(MACHINE_PREFIX + machine_id), value))
+            self.store.drop(RecordKind.HEARTBEAT.key(machine_id))
+        self.on_change(machine_id, HeartbeatRecord(self._stamp(RecordKind.MACHINE.key(machine_id)), value))
 
     def merge_departed(self, key: str, bucket: str) -> None:
         """Take note of a bucket of names of machines that left, which has come to the store.
@@ -85,11 +85,11 @@
         Machines of these names that late copies of their heartbeats brought back meanwhile leave once more,
         so that whoever has received the copies learns of that too.
         """
-        self.on_change(DEPARTED_ROW_PREFIX + key, HeartbeatRecord(self.store.stamp(key), bucket))
-        names = departed.decode(bucket)
-        for stored_key, value in self.store.under(MACHINE_PREFIX):
-            machine_id = stored_key.removeprefix(MACHINE_PREFIX)
-            if value["state"] != GONE and departed.hashed(machine_id) in names:
+        self.on_change(DEPARTED_ROW_PREFIX + key, HeartbeatRecord(self._stamp(key), bucket))
+        names = tombstones.decode(bucket)
+        for stored_key, value in self.store.items_of(RecordKind.MACHINE):
+            machine_id = name_of(stored_key)
+            if value["state"] != GONE and tombstones.machine_hash(machine_id) in names:
                 self.record_departure(machine_id)
 
     def restore(self, rows: Mapping[str, HeartbeatRecord]) -> None:
@@ -100,15 +100,17 @@
         records = []
         for key, (stamp, value) in rows.items():
             if isinstance(value, str):  # a bucket of names, which must be known before any record is
-                self.store.put(key.removeprefix(DEPARTED_ROW_PREFIX), stamp, value)
+                self.store.put(key.removeprefix(DEPARTED_ROW_PREFIX), Stamp(stamp), value)
             else:
-                records.append((key, stamp, MachineRecord.decode(value)))
+                records.append((key, Stamp(stamp), MachineRecord.decode(value)))
         for machine_id, stamp, record in records:
-            self.store.put(MACHINE_PREFIX + machine_id, stamp, replace(record, warmup_left_s=0.0).encode())
+            self.store.put(
+                RecordKind.MACHINE.key(machine_id), stamp, replace(record, warmup_left_s=0.0).encode()
+            )
 
     def expire(self, now: float) -> None:
         """Mark machines that have been silent for long as lost, and forget what ended long ago."""
-        for machine_id in self.history.look(now):
+        for machine_id in self.retired.evict(now):
             self.on_change(machine_id, None)
         known = dict(self._known())
         self._forget_unknown(known)
@@ -121,25 +123,31 @@
         """Drop heartbeats of machines without a record."""
         for machine_id in self.last_seen_at.keys() - known:
             del self.last_seen_at[machine_id]
-        for key, _ in self.store.under(HEARTBEAT_PREFIX):
-            if key.removeprefix(HEARTBEAT_PREFIX) not in known:
+        for key, _ in self.store.items_of(RecordKind.HEARTBEAT):
+            if name_of(key) not in known:
                 self.store.drop(key)
 
     def _mark_lost(self, machine_id: str, record: MachineRecord) -> None:
         """Publish that a machine is silent, below its next heartbeat, which makes it known again."""
-        heartbeat_stamp = self.store.stamp(HEARTBEAT_PREFIX + machine_id)
-        record_stamp = self.store.stamp(MACHINE_PREFIX + machine_id)
+        heartbeat_stamp = self.store.stamp(RecordKind.HEARTBEAT.key(machine_id))
+        record_stamp = self.store.stamp(RecordKind.MACHINE.key(machine_id))
         latest = max(record_stamp[0], heartbeat_stamp[0] if heartbeat_stamp else 0)
-        stamp = MachineStamp(latest, lost=1)
-        self.store.put(MACHINE_PREFIX + machine_id, stamp.encode(), replace(record, state=LOST).encode())
+        self.store.put(
+            RecordKind.MACHINE.key(machine_id), lost_stamp(latest), replace(record, state=LOST).encode()
+        )
+
+    def _stamp(self, key: str) -> list[int]:
+        """Return the stamp of a record that the store holds, as it is stored on disk."""
+        stamp = self.store.stamp(key)
+        return [] if stamp is None else stamp.encode()
 
     def _get(self, machine_id: str) -> MachineRecord | None:
-        value = self.store.get(MACHINE_PREFIX + machine_id)
+        value = self.store.get(RecordKind.MACHINE.key(machine_id))
         return None if value is None else MachineRecord.decode(value)
 
     def _known(self) -> list[tuple[str, MachineRecord]]:
         """Return all machines by id with their records."""
         return [
-            (key.removeprefix(MACHINE_PREFIX), MachineRecord.decode(value))
-            for key, value in self.store.under(MACHINE_PREFIX)
+            (name_of(key), MachineRecord.decode(value))
+            for key, value in self.store.items_of(RecordKind.MACHINE)
         ]
--- a/honeywood/gateway/controller/peer_polling.py
+++ b/honeywood/gateway/controller/peer_polling.py
@@ -10,7 +10,8 @@
 
 from honeywood.gateway.controller.contacts import decode_disk_state
 from honeywood.gateway.dissemination.backoff import Backoff
-from honeywood.gateway.dissemination.messages import Asker
+from honeywood.gateway.dissemination.chunks import ChunkAssembler
+from honeywood.gateway.dissemination.messages import Requester
 from honeywood.gateway.dissemination.subscriber import Subscriber
 from honeywood.gateway.errors import CallFailed
 
@@ -51,7 +52,14 @@
         """
         self.settings, self.contacts, self.local_disk = settings, contacts, local_disk
         self.clock, self.start_task = clock, start_task
-        self.subscriber = Subscriber(publisher, caller, self._asker, Backoff(random, BACKOFF_MAX_S))
+        self.subscriber = Subscriber(
+            publisher.store,
+            ChunkAssembler(),
+            caller,
+            self._requester,
+            Backoff(random, BACKOFF_MAX_S),
+            lambda: publisher.max_response_bytes,
+        )
         self.addresses = [ip for ip, _ in settings.seeds]  # of all known controllers, this one's too
         self.polled: set[str] = set()  # the addresses that have a task
 
@@ -67,13 +75,13 @@
             self.subscriber.forget(ip)
             self.contacts.forget(ip)
 
-    def _asker(self) -> Asker:
+    def _requester(self) -> Requester:
         """Return what this controller says of itself in a poll."""
-        return Asker(
+        return Requester(
             self.settings.node,
             self.settings.ip,
-            controller=True,
-            stamps=self.contacts.stamps_to_echo(),
+            is_controller=True,
+            echo_stamps=self.contacts.stamps_to_echo(),
             disk=self.local_disk().value,
         )
 
@@ -100,10 +108,10 @@
             raise asyncio.CancelledError
         sent_at = self.clock()  # its answer may lie unread while this process is stalled
         with suppress(CallFailed):
-            response = await self.subscriber.ask(ip, self.settings.controller_port, LONG_POLL_S)
+            response = await self.subscriber.poll(ip, self.settings.controller_port, LONG_POLL_S)
             disk = decode_disk_state(response.disk)
-            self.contacts.record_response(ip, sent_at, response.whole, response.stamp, disk)
-        backoff_s = self.subscriber.backoff.rest(ip, self.clock())
+            self.contacts.record_response(ip, sent_at, response.is_complete, response.echo_stamp, disk)
+        backoff_s = self.subscriber.backoff.remaining_s(ip, self.clock())
         await asyncio.sleep(min(BACKOFF_MAX_S, backoff_s))
 
     async def poll_all(self) -> bool:
@@ -114,7 +122,7 @@
 
     async def _poll_completely(self, ip: str) -> bool:
         try:
-            response = await self.subscriber.ask(ip, self.settings.controller_port, 0.0)
+            response = await self.subscriber.poll(ip, self.settings.controller_port, 0.0)
         except CallFailed:
             return False
-        return response.whole
+        return response.is_complete
--- a/honeywood/gateway/controller/poll_service.py
+++ b/honeywood/gateway/controller/poll_service.py
@@ -6,7 +6,8 @@
 
 from honeywood.gateway.controller.contacts import decode_disk_state
 from honeywood.gateway.controller.proxy_fleet import ProxyLocation
-from honeywood.gateway.controller.record_keys import COUNT_PREFIX
+from honeywood.gateway.dissemination.keys import RecordKind
+from honeywood.gateway.dissemination.messages import FleetView
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -16,7 +17,7 @@
     from honeywood.gateway.controller.peer_polling import PeerPolling
     from honeywood.gateway.controller.proxy_fleet import ProxyFleet
     from honeywood.gateway.controller.replication import Replication
-    from honeywood.gateway.dissemination.messages import Answer, Ask, Asker
+    from honeywood.gateway.dissemination.messages import PollRequest, PollResponse, Requester
     from honeywood.gateway.dissemination.publisher import Publisher
     from honeywood.gateway.register.replacement import DiskState
 
@@ -40,34 +41,34 @@
         self.peers, self.fleet, self.replication = peers, fleet, replication
         self.local_disk, self.clock = local_disk, clock
 
-    def record_asker(self, asker: Asker, revision: int) -> None:
+    def record_requester(self, requester: Requester, revision: int) -> None:
         """Take note of a program that polls, and holds all changes of this store up to `revision`."""
         now = self.clock()
-        if asker.proxy:
-            self.fleet.record_poll(now, asker.node, ProxyLocation(asker.zone, asker.ip))
-        elif asker.controller:
-            self.peers.discover([asker.ip])
-            stamp, disk = asker.stamps.get(self.local_ip), decode_disk_state(asker.disk)
-            self.contacts.record_request(asker.ip, now, stamp, revision, disk)
+        if requester.is_proxy:
+            location = ProxyLocation(requester.zone, requester.ip)
+            self.fleet.record_poll(now, requester.node, location)
+        elif requester.is_controller:
+            self.peers.discover([requester.ip])
+            stamp, disk = requester.echo_stamps.get(self.local_ip), decode_disk_state(requester.disk)
+            self.contacts.record_request(requester.ip, now, stamp, revision, disk)
             self.replication.notify()
 
-    async def answer(self, ask: Ask, has_left: Callable[[], bool]) -> Answer:
-        """Return the answer to a poll: news of the store, and what depends on who asks."""
-        answer = await self.publisher.serve(ask, has_left)
-        now, asker = self.clock(), ask.who
-        answer = replace(answer, in_quorum=self.contacts.in_quorum(now))
-        if asker.controller:
-            answer = replace(answer, stamp=self.contacts.issue_stamp(now), disk=self.local_disk().value)
-        if asker.proxy:
-            relays = self.fleet.relays_of(asker.node, asker.zone)
-            answer = replace(
-                answer,
-                fleet=(len(self.fleet.proxies), relays),
-                counted=self._received_counts(asker),
-            )
-        return answer
+    async def answer(self, request: PollRequest, has_left: Callable[[], bool]) -> PollResponse:
+        """Return the response to a poll: news of the store, and what depends on who polls."""
+        response = await self.publisher.serve(request, has_left)
+        now, requester = self.clock(), request.requester
+        response = replace(response, in_quorum=self.contacts.in_quorum(now))
+        if requester.is_controller:
+            stamp = self.contacts.issue_stamp(now)
+            response = replace(response, echo_stamp=stamp, disk=self.local_disk().value)
+        if requester.is_proxy:
+            relays = self.fleet.relays_of(requester.node, requester.zone)
+            fleet = FleetView(len(self.fleet.proxies), relays)
+            response = replace(response, fleet=fleet, counts_number=self._received_counts(requester))
+        return response
 
-    def _received_counts(self, asker: Asker) -> int:
+    def _received_counts(self, requester: Requester) -> int:
         """Return up to which number a proxy's counts are known here."""
-        stamp = self.publisher.store.stamp(f"{COUNT_PREFIX}{asker.node}/{asker.life}")
+        key = RecordKind.PROXY_COUNTS.key(requester.node, requester.incarnation)
+        stamp = self.publisher.store.stamp(key)
         return stamp[0] if stamp else 0
--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -14,8 +14,7 @@
 from honeywood.gateway.controller.operations import Operations
 from honeywood.gateway.controller.peer_polling import PeerPolling
 from honeywood.gateway.controller.poll_service import PollService
-from honeywood.gateway.controller.proxy_fleet import FLEET_PREFIX, ProxyFleet
-from honeywood.gateway.controller.record_keys import CONTROLLER_PREFIX
+from honeywood.gateway.controller.proxy_fleet import ProxyFleet
 from honeywood.gateway.controller.record_router import RecordRouter
 from honeywood.gateway.controller.register_access import RegisterAccess
 from honeywood.gateway.controller.register_publication import RegisterPublication
@@ -26,7 +25,8 @@
 from honeywood.gateway.controller.stall_detector import StallDetector
 from honeywood.gateway.controller.status import ControllerStatus
 from honeywood.gateway.dissemination.epochs import EpochClock
-from honeywood.gateway.dissemination.local import LocalRecords
+from honeywood.gateway.dissemination.keys import RecordKind, name_of
+from honeywood.gateway.dissemination.local_records import LocalRecords
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.program import COUNTS_INTERVAL_S, Program
 from honeywood.gateway.register.paged_caller import PagedCaller
@@ -41,7 +41,8 @@
     from random import Random
 
     from honeywood.gateway.configuration.settings import Settings
-    from honeywood.gateway.dissemination.messages import Asker
+    from honeywood.gateway.dissemination.messages import Requester
+    from honeywood.gateway.dissemination.record import JsonValue
     from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.metrics import Metrics
     from honeywood.gateway.register.persistent_state import Store
@@ -88,7 +89,7 @@
             self.on_record,
             self.on_poll,
             self.settings.link_bytes_per_s,
-            needed=is_count_needed,
+            is_retained=is_count_needed,
         )
         self.store, self.epochs = self.publisher.store, EpochClock()
         self.local_records = LocalRecords(self.store, int(self.incarnation, 16), self.is_local)
@@ -99,7 +100,7 @@
         settings, clock = self.settings, self.clock
         self.contacts = Contacts(
             settings.ip,
-            self.store.life,
+            self.store.incarnation,
             clock(),
             settings.tolerated_failures,
             lambda: self.register.membership.members,
@@ -131,7 +132,7 @@
             self.log,
         )
         self.machines = self.machine_service.machines
-        self.fleet = ProxyFleet(self.settings.ip, self.store, self.contacts, self.local_records.tell)
+        self.fleet = ProxyFleet(self.settings.ip, self.store, self.contacts, self.local_records.publish)
 
     def _make_rollouts(self) -> None:
         """Make what deals with rollouts."""
@@ -210,28 +211,26 @@
     def is_local(self, key: str) -> bool:
         """Return whether a record is this controller's own, of this incarnation or an earlier one."""
         ip = self.settings.ip
-        return key == f"{CONTROLLER_PREFIX}{ip}" or key.startswith(f"{FLEET_PREFIX}{ip}/")
+        return key == RecordKind.CONTROLLER.key(ip) or key.startswith(RecordKind.PROXY_LOCATION.key(ip, ""))
 
-    def on_record(self, key: str, value: object) -> None:
+    def on_record(self, key: str, value: JsonValue) -> None:
         """Take note of a record that has come to the store, from here or from others."""
-        self.local_records.heard(key)
+        self.local_records.on_update(key)
         self.router.route(key, value)
 
-    def on_poll(self, asker: Asker, revision: int) -> None:
+    def on_poll(self, requester: Requester, revision: int) -> None:
         """Take note of a program that polls, and holds all changes of this store up to `revision`."""
-        self.polls.record_asker(asker, revision)
+        self.polls.record_requester(requester, revision)
 
     async def maintain(self) -> None:
         """Expire machines, proxies and records of owners that have ended."""
         now = self.clock()
         self.machine_service.expire(now)
         self.fleet.refresh(now)
-        self.store.learn(self.epochs.next(now, self.store.epoch, self.in_quorum))
+        self.store.observe_epoch(self.epochs.advance(now, self.store.epoch, self.in_quorum))
         self.local_records.refresh()
         if self.store.prune():
-            published = {
-                key.removeprefix(CONTROLLER_PREFIX) for key, _ in self.store.under(CONTROLLER_PREFIX)
-            }
+            published = {name_of(key) for key, _ in self.store.items_of(RecordKind.CONTROLLER)}
             self.peers.forget_others(
                 published | {*self.register.membership.members} | self.contacts.observers(now)
             )
@@ -251,7 +250,7 @@
 
     def begin(self) -> None:
         """Publish what this controller knows of itself and from its disk, and start the periodic tasks."""
-        self.local_records.tell(f"{CONTROLLER_PREFIX}{self.settings.ip}", self.settings.node)
+        self.local_records.publish(RecordKind.CONTROLLER.key(self.settings.ip), self.settings.node)
         self.machines.restore(self.register.state.heartbeats)
         self.peers.start()
         self.periodic_tasks.start(self.membership.synchronize, SYNCHRONIZE_INTERVAL_S)
--- a/honeywood/gateway/controller/proxy_fleet.py
+++ b/honeywood/gateway/controller/proxy_fleet.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from honeywood.gateway.dissemination.rendezvous import parents
+from honeywood.gateway.dissemination.keys import RecordKind
+from honeywood.gateway.dissemination.rendezvous import relays_of
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -17,7 +18,6 @@
     from honeywood.gateway.controller.contacts import Contacts
     from honeywood.gateway.dissemination.store import Store
 
-FLEET_PREFIX = "fleet/"  # of the keys fleet/CONTROLLER_IP/PROXY_NODE
 PROXY_TIMEOUT_S = 3.0  # seconds without a poll after which a proxy shares in nothing
 
 
@@ -78,12 +78,12 @@
         self.current_proxies(now)
 
     def _local_key(self, node: str) -> str:
-        return f"{FLEET_PREFIX}{self.local_ip}/{node}"
+        return RecordKind.PROXY_LOCATION.key(self.local_ip, node)
 
     def current_proxies(self, now: float) -> dict[str, ProxyLocation]:
         """Return the proxies that share the traffic now, by node."""
         observers, live = self.contacts.observers(now), {}
-        for key, value in self.store.under(FLEET_PREFIX):
+        for key, value in self.store.items_of(RecordKind.PROXY_LOCATION):
             _, observer, node = key.split("/", 2)
             if value is not None and observer in observers:
                 live[node] = ProxyLocation.decode(value)
@@ -94,5 +94,5 @@
     def relays_of(self, node: str, zone: str) -> list[str]:
         """Return the addresses of the relays that a proxy polls, the nearest first."""
         if node not in self._relays:
-            self._relays[node] = parents(node, zone, self.proxies)
+            self._relays[node] = relays_of(node, zone, self.proxies)
         return self._relays[node]
--- a/honeywood/gateway/controller/record_router.py
+++ b/honeywood/gateway/controller/record_router.py
@@ -2,9 +2,7 @@
 
 from __future__ import annotations
 
-from honeywood.gateway.controller.machine_record import HEARTBEAT_PREFIX, MACHINE_PREFIX
-from honeywood.gateway.controller.record_keys import CONTROLLER_PREFIX, ROLLOUT_PREFIX
-from honeywood.gateway.dissemination.departed import PREFIX as DEPARTED_PREFIX
+from honeywood.gateway.dissemination.keys import RecordKind, kind_of, name_of
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -32,19 +30,18 @@
         """Hand records on to these; `clock` gives steady seconds."""
         self.peers, self.machines, self.rollouts, self.clock = peers, machines, rollouts, clock
         self.receivers: dict[str, Receiver] = {
-            CONTROLLER_PREFIX: self._receive_controller,
-            HEARTBEAT_PREFIX: self._receive_heartbeat,
-            MACHINE_PREFIX: self._receive_machine,
-            DEPARTED_PREFIX: self._receive_departed,
-            ROLLOUT_PREFIX: self._receive_rollout,
+            RecordKind.CONTROLLER: self._receive_controller,
+            RecordKind.HEARTBEAT: self._receive_heartbeat,
+            RecordKind.MACHINE: self._receive_machine,
+            RecordKind.TOMBSTONES: self._receive_tombstones,
+            RecordKind.ROLLOUT: self._receive_rollout,
         }
 
     def route(self, key: str, value: object) -> None:
         """Hand on a record that has changed; those of other kinds concern nobody here."""
-        kind, slash, name = key.partition("/")
-        receive = self.receivers.get(kind + slash)
+        receive = self.receivers.get(kind_of(key))
         if receive is not None:
-            receive(name, value)
+            receive(name_of(key), value)
 
     def _receive_controller(self, ip: str, _value: object) -> None:
         self.peers.discover([ip])
@@ -55,8 +52,8 @@
     def _receive_machine(self, machine_id: str, value: StoredMachine) -> None:
         self.machines.merge_record(self.clock(), machine_id, value)
 
-    def _receive_departed(self, bucket_name: str, bucket: str) -> None:
-        self.machines.merge_departed(DEPARTED_PREFIX + bucket_name, bucket)
+    def _receive_tombstones(self, bucket_name: str, bucket: str) -> None:
+        self.machines.merge_departed(RecordKind.TOMBSTONES.key(bucket_name), bucket)
 
     def _receive_rollout(self, service: str, value: Mapping[str, int]) -> None:
         self.rollouts.record_revision(service, value["n"])
--- a/honeywood/gateway/controller/replication.py
+++ b/honeywood/gateway/controller/replication.py
@@ -32,7 +32,7 @@
 
     async def wait(self) -> None:
         """Return when enough others hold all changes made so far; raises Unavailable at the time-out."""
-        revision, deadline = self.store.rev, self.clock() + REPLICATION_TIMEOUT_S
+        revision, deadline = self.store.revision, self.clock() + REPLICATION_TIMEOUT_S
         acknowledged = asyncio.Event()
         self._waiters.append(acknowledged)
         try:
--- a/honeywood/gateway/controller/rollout_evidence.py
+++ b/honeywood/gateway/controller/rollout_evidence.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from honeywood.gateway.controller.record_keys import COUNT_PREFIX
+from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.rollout import report
 
 TYPE_CHECKING = False
@@ -55,7 +55,7 @@
         local = self._known.get(rollout.service)
         if local is not None and local.revision == rollout.revision:
             known_s.append(self.clock() - local.since)
-        for _, value in self.store.under(COUNT_PREFIX):
+        for _, value in self.store.items_of(RecordKind.PROXY_COUNTS):
             status = report.decode(value).status(rollout.service)
             if status is None or status.revision != rollout.revision or status.revision_age_s is None:
                 continue
@@ -82,8 +82,8 @@
 
     def _reports(self) -> list[tuple[str, ProxyReport]]:
         """Return each incarnation's report with its proxy's node, in the order of their arrival."""
-        by_arrival = sorted(self.store.heard(COUNT_PREFIX), key=lambda received: received[2])
-        return [(key.split("/")[1], report.decode(value)) for key, value, _ in by_arrival]
+        by_arrival = self.store.items_by_revision(RecordKind.PROXY_COUNTS)
+        return [(key.split("/")[1], report.decode(value)) for key, value in by_arrival]
 
     @staticmethod
     def _current_status(latest: ProxyReport | None, rollout: Rollout) -> RolloutStatus | None:
--- a/honeywood/gateway/controller/rollout_orders.py
+++ b/honeywood/gateway/controller/rollout_orders.py
@@ -10,8 +10,8 @@
 from honeywood.gateway.configuration.check import need
 from honeywood.gateway.configuration.reader import read_configuration
 from honeywood.gateway.controller.call import CallName, never
-from honeywood.gateway.controller.machine_record import MACHINE_PREFIX, MachineRecord
-from honeywood.gateway.controller.record_keys import CONFIGURATION_KEY, ROLLOUT_PREFIX
+from honeywood.gateway.controller.machine_record import MachineRecord
+from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.errors import InvalidInput, NotFound, Unavailable
 from honeywood.gateway.rollout import record, transitions
 
@@ -74,7 +74,7 @@
 
     async def read(self, service: str, peer: str) -> Rollout:
         """Return the rollout of a service; raises NotFound where a majority holds none."""
-        value = await self.register.read(CallName.READ_ROLLOUT, ROLLOUT_PREFIX + service, peer)
+        value = await self.register.read(CallName.READ_ROLLOUT, RecordKind.ROLLOUT.key(service), peer)
         if value is None:
             raise NotFound(CallName.READ_ROLLOUT, f"no rollout of {service!r}", peer)
         return record.decode(value)
@@ -103,7 +103,7 @@
         def update(stored: StoredValue | None) -> StoredValue | None:
             return transitions.update_stored(stored, begin)
 
-        key = ROLLOUT_PREFIX + order.service
+        key = RecordKind.ROLLOUT.key(order.service)
         rollout = record.decode(await self.register.change(CallName.START_ROLLOUT, key, update, peer))
         self.log.info(
             "rollout ordered",
@@ -136,8 +136,8 @@
     async def _current_rollout(self, service: str, peer: str) -> Rollout | None:
         """Return the rollout of a service, or None; refuses a service that no configuration names."""
         configuration, value = await asyncio.gather(
-            self.register.read(CallName.START_ROLLOUT, CONFIGURATION_KEY, peer),
-            self.register.read(CallName.START_ROLLOUT, ROLLOUT_PREFIX + service, peer),
+            self.register.read(CallName.START_ROLLOUT, RecordKind.CONFIGURATION, peer),
+            self.register.read(CallName.START_ROLLOUT, RecordKind.ROLLOUT.key(service), peer),
         )
         if configuration is not None:
             raw = packing.unpack(configuration_record.decode(configuration).text)
@@ -147,7 +147,7 @@
 
     def _is_only_version(self, order: RolloutOrder) -> bool:
         """Return whether all machines of the service that are known here to serve are of that version."""
-        machines = (MachineRecord.decode(value) for _, value in self.store.under(MACHINE_PREFIX))
+        machines = (MachineRecord.decode(value) for _, value in self.store.items_of(RecordKind.MACHINE))
         serving = (machine for machine in machines if machine.in_service)
         return {one.version for one in serving if one.service == order.service} == {order.version}
 
--- a/honeywood/gateway/controller/rollout_steering.py
+++ b/honeywood/gateway/controller/rollout_steering.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from honeywood.gateway.controller.record_keys import ROLLOUT_PREFIX
-from honeywood.gateway.dissemination.rendezvous import order
+from honeywood.gateway.dissemination.keys import RecordKind
+from honeywood.gateway.dissemination.rendezvous import rank
 from honeywood.gateway.register.errors import RegisterUnavailable
 from honeywood.gateway.rollout import record, transitions
 from honeywood.gateway.rollout.evaluator import RolloutEvaluator
@@ -55,7 +55,7 @@
         """
         if not self.contacts.in_quorum(self.clock()):
             return
-        for key, value in self.store.under(ROLLOUT_PREFIX):
+        for key, value in self.store.items_of(RecordKind.ROLLOUT):
             rollout = record.decode(value)
             if not rollout.active:
                 self.evaluators.pop(rollout.service, None)
@@ -77,7 +77,7 @@
 
     async def _still_holds_after_stagger(self, rollout: Rollout, key: str, value: object) -> bool:
         """Wait as long as this controller's rank says; return whether the decision still holds then."""
-        ranked = order({*self.register.membership.members, self.local_ip}, rollout.service)
+        ranked = rank({*self.register.membership.members, self.local_ip}, rollout.service)
         wait_s, decided_at = ranked.index(self.local_ip) * STAGGER_S, self.clock()
         await asyncio.sleep(wait_s)
         now = self.clock()
--- a/honeywood/gateway/controller/status.py
+++ b/honeywood/gateway/controller/status.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from honeywood.gateway.controller.machine_record import MACHINE_PREFIX
+from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.metrics import Metrics
 
 TYPE_CHECKING = False
@@ -20,7 +20,7 @@
         self.controller = controller
 
     def _machines_by_state(self) -> Counter[str]:
-        return Counter(value["state"] for _, value in self.controller.store.under(MACHINE_PREFIX))
+        return Counter(value["state"] for _, value in self.controller.store.items_of(RecordKind.MACHINE))
 
     async def log_counts(self) -> None:
         """Log sums since the start, and present values."""
@@ -29,7 +29,7 @@
             "counts",
             machines=dict(self._machines_by_state()),
             fronts=len(one.fleet.proxies),
-            told=dict(one.publisher.told),
+            told=dict(one.publisher.sent_bytes),
             called=dict(one.caller.bytes_by_path),
             joined=one.in_quorum,
             sound=one.register.membership.intact,
--- a/honeywood/gateway/dissemination/__init__.py
+++ b/honeywood/gateway/dissemination/__init__.py
@@ -1,5 +1,7 @@
-"""What every program is to know, passed on by whoever heard it; the highest stamp of a key wins.
+"""Versioned records that spread from program to program until all have them.
 
-Start reading at store.py, then messages.py, subscriber.py (who asks), publisher.py (who answers) and
-rendezvous.py (who knows whom); epochs.py and departed.py say what is dropped, and never taken again.
+Of two records with one key the one with the higher stamp wins.
+
+Start reading at store.py, then messages.py, subscriber.py (who polls), publisher.py (who answers) and
+rendezvous.py (who polls whom); epochs.py and tombstones.py say what is dropped, and never taken again.
 """
--- a/honeywood/gateway/register/__init__.py
+++ b/honeywood/gateway/register/__init__.py
@@ -1,5 +1,4 @@
 """The replicated register: keys whose values a majority of disks agrees on by CASPaxos, without a leader.
 
-There is neither a log nor a leader.
 Start reading at acceptor.py and proposal.py (the rules, pure), then row_store.py and register.py.
 """
--- a/honeywood/gateway/rollout/trial_endpoints.py
+++ b/honeywood/gateway/rollout/trial_endpoints.py
@@ -4,7 +4,7 @@
 
 from math import ceil
 
-from honeywood.gateway.dissemination.rendezvous import order
+from honeywood.gateway.dissemination.rendezvous import rank
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
         cached = self._selections.get(service)
         if cached is not None and cached[0] == ids:
             return cached[1]
-        selected_ids = order(ids, service)[: max(1, ceil(self.share * len(ids)))]
+        selected_ids = rank(ids, service)[: max(1, ceil(self.share * len(ids)))]
         selected = [endpoint for endpoint in endpoints if endpoint.id in selected_ids]
         self._selections[service] = ids, selected
         return selected
--- a/tests/gateway/test_pinned_proxy.py
+++ b/tests/gateway/test_pinned_proxy.py
@@ -36,6 +36,7 @@
 
 from honeywood.gateway.configuration.packing import pack_for_proxies
 from honeywood.gateway.configuration.settings import read_settings
+from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.proxy.program import Proxy
 from honeywood.gateway.routing.attempts import Refusal
 from honeywood.gateway.routing.outcomes import AttemptOutcome
@@ -75,7 +76,7 @@
 
 def deliver(proxy: Proxy, key: str, value: object) -> None:
     """A record reaches the proxy's store."""
-    proxy.publisher.store.put(key, [1], value)
+    proxy.publisher.store.put(key, Stamp.of(1), value)
 
 
 def stop(proxy: Proxy) -> None:
