--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -19,15 +19,16 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from collections.abc import Awaitable, Callable, Mapping
+    from collections.abc import Awaitable, Callable
     from typing import Any
 
     from honeywood.gateway.controller.operations import Answer, Handler, Operations
     from honeywood.gateway.controller.poll_service import PollService
     from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.metrics_endpoint import MetricsEndpoint
+    from honeywood.gateway.rpc.asgi import Receive, Scope, Send
 
-    RegisterResponder = Callable[[Mapping[str, Any], str], Awaitable[Mapping[str, object]]]
+    RegisterResponder = Callable[[dict[str, Any], str], Awaitable[dict[str, Any]]]
 
 BODY_MAX_BYTES = 8 << 20
 RPC_PATH = "/v1/rpc"
@@ -59,10 +60,10 @@
         self.refused: Counter[str] = Counter()  # refused calls by call and status
         self.internal_handlers = {POLL_PATH: self.poll, REGISTER_PATH: self.register_step}
 
-    def begin_early(self, scope: Any) -> None:
+    def begin_early(self, scope: Scope) -> None:
         """Begin nothing early: the calls of one connection are answered one after the other."""
 
-    async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
+    async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one request."""
         if scope["server"][1] == self.metrics.port:
             await self.metrics.serve(scope, send)
@@ -82,7 +83,7 @@
         else:
             await send_response(send, OK, JSON_HEADERS, _encode(result))
 
-    def _handler(self, scope: Any, name: str, peer: str) -> Handler:
+    def _handler(self, scope: Scope, name: str, peer: str) -> Handler:
         """Return the handler of a request; raises NotFound where there is none."""
         path = "/" + scope["path"].strip("/")
         handler: Handler | None = None
@@ -96,7 +97,7 @@
             raise NotFound("dispatch", reason, peer)
         return handler
 
-    async def _refuse(self, send: Any, error: GatewayError, name: str, peer: str) -> None:
+    async def _refuse(self, send: Send, error: GatewayError, name: str, peer: str) -> None:
         """Count, log and answer a call that was refused."""
         status = status_of(error)
         self.refused[f"refused: {name or error.operation} {status}"] += 1
--- a/honeywood/gateway/controller/contacts.py
+++ b/honeywood/gateway/controller/contacts.py
@@ -19,7 +19,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Iterable
 
-    Stamp = list[str | float]  # [incarnation, time of sending]: meant for the one who issued it alone
+    from honeywood.gateway.dissemination.record import JsonValue
+
+    Stamp = list[JsonValue]  # [incarnation, time of sending]: meant for the one who issued it alone
 
 CONTACT_TIMEOUT_S = 1.6  # seconds from the sending of an answered call for which it shows contact
 OBSERVER_TIMEOUT_S = 3.0  # seconds without contact after which a controller's sightings of proxies lapse
@@ -91,7 +93,7 @@
         """Return the stamp of an answer that is sent now."""
         return [self.incarnation, now]
 
-    def stamps_to_echo(self) -> dict[str, Stamp]:
+    def stamps_to_echo(self) -> dict[str, JsonValue]:
         """Return the latest stamp of each controller by its address."""
         return {ip: peer.latest_stamp for ip, peer in self.peers.items() if peer.latest_stamp is not None}
 
--- a/honeywood/gateway/controller/count_retention.py
+++ b/honeywood/gateway/controller/count_retention.py
@@ -2,16 +2,19 @@
 
 from __future__ import annotations
 
+from typing import cast
+
 from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.rollout.record import RolloutState
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from honeywood.gateway.controller.register_access import StoredValue
+    from honeywood.gateway.dissemination.record import JsonValue
     from honeywood.gateway.dissemination.store import Store
 
 
-def is_count_needed(store: Store, key: str, value: StoredValue) -> bool:
+def is_count_needed(store: Store, key: str, value: JsonValue) -> bool:
     """Return whether a record holds counts of an active rollout, or of one that is not known here yet.
 
     The revisions of a rollout and of its order only rise: counts that are not needed any more never are
@@ -19,9 +22,10 @@
     """
     if not key.startswith(RecordKind.PROXY_COUNTS.prefix):
         return False
+    known = cast("StoredValue", value)["known"]
     return any(
-        _is_needed_by(store.get(RecordKind.ROLLOUT.key(service)), revision)
-        for service, (revision, _) in value["known"].items()
+        _is_needed_by(cast("StoredValue | None", store.get(RecordKind.ROLLOUT.key(service))), revision)
+        for service, (revision, _) in known.items()
     )
 
 
--- a/honeywood/gateway/controller/machine_record.py
+++ b/honeywood/gateway/controller/machine_record.py
@@ -10,6 +10,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
+from typing import cast
 
 from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.routing.endpoints import DRAINING, GONE, LOST, READY
@@ -18,6 +19,8 @@
 if TYPE_CHECKING:
     from typing import TypedDict
 
+    from honeywood.gateway.dissemination.record import JsonValue
+
     class StoredMachine(TypedDict, total=False):
         """The stored form."""
 
@@ -83,17 +86,18 @@
         return {key: value for key, value in attributes if value is not None}
 
     @classmethod
-    def decode(cls, value: StoredMachine) -> MachineRecord:
+    def decode(cls, value: JsonValue) -> MachineRecord:
         """Return the record of a stored form, which a controller wrote."""
+        stored = cast("StoredMachine", value)
         return cls(
-            state=value["state"],
-            service=value.get("svc"),
-            ip=value.get("ip"),
-            port=value.get("port"),
-            zone=value.get("zone"),
-            version=value.get("ver"),
-            slots=value.get("slots"),
-            warmup_left_s=value.get("cold"),
+            state=stored["state"],
+            service=stored.get("svc"),
+            ip=stored.get("ip"),
+            port=stored.get("port"),
+            zone=stored.get("zone"),
+            version=stored.get("ver"),
+            slots=stored.get("slots"),
+            warmup_left_s=stored.get("cold"),
         )
 
 
--- a/honeywood/gateway/controller/machine_table.py
+++ b/honeywood/gateway/controller/machine_table.py
@@ -28,7 +28,7 @@
     from collections.abc import Callable, Mapping
 
     from honeywood.gateway.controller.heartbeat import Heartbeat
-    from honeywood.gateway.controller.machine_record import StoredMachine
+    from honeywood.gateway.dissemination.record import JsonValue
     from honeywood.gateway.dissemination.store import Store
 
 DEPARTED_ROW_PREFIX = RESERVED_CHARACTER  # of the keys of rows that hold names of machines that left
@@ -69,9 +69,9 @@
         """Publish that a machine has left for good, also one that is not known here: others may know it."""
         self.store.put(RecordKind.MACHINE.key(machine_id), DEPARTED_STAMP, DEPARTED.encode())
 
-    def merge_record(self, now: float, machine_id: str, value: StoredMachine) -> None:
+    def merge_record(self, now: float, machine_id: str, value: JsonValue) -> None:
         """Take note of a machine's record that has come to the store, from here or from others."""
-        state = value["state"]
+        state = MachineRecord.decode(value).state
         self.retired.observe(now, machine_id, state)
         if state in OUT_OF_SERVICE:
             self.last_seen_at.pop(machine_id, None)
@@ -89,7 +89,7 @@
         names = tombstones.decode(bucket)
         for stored_key, value in self.store.items_of(RecordKind.MACHINE):
             machine_id = name_of(stored_key)
-            if value["state"] != GONE and tombstones.machine_hash(machine_id) in names:
+            if tombstones.machine_hash(machine_id) in names and MachineRecord.decode(value).state != GONE:
                 self.record_departure(machine_id)
 
     def restore(self, rows: Mapping[str, HeartbeatRecord]) -> None:
@@ -98,15 +98,14 @@
         Any newer record wins, and a machine that sends no heartbeat is found silent as usual.
         """
         records = []
-        for key, (stamp, value) in rows.items():
-            if isinstance(value, str):  # a bucket of names, which must be known before any record is
-                self.store.put(key.removeprefix(DEPARTED_ROW_PREFIX), Stamp(stamp), value)
+        for key, row in rows.items():
+            if isinstance(row.value, str):  # a bucket of names, which must be known before any record is
+                self.store.put(key.removeprefix(DEPARTED_ROW_PREFIX), Stamp(row.stamp), row.value)
             else:
-                records.append((key, Stamp(stamp), MachineRecord.decode(value)))
+                records.append((key, Stamp(row.stamp), MachineRecord.decode(row.value)))
         for machine_id, stamp, record in records:
-            self.store.put(
-                RecordKind.MACHINE.key(machine_id), stamp, replace(record, warmup_left_s=0.0).encode()
-            )
+            warmed_up = replace(record, warmup_left_s=0.0)
+            self.store.put(RecordKind.MACHINE.key(machine_id), stamp, warmed_up.encode())
 
     def expire(self, now: float) -> None:
         """Mark machines that have been silent for long as lost, and forget what ended long ago."""
@@ -129,12 +128,13 @@
 
     def _mark_lost(self, machine_id: str, record: MachineRecord) -> None:
         """Publish that a machine is silent, below its next heartbeat, which makes it known again."""
-        heartbeat_stamp = self.store.stamp(RecordKind.HEARTBEAT.key(machine_id))
-        record_stamp = self.store.stamp(RecordKind.MACHINE.key(machine_id))
-        latest = max(record_stamp[0], heartbeat_stamp[0] if heartbeat_stamp else 0)
-        self.store.put(
-            RecordKind.MACHINE.key(machine_id), lost_stamp(latest), replace(record, state=LOST).encode()
+        stamps = (
+            self.store.stamp(RecordKind.MACHINE.key(machine_id)),
+            self.store.stamp(RecordKind.HEARTBEAT.key(machine_id)),
         )
+        latest_sequence = max(stamp[0] for stamp in stamps if stamp is not None)
+        lost = replace(record, state=LOST)
+        self.store.put(RecordKind.MACHINE.key(machine_id), lost_stamp(latest_sequence), lost.encode())
 
     def _stamp(self, key: str) -> list[int]:
         """Return the stamp of a record that the store holds, as it is stored on disk."""
--- a/honeywood/gateway/controller/proxy_fleet.py
+++ b/honeywood/gateway/controller/proxy_fleet.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import NamedTuple
+from typing import NamedTuple, cast
 
 from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.dissemination.rendezvous import relays_of
@@ -16,6 +16,7 @@
     from collections.abc import Callable
 
     from honeywood.gateway.controller.contacts import Contacts
+    from honeywood.gateway.dissemination.record import JsonValue
     from honeywood.gateway.dissemination.store import Store
 
 PROXY_TIMEOUT_S = 3.0  # seconds without a poll after which a proxy shares in nothing
@@ -32,9 +33,10 @@
         return list(self)
 
     @classmethod
-    def decode(cls, value: list[str]) -> ProxyLocation:
+    def decode(cls, value: JsonValue) -> ProxyLocation:
         """Return the location that a record holds."""
-        return cls(*value)
+        zone, ip = cast("list[str]", value)
+        return cls(zone, ip)
 
 
 @dataclass(frozen=True, slots=True)
--- a/honeywood/gateway/controller/record_router.py
+++ b/honeywood/gateway/controller/record_router.py
@@ -9,10 +9,10 @@
     from collections.abc import Callable, Mapping
     from typing import Any
 
-    from honeywood.gateway.controller.machine_record import StoredMachine
     from honeywood.gateway.controller.machine_table import MachineTable
     from honeywood.gateway.controller.peer_polling import PeerPolling
     from honeywood.gateway.controller.rollout_evidence import RolloutEvidence
+    from honeywood.gateway.dissemination.record import JsonValue
 
     Receiver = Callable[[str, Any], None]  # takes the rest of the key, and the record's value
 
@@ -37,19 +37,19 @@
             RecordKind.ROLLOUT: self._receive_rollout,
         }
 
-    def route(self, key: str, value: object) -> None:
+    def route(self, key: str, value: JsonValue) -> None:
         """Hand on a record that has changed; those of other kinds concern nobody here."""
         receive = self.receivers.get(kind_of(key))
         if receive is not None:
             receive(name_of(key), value)
 
-    def _receive_controller(self, ip: str, _value: object) -> None:
+    def _receive_controller(self, ip: str, _value: JsonValue) -> None:
         self.peers.discover([ip])
 
-    def _receive_heartbeat(self, machine_id: str, _value: object) -> None:
+    def _receive_heartbeat(self, machine_id: str, _value: JsonValue) -> None:
         self.machines.record_alive(self.clock(), machine_id)
 
-    def _receive_machine(self, machine_id: str, value: StoredMachine) -> None:
+    def _receive_machine(self, machine_id: str, value: JsonValue) -> None:
         self.machines.merge_record(self.clock(), machine_id, value)
 
     def _receive_tombstones(self, bucket_name: str, bucket: str) -> None:
--- a/honeywood/gateway/controller/rollout_evidence.py
+++ b/honeywood/gateway/controller/rollout_evidence.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import cast
 
 from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.rollout import report
@@ -12,6 +13,8 @@
     from collections.abc import Callable
 
     from honeywood.gateway.controller.proxy_fleet import ProxyFleet
+    from honeywood.gateway.controller.register_access import StoredValue
+    from honeywood.gateway.dissemination.record import JsonValue
     from honeywood.gateway.dissemination.store import Store
     from honeywood.gateway.rollout.record import Rollout
     from honeywood.gateway.rollout.report import OutcomeCounts, ProxyReport, RolloutStatus, Vote
@@ -56,7 +59,7 @@
         if local is not None and local.revision == rollout.revision:
             known_s.append(self.clock() - local.since)
         for _, value in self.store.items_of(RecordKind.PROXY_COUNTS):
-            status = report.decode(value).status(rollout.service)
+            status = _decode_report(value).status(rollout.service)
             if status is None or status.revision != rollout.revision or status.revision_age_s is None:
                 continue
             known_s.append(status.revision_age_s)
@@ -83,7 +86,7 @@
     def _reports(self) -> list[tuple[str, ProxyReport]]:
         """Return each incarnation's report with its proxy's node, in the order of their arrival."""
         by_arrival = self.store.items_by_revision(RecordKind.PROXY_COUNTS)
-        return [(key.split("/")[1], report.decode(value)) for key, value in by_arrival]
+        return [(key.split("/")[1], _decode_report(value)) for key, value in by_arrival]
 
     @staticmethod
     def _current_status(latest: ProxyReport | None, rollout: Rollout) -> RolloutStatus | None:
@@ -92,6 +95,10 @@
         return status if status is not None and status.revision == rollout.revision else None
 
 
+def _decode_report(value: JsonValue) -> ProxyReport:
+    return report.decode(cast("StoredValue", value))
+
+
 def _follows_order(report_of_proxy: ProxyReport, rollout: Rollout) -> bool:
     """Return whether a report is of a proxy that knew the rollout's order."""
     status = report_of_proxy.status(rollout.service)
--- a/honeywood/gateway/controller/status.py
+++ b/honeywood/gateway/controller/status.py
@@ -4,6 +4,7 @@
 
 from collections import Counter
 
+from honeywood.gateway.controller.machine_record import MachineRecord
 from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.metrics import Metrics
 
@@ -20,7 +21,10 @@
         self.controller = controller
 
     def _machines_by_state(self) -> Counter[str]:
-        return Counter(value["state"] for _, value in self.controller.store.items_of(RecordKind.MACHINE))
+        return Counter(
+            MachineRecord.decode(value).state
+            for _, value in self.controller.store.items_of(RecordKind.MACHINE)
+        )
 
     async def log_counts(self) -> None:
         """Log sums since the start, and present values."""
--- a/honeywood/gateway/metrics_endpoint.py
+++ b/honeywood/gateway/metrics_endpoint.py
@@ -8,9 +8,9 @@
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from collections.abc import Callable
-    from typing import Any
 
     from honeywood.gateway.event_log import EventLog
+    from honeywood.gateway.rpc.asgi import Scope, Send
     from honeywood.gateway.rpc.server import HttpServer
 
 OK, NOT_FOUND = 200, 404
@@ -34,7 +34,7 @@
             self.log.info("no metrics address", port=self.port, why=str(error))
             self.port = None
 
-    async def serve(self, scope: Any, send: Any) -> None:
+    async def serve(self, scope: Scope, send: Send) -> None:
         """Answer a request that came to this port."""
         if scope["path"] == METRICS_PATH:
             await send_response(send, OK, [CONTENT_TYPE], render(self.read()))
