--- a/honeywood/gateway/register/pages.py
+++ b/honeywood/gateway/register/pages.py
@@ -9,11 +9,11 @@
 
 import json
 import zlib
-from _blake2 import blake2b  # hashlib would bring OpenSSL
 from dataclasses import dataclass
 from typing import NamedTuple
 
 from honeywood.gateway.register.message_fields import MessageFields
+from honeywood.gateway.rpc.text_chunks import PartialText, TextChunk, text_digest
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -34,10 +34,6 @@
 """The field that tells a page from a complete answer."""
 
 
-def _digest(text: str) -> str:
-    return blake2b(text.encode(), digest_size=16).hexdigest()
-
-
 class PagePosition(NamedTuple):
     """How much of an answer is there: its digest and the number of characters."""
 
@@ -47,41 +43,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """The part `text` of an answer, from the character `start` on, of `length` in all."""
+    """A chunk of an answer's text, with its checksum."""
 
-    text: str
-    start: int
-    length: int
-    digest: str
+    chunk: TextChunk
     checksum: int
 
     @classmethod
     def from_answer(cls, digest: str, answer: str, start: int) -> Page:
         """Return the page of an answer's text from `start` on."""
-        text = answer[start : start + PAGE_CHARACTERS]
-        return cls(text, start, len(answer), digest, zlib.crc32(text.encode()))
+        chunk = TextChunk.cut(answer, digest, start, PAGE_CHARACTERS)
+        return cls(chunk, zlib.crc32(chunk.text.encode()))
 
     @property
     def is_intact(self) -> bool:
         """Whether the text has its checksum."""
-        return zlib.crc32(self.text.encode()) == self.checksum
+        return zlib.crc32(self.chunk.text.encode()) == self.checksum
 
     def encode(self) -> dict[str, JsonValue]:
         """Return the JSON form."""
         return {
-            PAGE_FIELD: self.text,
-            "at": self.start,
-            "of": self.length,
-            "mark": self.digest,
+            PAGE_FIELD: self.chunk.text,
+            "at": self.chunk.offset,
+            "of": self.chunk.length,
+            "mark": self.chunk.digest,
             "sum": self.checksum,
         }
 
     @classmethod
     def decode(cls, fields: MessageFields) -> Page:
         """Return the page in the fields of a message."""
-        start, length = fields.take("at", int, least=0), fields.take("of", int, least=0)
+        offset, length = fields.take("at", int, least=0), fields.take("of", int, least=0)
         text, digest = fields.take(PAGE_FIELD, str), fields.take("mark", str)
-        return cls(text, start, length, digest, fields.take("sum", int))
+        return cls(TextChunk(digest, length, offset, text), fields.take("sum", int))
 
 
 @dataclass(frozen=True, slots=True)
@@ -113,7 +106,7 @@
         if len(text) <= PAGE_CHARACTERS:
             return None
         self.open.pop(question, None)
-        digest = _digest(text)
+        digest = text_digest(text)
         self.open[question] = _OpenAnswer(now, digest, text)
         _discard_oldest(self.open)
         return Page.from_answer(digest, text, 0)
@@ -124,12 +117,12 @@
 
     def __init__(self) -> None:
         """Start with none."""
-        self.open: dict[Hashable, tuple[str, str]] = {}
+        self.open: dict[Hashable, PartialText] = {}
 
     def position(self, question: Hashable) -> PagePosition | None:
         """Return how much of an answer is here, None where nothing is."""
-        digest, text = self.open.get(question, ("", ""))
-        return PagePosition(digest, len(text)) if digest else None
+        partial = self.open.get(question)
+        return None if partial is None else PagePosition(partial.digest, len(partial.text))
 
     def add(
         self, question: Hashable, answer: dict[str, JsonValue], peer: str = ""
@@ -145,18 +138,17 @@
         page = Page.decode(MessageFields(answer, "part of an answer", peer))
         if not page.is_intact:
             return None
-        digest, text = self.open.get(question, ("", ""))
-        if page.start == 0:
-            text = ""
-        elif page.digest != digest or page.start != len(text):
+        partial = self.open.get(question)
+        if page.chunk.offset == 0:
+            partial = PartialText(page.chunk.digest)
+        elif partial is None or not partial.is_continued_by(page.chunk):
             return None
-        text += page.text
-        self.open[question] = page.digest, text
+        partial = self.open[question] = partial.extended(page.chunk)
         _discard_oldest(self.open)
-        if len(text) < page.length:
+        if len(partial.text) < page.chunk.length:
             return None
         del self.open[question]
-        complete: dict[str, JsonValue] | None = json.loads(text) if _digest(text) == page.digest else None
+        complete: dict[str, JsonValue] | None = json.loads(partial.text) if partial.is_intact else None
         return complete
 
 
