--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -1,237 +1,263 @@
-"""The controller's program: its parts, which of them hears what, and the loops."""
+"""The controller's program: makes its parts, connects them, and runs their periodic tasks."""
 
-from collections import Counter
-from random import Random
+from __future__ import annotations
 
-from honeywood.gateway.configuration import record as configuration_record
-from honeywood.gateway.configuration.packing import pack_for_proxies
+import time
+
+from honeywood.gateway.controller import disk_health, stall_detector
 from honeywood.gateway.controller.app import App
-from honeywood.gateway.controller.contact import Contacts, disk_state
-from honeywood.gateway.controller.disk_health import CHECK_S
-from honeywood.gateway.controller.fleet import Fleet
-from honeywood.gateway.controller.machine_loop import MachineLoop
-from honeywood.gateway.controller.membership_loop import MembershipLoop
-from honeywood.gateway.controller.orders import CONFIG, TICK, Orders
-from honeywood.gateway.controller.peers import PeerPolling
+from honeywood.gateway.controller.configuration_orders import ConfigurationOrders
+from honeywood.gateway.controller.contacts import Contacts
+from honeywood.gateway.controller.count_retention import is_count_needed
+from honeywood.gateway.controller.machine_service import MachineService
+from honeywood.gateway.controller.membership import Membership
+from honeywood.gateway.controller.operations import Operations
+from honeywood.gateway.controller.peer_polling import PeerPolling
+from honeywood.gateway.controller.poll_service import PollService
+from honeywood.gateway.controller.proxy_fleet import ProxyFleet
+from honeywood.gateway.controller.record_router import RecordRouter
+from honeywood.gateway.controller.register_access import RegisterAccess
+from honeywood.gateway.controller.register_publication import RegisterPublication
 from honeywood.gateway.controller.replication import Replication
-from honeywood.gateway.controller.retention import still_counted
-from honeywood.gateway.controller.rollout_loop import RolloutLoop
+from honeywood.gateway.controller.rollout_evidence import RolloutEvidence
+from honeywood.gateway.controller.rollout_orders import RolloutOrders
+from honeywood.gateway.controller.rollout_steering import RolloutSteering
+from honeywood.gateway.controller.stall_detector import StallDetector
+from honeywood.gateway.controller.status import ControllerStatus
 from honeywood.gateway.dissemination.epochs import EpochClock
-from honeywood.gateway.dissemination.keys import RecordKind, kind_of, name_of
+from honeywood.gateway.dissemination.keys import RecordKind, name_of
 from honeywood.gateway.dissemination.local_records import LocalRecords
-from honeywood.gateway.dissemination.messages import FleetView
 from honeywood.gateway.dissemination.publisher import Publisher
-from honeywood.gateway.dissemination.record import Stamp
-from honeywood.gateway.metrics import Figures
-from honeywood.gateway.program import COUNTS, Program
+from honeywood.gateway.program import COUNTS_INTERVAL_S, Program
 from honeywood.gateway.register.paged_caller import PagedCaller
 from honeywood.gateway.register.paged_responder import PagedResponder
 from honeywood.gateway.register.register import Register
 from honeywood.gateway.register.row_store import RowStore
 from honeywood.gateway.rpc.server import HttpServer
 
-SETTLE_S = 0.1  # seconds between looks at whether this disk is where it counts
-STEER_S = 0.1  # seconds between looks at rollouts
-SURVEY_S = 1.0  # seconds between surveys of the register
-FLEET_S = 0.5  # seconds between looks at machines and proxies
-RECORDS_S = 0.5  # seconds between looks at whether records of machines have changed
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+    from random import Random
+
+    from honeywood.gateway.configuration.settings import Settings
+    from honeywood.gateway.dissemination.messages import Requester
+    from honeywood.gateway.dissemination.record import JsonValue
+    from honeywood.gateway.event_log import EventLog
+    from honeywood.gateway.metrics import Metrics
+    from honeywood.gateway.register.persistent_state import Store
+    from honeywood.gateway.register.replacement import DiskState
+    from honeywood.gateway.rpc.client import Caller
+
+# Seconds between two runs of periodic tasks.
+SYNCHRONIZE_INTERVAL_S = 0.1
+STEER_INTERVAL_S = 0.1
+PUBLISH_REGISTER_INTERVAL_S = 1.0
+MAINTENANCE_INTERVAL_S = 0.5
+SAVE_ROWS_INTERVAL_S = 0.5
+CLOSE_MARGIN_S = 1.0  # seconds of the grace period that are left for the end of the process
 
 
 class Controller(Program):
-    """One controller: the parts are made in the order in which they rest on each other."""
+    """One controller: its parts are made in the order in which they depend on each other."""
+
+    def __init__(
+        self,
+        settings: Settings | None = None,
+        caller: Caller | None = None,
+        clock: Callable[[], float] = time.monotonic,
+        wall_clock: Callable[[], float] = time.time,
+        *,
+        random: Random | None = None,
+        disk: Callable[[str], Store] = RowStore,
+        log: EventLog | None = None,
+    ) -> None:
+        """Make the parts; `disk` opens a folder, the others are those of Program."""
+        super().__init__(settings, caller, clock, wall_clock, log, random)
+        self._make_store()
+        self.register = Register(self.settings, PagedCaller(self.caller), self.random, self.log, disk)
+        self._make_peers()
+        self._make_machines()
+        self._make_rollouts()
+        self._make_calls()
+        self.status = ControllerStatus(self)
 
-    def __init__(self, *given, random=None, disk=RowStore):
-        """`disk` makes the disk out of its folder; chance may be handed in."""
-        super().__init__(*given)
-        s, self.random, clock = self.settings, random or Random(), self.clock
-        self.app, incarnation = App(self), self.store_incarnation()
+    def _make_store(self) -> None:
+        """Make the store of records, and what this controller publishes of itself."""
         self.publisher = Publisher(
-            incarnation, self.on_record, self.on_ask, s.link_bytes_per_s, is_retained=still_counted
+            self.store_incarnation(),
+            self.on_record,
+            self.on_poll,
+            self.settings.link_bytes_per_s,
+            is_retained=is_count_needed,
         )
         self.store, self.epochs = self.publisher.store, EpochClock()
-        self.local = LocalRecords(self.store, int(self.life, 16), self.is_local)
-        self.register = Register(s, PagedCaller(self.caller), self.random, self.say, disk)
-        self.register_responder = PagedResponder(self.register.serve, clock)
-        self.orders = Orders(self)
+        self.local_records = LocalRecords(self.store, int(self.incarnation, 16), self.is_local)
+        self.publication = RegisterPublication(self.store)
+
+    def _make_peers(self) -> None:
+        """Make what deals with other controllers."""
+        settings, clock = self.settings, self.clock
         self.contacts = Contacts(
-            s.ip,
+            settings.ip,
             self.store.incarnation,
             clock(),
-            s.tolerated_failures,
+            settings.tolerated_failures,
             lambda: self.register.membership.members,
         )
         self.peers = PeerPolling(
-            s, self.publisher, self.caller, self.random, self.contacts, self.disk_state, clock, self.loop
+            settings,
+            self.publisher,
+            self.caller,
+            self.random,
+            self.contacts,
+            self.disk_state,
+            clock,
+            self.periodic_tasks.start,
         )
-        self.membership = MembershipLoop(
-            s, self.register, self.contacts, self.peers, self.publish, clock, self.say
+        self.membership = Membership(
+            settings, self.register, self.contacts, self.peers, self.publication.publish, clock, self.log
         )
         self.replication = Replication(self.store, self.contacts, clock)
-        self.machine_loop = MachineLoop(
+
+    def _make_machines(self) -> None:
+        """Make what deals with machines and proxies."""
+        self.machine_service = MachineService(
             self.store,
-            s.heartbeat_interval_s,
+            self.settings.heartbeat_interval_s,
             self.register,
             self.contacts,
             self.replication,
+            self.clock,
+            self.log,
+        )
+        self.machines = self.machine_service.machines
+        self.fleet = ProxyFleet(self.settings.ip, self.store, self.contacts, self.local_records.publish)
+
+    def _make_rollouts(self) -> None:
+        """Make what deals with rollouts."""
+        self.evidence = RolloutEvidence(self.store, self.fleet, self.clock)
+        self.rollouts = RolloutSteering(
+            self.settings.ip,
+            self.store,
+            self.register,
+            self.contacts,
+            self.evidence,
+            self.publication,
+            self.clock,
+            self.log,
+        )
+        self.router = RecordRouter(self.peers, self.machines, self.evidence, self.clock)
+
+    def _make_calls(self) -> None:
+        """Make what answers calls."""
+        settings, clock = self.settings, self.clock
+        access = RegisterAccess(self.register, self.publication)
+        self.stalls = StallDetector(clock, self.log)
+        self.configuration_orders = ConfigurationOrders(access, self.log)
+        self.rollout_orders = RolloutOrders(
+            access,
+            self.store,
+            self.evidence,
+            self.peers,
+            self.stalls,
+            settings.bounds.ack_s,
             clock,
-            self.say,
+            self.log,
         )
-        self.machines = self.machine_loop.machines
-        self.fleet = Fleet(s.ip, self.store, self.contacts, self.local.publish)
-        self.rollouts = RolloutLoop(
-            s.ip, self.store, self.register, self.contacts, self.fleet, self.publish, clock, self.say
+        operations = Operations(self.machine_service, self.configuration_orders, self.rollout_orders)
+        self.polls = PollService(
+            settings.ip,
+            self.publisher,
+            self.contacts,
+            self.peers,
+            self.fleet,
+            self.replication,
+            self.disk_state,
+            clock,
+        )
+        self.app = App(
+            operations,
+            self.polls,
+            PagedResponder(self.register.serve, clock),
+            self.metrics_endpoint,
+            settings.controller_port,
+            clock,
+            self.log,
         )
 
-    def config_held(self):
-        """The version of the configuration that the store holds, for the log."""
-        stamp = self.store.stamp(CONFIG)
-        return f"{stamp[0]:08x}" if stamp else None
+    def configuration_version(self) -> str | None:
+        """Return the version of the configuration that the store holds, for the log."""
+        version = self.publication.configuration_version
+        return None if version is None else f"{version:08x}"
 
-    def found(self, controllers):
-        """Controllers that a settings file or others tell of."""
+    def discover_controllers(self, controllers: Iterable[str]) -> None:
+        """Take note of the seeds of a settings file that has changed."""
         self.peers.discover(controllers)
 
+    def metrics(self) -> Metrics:
+        """Return a reading of the metrics."""
+        return self.status.metrics()
+
     @property
-    def in_quorum(self):
+    def in_quorum(self) -> bool:
         """Whether enough other controllers are in contact."""
         return self.contacts.in_quorum(self.clock())
 
-    def disk_state(self):
-        """What others are told of this disk."""
+    def disk_state(self) -> DiskState:
+        """Return the state of this disk as other controllers are told it."""
         return self.membership.disk
 
-    # what is heard
-    def on_ask(self, requester, revision):
-        """Another program asked for news that has all up to `revision`."""
-        now = self.clock()
-        if requester.is_proxy:
-            self.fleet.asked(now, requester)
-        elif requester.is_controller:
-            self.found([requester.ip])
-            stamp = requester.echo_stamps.get(self.settings.ip)
-            self.contacts.asked(requester.ip, now, stamp, revision, disk_state(requester.disk))
-            self.replication.notify()
-
-    def beside(self, requester):
-        """What goes with an answer to news: whether enough others are in contact; for a proxy how many
-        proxies there are, the relays that it hears from, and which of its counts are known here."""
-        found = {"in_quorum": self.in_quorum}
-        if requester.is_controller:
-            found |= {"echo_stamp": self.contacts.stamp(self.clock()), "disk": self.disk_state().value}
-        if requester.is_proxy:
-            counted = self.store.stamp(RecordKind.PROXY_COUNTS.key(requester.node, requester.incarnation))
-            relays = self.fleet.relays(requester.node, requester.zone)
-            found["fleet"] = FleetView(len(self.fleet.proxies), relays)
-            found["counts_number"] = counted[0] if counted else 0
-        return found
-
-    def is_local(self, key):
-        """Whether a record is this controller's own, of this incarnation or an earlier one."""
+    def is_local(self, key: str) -> bool:
+        """Return whether a record is this controller's own, of this incarnation or an earlier one."""
         ip = self.settings.ip
         return key == RecordKind.CONTROLLER.key(ip) or key.startswith(RecordKind.PROXY_LOCATION.key(ip, ""))
 
-    def on_record(self, key, value):
-        """A record has come to the store, from here or from others."""
-        self.local.on_update(key)
-        kind, name = kind_of(key), name_of(key)
-        if kind == RecordKind.CONTROLLER:
-            self.found([name])
-        elif kind == RecordKind.HEARTBEAT:
-            self.machines.alive(self.clock(), name, None)
-        elif kind == RecordKind.MACHINE:
-            self.machines.hear(self.clock(), name, value)
-        elif kind == RecordKind.TOMBSTONES:
-            self.machines.hear_departed(key, value)
-        elif kind == RecordKind.ROLLOUT:
-            self.rollouts.heard(name, value["n"])
-
-    def publish(self, key, value):
-        """Tells of what a majority's disks hold."""
-        if key == CONFIG and value is not None:
-            current = configuration_record.decode(value)
-            self.publish_configuration(current.version, current.text)
-        elif value is not None:
-            self.store.put(key, Stamp.of(value["n"]), value)
-
-    def publish_configuration(self, version, text):
-        """Tells of a configuration, without the keys of its tenants."""
-        stamp = Stamp.of(version)
-        if self.store.stamp(CONFIG) != stamp:
-            self.store.put(CONFIG, stamp, pack_for_proxies(text))
-
-    # what orders rest on
-    async def hear_others(self):
-        """Polls all other controllers for what they know now; whether enough told all of it."""
-        return await self.peers.poll_all()
-
-    # loops
-    async def poll(self):
-        """Looks at machines, proxies and the epoch of records."""
+    def on_record(self, key: str, value: JsonValue) -> None:
+        """Take note of a record that has come to the store, from here or from others."""
+        self.local_records.on_update(key)
+        self.router.route(key, value)
+
+    def on_poll(self, requester: Requester, revision: int) -> None:
+        """Take note of a program that polls, and holds all changes of this store up to `revision`."""
+        self.polls.record_requester(requester, revision)
+
+    async def maintain(self) -> None:
+        """Expire machines, proxies and records of owners that have ended."""
         now = self.clock()
-        self.machine_loop.poll(now)
-        self.fleet.poll(now)
+        self.machine_service.expire(now)
+        self.fleet.refresh(now)
         self.store.observe_epoch(self.epochs.advance(now, self.store.epoch, self.in_quorum))
-        self.local.refresh()
+        self.local_records.refresh()
         if self.store.prune():
-            told = {name_of(key) for key, _ in self.store.items_of(RecordKind.CONTROLLER)}
-            self.peers.forget_others(told | {*self.register.membership.members} | self.contacts.vouching(now))
-
-    async def count(self):
-        """A line of what stands now."""
-        states = Counter(value["state"] for _, value in self.store.items_of(RecordKind.MACHINE))
-        self.say(
-            "counts",
-            machines=dict(states),
-            fronts=len(self.fleet.proxies),
-            told=dict(self.publisher.sent_bytes),
-            called=dict(self.caller.bytes_by_path),
-            joined=self.in_quorum,
-            sound=self.register.membership.intact,
-            disk=self.disk_state().value,
-            epoch=self.register.membership.epoch,
-            counts=self.register.membership.is_voter,
-            refused=self.app.refused.total(),
-            **self.app.refused,
-        )
+            published = {name_of(key) for key, _ in self.store.items_of(RecordKind.CONTROLLER)}
+            self.peers.forget_others(
+                published | {*self.register.membership.members} | self.contacts.observers(now)
+            )
 
-    def figures(self):
-        """Sums since the start, and what stands now."""
-        states = Counter(value["state"] for _, value in self.store.items_of(RecordKind.MACHINE))
-        stamp = self.store.stamp(CONFIG)
-        gauges = {
-            "in_quorum": self.in_quorum,
-            "register_synced": self.register.membership.intact,
-            "epoch": self.register.membership.epoch,
-            "config_version": stamp[0] if stamp else 0,
-            "proxies": len(self.fleet.proxies),
-            **{f"machines_{state}": count for state, count in states.items()},
-        }
-        return Figures(self.app.refused, gauges)
-
-    async def run(self):
-        """Runs until it is stopped."""
-        s = self.settings
+    async def run(self) -> None:
+        """Serve until the program is stopped."""
+        settings = self.settings
         await self.register.manager.open()
         server = HttpServer(self.app)
-        await server.open([s.listen.ctl, (s.ip, s.controller_port)])
-        await self.open_metrics(server)
-        self.say("started", role=s.role)
+        await server.open([settings.listen.ctl, (settings.ip, settings.controller_port)])
+        await self.metrics_endpoint.open(server)
+        self.log.info("started", role=settings.role)
         self.begin()
-        await self.until_stopped()
-        await server.close(s.bounds.grace_s - 1.0)
-        self.say("stopped")
-
-    def begin(self):
-        """Starts the loops."""
-        s = self.settings
-        self.local.publish(RecordKind.CONTROLLER.key(s.ip), s.node)
-        self.machines.recall(self.register.state.heartbeats)
+        await self.wait_until_stopped()
+        await server.close(settings.bounds.grace_s - CLOSE_MARGIN_S)
+        self.log.info("stopped")
+
+    def begin(self) -> None:
+        """Publish what this controller knows of itself and from its disk, and start the periodic tasks."""
+        self.local_records.publish(RecordKind.CONTROLLER.key(self.settings.ip), self.settings.node)
+        self.machines.restore(self.register.state.heartbeats)
         self.peers.start()
-        self.loop(self.membership.settle, SETTLE_S)
-        self.loop(self.membership.survey, SURVEY_S)
-        self.loop(self.poll, FLEET_S)
-        self.loop(self.rollouts.steer, STEER_S)
-        self.loop(self.orders.tick, TICK)
-        self.loop(self.machine_loop.keep_records, RECORDS_S)
-        self.loop(self.membership.check_disk, CHECK_S)
-        self.loop(self.count, COUNTS)
+        self.periodic_tasks.start(self.membership.synchronize, SYNCHRONIZE_INTERVAL_S)
+        self.periodic_tasks.start(self.membership.publish_register, PUBLISH_REGISTER_INTERVAL_S)
+        self.periodic_tasks.start(self.maintain, MAINTENANCE_INTERVAL_S)
+        self.periodic_tasks.start(self.rollouts.steer, STEER_INTERVAL_S)
+        self.periodic_tasks.start(self.stalls.tick, stall_detector.TICK_INTERVAL_S)
+        self.periodic_tasks.start(self.machine_service.save_rows, SAVE_ROWS_INTERVAL_S)
+        self.periodic_tasks.start(self.membership.check_disk, disk_health.CHECK_INTERVAL_S)
+        self.periodic_tasks.start(self.status.log_counts, COUNTS_INTERVAL_S)
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -1,7 +1,6 @@
 """The proxy's program: what it wants to know, and the loops that bring it there."""
 
 import asyncio
-from random import Random
 
 from honeywood.gateway.configuration.model import Limits
 from honeywood.gateway.configuration.packing import unpack
@@ -16,8 +15,8 @@
 from honeywood.gateway.dissemination.retired_machines import MAX_DISCONNECTED_S, RetiredMachines
 from honeywood.gateway.dissemination.subscriber import Subscriber
 from honeywood.gateway.errors import CallFailed
-from honeywood.gateway.metrics import Figures
-from honeywood.gateway.program import COUNTS, Program
+from honeywood.gateway.metrics import Metrics
+from honeywood.gateway.program import COUNTS_INTERVAL_S, Program
 from honeywood.gateway.proxy.app import App
 from honeywood.gateway.proxy.connections import ConnectionPool
 from honeywood.gateway.proxy.count_records import CountRecords
@@ -49,10 +48,10 @@
 class Proxy(Program):
     """The data plane's process: its state, and the loops that keep it up to date."""
 
-    def __init__(self, *given, random=None, connect=Connection.open):
+    def __init__(self, *given, random=None, connect=Connection.open, log=None):
         """`given` is what Program takes; `connect` opens connections to endpoints."""
-        super().__init__(*given)
-        s, self.app, self.random = self.settings, App(self), random or Random()
+        super().__init__(*given, log=log, random=random)
+        s, self.app = self.settings, App(self)
         self.table, self.limits, self.config_at, self.server = None, Limits(), None, None
         self.endpoints, self.budgets, self.fleet = Endpoints(), {}, FleetSize(self.clock)
         self.stage = RolloutTrafficPolicy(
@@ -66,7 +65,7 @@
         self.publisher = Publisher(self.store_incarnation(), self.hear, link_bytes_per_s=s.link_bytes_per_s)
         store, backoff = self.publisher.store, Backoff(self.random, BACKOFF_MOST_S)
         self.retired, self.doubted_at = RetiredMachines(store), None
-        self.counts = CountRecords(self.stage, self.clock, s.node, self.life, store)
+        self.counts = CountRecords(self.stage, self.clock, s.node, self.incarnation, store)
         self.assembler = ChunkAssembler()
         shared = store, self.assembler, self.caller, self.who, backoff
         self.subscriber = Subscriber(*shared, lambda: self.publisher.max_response_bytes)
@@ -75,11 +74,11 @@
         self.turn, self.met_majority = 0, False
         self.started_at = self.listened_at = self.clock()  # `listen` was answered last
 
-    def config_held(self):
+    def configuration_version(self):
         """The version in force here, in digits as operators send it."""
         return f"{self.table.version:08x}" if self.table else None
 
-    def found(self, controllers):
+    def discover_controllers(self, controllers):
         """Controllers that are told of."""
         self.controllers += [ip for ip in controllers if ip not in self.controllers]
 
@@ -114,7 +113,7 @@
     def who(self):
         """Who asks for news."""
         s = self.settings
-        return Requester(s.node, s.ip, s.zone, self.life, is_proxy=True)
+        return Requester(s.node, s.ip, s.zone, self.incarnation, is_proxy=True)
 
     def hear(self, key, value):
         """A record has come, or has changed."""
@@ -126,7 +125,7 @@
         elif kind == RecordKind.ROLLOUT:
             self.stage.update(self.clock(), record.decode(value))
         elif kind == RecordKind.CONTROLLER:
-            self.found([name])
+            self.discover_controllers([name])
 
     def hear_config(self, read):
         """Another configuration is in force here."""
@@ -135,7 +134,7 @@
         most = self.endpoints.max_connections
         most.clear()
         most.update({name: service.max_connections for name, service in read.services.items()})
-        self.say("configuration")
+        self.log.info("configuration")
 
     def hear_endpoint(self, id, value):
         """An endpoint has changed; one that leaves service keeps no idle connection."""
@@ -175,7 +174,7 @@
                     self.stage.has_active_rollout, self.fronts(), len(self.controllers), self.random.random()
                 )
                 return await asyncio.sleep(pause_s)
-        self.say("no controller answers", SAY_AGAIN_S)
+        self.log.info("no controller answers", min_interval_s=SAY_AGAIN_S)
         await asyncio.sleep(INITIAL_DELAY_S)
 
     async def ask_controller(self, ip):
@@ -221,7 +220,7 @@
         if not self.met_majority:  # the configuration may be that of a controller cut off from the others
             if self.clock() - self.config_at < self.settings.bounds.contact_s:
                 return False
-            self.say("ready without a controller that hears a majority", SAY_AGAIN_S)
+            self.log.info("ready without a controller that hears a majority", min_interval_s=SAY_AGAIN_S)
         known = self.table.services <= set(self.endpoints.by_service)
         return known or self.clock() - self.config_at > SETTLE_S
 
@@ -248,7 +247,7 @@
     async def count(self):
         """A line of what was done since the start, and of what stands now."""
         endpoints = self.endpoints.by_id.values()
-        self.say(
+        self.log.info(
             "counts",
             **self.forwarder.counts,
             **self.app.refusals,
@@ -264,13 +263,13 @@
 
     def on_violation(self, violation, details):
         """What must always hold didn't: a fault of ours, which has to be seen."""
-        self.say("invariant violated", SAY_AGAIN_S, what=violation.value, details=details)
+        self.log.info("invariant violated", min_interval_s=SAY_AGAIN_S, what=violation.value, details=details)
 
     def violations(self):
         """Violated invariants by name, for counts and metrics."""
         return {f"violated: {one.value}": count for one, count in self.invariants.violations.items()}
 
-    def figures(self):
+    def metrics(self):
         """Sums since the start, and what stands now."""
         endpoints = list(self.endpoints.by_id.values())
         events = {**self.forwarder.counts, **self.app.refusals, **self.violations()}
@@ -284,25 +283,25 @@
             "open_attempts": sum(endpoint.in_flight for endpoint in endpoints),
             "connections_opened": self.pool.opened,
         }
-        return Figures(events, gauges)
+        return Metrics(events, gauges)
 
     async def run(self):
         """Serves until the platform says to stop; then what is at work ends within the grace."""
         s = self.settings
         self.server = HttpServer(self.app)
         await self.server.open([s.listen.http, s.listen.ready, (s.ip, s.proxy_port)])
-        await self.open_metrics(self.server)
-        self.say("started", role=s.role)
+        await self.metrics_endpoint.open(self.server)
+        self.log.info("started", role=s.role)
         self.begin()
-        await self.until_stopped()
-        self.say("stopping")
+        await self.wait_until_stopped()
+        self.log.info("stopping")
         await asyncio.sleep(UNREADY_SEEN_S)
         await self.server.close(s.bounds.grace_s - UNREADY_SEEN_S - STOP_MARGIN_S)
-        self.say("stopped")
+        self.log.info("stopped")
 
     def begin(self):
         """Starts the loops."""
-        self.loop(self.listen, LISTEN_PAUSE_S)
-        self.loop(self.poll, POLL_PAUSE_S)
-        self.loop(self.tidy, TIDY_S)
-        self.loop(self.count, COUNTS)
+        self.periodic_tasks.start(self.listen, LISTEN_PAUSE_S)
+        self.periodic_tasks.start(self.poll, POLL_PAUSE_S)
+        self.periodic_tasks.start(self.tidy, TIDY_S)
+        self.periodic_tasks.start(self.count, COUNTS_INTERVAL_S)
--- a/honeywood/gateway/register/register.py
+++ b/honeywood/gateway/register/register.py
@@ -28,6 +28,7 @@
     from random import Random
 
     from honeywood.gateway.configuration.settings import Settings
+    from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.register.json_value import JsonValue
     from honeywood.gateway.register.paged_caller import PagedCaller
     from honeywood.gateway.register.persistent_state import Store
@@ -46,13 +47,13 @@
         settings: Settings,
         caller: PagedCaller,
         random: Random,
-        say: Callable[..., None],
+        log: EventLog,
         open_store: Callable[[str], Store],
     ) -> None:
         """`open_store` opens the rows in the settings' data directory."""
         self._local_ip = settings.ip
-        self.state = PersistentState(settings, open_store, say)
-        self.membership = MembershipState(self.state, say)
+        self.state = PersistentState(settings, open_store, log)
+        self.membership = MembershipState(self.state, log)
         self.lookup = ValueLookup(self.state, ValueStore())
         self.acceptor = AcceptorService(self.state, self.membership, self.lookup)
         peers = PeerClient(settings, caller, self.membership, self.acceptor.serve)
@@ -61,7 +62,7 @@
         self._reader = Reader(self.membership, self.state, peers, self.proposer, values)
         transfer = StateTransfer(self.state, self.membership, peers, values)
         self.manager = MembershipManager(
-            settings, say, self.state, self.membership, peers, self.proposer, transfer
+            settings, log, self.state, self.membership, peers, self.proposer, transfer
         )
 
     async def serve(self, body: dict[str, JsonValue], peer: str) -> dict[str, JsonValue]:
--- a/tests/gateway/dissemination/test_epochs.py
+++ b/tests/gateway/dissemination/test_epochs.py
@@ -8,7 +8,7 @@
 from timeline import World, machine
 from ward import each, test
 
-from honeywood.gateway.controller.retention import still_counted
+from honeywood.gateway.controller.count_retention import is_count_needed
 from honeywood.gateway.dissemination import epochs, tombstones
 from honeywood.gateway.dissemination.change_feed import ChangeFeed
 from honeywood.gateway.dissemination.keys import RecordKind
@@ -31,7 +31,7 @@
 
     def __init__(self, ip, incarnation, n):
         self.ip, self.heard, self.proxies = ip, {}, {}
-        self.store = Store(f"{ip}.{n}", self.hear, still_counted)
+        self.store = Store(f"{ip}.{n}", self.hear, is_count_needed)
         self.own = LocalRecords(self.store, incarnation, self.mine)
         self.clock = epochs.EpochClock()
         self.own.publish(f"bourse/{ip}", ip)
@@ -280,12 +280,12 @@
             )
         world.run(world.loop.time() + 60.0)
         held = {name: set(world.nodes[name].publisher.store.records) for name in "abcf"}
-        life = world.nodes["f"].life
+        life = world.nodes["f"].incarnation
         shared = {"bourse/a", "bourse/b", "bourse/c"}
         assert held["f"] == shared, held["f"]
         fleet = {f"fleet/{ip}/f" for ip in "abc"}
         assert all(held[name] == shared | fleet | {f"count/f/{life}"} for name in "abc"), held
-        assert not set(world.nodes["a"].fleet.asking) - {"f"}
+        assert not set(world.nodes["a"].fleet.sightings) - {"f"}
         assert max(sizes[80:]) <= max(sizes[40:80]) * 1.1 and max(sizes) < 6000, sizes[::10]
         assert len({world.nodes[name].publisher.store.digest for name in "abcf"}) == 1
     finally:
--- a/tests/gateway/dissemination/test_mutations.py
+++ b/tests/gateway/dissemination/test_mutations.py
@@ -8,9 +8,9 @@
 from mutation import fails, scenarios
 from ward import each, test
 
-from honeywood.gateway.controller import contact, retention
-from honeywood.gateway.controller.machine_records import MachineRecords
-from honeywood.gateway.controller.machines import DEPARTED_ROW, Machines
+from honeywood.gateway.controller import contacts, count_retention
+from honeywood.gateway.controller.machine_row_writer import MachineRowWriter
+from honeywood.gateway.controller.machine_table import DEPARTED_ROW_PREFIX, MachineTable
 from honeywood.gateway.dissemination import epochs, keys, large_records, tombstones
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.change_feed import Batch, ChangeFeed
@@ -87,9 +87,9 @@
     self._is_controller = Unordered()
 
 
-def machines_alone(self, id, record, change=MachineRecords.change):
-    if not id.startswith(DEPARTED_ROW):
-        change(self, id, record)
+def machines_alone(self, key, row, update=MachineRowWriter.update):
+    if not key.startswith(DEPARTED_ROW_PREFIX):
+        update(self, key, row)
 
 
 def without_names(self, *given, since=ChangeFeed.since, **more):
@@ -171,7 +171,11 @@
         "a program publishes above the records of its",
     ),
     Mutation(
-        "dead controllers", contact, "VOUCHES_S", FOREVER, "a controller without contact keeps no proxy"
+        "dead controllers",
+        contacts,
+        "OBSERVER_TIMEOUT_S",
+        FOREVER,
+        "a controller without contact keeps no proxy",
     ),
     Mutation(
         "no order of waking", PollWaiters, "__init__", unordered, "held polls are woken in the order in which"
@@ -198,7 +202,11 @@
         "two days with hundreds of restarts, clocks",
     ),
     Mutation(
-        "counts lapse", retention, "_counts_for", lambda *given: False, "counts of a proxy that has ended are"
+        "counts lapse",
+        count_retention,
+        "_is_needed_by",
+        lambda *given: False,
+        "counts of a proxy that has ended are",
     ),
     Mutation(
         "lapsed ones come back",
@@ -221,13 +229,13 @@
         "asks without epoch", Requester, "encode", no_epoch, "programs: controllers that all start again,"
     ),
     Mutation(
-        "no disk", MachineRecords, "change", machines_alone, "a tombstone outlives {what}: a late copy of"
+        "no disk", MachineRowWriter, "update", machines_alone, "a tombstone outlives {what}: a late copy of"
     ),
     Mutation(
         "names not told", ChangeFeed, "since", without_names, "a tombstone outlives {what}: a late copy of"
     ),
     Mutation(
-        "copies stay", Machines, "hear_departed", heard_alone, "a copy taken before a controller had the"
+        "copies stay", MachineTable, "merge_departed", heard_alone, "a copy taken before a controller had the"
     ),
 )
 
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -4,21 +4,22 @@
 from ward import each, test
 
 from honeywood.gateway.configuration.settings import read_settings
-from honeywood.gateway.controller import machines
+from honeywood.gateway.controller.heartbeat import check_machine_id, decode_heartbeat
 from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.errors import InvalidInput
 from honeywood.gateway.rpc.statuses import status_of
 from honeywood.lab.emulator.boot import boot
+from honeywood.lab.emulator.silent_log import SilentLog
 
 
 @test("a beat with more slots than any machine has is refused")
 def _():
     # Found by review: a whole number too large for a fraction ended each request's choice of a machine.
     sent = {"svc": "s", "addr": "10.0.0.1:80", "seq": 1, "state": "ready"}
-    assert machines.beat("i-1", {**sent, "slots": 6}, "")[1]["slots"] == 6
+    assert decode_heartbeat("i-1", {**sent, "slots": 6}, "").record.slots == 6
     for slots in (10**400, 0, 1 << 21):
         try:
-            machines.beat("i-1", {**sent, "slots": slots}, "")
+            decode_heartbeat("i-1", {**sent, "slots": slots}, "")
         except InvalidInput as wrong:
             assert "slots" in wrong.reason
         else:
@@ -47,7 +48,7 @@
     # Host names were taken: proxies would have waited for a resolver, or found nobody, request by request.
     sent = {"svc": "s", "addr": addr, "seq": 1, "state": "ready"}
     try:
-        machines.beat("i-1", sent, "10.0.0.9")
+        decode_heartbeat("i-1", sent, "10.0.0.9")
     except InvalidInput as wrong:
         assert status_of(wrong) == 400 and "addr" in str(wrong) and wrong.peer == "10.0.0.9"
     else:
@@ -57,7 +58,7 @@
 @test("ids that no row on disk can bear are refused: {id!r}")
 def _(id=each("", "i\0left/00", "i" * 257, "é" * 129)):
     # lmdb's keys hold 511 bytes: one longer id, and no note of any machine was kept on that disk any more.
-    for call in (lambda: machines.beat(id, {}, "p"), lambda: machines.named("instances.leave", id, "p")):
+    for call in (lambda: decode_heartbeat(id, {}, "p"), lambda: check_machine_id("instances.leave", id, "p")):
         try:
             call()
         except InvalidInput as wrong:
@@ -113,11 +114,12 @@
     import tempfile
 
     from honeywood.gateway.proxy.program import Proxy
+    from honeywood.gateway.settings_file import SettingsFile
 
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "boot.toml")
-        proxy = type("Quiet", (Proxy,), {"say": lambda *said, **more: None})(read_settings(GOOD))
-        proxy.path, proxy.changed = path, 0
+        proxy = Proxy(read_settings(GOOD), log=SilentLog())
+        proxy.settings_file = SettingsFile(path)
         for at, (text, known) in enumerate(
             (
                 (GOOD, ["10.0.0.1"]),
@@ -128,5 +130,5 @@
             with open(path, "w") as file:
                 file.write(text)
             os.utime(path, ns=(at + 1, at + 1))
-            asyncio.run(proxy.reread())
+            asyncio.run(proxy.reload_settings())
             assert proxy.controllers == (known or ["10.0.0.1", "10.0.0.2"])
--- a/tests/gateway/test_history.py
+++ b/tests/gateway/test_history.py
@@ -5,7 +5,7 @@
 from timeline import World
 from ward import test
 
-from honeywood.gateway.controller.machine_records import MachineRecords
+from honeywood.gateway.controller.machine_row_writer import MachineRowWriter
 from honeywood.gateway.errors import Unavailable
 
 BEAT = {"svc": "s", "ip": "m", "port": 1, "zone": "z", "ver": "v1", "slots": 4, "state": "ready", "cold": 0.0}
@@ -34,10 +34,10 @@
             if len(writes) == 1:
                 raise Unavailable("register", "the disk refuses", "a")
 
-        notes, found = MachineRecords(write), []
+        rows, found = MachineRowWriter(write), []
         for n in range(50):
-            notes.change(f"i-{n}", [[1, 0], BEAT])
-            found.append(asyncio.ensure_future(notes.keep()))
+            rows.update(f"i-{n}", [[1, 0], BEAT])
+            found.append(asyncio.ensure_future(rows.flush()))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         assert len(writes) == 1 and len(asyncio.all_tasks()) <= 53
