--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -9,7 +9,7 @@
 import tracemalloc
 
 from honeywood.gateway.configuration.tenants import HASH_BYTES, Tenant
-from honeywood.gateway.routing.tenants import TenantTable
+from honeywood.gateway.routing.tenant_table import TenantTable
 
 COUNTS = (84, 10_000, 100_000, 790_000)
 LOOKUPS = 20_000
@@ -45,7 +45,7 @@
     wanted = [chance.choice(KNOWN) for _ in range(LOOKUPS)]
     began = time.perf_counter()
     for one in wanted:
-        table._find_hash(one)
+        table.find_by_hash(one)
     hit_us = (time.perf_counter() - began) / LOOKUPS * 1e6
     shown = [b"%020d" % number for number in range(LOOKUPS)]
     began = time.perf_counter()
--- a/honeywood/gateway/controller/machines.py
+++ b/honeywood/gateway/controller/machines.py
@@ -4,7 +4,7 @@
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.dissemination import departed
 from honeywood.gateway.dissemination.history import History
-from honeywood.gateway.routing.endpoints import DRAINING, GONE, LOST, READY
+from honeywood.gateway.routing.endpoint_state import DRAINING, GONE, LOST, READY
 
 STEP = "instances.heartbeat"
 LAST = 1 << 53  # a stamp above all beats': a life that has left doesn't come back
--- a/honeywood/gateway/controller/orders.py
+++ b/honeywood/gateway/controller/orders.py
@@ -8,7 +8,7 @@
 from honeywood.gateway.configuration import versions as held
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.rollout import record
-from honeywood.gateway.routing.endpoints import DRAINING, READY
+from honeywood.gateway.routing.endpoint_state import DRAINING, READY
 
 CONFIG, ROLLOUT = "config", "rollout/"  # keys of the register
 FRESH = 1.0  # seconds after which whoever sent an order has gone on; what is older begins nothing
--- a/honeywood/gateway/dissemination/history.py
+++ b/honeywood/gateway/dissemination/history.py
@@ -5,7 +5,7 @@
 heartbeat makes it known anew.
 """
 
-from honeywood.gateway.routing.endpoints import GONE, LOST
+from honeywood.gateway.routing.endpoint_state import GONE, LOST
 
 KEEP = 120.0  # seconds for which a life that is over is told of: above any late heartbeat's, and CUT by far
 CUT = 60.0  # seconds without a controller that hears a majority after which a front doubts what it knows
--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -19,7 +19,7 @@
     UNAVAILABLE,
     own_response,
 )
-from honeywood.gateway.routing.tenants import WITHOUT_TENANTS
+from honeywood.gateway.routing.admission import ADMITTED_WITHOUT_TENANTS
 from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of, stream
 
 NEWS_MOST = 8 << 20  # bytes of one ask or answer of news
@@ -121,7 +121,7 @@
     def _admit(self, route, headers):
         """The Admission of a request on `route`; None where its key is not known."""
         tenants = self.proxy.table.tenants
-        return WITHOUT_TENANTS if tenants is None else tenants.admit(headers, route.public)
+        return ADMITTED_WITHOUT_TENANTS if tenants is None else tenants.admit(headers, route.public)
 
     async def _forward(self, scope, route, admission, fields, body):
         context = scope[CONTEXT]
--- a/honeywood/gateway/proxy/connections.py
+++ b/honeywood/gateway/proxy/connections.py
@@ -5,7 +5,7 @@
 
 import httpcore
 
-from honeywood.gateway.routing.endpoints import READY
+from honeywood.gateway.routing.endpoint_state import READY
 
 CONNECT_S = 0.25  # seconds for a connection to come up
 LEAST_S = 0.001  # seconds that a connection is given, however late it is
@@ -69,7 +69,7 @@
     async def open(self, endpoint, until):
         """A new connection, or None where the endpoint is not reached in time."""
         self.opened += 1
-        endpoint.connecting += 1
+        endpoint.opening_connections += 1
         within_s = max(LEAST_S, min(CONNECT_S, until - self.clock()))
         try:
             place = endpoint.ip, endpoint.port
@@ -77,7 +77,7 @@
         except (httpcore.ConnectError, httpcore.ConnectTimeout):
             return None
         finally:
-            endpoint.connecting -= 1
+            endpoint.opening_connections -= 1
         connection.on_release = lambda connection: self.release(endpoint, connection)
         return connection
 
--- a/honeywood/gateway/proxy/forwarding.py
+++ b/honeywood/gateway/proxy/forwarding.py
@@ -15,11 +15,11 @@
     relayed,
 )
 from honeywood.gateway.proxy.sender import AttemptSender, Outgoing
-from honeywood.gateway.routing.attempts import PendingRequest
-from honeywood.gateway.routing.balancer import choose
+from honeywood.gateway.routing.pending_request import PendingRequest
+from honeywood.gateway.routing.load_balancer import choose_endpoint
 from honeywood.gateway.routing.outcomes import FIRST_FAILURE, AttemptOutcome
-from honeywood.gateway.routing.routes import pick_service
-from honeywood.gateway.routing.tenants import WITHOUT_TENANTS, Admission
+from honeywood.gateway.routing.route_table import choose_service
+from honeywood.gateway.routing.admission import ADMITTED_WITHOUT_TENANTS, Admission
 from honeywood.gateway.rpc.connection import end_to_end
 from honeywood.gateway.rpc.departure import ClientDeparture
 
@@ -44,12 +44,12 @@
     body: bytes
     departure: ClientDeparture = field(default_factory=ClientDeparture)
     received_at: float | None = None
-    admission: Admission = WITHOUT_TENANTS
+    admission: Admission = ADMITTED_WITHOUT_TENANTS
 
     def outgoing(self):
         """As endpoints get it: without what concerns this connection or is written anew."""
         headers = [one for one in end_to_end(self.headers) if one[0] not in OWN_HEADERS]
-        headers = self.admission.own_headers(headers)
+        headers = self.admission.forwarded_headers(headers)
         if self.body or self.method not in BODILESS:
             headers.append((b"content-length", str(len(self.body)).encode()))
         else:
@@ -108,7 +108,7 @@
         """The PendingRequest, which earns its service's budget and its version's trial their parts."""
         now, received_at = self.clock(), client_request.received_at
         received_at = now if received_at is None else received_at
-        service = pick_service(route.split, self.random.random())
+        service = choose_service(route.split, self.random.random())
         try_id, deadline = client_request.fields.get(b"x-try-id", b""), received_at + wait_s
         request = PendingRequest(route, service, try_id, received_at, deadline, priority=route.priority)
         request.departure = client_request.departure
@@ -170,7 +170,7 @@
         for group in self.stage.groups(now, request, self.endpoints.of(service)):
             fit = self.policy.eligible(now, request, group)
             attempted = request.attempted_endpoints
-            endpoint = choose(now, fit, self.zone, attempted, typical_s, self.random)
+            endpoint = choose_endpoint(now, fit, self.zone, attempted, typical_s, self.random)
             if endpoint is not None:
                 return endpoint
         return None
@@ -200,7 +200,7 @@
     def _commonest_refusal(self, request):
         """What kept the request from most of its service's endpoints."""
         now, endpoints = self.clock(), self.endpoints.of(request.service)
-        refusals = Counter(self.policy.refusal(now, request, one) or "left alone" for one in endpoints)
+        refusals = Counter(self.policy.rejection(now, request, one) or "left alone" for one in endpoints)
         return str(refusals.most_common(1)[0][0]) if refusals else "none known"
 
 
--- a/honeywood/gateway/proxy/invariants.py
+++ b/honeywood/gateway/proxy/invariants.py
@@ -76,8 +76,9 @@
                 yield Violation.ATTEMPTS, details
             kept = sum(connection.reusable for connection in endpoint.idle_connections)
             known = kept + in_use[endpoint]
-            if known > endpoint.connected or quiet and known != endpoint.connected:
-                yield Violation.CONNECTIONS, f"{endpoint.id}: {known} known, {endpoint.connected} counted"
+            counted = endpoint.open_connections
+            if known > counted or quiet and known != counted:
+                yield Violation.CONNECTIONS, f"{endpoint.id}: {known} known, {counted} counted"
 
     def _configuration(self):
         stamp = self.proxy.publisher.store.stamp("config")
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -21,10 +21,11 @@
 from honeywood.gateway.proxy.polling import poll_pause
 from honeywood.gateway.rollout import record
 from honeywood.gateway.rollout.stage import Stage
-from honeywood.gateway.routing.attempts import AttemptPolicy
-from honeywood.gateway.routing.budget import RetryBudget
-from honeywood.gateway.routing.endpoints import LOST, Endpoints
-from honeywood.gateway.routing.routes import RouteTable
+from honeywood.gateway.routing.attempt_policy import AttemptPolicy
+from honeywood.gateway.routing.retry_budget import RetryBudget
+from honeywood.gateway.routing.endpoint_state import LOST
+from honeywood.gateway.routing.endpoint_table import EndpointTable
+from honeywood.gateway.routing.route_table import RouteTable
 from honeywood.gateway.rpc.connection import Connection
 from honeywood.gateway.rpc.server import HttpServer
 
@@ -48,7 +49,7 @@
         super().__init__(*given)
         s, self.app, self.random = self.settings, App(self), random or Random()
         self.table, self.limits, self.config_at, self.server = None, config.Limits(), None, None
-        self.endpoints, self.budgets, self.fleet = Endpoints(), {}, FleetSize(self.clock)
+        self.endpoints, self.budgets, self.fleet = EndpointTable(), {}, FleetSize(self.clock)
         self.stage = Stage(self.endpoints, s.bounds["canary_share"], s.bounds["canary_slack"], self.fronts)
         self.pool, self.tasks = ConnectionPool(self.clock, connect), set()
         self.policy = AttemptPolicy(self.budget_of, self.fronts, self.stage, self.endpoints.max_connections)
@@ -240,7 +241,7 @@
             **self.app.refusals,
             **self.violations(),
             dialled=self.pool.opened,
-            connections=sum(endpoint.connections for endpoint in endpoints),
+            connections=sum(endpoint.connection_count for endpoint in endpoints),
             machines=len(endpoints),
             fronts=self.fronts(),
             told=dict(self.publisher.told),
@@ -263,7 +264,7 @@
         gauges = {
             "ready": self.ready,
             "config_version": self.table.version if self.table else 0,
-            "connections": sum(endpoint.connections for endpoint in endpoints),
+            "connections": sum(endpoint.connection_count for endpoint in endpoints),
             "machines": len(endpoints),
             "proxies": self.fronts(),
             "open_requests": len(self.forwarder.open_requests),
--- a/honeywood/gateway/proxy/sender.py
+++ b/honeywood/gateway/proxy/sender.py
@@ -5,8 +5,8 @@
 from enum import StrEnum
 from typing import Any
 
-from honeywood.gateway.routing.attempts import PendingRequest, connect_by
-from honeywood.gateway.routing.outcomes import AttemptOutcome, classify
+from honeywood.gateway.routing.pending_request import PendingRequest, connect_deadline
+from honeywood.gateway.routing.outcomes import AttemptOutcome, classify_response
 from honeywood.gateway.rpc.connection import ExchangeFailed, Reply
 
 LATE_ANSWER_S = 0.05  # after its deadline in which an endpoint's own late answer still frees its connection
@@ -100,7 +100,7 @@
         """The AttemptResult. What the policy refuses once the connection stands is not sent."""
         flight = InFlight(request, endpoint)
         self.flights.setdefault(request, []).append(flight)
-        endpoint.request_began(self.clock())
+        endpoint.attempt_started(self.clock())
         try:
             if not await self._exchange(flight, outgoing):
                 return NOTHING_SENT
@@ -119,7 +119,7 @@
             now = self.clock()
             if not request.route.safe:  # it couldn't be taken back
                 request.departure.check(now)
-            if self.policy.refusal(now, request, endpoint, True) is not None:
+            if self.policy.rejection(now, request, endpoint, True) is not None:
                 return False  # what changed while the connection came up counts
             self.on_attempt(request)
             flight.attempt = self.policy.record_attempt(now, request, endpoint)
@@ -146,10 +146,10 @@
         """Whether a connection is there."""
         flight.connection, flight.reused = self.pool.take_idle(flight.endpoint), True
         if flight.connection is None:
-            until = connect_by(self.clock(), flight.request)
+            until = connect_deadline(self.clock(), flight.request)
             flight.connection, flight.reused = await self.pool.open(flight.endpoint, until), False
         if flight.connection is None:
-            flight.endpoint.avoid(self.clock())
+            flight.endpoint.eject(self.clock())
             flight.request.unreachable.append(flight.endpoint)
             return False
         return True
@@ -158,7 +158,7 @@
         """Another request's answer came first. The endpoint has this one, so its own may follow."""
         flight.continued = True
         self.counts["surplus answers"] += 1
-        flight.endpoint.avoid(self.clock())
+        flight.endpoint.eject(self.clock())
         return AttemptResult(None, None, self._hold(self._read_on(flight)))
 
     async def _read_on(self, flight):
@@ -192,14 +192,14 @@
         reply, endpoint = flight.reply, flight.endpoint
         if isinstance(reply, ExchangeFailed):
             if not reply.timed_out:
-                endpoint.avoid(now)
+                endpoint.eject(now)
             return AttemptOutcome.NO_ANSWER if reply.sent else AttemptOutcome.NOT_RUN
-        outcome = classify(reply.status, reply.fields, flight.request.try_id)
+        outcome = classify_response(reply.status, reply.fields, flight.request.try_id)
         note_load(now, endpoint, reply.fields.get(b"x-load"))
         if outcome in USUAL_OUTCOMES:
             self.endpoints.record_latency(now, endpoint, now - flight.sent_at)
         else:
-            endpoint.avoid(now)
+            endpoint.eject(now)
         return outcome
 
     def _end(self, flight):
@@ -210,7 +210,7 @@
         if flight.attempt is not None and flight.attempt.outcome is None:
             flight.attempt.outcome = AttemptOutcome.NO_ANSWER
         answered = isinstance(reply, Reply)
-        flight.endpoint.request_ended(self.clock(), answered)
+        flight.endpoint.attempt_ended(self.clock(), answered)
         if connection is not None and not (answered and reply.remainder is not None):
             self.pool.release(flight.endpoint, connection)
 
@@ -246,4 +246,4 @@
     except ValueError:
         return
     endpoint.slots = max(1, slots)
-    endpoint.load_told(now, running - 1 if running else 0, waiting)
+    endpoint.record_load(now, running - 1 if running else 0, waiting)
--- a/honeywood/gateway/routing/__init__.py
+++ b/honeywood/gateway/routing/__init__.py
@@ -1,4 +1,5 @@
-"""Which endpoint a request goes to, whether it may go there, what its answer means. No socket, no clock.
+"""Routing decisions: which endpoint may serve a request, which one gets it, and what its response means.
 
-Start reading at attempts.py (the one place every attempt passes), then balancer.py and outcomes.py.
+Nothing here reads a clock or a socket; times are handed in. Start reading at `attempt_policy`, which every
+attempt passes, then `load_balancer` and `outcomes`.
 """
--- /dev/null
+++ b/honeywood/gateway/routing/attempt_policy.py
@@ -0,0 +1,147 @@
+"""The rules that every attempt passes: deadline, idempotence, retry budget, connections, rollout."""
+
+from __future__ import annotations
+
+from honeywood.gateway.routing.endpoint_state import EndpointState
+from honeywood.gateway.routing.outcomes import AttemptOutcome
+from honeywood.gateway.routing.pending_request import Attempt, PendingRequest
+from honeywood.gateway.routing.rejection import RejectionReason
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Mapping
+    from typing import Protocol
+
+    from honeywood.gateway.routing.endpoint import Endpoint
+    from honeywood.gateway.routing.retry_budget import RetryBudget
+
+    class RolloutRules(Protocol):
+        """What a rollout permits at this proxy."""
+
+        def allows(self, now: float, request: PendingRequest, endpoint: Endpoint) -> bool:
+            """Whether the endpoint's version may get the request."""
+
+        def sent(self, now: float, request: PendingRequest, endpoint: Endpoint) -> None:
+            """The request is sent to the endpoint."""
+
+
+DEFAULT_MAX_CONNECTIONS = 8  # per endpoint, while no configuration says more
+MAX_UNREACHABLE_ENDPOINTS = 4  # per request
+MIN_REMAINING_S = 0.004  # before the deadline; with less no attempt starts
+MIN_REMAINING_TARGET = 0.1  # of the route's latency target: an attempt with less left can't succeed
+ATTEMPTS_PER_TRY = 2  # attempts at most for each endpoint that the route allows
+
+
+class AttemptPolicy:
+    """Decides whether a request may be sent to an endpoint, and records each attempt."""
+
+    def __init__(
+        self,
+        retry_budget_of: Callable[[str], RetryBudget],
+        proxy_count: Callable[[], int],
+        rollout: RolloutRules,
+        max_connections: Mapping[str, int],
+    ) -> None:
+        """Rules of one proxy.
+
+        `retry_budget_of` gives a service's budget; `proxy_count` how many proxies share the budgets and each
+        endpoint's connections; `max_connections` how many an endpoint of a service accepts in all.
+        """
+        self.retry_budget_of = retry_budget_of
+        self.proxy_count = proxy_count
+        self.rollout = rollout
+        self.max_connections = max_connections
+
+    def rejection(
+        self, now: float, request: PendingRequest, endpoint: Endpoint, connected: bool = False
+    ) -> RejectionReason | None:
+        """Why an attempt may not start now, or None; `connected`: its connection is established."""
+        reason = self.request_rejection(now, request)
+        reason = reason or self.endpoint_rejection(now, request, endpoint, connected)
+        if reason is None and not self.rollout.allows(now, request, endpoint):
+            return RejectionReason.ROLLOUT
+        return reason
+
+    def eligible(self, now: float, request: PendingRequest, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
+        """Those of `endpoints` that the request may be sent to."""
+        if self.request_rejection(now, request) is not None:
+            return []
+        fit = [one for one in endpoints if self.endpoint_rejection(now, request, one) is None]
+        first_of_version = {one.version: one for one in reversed(fit)}
+        allowed_versions = {
+            version
+            for version, endpoint in first_of_version.items()
+            if self.rollout.allows(now, request, endpoint)
+        }
+        return [one for one in fit if one.version in allowed_versions]
+
+    def request_rejection(self, now: float, request: PendingRequest) -> RejectionReason | None:
+        """What keeps a request from all endpoints, or None."""
+        if request.finished or request.succeeded:
+            return RejectionReason.FINISHED
+        if request.departure.gone:
+            return RejectionReason.CLIENT_GONE
+        if self._is_unreachable(now, request):
+            return RejectionReason.UNREACHABLE
+        if now > request.deadline - max(MIN_REMAINING_S, MIN_REMAINING_TARGET * request.route.target):
+            return RejectionReason.DEADLINE
+        return self._retry_rejection(now, request) if request.attempts else None
+
+    def _retry_rejection(self, now: float, request: PendingRequest) -> RejectionReason | None:
+        """What keeps a request that has been attempted from all endpoints."""
+        if not request.route.safe and request.may_have_run:
+            return RejectionReason.MAY_HAVE_RUN
+        if len(request.attempts) >= ATTEMPTS_PER_TRY * request.route.tries:
+            return RejectionReason.MAX_ATTEMPTS
+        budget = self.retry_budget_of(request.service)
+        return None if budget.allows(now, self.proxy_count()) else RejectionReason.RETRY_BUDGET
+
+    def _is_unreachable(self, now: float, request: PendingRequest) -> bool:
+        """Whether so many connections have failed that further ones would only delay the rejection."""
+        if not request.unreachable:
+            return False
+        late = not request.attempts and now >= request.reject_at
+        return late or len(request.unreachable) >= MAX_UNREACHABLE_ENDPOINTS
+
+    def endpoint_rejection(
+        self, now: float, request: PendingRequest, endpoint: Endpoint, connected: bool = False
+    ) -> RejectionReason | None:
+        """What keeps a request from this endpoint, whatever its version; or None."""
+        if endpoint.state != EndpointState.READY or endpoint.service != request.service:
+            return RejectionReason.ENDPOINT_STATE
+        if endpoint in request.unreachable:
+            return RejectionReason.UNREACHABLE
+        if request.attempts and (reason := self._repeat_rejection(request, endpoint)):
+            return reason
+        if not (connected or endpoint.idle_connections or self._may_connect(endpoint)):
+            return RejectionReason.MAX_CONNECTIONS
+        return None
+
+    def _repeat_rejection(self, request: PendingRequest, endpoint: Endpoint) -> RejectionReason | None:
+        """What fails at an endpoint mostly fails again; and a route limits how many endpoints are asked."""
+        for attempt in request.attempts:
+            if attempt.endpoint is endpoint and attempt.outcome is AttemptOutcome.FAILURE:
+                return RejectionReason.FAILED_THERE
+        attempted = {attempt.endpoint.id for attempt in request.attempts} | {endpoint.id}
+        return RejectionReason.MAX_ATTEMPTS if len(attempted) > request.route.tries else None
+
+    def _may_connect(self, endpoint: Endpoint) -> bool:
+        return endpoint.connection_count < self.connection_share(endpoint.service)
+
+    def connection_share(self, service: str) -> int:
+        """How many connections to one endpoint of `service` this proxy may have."""
+        limit = self.max_connections.get(service, DEFAULT_MAX_CONNECTIONS)
+        return max(1, limit // max(1, self.proxy_count()))
+
+    def record_attempt(self, now: float, request: PendingRequest, endpoint: Endpoint) -> Attempt:
+        """Records that an attempt starts, which `rejection` permitted."""
+        if request.attempts:
+            self.retry_budget_of(request.service).record_retry(now)
+        self.rollout.sent(now, request, endpoint)
+        attempt = Attempt(endpoint)
+        request.attempts.append(attempt)
+        return attempt
+
+    def withdraw_attempt(self, request: PendingRequest, attempt: Attempt) -> None:
+        """Nothing of the attempt was sent: its connection had ended."""
+        request.attempts.remove(attempt)
--- /dev/null
+++ b/honeywood/gateway/routing/endpoint_table.py
@@ -0,0 +1,75 @@
+"""All endpoints that a proxy knows, kept up to date from machine records."""
+
+from __future__ import annotations
+
+from honeywood.gateway.routing.endpoint import Endpoint
+from honeywood.gateway.routing.endpoint_state import EndpointState
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Mapping, Sequence
+    from typing import Any
+
+TYPICAL_LATENCY_STEP = 0.02  # weight of one response in a service's moving average
+
+
+class EndpointTable:
+    """Endpoints by id and by service, with what is typical for each service."""
+
+    def __init__(self) -> None:
+        """A table without endpoints."""
+        self.by_id: dict[str, Endpoint] = {}
+        self.by_service: dict[str, list[Endpoint]] = {}
+        self.typical_latencies_s: dict[str, float] = {}
+        self.max_connections: dict[str, int] = {}  # per endpoint of a service, from all proxies together
+
+    def of(self, service: str) -> Sequence[Endpoint]:
+        """The endpoints of a service."""
+        return self.by_service.get(service, ())
+
+    def typical_latency(self, service: str, default: float = 1.0) -> float:
+        """The usual seconds to a complete response of a service."""
+        return self.typical_latencies_s.get(service, default)
+
+    def update(self, now: float, id: str, value: Mapping[str, Any]) -> tuple[Endpoint | None, bool]:
+        """Takes a machine record; the Endpoint, and whether the record took it out of service."""
+        if value["state"] in (EndpointState.GONE, EndpointState.LOST):
+            return self._remove(id, EndpointState(value["state"]))
+        endpoint = self.by_id.get(id)
+        if endpoint is None:
+            endpoint = self.by_id[id] = Endpoint(id, value["svc"], now)
+            self.by_service.setdefault(endpoint.service, []).append(endpoint)
+        endpoint.ip = value["ip"]
+        endpoint.port = value["port"]
+        endpoint.zone = value["zone"]
+        endpoint.version = value["ver"]
+        endpoint.slots = max(1, value["slots"])
+        endpoint.warm_at = now + value["cold"]
+        left = endpoint.state == EndpointState.READY != value["state"]
+        endpoint.state = EndpointState(value["state"])
+        return endpoint, left
+
+    def _remove(self, id: str, state: EndpointState) -> tuple[Endpoint | None, bool]:
+        endpoint = self.by_id.pop(id, None)
+        if endpoint is None:
+            return None, False
+        self.by_service[endpoint.service].remove(endpoint)
+        endpoint.state = state
+        return endpoint, True
+
+    def record_abandoned(self, now: float, endpoint: Endpoint, waited_s: float) -> None:
+        """An attempt was abandoned after `waited_s` without a response.
+
+        Its latency would have been higher still. So an endpoint that is slower than its average is noticed
+        even where no client waits for its responses.
+        """
+        typical_s = self.typical_latencies_s.get(endpoint.service)
+        if typical_s is not None and waited_s > typical_s * endpoint.relative_latency:
+            endpoint.record_latency(now, waited_s, typical_s)
+
+    def record_latency(self, now: float, endpoint: Endpoint, latency_s: float) -> None:
+        """A complete response came after `latency_s`: updates the service's and the endpoint's average."""
+        typical_s = self.typical_latencies_s.get(endpoint.service, latency_s)
+        step_s = (latency_s - typical_s) * TYPICAL_LATENCY_STEP
+        self.typical_latencies_s[endpoint.service] = typical_s + step_s
+        endpoint.record_latency(now, latency_s, typical_s)
--- /dev/null
+++ b/honeywood/gateway/routing/pending_request.py
@@ -0,0 +1,75 @@
+"""A client's request on its way through the proxy, with the attempts made so far."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from honeywood.gateway.routing.outcomes import AttemptOutcome
+from honeywood.gateway.rpc.departure import ClientDeparture
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from honeywood.gateway.configuration.config import Route
+    from honeywood.gateway.routing.endpoint import Endpoint
+
+REJECT_AFTER = 0.25  # of the route's latency target, in which a request without any endpoint is rejected
+MIN_CONNECT_TIMEOUT_S = 0.05  # many round trips; given to a first connection however late its request is
+
+
+@dataclass(slots=True, eq=False)
+class Attempt:
+    """One attempt at one endpoint; `outcome` is None while it is in flight."""
+
+    endpoint: Endpoint
+    outcome: AttemptOutcome | None = None
+
+
+@dataclass(slots=True, eq=False)
+class PendingRequest:
+    """A client's request until it is answered and no attempt is in flight.
+
+    Times are seconds on the caller's clock. `try_id` is the client's X-Try-Id. `deadline` is when the client
+    or the route gives up. `priority`, 0 the highest, is the tenant's or else the route's. `unreachable` are
+    endpoints to which no connection could be established. `on_departure` is what `departure` calls.
+    """
+
+    route: Route
+    service: str
+    try_id: bytes
+    received_at: float
+    deadline: float
+    attempts: list[Attempt] = field(default_factory=list)
+    finished: bool = False
+    unreachable: list[Endpoint] = field(default_factory=list)
+    departure: ClientDeparture = field(default_factory=ClientDeparture)
+    on_departure: Callable[[], None] | None = None
+    priority: int = 0
+
+    @property
+    def attempted_endpoints(self) -> list[Endpoint]:
+        """The endpoint of each attempt."""
+        return [attempt.endpoint for attempt in self.attempts]
+
+    @property
+    def may_have_run(self) -> bool:
+        """Whether any attempt has not ended with the endpoint's statement that it did not run."""
+        return any(attempt.outcome is not AttemptOutcome.NOT_RUN for attempt in self.attempts)
+
+    @property
+    def succeeded(self) -> bool:
+        """Whether any attempt has succeeded."""
+        return any(attempt.outcome is AttemptOutcome.SUCCESS for attempt in self.attempts)
+
+    @property
+    def reject_at(self) -> float:
+        """When it is rejected if no endpoint could take it: early enough for its client to go elsewhere."""
+        return self.received_at + REJECT_AFTER * self.route.target
+
+
+def connect_deadline(now: float, request: PendingRequest) -> float:
+    """By when a connection for `request` must be established."""
+    if request.attempts:
+        return request.deadline
+    return min(request.deadline, max(now + MIN_CONNECT_TIMEOUT_S, request.reject_at))
--- /dev/null
+++ b/honeywood/gateway/routing/rejection.py
@@ -0,0 +1,19 @@
+"""Why a request may not be sent to an endpoint."""
+
+from enum import StrEnum
+
+
+class RejectionReason(StrEnum):
+    """What keeps a request from an endpoint. The values stand in X-Gateway, in logs and in counters."""
+
+    FINISHED = "done"
+    CLIENT_GONE = "left"
+    ENDPOINT_STATE = "state"
+    UNREACHABLE = "out of reach"
+    DEADLINE = "deadline"
+    MAY_HAVE_RUN = "may have run"
+    FAILED_THERE = "failed there"
+    MAX_ATTEMPTS = "tries"
+    RETRY_BUDGET = "budget"
+    MAX_CONNECTIONS = "connections"
+    ROLLOUT = "stage"
--- a/honeywood/lab/emulator/day.py
+++ b/honeywood/lab/emulator/day.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from dataclasses import dataclass, field, replace
 
-from honeywood.gateway.routing.endpoints import READY
+from honeywood.gateway.routing.endpoint_state import READY
 from honeywood.lab.emulator.boot import BOUNDS
 from honeywood.lab.emulator.clients import Clients
 from honeywood.lab.emulator.faults import Fault, cause, start_spread
--- a/honeywood/lab/emulator/sight.py
+++ b/honeywood/lab/emulator/sight.py
@@ -8,7 +8,7 @@
     best = []
     for at, machine in enumerate(world.machines.alive(request.service)):
         known = program.endpoints.by_id.get(machine.id)
-        if known is not None and program.policy.refusal(world.loop.time(), request, known) is None:
+        if known is not None and program.policy.rejection(world.loop.time(), request, known) is None:
             queue = (machine.running + len(machine.waiting)) / machine.slots
             wrong = machine.bad + machine.cuts + machine.spoils
             best.append((queue * machine.pace + machine.pace / 4 + ILL * wrong, at, known))
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -7,12 +7,13 @@
 
 from honeywood.gateway.configuration.config import Config, Limits, Route
 from honeywood.gateway.rollout.stage import Stage
-from honeywood.gateway.routing.attempts import Attempt, AttemptPolicy, PendingRequest, connect_by
-from honeywood.gateway.routing.balancer import choose
-from honeywood.gateway.routing.budget import RetryBudget
-from honeywood.gateway.routing.endpoints import Endpoints
-from honeywood.gateway.routing.outcomes import AttemptOutcome, classify, may_relay
-from honeywood.gateway.routing.routes import RouteTable, pick_service
+from honeywood.gateway.routing.attempt_policy import AttemptPolicy
+from honeywood.gateway.routing.pending_request import Attempt, PendingRequest, connect_deadline
+from honeywood.gateway.routing.load_balancer import choose_endpoint
+from honeywood.gateway.routing.retry_budget import RetryBudget
+from honeywood.gateway.routing.endpoint_table import EndpointTable
+from honeywood.gateway.routing.outcomes import AttemptOutcome, classify_response, may_relay
+from honeywood.gateway.routing.route_table import RouteTable, choose_service
 
 
 def route(kind="safe", tries=2, prefix="/p/"):
@@ -23,7 +24,7 @@
     """A front's rules with machines m n o ready, and a budget of `slack`."""
 
     def __init__(self, slack=64.0):
-        self.endpoints = Endpoints()
+        self.endpoints = EndpointTable()
         self.stage = Stage(self.endpoints, 0.1, 50, lambda: 1)
         self.budget = RetryBudget(0.2, slack, 10.0)
         self.policy = AttemptPolicy(lambda svc: self.budget, lambda: 4, self.stage, {"s": 9})
@@ -34,7 +35,7 @@
         return self.endpoints.update(now, id, machine(id, ver, state=state))
 
     def bar(self, ask, id, now=0.1):
-        return self.policy.refusal(
+        return self.policy.rejection(
             now, ask, self.endpoints.by_id[id] if id in self.endpoints.by_id else self.gone[id]
         )
 
@@ -60,10 +61,10 @@
 def _():
     scene = Scene()
     one, machine = ask(), scene.endpoints.by_id["m"]
-    assert scene.policy.refusal(0.1, one, machine) is None
+    assert scene.policy.rejection(0.1, one, machine) is None
     for state in ("draining", "gone"):
         scene.note("m", state)
-        assert scene.policy.refusal(0.1, one, machine) == "state"
+        assert scene.policy.rejection(0.1, one, machine) == "state"
 
 
 @test("a machine whose run of it failed is not asked again, another is; one that was busy may be")
@@ -80,9 +81,9 @@
     # Seen on standard days: machines reset up to 383 connections over their cap.
     scene = Scene()  # four fronts share nine connections
     machine = scene.endpoints.by_id["m"]
-    machine.connecting, told = 1, [scene.bar(ask(), "m")]
+    machine.opening_connections, told = 1, [scene.bar(ask(), "m")]
     machine.connection_changed(1)
-    told += [scene.bar(ask(), "m"), scene.policy.refusal(0.1, ask(), machine, True)]
+    told += [scene.bar(ask(), "m"), scene.policy.rejection(0.1, ask(), machine, True)]
     machine.idle_connections.append("idle")
     told.append(scene.bar(ask(), "m"))
     machine.idle_connections.clear()
@@ -123,7 +124,7 @@
 @test("a connection for a request that came {ago} s ago, {sends} sends, may take {within} s")
 def _(ago=each(0.0, 0.03, 1.0, 0.0), sends=each(0, 0, 0, 1), within=each(0.0625, 0.05, 0.05, 0.6)):
     one = ask("safe", *[("m", "no answer")] * sends, until=0.6 + ago)
-    assert abs(connect_by(ago, one) - ago - within) < 1e-9
+    assert abs(connect_deadline(ago, one) - ago - within) < 1e-9
 
 
 @test("budgets of twelve fronts add up to less than the whole, whoever retries")
@@ -174,7 +175,7 @@
 ):
     # MIXED: a late surplus answer carries another id; a success without seal is none. TWICE: another's "not
     # run" that comes late, or one that is nobody's, says nothing of this request, which may be at work.
-    assert classify(status, fields, b"id") == meaning
+    assert classify_response(status, fields, b"id") == meaning
 
 
 @test("a machine's 503 that doesn't say it has not run is no promise to the client")
@@ -195,7 +196,7 @@
 @test("weights share requests out, and 0 gets none")
 def _():
     split = (("s", 90.0), ("t", 0.0), ("u", 10.0))
-    drawn = [pick_service(split, n / 1000) for n in range(1000)]
+    drawn = [choose_service(split, n / 1000) for n in range(1000)]
     assert (drawn.count("s"), drawn.count("t"), drawn.count("u")) == (900, 0, 100)
 
 
@@ -205,22 +206,22 @@
     far = scene.endpoints.by_id["o"]
     far.zone = "far"
     machines, draw = list(scene.endpoints.by_id.values()), random.Random(1)
-    assert {choose(1.0, machines, "z", [], 1.0, draw).id for _ in range(50)} == {"m", "n"}
+    assert {choose_endpoint(1.0, machines, "z", [], 1.0, draw).id for _ in range(50)} == {"m", "n"}
     for id in "mn":
         for _ in range(3):
-            scene.endpoints.by_id[id].request_began(1.0)
-    assert choose(1.0, machines, "z", [], 1.0, draw) is far
+            scene.endpoints.by_id[id].attempt_started(1.0)
+    assert choose_endpoint(1.0, machines, "z", [], 1.0, draw) is far
 
 
 @test("a machine that answers nothing is left alone while others answer")
 def _():
     scene = Scene()
     machines, draw = list(scene.endpoints.by_id.values()), random.Random(1)
-    scene.endpoints.by_id["m"].request_began(1.0)
-    assert "m" not in {choose(1.4, machines, "z", [], 0.1, draw).id for _ in range(50)}
+    scene.endpoints.by_id["m"].attempt_started(1.0)
+    assert "m" not in {choose_endpoint(1.4, machines, "z", [], 0.1, draw).id for _ in range(50)}
 
 
 @test("a request without an id: its machine's refusal without one is its own, any other answer is not")
 def _():
-    told = [classify(400, {b"x-not-run": b"1"}, b""), classify(200, {b"x-seal": b"s"}, b"")]
-    assert told == ["not run", "invalid"] and classify(421, ID, b"") == "invalid"
+    told = [classify_response(400, {b"x-not-run": b"1"}, b""), classify_response(200, {b"x-seal": b"s"}, b"")]
+    assert told == ["not run", "invalid"] and classify_response(421, ID, b"") == "invalid"
--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -16,8 +16,8 @@
 from honeywood.gateway.proxy.forwarding import ANSWER_EARLY_S, ClientRequest
 from honeywood.gateway.proxy.program import Proxy
 from honeywood.gateway.proxy.sender import LATE_ANSWER_S
-from honeywood.gateway.routing.attempts import PendingRequest
-from honeywood.gateway.routing.outcomes import PROMISES, AttemptOutcome, classify
+from honeywood.gateway.routing.pending_request import PendingRequest
+from honeywood.gateway.routing.outcomes import NOT_RUN_STATUSES, AttemptOutcome, classify_response
 from honeywood.gateway.rpc import connection
 from honeywood.gateway.rpc import stream
 from honeywood.gateway.rpc.client import Caller
@@ -157,8 +157,8 @@
         request = ClientRequest(self.method, b"/p0/x", list(fields.items()), fields, b"body")
         answer = await proxy.forwarder.forward(route, request)
         self.answers[id] = answer.status, answer.body, self.loop.time() - began
-        at_work = sum(one.in_flight - one.connecting for one in proxy.endpoints.by_id.values())
-        if answer.status in PROMISES and at_work:  # one that is still being dialled gets nothing any more
+        at_work = sum(one.in_flight - one.opening_connections for one in proxy.endpoints.by_id.values())
+        if answer.status in NOT_RUN_STATUSES and at_work:  # what is still being dialled gets nothing
             self.still_out.append(id)
         return answer.status
 
@@ -189,7 +189,7 @@
                 found.append(f"{id} got {status} though nothing of it was lost")
             if status == 200 and body != id[-2:]:
                 found.append(f"{id} got {body}")
-            if status in PROMISES and self.ran[id]:
+            if status in NOT_RUN_STATUSES and self.ran[id]:
                 found.append(f"{id} was refused and ran")
             if id in self.still_out:
                 found.append(f"{id} was refused with a machine at work")
@@ -197,8 +197,9 @@
                 found.append(f"{id} was held for {took}")
         for held in self.proxy.endpoints.by_id.values():
             kept = sum(one.reusable for one in held.idle_connections)
-            if held.in_flight or held.connecting or held.connected != kept:
-                found.append(f"{held.id}: {held.in_flight} open, {held.connected} connections, {kept} kept")
+            if held.in_flight or held.opening_connections or held.open_connections != kept:
+                counted = f"{held.in_flight} open, {held.open_connections} connections, {kept} kept"
+                found.append(f"{held.id}: {counted}")
         return found
 
 
@@ -385,17 +386,17 @@
 
 def lax(status, fields, id):
     refused = b"x-not-run" in fields or status == 421
-    return AttemptOutcome.NOT_RUN if refused else classify(status, fields, id)
+    return AttemptOutcome.NOT_RUN if refused else classify_response(status, fields, id)
 
 
 def anyones(status, fields, id):
-    return classify(status, {**fields, b"x-try-id": id}, id)
+    return classify_response(status, {**fields, b"x-try-id": id}, id)
 
 
 FAILED = connection.ExchangeFailed
 GUARDS = {  # each guard taken away: (what stands in its place, the family that shows it)
-    "whose refusal it is": ((sender, "classify", lax), "strays"),
-    "whose answer it is": ((sender, "classify", anyones), "strays"),
+    "whose refusal it is": ((sender, "classify_response", lax), "strays"),
+    "whose answer it is": ((sender, "classify_response", anyones), "strays"),
     "what may have run": ((PendingRequest, "may_have_run", property(lambda request: False)), "requests cut"),
     "what has left": (
         (connection, "ExchangeFailed", lambda why, sent, late=False, kind=FAILED: kind(why, False, late)),
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -87,7 +87,7 @@
         """Whether nothing of any request is open at the proxy."""
         endpoints = self.proxy.endpoints.by_id.values()
         forwarder = self.proxy.forwarder
-        open_attempts = sum(endpoint.in_flight + endpoint.connecting for endpoint in endpoints)
+        open_attempts = sum(endpoint.in_flight + endpoint.opening_connections for endpoint in endpoints)
         return not (forwarder.open_requests or forwarder.sender.flights or open_attempts)
 
 
@@ -121,7 +121,7 @@
 
 async def at_two_machines(scene):
     for service in scene.proxy.table.services:
-        scene.proxy.endpoints.latencies[service] = 0.02  # so that a second attempt comes soon
+        scene.proxy.endpoints.typical_latencies_s[service] = 0.02  # so that a second attempt comes soon
     return (await asked(scene, 2)).close
 
 
@@ -284,7 +284,7 @@
             await asyncio.sleep(0.15)
             assert await scene.until(scene.is_quiet, CUT_WITHIN_S) and not scene.started()
             endpoint = scene.proxy.endpoints.by_id["i-0"]
-            assert len(endpoint.idle_connections) == endpoint.connected  # what came up is kept
+            assert len(endpoint.idle_connections) == endpoint.open_connections  # what came up is kept
 
     play(work)
 
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -24,10 +24,10 @@
 from honeywood.gateway.register.storage import Storage
 from honeywood.gateway.rollout import record
 from honeywood.gateway.rollout.stage import Stage
-from honeywood.gateway.routing.attempts import AttemptPolicy
-from honeywood.gateway.routing.budget import RetryBudget
+from honeywood.gateway.routing.attempt_policy import AttemptPolicy
+from honeywood.gateway.routing.retry_budget import RetryBudget
 from honeywood.gateway.routing.outcomes import AttemptOutcome
-from honeywood.gateway.routing.routes import RouteTable
+from honeywood.gateway.routing.route_table import RouteTable
 from honeywood.lab.emulator import hunt
 from honeywood.lab.emulator.day import Day, EmulatedDay, draw, play
 from honeywood.lab.emulator.faults import Fault
@@ -107,7 +107,8 @@
         kept = AttemptPolicy.__dict__[method]
         return lambda *given: None if kept(*given) == name else kept(*given)
 
-    return [(AttemptPolicy, method, without(method)) for method in ("request_refusal", "endpoint_refusal")]
+    methods = ("request_rejection", "endpoint_rejection")
+    return [(AttemptPolicy, method, without(method)) for method in methods]
 
 
 def any_answer(status, fields, try_id):
@@ -204,7 +205,7 @@
 def three_routes(self, config, init=RouteTable.__init__):
     """Routes beyond the first three of a configuration are forgotten."""
     init(self, config)
-    self.hosts = {host: dict([*routes.items()][:3]) for host, routes in self.hosts.items()}
+    self.routes_by_host = {host: dict([*routes.items()][:3]) for host, routes in self.routes_by_host.items()}
 
 
 def promise(self, ask, best):
@@ -224,7 +225,7 @@
     patch=each(
         lambda: unrefused("may have run"),
         lambda: [(Forwarder, "_give_up", promise)],
-        lambda: [(sender, "classify", any_answer), (Connection, "exchange", unexpecting)],
+        lambda: [(sender, "classify_response", any_answer), (Connection, "exchange", unexpecting)],
         lambda: unrefused("state"),
         lambda: [(polling, "POLL_S", 3.0), (Proxy, "listen", idle)],
         lambda: [(Store, "put", last_wins), (Store, "since", all_again)],
--- a/tests/gateway/test_invariants.py
+++ b/tests/gateway/test_invariants.py
@@ -10,7 +10,7 @@
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.proxy.invariants import ABANDONED_WITHIN_S, Violation
 from honeywood.gateway.proxy.sender import AttemptSender
-from honeywood.gateway.routing.attempts import AttemptPolicy
+from honeywood.gateway.routing.attempt_policy import AttemptPolicy
 
 
 LOOKS, LOOK_S = 150, 0.02  # a busy machine may take long to bring a fault about
@@ -40,7 +40,7 @@
 
 
 async def leaving_is_not_heeded(scene, patch):
-    patch(AttemptPolicy, "request_refusal", lambda self, now, request: None)
+    patch(AttemptPolicy, "request_rejection", lambda self, now, request: None)
     opened = scene.proxy.pool.open
 
     async def late(endpoint, until):
@@ -53,8 +53,8 @@
 
 
 async def unsafe_is_repeated(scene, patch):
-    patch(AttemptPolicy, "request_refusal", lambda self, now, request: None)
-    patch(AttemptPolicy, "_repeat_refusal", lambda self, request, endpoint: None)
+    patch(AttemptPolicy, "request_rejection", lambda self, now, request: None)
+    patch(AttemptPolicy, "_repeat_rejection", lambda self, request, endpoint: None)
     asked = asyncio.ensure_future(scene.post())
     await asyncio.sleep(0.1)
     asked.cancel()
@@ -129,9 +129,9 @@
         async with Scene([ok]) as scene:
             await scene.get()
             endpoint = scene.proxy.endpoints.by_id["i-0"]
-            endpoint.connected += 1
+            endpoint.open_connections += 1
             scene.proxy.invariants.look(1.0)
-            endpoint.connected -= 1
+            endpoint.open_connections -= 1
             scene.proxy.invariants.look(1.5)
             assert not scene.proxy.invariants.violations
 
--- a/tests/gateway/test_pinned_proxy.py
+++ b/tests/gateway/test_pinned_proxy.py
@@ -37,7 +37,7 @@
 from honeywood.gateway.configuration.config import for_proxies
 from honeywood.gateway.configuration.settings import read
 from honeywood.gateway.proxy.program import Proxy
-from honeywood.gateway.routing.attempts import Refusal
+from honeywood.gateway.routing.rejection import RejectionReason
 from honeywood.gateway.routing.outcomes import AttemptOutcome
 from honeywood.gateway.rpc.server import HttpServer
 from honeywood.lab.emulator.boot import BOUNDS, boot
@@ -94,7 +94,7 @@
     await proxy.listen()
 
 
-def values_of(enumeration: type[Refusal] | type[AttemptOutcome]) -> list[str]:
+def values_of(enumeration: type[RejectionReason] | type[AttemptOutcome]) -> list[str]:
     return sorted(str(one) for one in enumeration)
 
 
@@ -463,5 +463,5 @@
 
 @test("what stands in X-Gateway and in counts keeps its names")
 def _():
-    found = {"refusals": values_of(Refusal), "outcomes": values_of(AttemptOutcome)}
+    found = {"refusals": values_of(RejectionReason), "outcomes": values_of(AttemptOutcome)}
     assert found == RECORDED["names"]
--- a/tests/gateway/test_rollouts.py
+++ b/tests/gateway/test_rollouts.py
@@ -11,7 +11,7 @@
 from honeywood.gateway.rollout.stage import Stage
 from honeywood.gateway.rollout.report import Ballot, Tally
 from honeywood.gateway.rollout.verdict import Change, Verdict, Voter
-from honeywood.gateway.routing.attempts import PendingRequest
+from honeywood.gateway.routing.pending_request import PendingRequest
 from honeywood.gateway.routing.outcomes import AttemptOutcome
 
 SUCCESS, FAILURE = AttemptOutcome.SUCCESS, AttemptOutcome.FAILURE
@@ -23,7 +23,7 @@
     def __init__(
         self, bad, seed, fronts=12, per_s=400.0, classes=1, lag=0.4, paces=(1.0,), over_s=14.0, warm_s=-5.0
     ):
-        from honeywood.gateway.routing.endpoints import Endpoints
+        from honeywood.gateway.routing.endpoint_table import EndpointTable
 
         self.over_s, self.paces = over_s, paces  # times of machines beside each other, in turn
         self.draw, self.bad, self.rate, self.lag = random.Random(seed), bad, per_s, lag
@@ -32,7 +32,7 @@
         ]
         self.fronts = []
         for _ in range(fronts):
-            endpoints = Endpoints()
+            endpoints = EndpointTable()
             for id, ver in (("m", "v1"), *((f"n{n}", "v2") for n in range(8))):
                 endpoints.update(warm_s if ver == "v2" else -5.0, id, machine(id, ver, slots=6))
             self.fronts.append((endpoints, Stage(endpoints, 0.1, 50, lambda: fronts)))
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -10,7 +10,7 @@
 from honeywood.gateway.configuration import config as configuration
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.configuration.tenants import HASH_BYTES, Tenant, hash_key
-from honeywood.gateway.routing.tenants import TenantTable
+from honeywood.gateway.routing.tenant_table import TenantTable
 
 KEYS = {"cuka620": ["48wuakn2ftimaj3nr26t", "ta828m82thhkmgjqnirt"], "seje681": ["9f3kq0z7m1xw5c8v2b6n"]}
 LINE = b"GET /p0/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: id1\r\nX-Deadline-Ms: 600\r\n"
@@ -298,7 +298,7 @@
     alike = [bytes(HASH_BYTES - 1) + bytes([n]) for n in range(40)] + [b"\xff" * HASH_BYTES]
     table = TenantTable([Tenant(f"t{n}", (one,)) for n, one in enumerate(alike)])
     for n, one in enumerate(alike):
-        assert table._find_hash(one).name == b"t%d" % n
+        assert table.find_by_hash(one).name == b"t%d" % n
 
 
 @test("a kind of item whose letters are escaped is told to proxies without its keys too")
