--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -23,6 +23,7 @@
 from honeywood.gateway.rollout.stage import Stage
 from honeywood.gateway.routing.attempt_policy import AttemptPolicy
 from honeywood.gateway.routing.retry_budget import RetryBudget
+from honeywood.gateway.routing.endpoint_record import EndpointRecord
 from honeywood.gateway.routing.endpoint_state import LOST
 from honeywood.gateway.routing.endpoint_table import EndpointTable
 from honeywood.gateway.routing.route_table import RouteTable
@@ -135,8 +136,8 @@
         """An endpoint has changed; one that leaves service keeps no idle connection."""
         now = self.clock()
         self.history.hear(now, id, value["state"])
-        endpoint, left = self.endpoints.update(now, id, value)
-        if left:
+        endpoint = self.endpoints.update(now, id, EndpointRecord.decode(value))
+        if endpoint is not None:
             self.pool.close_idle(endpoint)
 
     async def listen(self):
--- a/honeywood/gateway/routing/endpoint.py
+++ b/honeywood/gateway/routing/endpoint.py
@@ -8,6 +8,7 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
+    from honeywood.gateway.routing.endpoint_record import EndpointRecord
     from honeywood.gateway.rpc.connection import Connection
 
 LOAD_HALF_LIFE_S = 0.4  # in which half of the reported load from other proxies is discounted
@@ -73,6 +74,16 @@
         self.opening_connections = 0
         self.open_connections = 0
 
+    def apply(self, now: float, record: EndpointRecord) -> None:
+        """Takes over what the machine's newest record says."""
+        self.ip = record.ip
+        self.port = record.port
+        self.zone = record.zone
+        self.version = record.version
+        self.slots = record.slots
+        self.warm_at = now + record.warm_up_s
+        self.state = record.state
+
     def load(self, now: float) -> float:
         """The estimated requests at the machine: this proxy's own and, decaying, those of other proxies."""
         half_lives = (now - self.load_reported_at) / LOAD_HALF_LIFE_S
--- a/honeywood/gateway/routing/endpoint_table.py
+++ b/honeywood/gateway/routing/endpoint_table.py
@@ -7,8 +7,9 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from collections.abc import Mapping, Sequence
-    from typing import Any
+    from collections.abc import Sequence
+
+    from honeywood.gateway.routing.endpoint_record import EndpointRecord
 
 TYPICAL_LATENCY_STEP = 0.02  # weight of one response in a service's moving average
 
@@ -31,31 +32,26 @@
         """The usual seconds to a complete response of a service."""
         return self.typical_latencies_s.get(service, default)
 
-    def update(self, now: float, id: str, value: Mapping[str, Any]) -> tuple[Endpoint | None, bool]:
-        """Takes a machine record; the Endpoint, and whether the record took it out of service."""
-        if value["state"] in (EndpointState.GONE, EndpointState.LOST):
-            return self._remove(id, EndpointState(value["state"]))
-        endpoint = self.by_id.get(id)
-        if endpoint is None:
-            endpoint = self.by_id[id] = Endpoint(id, value["svc"], now)
-            self.by_service.setdefault(endpoint.service, []).append(endpoint)
-        endpoint.ip = value["ip"]
-        endpoint.port = value["port"]
-        endpoint.zone = value["zone"]
-        endpoint.version = value["ver"]
-        endpoint.slots = max(1, value["slots"])
-        endpoint.warm_at = now + value["cold"]
-        left = endpoint.state == EndpointState.READY != value["state"]
-        endpoint.state = EndpointState(value["state"])
-        return endpoint, left
-
-    def _remove(self, id: str, state: EndpointState) -> tuple[Endpoint | None, bool]:
+    def update(self, now: float, id: str, record: EndpointRecord) -> Endpoint | None:
+        """Takes the newest record of a machine; the endpoint that is out of service by it, if any."""
+        if record.has_ended:
+            return self._remove(id, record.state)
+        endpoint = self.by_id.get(id) or self._add(now, id, record.service)
+        was_ready = endpoint.state is EndpointState.READY
+        endpoint.apply(now, record)
+        return endpoint if was_ready and endpoint.state is not EndpointState.READY else None
+
+    def _add(self, now: float, id: str, service: str) -> Endpoint:
+        endpoint = self.by_id[id] = Endpoint(id, service, now)
+        self.by_service.setdefault(service, []).append(endpoint)
+        return endpoint
+
+    def _remove(self, id: str, state: EndpointState) -> Endpoint | None:
         endpoint = self.by_id.pop(id, None)
-        if endpoint is None:
-            return None, False
-        self.by_service[endpoint.service].remove(endpoint)
-        endpoint.state = state
-        return endpoint, True
+        if endpoint is not None:
+            self.by_service[endpoint.service].remove(endpoint)
+            endpoint.state = state
+        return endpoint
 
     def record_abandoned(self, now: float, endpoint: Endpoint, waited_s: float) -> None:
         """An attempt was abandoned after `waited_s` without a response.
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -11,6 +11,7 @@
 from honeywood.gateway.routing.pending_request import Attempt, PendingRequest, connect_deadline
 from honeywood.gateway.routing.load_balancer import choose_endpoint
 from honeywood.gateway.routing.retry_budget import RetryBudget
+from honeywood.gateway.routing.endpoint_record import EndpointRecord
 from honeywood.gateway.routing.endpoint_table import EndpointTable
 from honeywood.gateway.routing.outcomes import AttemptOutcome, classify_response, may_relay
 from honeywood.gateway.routing.route_table import RouteTable, choose_service
@@ -32,7 +33,7 @@
             self.note(id, "ready")
 
     def note(self, id, state, ver="v1", now=0.0):
-        return self.endpoints.update(now, id, machine(id, ver, state=state))
+        return self.endpoints.update(now, id, EndpointRecord.decode(machine(id, ver, state=state)))
 
     def bar(self, ask, id, now=0.1):
         return self.policy.rejection(
--- a/tests/gateway/test_rollouts.py
+++ b/tests/gateway/test_rollouts.py
@@ -12,6 +12,7 @@
 from honeywood.gateway.rollout.report import Ballot, Tally
 from honeywood.gateway.rollout.verdict import Change, Verdict, Voter
 from honeywood.gateway.routing.pending_request import PendingRequest
+from honeywood.gateway.routing.endpoint_record import EndpointRecord
 from honeywood.gateway.routing.outcomes import AttemptOutcome
 
 SUCCESS, FAILURE = AttemptOutcome.SUCCESS, AttemptOutcome.FAILURE
@@ -34,7 +35,8 @@
         for _ in range(fronts):
             endpoints = EndpointTable()
             for id, ver in (("m", "v1"), *((f"n{n}", "v2") for n in range(8))):
-                endpoints.update(warm_s if ver == "v2" else -5.0, id, machine(id, ver, slots=6))
+                known_at, found = warm_s if ver == "v2" else -5.0, machine(id, ver, slots=6)
+                endpoints.update(known_at, id, EndpointRecord.decode(found))
             self.fronts.append((endpoints, Stage(endpoints, 0.1, 50, lambda: fronts)))
         self.record = record.start(None, "s", "v2", over_s, 0.0)
         for _, stage in self.fronts:
@@ -600,9 +602,9 @@
     fleet = Fleet(good, 0)
     endpoints, stage = fleet.fronts[0]
     stage.hear(0.0, played((0, V2), (3, "reverted"), (1, V3)))
-    endpoints.update(0.0, "o", machine("o", "v3"))
+    endpoints.update(0.0, "o", EndpointRecord.decode(machine("o", "v3")))
     assert [stage.standing("s", ver) for ver in ("v1", "v2", "v3")] == ["established", "closed", "trial"]
-    endpoints.update(0.0, "m", {**machine("m", "v1"), "state": "gone"})
+    endpoints.update(0.0, "m", EndpointRecord.decode({**machine("m", "v1"), "state": "gone"}))
     assert stage.standing("s", "v2") == "established"
     stage.hear(0.0, played((0, V2), (3, "reverted"), (1, V3), (9, "done"), (1, V2)))
     assert stage.standing("s", "v2") == "trial"
