--- /dev/null
+++ b/tests/gateway/routing/test_tenant_table.py
@@ -0,0 +1,29 @@
+"""Tenants by API key."""
+
+from ward import each, test
+
+from honeywood.gateway.configuration.tenants import HASH_BYTES, Tenant, hash_key
+from honeywood.gateway.routing.tenant_table import TenantTable
+
+
+@test("with {count} tenants each key is found with its tenant's priority, and no other key")
+def _(count=each(0, 1, 2, 9, 5000)):
+    tenants = [
+        Tenant(f"t{n}", tuple(hash_key(b"%d/%d" % (n, k)) for k in range(n % 3 + 1)), n % 4 or None)
+        for n in range(count)
+    ]
+    table = TenantTable(tenants)
+    for n, tenant in enumerate(tenants):
+        for k in range(n % 3 + 1):
+            found = table.find(b"%d/%d" % (n, k))
+            assert (found.name, found.priority) == (tenant.name.encode(), tenant.priority)
+        assert table.find(b"%d/%d" % (n, n % 3 + 1)) is None
+    assert table.find(b"") is None
+
+
+@test("hashes with a common prefix are told apart, and the highest of all is found")
+def _():
+    alike = [bytes(HASH_BYTES - 1) + bytes([n]) for n in range(40)] + [b"\xff" * HASH_BYTES]
+    table = TenantTable([Tenant(f"t{n}", (one,)) for n, one in enumerate(alike)])
+    for n, one in enumerate(alike):
+        assert table.find_by_hash(one).name == b"t%d" % n
--- /dev/null
+++ b/tests/gateway/routing_fixtures.py
@@ -0,0 +1,69 @@
+"""Routes, requests and endpoints for tests of routing."""
+
+from timeline import machine
+from ward import fixture
+
+from honeywood.gateway.configuration.config import Route
+from honeywood.gateway.rollout.stage import Stage
+from honeywood.gateway.routing.attempt_policy import AttemptPolicy
+from honeywood.gateway.routing.endpoint import Endpoint
+from honeywood.gateway.routing.endpoint_record import EndpointRecord
+from honeywood.gateway.routing.endpoint_table import EndpointTable
+from honeywood.gateway.routing.outcomes import AttemptOutcome
+from honeywood.gateway.routing.pending_request import Attempt, PendingRequest
+from honeywood.gateway.routing.rejection import RejectionReason
+from honeywood.gateway.routing.retry_budget import RetryBudget
+
+PROXIES = 4  # that share the budget and each endpoint's connections
+MAX_CONNECTIONS = 9  # of one endpoint from all proxies
+TIMEOUT_S, LATENCY_TARGET_S = 0.6, 0.25  # of each route
+
+
+def make_route(kind: str = "safe", max_attempts: int = 2, prefix: str = "/p/") -> Route:
+    """A route to the service `s`."""
+    return Route(
+        "r", "h.example", prefix, kind, TIMEOUT_S, LATENCY_TARGET_S, 0, max_attempts, (("s", 1.0),)
+    )
+
+
+def make_request(
+    kind: str = "safe",
+    *attempts: tuple[Endpoint, str | None],
+    max_attempts: int = 2,
+    deadline: float = TIMEOUT_S,
+) -> PendingRequest:
+    """A request received at 0, with attempts given as endpoint and outcome (None: in flight)."""
+    made = [Attempt(endpoint, outcome and AttemptOutcome(outcome)) for endpoint, outcome in attempts]
+    return PendingRequest(make_route(kind, max_attempts), "s", b"id", 0.0, deadline, made)
+
+
+class Router:
+    """A proxy's attempt policy with the ready endpoints m, n and o, and a retry budget of `slack`."""
+
+    def __init__(self, slack: float = 64.0) -> None:
+        self.endpoints = EndpointTable()
+        self.stage = Stage(self.endpoints, 0.1, 50, lambda: 1)
+        self.budget = RetryBudget(0.2, slack, 10.0)
+        self.policy = AttemptPolicy(
+            lambda service: self.budget, lambda: PROXIES, self.stage, {"s": MAX_CONNECTIONS}
+        )
+        for id in "mno":
+            self.update(id, "ready")
+
+    def __getitem__(self, id: str) -> Endpoint:
+        """The endpoint `id`."""
+        return self.endpoints.by_id[id]
+
+    def update(self, id: str, state: str) -> Endpoint | None:
+        """A record says that a machine is in `state`."""
+        return self.endpoints.update(0.0, id, EndpointRecord.decode(machine(id, state=state)))
+
+    def rejection(self, request: PendingRequest, id: str, now: float = 0.1) -> RejectionReason | None:
+        """Why the request may not be sent to the endpoint `id`."""
+        return self.policy.rejection(now, request, self[id])
+
+
+@fixture
+def router() -> Router:
+    """A Router with an ample retry budget."""
+    return Router()
--- a/tests/gateway/test_architecture.py
+++ b/tests/gateway/test_architecture.py
@@ -164,6 +164,6 @@
 
 @test("no test file imports another: its tests would be collected twice")
 def _():
-    files = sorted((ROOT / "tests" / "gateway").glob("test_*.py"))
+    files = sorted((ROOT / "tests" / "gateway").rglob("test_*.py"))
     names = {path.stem for path in files}
     assert not [path.name for path in files if names & {name.partition(".")[0] for name in imported(path)}]
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -9,8 +9,7 @@
 
 from honeywood.gateway.configuration import config as configuration
 from honeywood.gateway.configuration.outcome import Wrong
-from honeywood.gateway.configuration.tenants import HASH_BYTES, Tenant, hash_key
-from honeywood.gateway.routing.tenant_table import TenantTable
+from honeywood.gateway.configuration.tenants import hash_key
 
 KEYS = {"cuka620": ["48wuakn2ftimaj3nr26t", "ta828m82thhkmgjqnirt"], "seje681": ["9f3kq0z7m1xw5c8v2b6n"]}
 LINE = b"GET /p0/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: id1\r\nX-Deadline-Ms: 600\r\n"
@@ -278,29 +277,6 @@
         world.close()
 
 
-@test("the table finds each of {count} keys, none that is not there, and their tenants' priorities")
-def _(count=each(0, 1, 2, 9, 5000)):
-    tenants = [
-        Tenant(f"t{n}", tuple(hash_key(b"%d/%d" % (n, k)) for k in range(n % 3 + 1)), n % 4 or None)
-        for n in range(count)
-    ]
-    table = TenantTable(tenants)
-    for n, tenant in enumerate(tenants):
-        for k in range(n % 3 + 1):
-            found = table.find(b"%d/%d" % (n, k))
-            assert (found.name, found.priority) == (tenant.name.encode(), tenant.priority)
-        assert table.find(b"%d/%d" % (n, n % 3 + 1)) is None
-    assert table.find(b"") is None
-
-
-@test("hashes that begin alike are told apart, and the highest of all is found")
-def _():
-    alike = [bytes(HASH_BYTES - 1) + bytes([n]) for n in range(40)] + [b"\xff" * HASH_BYTES]
-    table = TenantTable([Tenant(f"t{n}", (one,)) for n, one in enumerate(alike)])
-    for n, one in enumerate(alike):
-        assert table.find_by_hash(one).name == b"t%d" % n
-
-
 @test("a kind of item whose letters are escaped is told to proxies without its keys too")
 def _():
     escaped = json.dumps(with_tenants()).replace('"tenants"', '"\\u0074enants"')
