--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -109,9 +109,9 @@
 async def work(count, pipe):
     port = pipe.recv()
     proxy = Proxy(read(boot("127.0.0.1", bear=0, ports=(18180, 18181, 18182, 7000, 7010))))
-    proxy.hear("config", json.dumps(config(5)))
+    proxy.records.apply("config", json.dumps(config(5)))
     for n in range(4):
-        proxy.hear(
+        proxy.records.apply(
             f"machine/i-{n}",
             {
                 "svc": "s",
@@ -127,7 +127,7 @@
     bare, whole = [], []
     for turn in range(3):
         bare.append(await measure(Bare(port), 18190 + turn, pipe, count))
-        proxy.app.ready_port = proxy.app.news_port = 0
+        proxy.app.ready_port = proxy.app.peer_port = 0
         whole.append(await measure(proxy.app, 18195 + turn, pipe, count))
     print("| turn | libraries, ms | proxy, ms | own code, ms |\n| --- | --- | --- | --- |")
     for turn, (a, b) in enumerate(zip(bare, whole)):
--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -1,173 +1,89 @@
-"""The proxy's ASGI application: clients, the platform's readiness calls, and news."""
+"""The proxy's ASGI application: hands each request to the handler of its listener."""
 
-import json
-from collections import Counter
+from __future__ import annotations
 
-import httpcore
+from honeywood.gateway.proxy.client_response import UNAVAILABLE
+from honeywood.gateway.rpc.asgi import CONTEXT, answer
 
-from honeywood.gateway.configuration.check import read_json
-from honeywood.gateway.configuration.outcome import Wrong
-from honeywood.gateway.dissemination.messages import Ask
-from honeywood.gateway.dissemination.record import PATH
-from honeywood.gateway.proxy.forwarding import ClientRequest
-from honeywood.gateway.proxy.responses import (
-    BAD_REQUEST,
-    BODY_TOO_LONG,
-    NO_CONFIGURATION_RETRY_S,
-    NOT_FOUND,
-    UNAUTHORIZED,
-    UNAVAILABLE,
-    own_response,
-)
-from honeywood.gateway.routing.admission import ADMITTED_WITHOUT_TENANTS
-from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of, stream
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Awaitable, Callable
+
+    from honeywood.gateway.configuration.config import Limits
+    from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
+    from honeywood.gateway.proxy.asgi_types import Receive, Scope, Send
+    from honeywood.gateway.proxy.client_handler import ClientHandler
+    from honeywood.gateway.proxy.client_response import ClientResponse
+    from honeywood.gateway.proxy.peer_handler import PeerHandler
+    from honeywood.gateway.proxy.readiness import Readiness
+    from honeywood.gateway.proxy.response_writer import ResponseWriter
 
-NEWS_MOST = 8 << 20  # bytes of one ask or answer of news
 OK = 200
-CHALLENGE = (b"www-authenticate", b"ApiKey")  # 401 must name how to authenticate (RFC 9110, 15.5.2)
 
 
 class App:
-    """What the proxy's listeners call for each request."""
-
-    def __init__(self, proxy):
-        """`proxy` is the program."""
-        self.proxy, self.refusals = proxy, Counter()  # refusals by reason
-        self.relaying = 0  # long answers that are being passed on
-        self.ready_port = proxy.settings.listen["ready"][1]
-        self.news_port = proxy.settings.proxy_port
+    """What the HTTP server calls for each request on any of the proxy's listeners.
+
+    `ready_port`, `peer_port` and `metrics_port` are those of the platform's readiness checks, of other
+    proxies and of the metrics page; every other request is a client's.
+    """
+
+    def __init__(
+        self,
+        configuration: ActiveConfiguration,
+        clients: ClientHandler,
+        peers: PeerHandler,
+        writer: ResponseWriter,
+        readiness: Readiness,
+        stopping: asyncio.Event,
+        serve_metrics: Callable[[Scope, Send], Awaitable[None]],
+        ready_port: int,
+        peer_port: int,
+        metrics_port: Callable[[], int | None],
+    ) -> None:
+        """`metrics_port` gives None while there is no metrics listener."""
+        self.configuration = configuration
+        self.clients = clients
+        self.peers = peers
+        self.writer = writer
+        self.readiness = readiness
+        self.stopping = stopping
+        self.serve_metrics = serve_metrics
+        self.ready_port = ready_port
+        self.peer_port = peer_port
+        self.metrics_port = metrics_port
 
     @property
-    def limits(self):
-        """The bounds on clients that are in force."""
-        return self.proxy.limits
+    def limits(self) -> Limits:
+        """The limits on clients in effect; the server reads them."""
+        return self.configuration.limits
 
-    async def __call__(self, scope, receive, send):
-        """ASGI: a client's request, the platform's readiness call, or another proxy's ask for news."""
+    async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """Answers one request."""
         port = scope["server"][1]
         if port == self.ready_port:
-            return await answer(send, OK if self.proxy.ready else UNAVAILABLE)
-        if port == self.news_port:
-            return await self.news(scope, receive, send)
-        if port == self.proxy.metrics_port:
-            return await self.proxy.tell_figures(scope, send)
+            await answer(send, OK if self.readiness.is_ready() else UNAVAILABLE)
+        elif port == self.peer_port:
+            await self.peers.handle(scope, receive, send)
+        elif port == self.metrics_port():
+            await self.serve_metrics(scope, send)
+        else:
+            await self._serve_client(scope, receive, send)
+
+    async def _serve_client(self, scope: Scope, receive: Receive, send: Send) -> None:
         context = scope[CONTEXT]
         early = context.early_response
-        response = await (early if early is not None else self.client(scope, receive))
-        headers = response.headers
-        if self.proxy.stopping.is_set() and not context.others_begun():
-            headers = [*headers, (b"connection", b"close")]  # what has begun behind is answered first
-        if response.remainder is None:
-            return await answer(send, response.status, headers, response.body)
-        await self._relay(send, response, headers, context.departure)
+        response = await (early if early is not None else self.clients.handle(scope, receive))
+        # Pipelined requests that have begun are answered before a stopping proxy closes the connection.
+        close = self.stopping.is_set() and not context.others_begun()
+        await self.writer.write(send, response, context.departure, close)
 
-    async def _relay(self, send, response, headers, departure):
-        """Passes a long answer on as it comes."""
-        self.relaying += 1
-        try:
-            await stream(send, response.status, headers, _chunks(response))
-        except httpcore.ReadTimeout:  # what `abandon` makes of the reading
-            if not departure.gone:
-                raise
-        finally:
-            self.relaying -= 1
-            departure.unsubscribe(response.remainder.abandon)
+    def early(self, scope: Scope) -> asyncio.Task[ClientResponse] | None:
+        """Starts a pipelined request early; None where it has to wait for its turn.
 
-    def early(self, scope):
-        """Begins with a request that stands behind another, where it may be repeated and has no body: a task
-        of its ClientResponse, or None."""
-        fields = dict(scope["headers"])
-        if self.proxy.stopping.is_set():  # what stands behind an answer that closes isn't read
-            return None
-        if scope["server"][1] in (self.ready_port, self.news_port):
-            return None
-        if fields.get(b"content-length", b"0") != b"0" or b"transfer-encoding" in fields:
+        A stopping proxy starts none: what follows a response that closes the connection isn't read.
+        """
+        if self.stopping.is_set() or scope["server"][1] in (self.ready_port, self.peer_port):
             return None
-        route = self._route(scope, fields)
-        admission = self._admit(route, scope["headers"]) if route is not None and route.safe else None
-        if admission is None:
-            return None
-        return self.proxy.start(self._forward(scope, route, admission, fields, b""))
-
-    async def client(self, scope, receive):
-        """The ClientResponse to a client's request."""
-        fields = dict(scope["headers"])
-        if self.proxy.table is None:
-            return self._refused(UNAVAILABLE, "no configuration yet", NO_CONFIGURATION_RETRY_S)
-        route = self._route(scope, fields)
-        if route is None:
-            return self._refused(NOT_FOUND, "no route")
-        admission = self._admit(route, scope["headers"])
-        if admission is None:
-            refused = self._refused(UNAUTHORIZED, "no known key")
-            refused.headers.append(CHALLENGE)
-            return refused
-        body = await body_of(receive, self.proxy.limits.body_bytes)
-        if body is None and scope[CONTEXT].departure.gone:
-            return self._refused(BAD_REQUEST, "its client left before its end")
-        if body is None:
-            return self._refused(BODY_TOO_LONG, "the body is too long")
-        return await self._forward(scope, route, admission, fields, body)
-
-    def _refused(self, status, reason, retry_after_s=None):
-        """An answer of our own to a request that is not forwarded, counted by its reason."""
-        self.refusals[f"not forwarded: {reason}"] += 1
-        return own_response(status, reason, retry_after_s)
-
-    def _route(self, scope, fields):
-        table = self.proxy.table
-        return table.find(fields.get(b"host", b""), scope["raw_path"]) if table else None
-
-    def _admit(self, route, headers):
-        """The Admission of a request on `route`; None where its key is not known."""
-        tenants = self.proxy.table.tenants
-        return ADMITTED_WITHOUT_TENANTS if tenants is None else tenants.admit(headers, route.public)
-
-    async def _forward(self, scope, route, admission, fields, body):
-        context = scope[CONTEXT]
-        request = ClientRequest(
-            scope["method"].encode(),
-            context.target,
-            scope["headers"],
-            fields,
-            body,
-            context.departure,
-            context.received_at,
-            admission,
-        )
-        response = await self.proxy.forwarder.forward(route, request)
-        if response.remainder is not None and route.safe:  # it may wait long for its turn to be passed on
-            context.departure.subscribe(response.remainder.abandon)
-        return response
-
-    async def hear(self, raw, peer, has_left=lambda: False):
-        """The answer to another program's ask for news."""
-        ask = Ask.decode(read_json(raw, PATH, peer), peer)
-        return (await self.proxy.publisher.serve(ask, has_left)).encode()
-
-    async def news(self, scope, receive, send):
-        """Another proxy's ask for news."""
-        peer = scope["client"][0]
-        try:
-            if scope["path"] != PATH or scope["method"] != "POST":
-                return await answer(send, NOT_FOUND)
-            raw = await body_of(receive, NEWS_MOST)
-            if raw is None:
-                return await answer(send, BODY_TOO_LONG)
-            departure = scope[CONTEXT].departure
-            found = await self.hear(raw, peer, lambda: departure.gone)
-        except Wrong as wrong:
-            return await answer(send, BAD_REQUEST, (), str(wrong).encode())
-        await answer(
-            send,
-            200,
-            [(b"content-type", b"application/json")],
-            json.dumps(found, separators=(",", ":")).encode(),
-        )
-
-
-async def _chunks(response):
-    """The start of a long body and what follows it."""
-    yield response.body
-    async for chunk in response.remainder:
-        yield chunk
+        return self.clients.begin_early(scope)
--- /dev/null
+++ b/honeywood/gateway/proxy/attempt_sender.py
@@ -0,0 +1,241 @@
+"""Carries out attempts: one exchange of a request with one endpoint."""
+
+from __future__ import annotations
+
+import asyncio
+
+from honeywood.gateway.proxy.attempt_in_flight import NOTHING_SENT, AttemptInFlight, AttemptResult
+from honeywood.gateway.proxy.client_request import TRY_ID_HEADER
+from honeywood.gateway.proxy.load_report import LOAD_HEADER, record_load_report
+from honeywood.gateway.proxy.request_counters import RequestProgress
+from honeywood.gateway.routing.outcomes import AttemptOutcome, classify_response
+from honeywood.gateway.routing.pending_request import connect_deadline
+from honeywood.gateway.rpc.connection import ExchangeFailed, Reply
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Coroutine
+    from typing import Any, Protocol
+
+    from honeywood.gateway.proxy.client_request import OutgoingRequest
+    from honeywood.gateway.proxy.connection_pool import ConnectionPool
+    from honeywood.gateway.proxy.request_counters import RequestCounters
+    from honeywood.gateway.routing.attempt_policy import AttemptPolicy
+    from honeywood.gateway.routing.endpoint import Endpoint
+    from honeywood.gateway.routing.endpoint_table import EndpointTable
+    from honeywood.gateway.routing.pending_request import PendingRequest
+    from honeywood.gateway.rpc.connection import Connection
+
+    class OutcomeObserver(Protocol):
+        """The part of a rollout's stage that counts outcomes."""
+
+        def ended(
+            self,
+            now: float,
+            request: PendingRequest,
+            endpoint: Endpoint,
+            outcome: AttemptOutcome,
+            latency_s: float,
+        ) -> None:
+            """An attempt has ended."""
+
+
+LATE_RESPONSE_S = 0.05  # after the deadline, in which an endpoint's own 504 still saves its connection
+RUN_OUTCOMES = (AttemptOutcome.SUCCESS, AttemptOutcome.FAILURE)
+OWN_RESPONSE_OUTCOMES = (*RUN_OUTCOMES, AttemptOutcome.NOT_RUN)
+
+
+class AttemptSender:
+    """Makes attempts, and reports their results to the endpoint, the pool, the rollout and the counters."""
+
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        endpoints: EndpointTable,
+        policy: AttemptPolicy,
+        observer: OutcomeObserver,
+        pool: ConnectionPool,
+        counters: RequestCounters,
+        on_idle: Callable[[PendingRequest], None],
+        on_attempt: Callable[[PendingRequest], None],
+    ) -> None:
+        """`on_attempt` is called before each attempt, `on_idle` when a request's last one in flight ends."""
+        self.clock = clock
+        self.endpoints = endpoints
+        self.policy = policy
+        self.observer = observer
+        self.pool = pool
+        self.counters = counters
+        self.on_idle = on_idle
+        self.on_attempt = on_attempt
+        self.in_flight: dict[PendingRequest, list[AttemptInFlight]] = {}
+        self._tasks: set[asyncio.Task[AttemptResult]] = set()  # the loop itself keeps weak references only
+
+    def start(
+        self, request: PendingRequest, endpoint: Endpoint, outgoing: OutgoingRequest
+    ) -> asyncio.Task[AttemptResult]:
+        """A task that runs `send`."""
+        return self._start_task(self.send(request, endpoint, outgoing))
+
+    def _start_task(self, work: Coroutine[Any, Any, AttemptResult]) -> asyncio.Task[AttemptResult]:
+        task = asyncio.get_running_loop().create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+        return task
+
+    def abandon(self, request: PendingRequest) -> None:
+        """Ends the attempts of an idempotent request whose client has left.
+
+        An attempt that waits for its connection is ended by the policy instead, and the connection is kept.
+        """
+        for attempt in self.in_flight.get(request, ()):
+            if attempt.record is None or attempt.record.outcome is not None:
+                continue
+            attempt.record.outcome = AttemptOutcome.ABANDONED
+            if attempt.connection is not None:
+                attempt.connection.close()
+            self.counters.attempt_abandoned()
+
+    async def send(
+        self, request: PendingRequest, endpoint: Endpoint, outgoing: OutgoingRequest
+    ) -> AttemptResult:
+        """Makes one attempt. Nothing is sent if the policy rejects it once the connection is established."""
+        attempt = AttemptInFlight(request, endpoint)
+        self.in_flight.setdefault(request, []).append(attempt)
+        endpoint.attempt_started(self.clock())
+        try:
+            if not await self._exchange(attempt, outgoing):
+                return NOTHING_SENT
+            if isinstance(attempt.reply, Reply) and attempt.reply.surplus:
+                return self._continue_reading(attempt)
+            return self._conclude(attempt)
+        finally:
+            if not attempt.continues:
+                self._finish(attempt)
+
+    async def _exchange(self, attempt: AttemptInFlight, outgoing: OutgoingRequest) -> bool:
+        """Whether anything was sent.
+
+        A kept connection that ended before anything was sent on it is no part of the attempt, which goes on
+        with the next.
+        """
+        request, endpoint = attempt.request, attempt.endpoint
+        while (connection := await self._connect(attempt)) is not None:
+            now = self.clock()
+            if not request.route.safe:  # can't be taken back once sent
+                request.departure.check(now)
+            if self.policy.rejection(now, request, endpoint, connected=True) is not None:
+                return False  # by what has changed while the connection was established
+            self.on_attempt(request)
+            record = attempt.record = self.policy.record_attempt(now, request, endpoint)
+            attempt.sent_at, idle_s = now, now - connection.idle_since
+            reply = attempt.reply = await connection.exchange(
+                outgoing.method,
+                outgoing.target,
+                outgoing.headers_for(endpoint, request.deadline - now),
+                outgoing.body,
+                request.deadline + LATE_RESPONSE_S,
+                expected=(TRY_ID_HEADER, request.try_id),
+            )
+            if not (attempt.connection_reused and isinstance(reply, ExchangeFailed)):
+                return True
+            if reply.sent:
+                if not reply.timed_out:
+                    self.pool.record_break(endpoint, idle_s, self.clock() - now)
+                return True
+            self.policy.withdraw_attempt(request, record)
+            attempt.record = attempt.reply = None
+        return False
+
+    async def _connect(self, attempt: AttemptInFlight) -> Connection | None:
+        """Gives the attempt a kept connection or a new one; None where the endpoint is unreachable."""
+        endpoint = attempt.endpoint
+        attempt.connection, attempt.connection_reused = self.pool.take_idle(endpoint), True
+        if attempt.connection is None:
+            until = connect_deadline(self.clock(), attempt.request)
+            attempt.connection, attempt.connection_reused = await self.pool.open(endpoint, until), False
+        if attempt.connection is None:
+            endpoint.eject(self.clock())
+            attempt.request.unreachable.append(endpoint)
+        return attempt.connection
+
+    def _continue_reading(self, attempt: AttemptInFlight) -> AttemptResult:
+        """A response to another request came first. The endpoint has this one, so its own may follow."""
+        attempt.continues = True
+        self.counters.surplus_response()
+        attempt.endpoint.eject(self.clock())
+        return AttemptResult(None, None, self._start_task(self._read_past_surplus(attempt)))
+
+    async def _read_past_surplus(self, attempt: AttemptInFlight) -> AttemptResult:
+        """The AttemptResult by the response that follows surplus ones."""
+        until = attempt.request.deadline + LATE_RESPONSE_S
+        try:
+            while isinstance(attempt.reply, Reply) and attempt.reply.surplus and attempt.connection:
+                attempt.reply = await attempt.connection.read_on(until)
+            result = self._conclude(attempt)
+            self.counters.attempt_after_surplus_ended(result.outcome in OWN_RESPONSE_OUTCOMES)
+            return result
+        finally:
+            self._finish(attempt)
+
+    def _conclude(self, attempt: AttemptInFlight) -> AttemptResult:
+        """The AttemptResult by the exchange's last result."""
+        now = self.clock()
+        elapsed_s = now - attempt.sent_at
+        if attempt.was_abandoned:
+            self.endpoints.record_abandoned(now, attempt.endpoint, elapsed_s)
+            return AttemptResult(AttemptOutcome.ABANDONED)
+        outcome = self._evaluate(attempt, now)
+        attempt.record_outcome(outcome)
+        self.observer.ended(now, attempt.request, attempt.endpoint, outcome, elapsed_s)
+        if outcome is AttemptOutcome.INVALID and attempt.connection is not None:
+            attempt.connection.close()  # the response to this request may still come, and must meet no other
+        reply = attempt.reply if isinstance(attempt.reply, Reply) else None
+        if attempt.request.finished and reply is not None and reply.remainder is not None:
+            reply.remainder.abandon()  # the client has got another attempt's response
+        return AttemptResult(outcome, reply)
+
+    def _evaluate(self, attempt: AttemptInFlight, now: float) -> AttemptOutcome:
+        """The outcome by the exchange's last result; the endpoint's health and latency are updated by it."""
+        reply, endpoint = attempt.reply, attempt.endpoint
+        if not isinstance(reply, Reply):
+            if reply is not None and not reply.timed_out:
+                endpoint.eject(now)
+            return AttemptOutcome.NO_ANSWER if reply is None or reply.sent else AttemptOutcome.NOT_RUN
+        outcome = classify_response(reply.status, reply.fields, attempt.request.try_id)
+        record_load_report(now, endpoint, reply.fields.get(LOAD_HEADER))
+        if outcome in RUN_OUTCOMES:
+            self.endpoints.record_latency(now, endpoint, now - attempt.sent_at)
+        else:
+            endpoint.eject(now)
+        return outcome
+
+    def _finish(self, attempt: AttemptInFlight) -> None:
+        """An attempt is over, however it ended."""
+        self._remove(attempt)
+        self._count_work_after_departure(attempt)
+        if attempt.record is not None and attempt.record.outcome is None:
+            attempt.record_outcome(AttemptOutcome.NO_ANSWER)
+        reply = attempt.reply if isinstance(attempt.reply, Reply) else None
+        attempt.endpoint.attempt_ended(self.clock(), answered=reply is not None)
+        if attempt.connection is not None and (reply is None or reply.remainder is None):
+            self.pool.release(attempt.endpoint, attempt.connection)
+
+    def _remove(self, attempt: AttemptInFlight) -> None:
+        attempts = self.in_flight[attempt.request]
+        attempts.remove(attempt)
+        if not attempts:
+            del self.in_flight[attempt.request]
+            self.on_idle(attempt.request)
+
+    def _count_work_after_departure(self, attempt: AttemptInFlight) -> None:
+        """Counts for how long an endpoint had an attempt after its client had left."""
+        left_at = attempt.request.departure.left_at
+        if left_at is not None and attempt.record is not None:
+            self.counters.attempt_outlived_client(attempt.request, self.clock() - left_at)
+
+    def progress_of(self, request: PendingRequest) -> RequestProgress:
+        """How far a request has come."""
+        if any(attempt.record is not None for attempt in self.in_flight.get(request, ())):
+            return RequestProgress.AT_ENDPOINT
+        return RequestProgress.ATTEMPTED if request.attempts else RequestProgress.WAITING
--- /dev/null
+++ b/honeywood/gateway/proxy/client_handler.py
@@ -0,0 +1,122 @@
+"""Clients' requests: route, tenant and body are checked, then the request is forwarded."""
+
+from __future__ import annotations
+
+import asyncio
+
+from honeywood.gateway.proxy.client_request import ClientRequest
+from honeywood.gateway.proxy.client_response import (
+    BAD_REQUEST,
+    BODY_TOO_LARGE,
+    NO_CONFIGURATION_RETRY_AFTER_S,
+    NOT_FOUND,
+    UNAUTHORIZED,
+    UNAVAILABLE,
+    ClientResponse,
+    local_response,
+)
+from honeywood.gateway.routing.admission import ADMITTED_WITHOUT_TENANTS, Admission
+from honeywood.gateway.rpc.asgi import CONTEXT, body_of
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Coroutine
+    from typing import Any
+
+    from honeywood.gateway.configuration.config import Route
+    from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
+    from honeywood.gateway.proxy.asgi_types import Receive, Scope
+    from honeywood.gateway.proxy.forwarder import Forwarder
+    from honeywood.gateway.proxy.request_counters import RequestCounters
+    from honeywood.gateway.routing.route_table import RouteTable
+
+CHALLENGE = (b"www-authenticate", b"ApiKey")  # 401 names how to authenticate (RFC 9110, 15.5.2)
+
+
+class ClientHandler:
+    """Answers clients' requests."""
+
+    def __init__(
+        self, configuration: ActiveConfiguration, forwarder: Forwarder, counters: RequestCounters
+    ) -> None:
+        """`counters` count what is rejected here."""
+        self.configuration = configuration
+        self.forwarder = forwarder
+        self.counters = counters
+        self._tasks: set[asyncio.Task[ClientResponse]] = set()  # the loop itself keeps weak references only
+
+    async def handle(self, scope: Scope, receive: Receive) -> ClientResponse:
+        """The response to a request whose body may still have to be read."""
+        table = self.configuration.table
+        if table is None:
+            return self._reject(UNAVAILABLE, "no configuration yet", NO_CONFIGURATION_RETRY_AFTER_S)
+        fields = dict(scope["headers"])
+        route = _find_route(table, scope, fields)
+        if route is None:
+            return self._reject(NOT_FOUND, "no route")
+        admission = _admit(table, route, scope)
+        if admission is None:
+            response = self._reject(UNAUTHORIZED, "no known key")
+            response.headers.append(CHALLENGE)
+            return response
+        body = await body_of(receive, self.configuration.limits.body_bytes)
+        if body is None and scope[CONTEXT].departure.gone:
+            return self._reject(BAD_REQUEST, "its client left before its end")
+        if body is None:
+            return self._reject(BODY_TOO_LARGE, "the body is too long")
+        return await self._forward(scope, fields, route, admission, body)
+
+    def begin_early(self, scope: Scope) -> asyncio.Task[ClientResponse] | None:
+        """Starts a pipelined request before those in front of it are answered.
+
+        Only an idempotent request without a body; None for any other.
+        """
+        fields, table = dict(scope["headers"]), self.configuration.table
+        if fields.get(b"content-length", b"0") != b"0" or b"transfer-encoding" in fields or table is None:
+            return None
+        route = _find_route(table, scope, fields)
+        admission = _admit(table, route, scope) if route is not None and route.safe else None
+        if route is None or admission is None:
+            return None
+        return self._start_task(self._forward(scope, fields, route, admission, b""))
+
+    def _start_task(self, work: Coroutine[Any, Any, ClientResponse]) -> asyncio.Task[ClientResponse]:
+        task = asyncio.get_running_loop().create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+        return task
+
+    def _reject(self, status: int, reason: str, retry_after_s: float | None = None) -> ClientResponse:
+        """The response to a request that is not forwarded, counted by its reason."""
+        self.counters.not_forwarded(reason)
+        return local_response(status, reason, retry_after_s)
+
+    async def _forward(
+        self, scope: Scope, fields: dict[bytes, bytes], route: Route, admission: Admission, body: bytes
+    ) -> ClientResponse:
+        context = scope[CONTEXT]
+        request = ClientRequest(
+            scope["method"].encode(),
+            context.target,
+            scope["headers"],
+            fields,
+            body,
+            context.departure,
+            context.received_at,
+            admission,
+        )
+        response = await self.forwarder.forward(route, request)
+        if response.remainder is not None and route.safe:  # may wait long until its predecessors are answered
+            context.departure.subscribe(response.remainder.abandon)
+        return response
+
+
+def _find_route(table: RouteTable, scope: Scope, fields: dict[bytes, bytes]) -> Route | None:
+    return table.find(fields.get(b"host", b""), scope["raw_path"])
+
+
+def _admit(table: RouteTable, route: Route, scope: Scope) -> Admission | None:
+    """The Admission of a request on `route`; None where it lacks a known key."""
+    if table.tenants is None:
+        return ADMITTED_WITHOUT_TENANTS
+    return table.tenants.admit(scope["headers"], route.public)
--- /dev/null
+++ b/honeywood/gateway/proxy/client_response.py
@@ -0,0 +1,48 @@
+"""What a client gets: an endpoint's response, or one that the proxy generates."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from honeywood.gateway.routing.outcomes import FIRST_FAILURE, may_relay
+from honeywood.gateway.rpc.connection import Remainder, end_to_end
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from honeywood.gateway.rpc.connection import Reply
+
+BAD_REQUEST, UNAUTHORIZED, NOT_FOUND, BODY_TOO_LARGE = 400, 401, 404, 413
+BAD_GATEWAY, UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
+REASON_HEADER = b"x-gateway"
+RETRY_AFTER_S = 0.1  # for a client that met no free endpoint
+# For a client that met a proxy without a configuration. One comes within seconds, and each rejection until
+# then costs the client a try.
+NO_CONFIGURATION_RETRY_AFTER_S = 1.0
+
+
+@dataclass(slots=True)
+class ClientResponse:
+    """What a client gets; `remainder` is what follows the start of a long body."""
+
+    status: int
+    headers: list[tuple[bytes, bytes]]
+    body: bytes = b""
+    remainder: Remainder | None = None
+
+
+def local_response(status: int, reason: str, retry_after_s: float | None = None) -> ClientResponse:
+    """A response that the proxy generates, with its reason in X-Gateway."""
+    headers = [(REASON_HEADER, reason.encode())]
+    if retry_after_s is not None:
+        headers.append((b"retry-after", b"%.3f" % retry_after_s))
+    return ClientResponse(status, headers)
+
+
+def relayed_response(reply: Reply) -> ClientResponse:
+    """An endpoint's response as it came, or 502 where its status must not be relayed."""
+    if reply.status >= FIRST_FAILURE and not may_relay(reply.status):
+        return local_response(BAD_GATEWAY, "the machine's answer makes no promise")
+    headers = [one for one in end_to_end(reply.headers) if one[0] != b"content-length"]
+    if reply.remainder is not None and b"content-length" in reply.fields:
+        headers.append((b"content-length", reply.fields[b"content-length"]))
+    return ClientResponse(reply.status, headers, reply.body, reply.remainder)
--- /dev/null
+++ b/honeywood/gateway/proxy/controller_poller.py
@@ -0,0 +1,113 @@
+"""Polls controllers in turn, for what long polling has missed, and reports this proxy's counts to them."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+from honeywood.gateway.dissemination.backoff import FIRST
+from honeywood.gateway.dissemination.history import CUT
+from honeywood.gateway.dissemination.rendezvous import order
+from honeywood.gateway.proxy.poll_interval import poll_interval_s
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from random import Random
+
+    from honeywood.gateway.configuration.settings import Settings
+    from honeywood.gateway.dissemination.messages import Answer
+    from honeywood.gateway.dissemination.subscriber import Subscriber
+    from honeywood.gateway.proxy.fleet_size import FleetSize
+    from honeywood.gateway.proxy.known_peers import KnownPeers
+    from honeywood.gateway.proxy.machine_revalidation import MachineRevalidation
+    from honeywood.gateway.proxy.readiness import Readiness
+    from honeywood.gateway.proxy.rollout_reports import RolloutReports
+    from honeywood.gateway.proxy.update_subscription import UpdateSubscription
+    from honeywood.gateway.rollout.stage import Stage
+
+MAX_POLLS_IN_A_ROW = 8  # of one controller while it has more to send
+
+
+@dataclass(frozen=True, slots=True)
+class PollResult:
+    """The last answer of a controller, None where there was none, and when it was asked for."""
+
+    polled_at: float
+    answer: Answer | None
+
+
+@dataclass(slots=True, eq=False)
+class ControllerPoller:
+    """Polls one controller after the other, and the next one if the one polled is not in quorum.
+
+    So a controller that is partitioned from the others is never the only one polled for long.
+    `on_no_answer` is called where no controller in quorum answers.
+    """
+
+    clock: Callable[[], float]
+    random: Random
+    settings: Settings
+    subscriber: Subscriber
+    subscription: UpdateSubscription
+    peers: KnownPeers
+    fleet: FleetSize
+    stage: Stage
+    reports: RolloutReports
+    readiness: Readiness
+    revalidation: MachineRevalidation
+    on_no_answer: Callable[[], None]
+    polls: int = 0  # since the start
+
+    async def poll_once(self) -> None:
+        """Polls until a controller in quorum has answered, then waits for the interval."""
+        self.polls += 1
+        for ip in self._candidates():
+            result = await self._poll(ip)
+            if result.answer is not None and result.answer.in_quorum:
+                self._record_contact(result.polled_at, result.answer)
+                await asyncio.sleep(self._interval_s())
+                return
+        self.on_no_answer()
+        await asyncio.sleep(FIRST)
+
+    def _candidates(self) -> list[str]:
+        """The controllers that are not in backoff, another one first with each call."""
+        ring = order(self.peers.controllers, self.settings.node)
+        start = self.polls % len(ring)
+        found: list[str] = self.subscriber.backoff.fit(ring[start:] + ring[:start], self.clock())
+        return found
+
+    async def _poll(self, ip: str) -> PollResult:
+        """Polls a controller, again while it has more to send."""
+        for _ in range(MAX_POLLS_IN_A_ROW):
+            # Taken before: an answer may have been unread for long while this process was suspended.
+            polled_at = self.clock()
+            reply = await self.subscriber.ask(ip, self.settings.controller_port, 0.0)
+            if not reply.ok:
+                return PollResult(polled_at, None)
+            answer = reply.value
+            self._record_fleet(ip, answer)
+            if not answer.more or self.subscription.max_poll_bytes() is not None:
+                break
+        return PollResult(polled_at, answer)
+
+    def _record_fleet(self, ip: str, answer: Answer) -> None:
+        """Takes what a controller says of the proxies, and which counts it has."""
+        if answer.fleet is None:
+            return
+        count, self.peers.relays = answer.fleet
+        self.reports.acknowledge(ip, answer.counted or 0)
+        self.fleet.report(ip, count)
+
+    def _record_contact(self, polled_at: float, answer: Answer) -> None:
+        """A controller in quorum has answered a poll that was sent at `polled_at`."""
+        if answer.whole:  # else the end of a rollout's stage may be among what was not sent
+            if self.readiness.met_quorum and polled_at - self.stage.heard_at > CUT:
+                self.revalidation.start()
+            self.stage.heard_at = polled_at
+        self.readiness.met_quorum = True
+
+    def _interval_s(self) -> float:
+        controllers = len(self.peers.controllers)
+        return poll_interval_s(self.stage.active, self.fleet.count(), controllers, self.random.random())
--- /dev/null
+++ b/honeywood/gateway/proxy/endpoint_selector.py
@@ -0,0 +1,57 @@
+"""Chooses the endpoint of a request's next attempt."""
+
+from __future__ import annotations
+
+from honeywood.gateway.routing.load_balancer import choose_endpoint
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+    from random import Random
+    from typing import Protocol
+
+    from honeywood.gateway.routing.attempt_policy import AttemptPolicy
+    from honeywood.gateway.routing.endpoint import Endpoint
+    from honeywood.gateway.routing.endpoint_table import EndpointTable
+    from honeywood.gateway.routing.pending_request import PendingRequest
+
+    class EndpointGrouping(Protocol):
+        """The part of a rollout's stage that orders endpoints by their versions."""
+
+        def groups(
+            self, now: float, request: PendingRequest, endpoints: Sequence[Endpoint]
+        ) -> Sequence[Sequence[Endpoint]]:
+            """The endpoints in groups, the first to be tried first."""
+
+
+class EndpointSelector:
+    """Combines the rollout's groups, the attempt policy and the load balancer."""
+
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        random: Random,
+        zone: str,
+        endpoints: EndpointTable,
+        policy: AttemptPolicy,
+        grouping: EndpointGrouping,
+    ) -> None:
+        """`zone` is the proxy's own."""
+        self.clock = clock
+        self.random = random
+        self.zone = zone
+        self.endpoints = endpoints
+        self.policy = policy
+        self.grouping = grouping
+
+    def select(self, request: PendingRequest) -> Endpoint | None:
+        """The endpoint for an attempt now, or None."""
+        now, service = self.clock(), request.service
+        typical_s = self.endpoints.typical_latency(service)
+        for group in self.grouping.groups(now, request, self.endpoints.of(service)):
+            eligible = self.policy.eligible(now, request, group)
+            attempted = request.attempted_endpoints
+            endpoint = choose_endpoint(now, eligible, self.zone, attempted, typical_s, self.random)
+            if endpoint is not None:
+                return endpoint
+        return None
--- a/honeywood/gateway/proxy/invariants.py
+++ b/honeywood/gateway/proxy/invariants.py
@@ -1,30 +1,40 @@
-"""What must hold in a running proxy at all times, checked while it runs. It only counts and tells.
-
-- No repeatable request is at an endpoint ABANDONED_WITHIN_S after its client was heard to leave.
-- No attempt begins for a client that has left, and none of a request that may not be repeated while an
-  earlier attempt may have run.
-- Attempts under way are those that endpoints count as in flight.
-- An endpoint's connections are at least those that are kept for it or in use, and once nothing at all is
-  open, no others.
-- The configuration in force is the newest that has been heard.
-
-Sums of several parts don't change in one step, so what is looked at now and then counts once it has stood at
-two looks in a row.
+"""Invariants of a running proxy, checked while it runs. Violations are counted and reported, nothing else.
+
+- No idempotent request is at an endpoint ABANDONED_WITHIN_S after its client's departure was noticed.
+- No attempt starts for a client that has left, and none of a non-idempotent request while an earlier attempt
+  may have run.
+- The attempts in flight are those that endpoints count.
+- An endpoint's connections are at least those that are idle or in use; while no request is open they are
+  exactly these.
+- The configuration in effect is the newest that has been received.
+
+Sums of several parts don't change in one step. So what the periodic check finds counts once two checks in a
+row have found it.
 """
 
+from __future__ import annotations
+
 from collections import Counter
-from collections.abc import Callable
 from enum import StrEnum
 
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterator
+
+    from honeywood.gateway.proxy.program import Proxy
+    from honeywood.gateway.routing.pending_request import PendingRequest
+
+    Finding = tuple["Violation", str]  # and its details
+
 ABANDONED_WITHIN_S = 0.25
 
 
 class Violation(StrEnum):
-    """A way in which the state of a proxy is wrong."""
+    """An invariant that does not hold. The values stand in logs and in counters."""
 
-    WORK_FOR_NOBODY = "work for a client that left"
-    BEGUN_FOR_NOBODY = "attempt begun for a client that left"
-    REPEATED = "unsafe attempt repeated"
+    WORK_AFTER_DEPARTURE = "work for a client that left"
+    ATTEMPT_AFTER_DEPARTURE = "attempt begun for a client that left"
+    UNSAFE_RETRY = "unsafe attempt repeated"
     ATTEMPTS = "attempts out of balance"
     CONNECTIONS = "connections out of balance"
     CONFIGURATION = "configuration not in force"
@@ -33,59 +43,60 @@
 class InvariantChecks:
     """The checks of one proxy; `violations` counts what did not hold."""
 
-    def __init__(self, proxy, tell: Callable[[Violation, str], None]):
-        """`tell` hears of each violation with its details."""
-        self.proxy, self.tell = proxy, tell
+    def __init__(self, proxy: Proxy, on_violation: Callable[[Violation, str], None]) -> None:
+        """`on_violation` gets each violation with its details."""
+        self.proxy = proxy
+        self.on_violation = on_violation
         self.violations: Counter[Violation] = Counter()
-        self._suspected: set[tuple[Violation, str]] = set()
+        self._suspected: set[Finding] = set()
 
-    def attempt_begins(self, request) -> None:
-        """An attempt of `request` is about to be noted."""
+    def attempt_starts(self, request: PendingRequest) -> None:
+        """Checks a request whose next attempt is about to start."""
         if request.departure.gone:
-            self._violated(Violation.BEGUN_FOR_NOBODY, request.try_id.decode("latin-1"))
+            self._report(Violation.ATTEMPT_AFTER_DEPARTURE, _describe(request))
         if not request.route.safe and request.may_have_run:
-            self._violated(Violation.REPEATED, request.try_id.decode("latin-1"))
+            self._report(Violation.UNSAFE_RETRY, _describe(request))
 
-    def look(self, now: float) -> None:
-        """Checks what stands now; called now and then."""
-        found = {*self._abandoned_work(now), *self._unbalanced(), *self._configuration()}
+    def check(self, now: float) -> None:
+        """Checks the proxy's state; called periodically."""
+        found = {*self._work_after_departure(now), *self._balances(), *self._configuration()}
         for violation, details in found & self._suspected:
-            self._violated(violation, details)
+            self._report(violation, details)
         self._suspected = found - self._suspected
 
-    def _violated(self, violation, details):
+    def _report(self, violation: Violation, details: str) -> None:
         self.violations[violation] += 1
-        self.tell(violation, details)
+        self.on_violation(violation, details)
 
-    def _abandoned_work(self, now):
-        for request, flights in self.proxy.forwarder.sender.flights.items():
+    def _work_after_departure(self, now: float) -> Iterator[Finding]:
+        for request, attempts in self.proxy.forwarder.sender.in_flight.items():
             left_at = request.departure.left_at
             if not request.route.safe or left_at is None or now - left_at <= ABANDONED_WITHIN_S:
                 continue
-            if any(flight.attempt is not None for flight in flights):
-                yield Violation.WORK_FOR_NOBODY, request.try_id.decode("latin-1")
-
-    def _unbalanced(self):
-        flights = [flight for some in self.proxy.forwarder.sender.flights.values() for flight in some]
-        open_attempts = Counter(flight.endpoint for flight in flights)
-        in_use = Counter(flight.endpoint for flight in flights if _holds_connection(flight))
-        quiet = not (flights or self.proxy.forwarder.open_requests or self.proxy.app.relaying)
+            if any(attempt.record is not None for attempt in attempts):
+                yield Violation.WORK_AFTER_DEPARTURE, _describe(request)
+
+    def _balances(self) -> Iterator[Finding]:
+        in_flight = self.proxy.forwarder.sender.in_flight
+        attempts = [attempt for some in in_flight.values() for attempt in some]
+        open_attempts = Counter(attempt.endpoint for attempt in attempts)
+        in_use = Counter(attempt.endpoint for attempt in attempts if attempt.holds_connection)
+        quiet = not (attempts or self.proxy.forwarder.open_requests or self.proxy.writer.relaying)
         for endpoint in {*self.proxy.endpoints.by_id.values(), *open_attempts}:
             if open_attempts[endpoint] != endpoint.in_flight:
                 details = f"{endpoint.id}: {open_attempts[endpoint]} known, {endpoint.in_flight} counted"
                 yield Violation.ATTEMPTS, details
-            kept = sum(connection.reusable for connection in endpoint.idle_connections)
-            known = kept + in_use[endpoint]
-            counted = endpoint.open_connections
+            idle = sum(connection.reusable for connection in endpoint.idle_connections)
+            known, counted = idle + in_use[endpoint], endpoint.open_connections
             if known > counted or quiet and known != counted:
                 yield Violation.CONNECTIONS, f"{endpoint.id}: {known} known, {counted} counted"
 
-    def _configuration(self):
+    def _configuration(self) -> Iterator[Finding]:
         stamp = self.proxy.publisher.store.stamp("config")
-        held = self.proxy.table.version if self.proxy.table else None
-        if stamp is not None and stamp[0] != held:
+        current = self.proxy.configuration.version
+        if stamp is not None and stamp[0] != current:
             yield Violation.CONFIGURATION, f"{stamp[0]:08x} was heard"
 
 
-def _holds_connection(flight):
-    return flight.connection is not None and not flight.connection.ended
+def _describe(request: PendingRequest) -> str:
+    return request.try_id.decode("latin-1")
--- /dev/null
+++ b/honeywood/gateway/proxy/peer_handler.py
@@ -0,0 +1,58 @@
+"""Answers the polls of other proxies, for which this one is the relay."""
+
+from __future__ import annotations
+
+import json
+
+from honeywood.gateway.configuration.check import read_json
+from honeywood.gateway.configuration.outcome import Wrong
+from honeywood.gateway.dissemination.messages import Ask
+from honeywood.gateway.dissemination.record import PATH
+from honeywood.gateway.proxy.client_response import BAD_REQUEST, BODY_TOO_LARGE, NOT_FOUND
+from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from typing import Any
+
+    from honeywood.gateway.dissemination.publisher import Publisher
+    from honeywood.gateway.proxy.asgi_types import Receive, Scope, Send
+
+MAX_POLL_BYTES = 8 << 20
+OK = 200
+JSON_CONTENT = (b"content-type", b"application/json")
+
+
+class PeerHandler:
+    """Serves the proxy's own listener."""
+
+    def __init__(self, publisher: Publisher) -> None:
+        """`publisher` has the records."""
+        self.publisher = publisher
+
+    async def handle(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """Answers one request."""
+        if scope["path"] != PATH or scope["method"] != "POST":
+            await answer(send, NOT_FOUND)
+            return
+        raw = await body_of(receive, MAX_POLL_BYTES)
+        if raw is None:
+            await answer(send, BODY_TOO_LARGE)
+            return
+        departure = scope[CONTEXT].departure
+        try:
+            found = await self.answer_poll(raw, scope["client"][0], lambda: departure.gone)
+        except Wrong as wrong:
+            await answer(send, BAD_REQUEST, (), str(wrong).encode())
+            return
+        await answer(send, OK, [JSON_CONTENT], json.dumps(found, separators=(",", ":")).encode())
+
+    async def answer_poll(
+        self, raw: bytes, peer: str, has_left: Callable[[], bool] = lambda: False
+    ) -> dict[str, Any]:
+        """The encoded answer to a poll of `peer`; `has_left` says whether it has gone meanwhile."""
+        request = Ask.decode(read_json(raw, PATH, peer), peer)
+        response = await self.publisher.serve(request, has_left)
+        encoded: dict[str, Any] = response.encode()
+        return encoded
--- /dev/null
+++ b/honeywood/gateway/proxy/readiness.py
@@ -0,0 +1,49 @@
+"""Whether the proxy reports itself ready to the platform."""
+
+from __future__ import annotations
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
+    from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
+    from honeywood.gateway.routing.endpoint_table import EndpointTable
+
+ENDPOINTS_TIMEOUT_S = 2.0  # for which a proxy with a configuration waits until each service has an endpoint
+
+
+class Readiness:
+    """A proxy is ready once it has a confirmed configuration and endpoints for it, until it stops.
+
+    `met_quorum` says whether a controller in contact with a majority of the others has answered: without
+    one the configuration may be that of a controller that is partitioned from the others.
+    """
+
+    def __init__(
+        self,
+        configuration: ActiveConfiguration,
+        endpoints: EndpointTable,
+        stopping: asyncio.Event,
+        contact_timeout_s: float,
+        on_unconfirmed: Callable[[], None],
+    ) -> None:
+        """Without a majority it is ready after `contact_timeout_s`, and `on_unconfirmed` is called."""
+        self.configuration = configuration
+        self.endpoints = endpoints
+        self.stopping = stopping
+        self.contact_timeout_s = contact_timeout_s
+        self.on_unconfirmed = on_unconfirmed
+        self.met_quorum = False
+
+    def is_ready(self) -> bool:
+        """Whether clients may be sent here."""
+        table = self.configuration.table
+        if self.stopping.is_set() or table is None:
+            return False
+        if not self.met_quorum:
+            if self.configuration.age_s() < self.contact_timeout_s:
+                return False
+            self.on_unconfirmed()
+        have_endpoints = table.services <= set(self.endpoints.by_service)
+        return have_endpoints or self.configuration.age_s() > ENDPOINTS_TIMEOUT_S
--- /dev/null
+++ b/honeywood/gateway/proxy/record_handler.py
@@ -0,0 +1,80 @@
+"""Applies records that have come to the proxy's store."""
+
+from __future__ import annotations
+
+from honeywood.gateway.configuration import config
+from honeywood.gateway.rollout import record as rollout_record
+from honeywood.gateway.routing.endpoint_record import EndpointRecord
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from typing import Any
+
+    from honeywood.gateway.dissemination.history import History
+    from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
+    from honeywood.gateway.proxy.connection_pool import ConnectionPool
+    from honeywood.gateway.proxy.known_peers import KnownPeers
+    from honeywood.gateway.rollout.stage import Stage
+    from honeywood.gateway.routing.endpoint_table import EndpointTable
+
+    JsonValue = Any  # of a record; each kind has its own decoder
+
+# Kinds of records: the first parts of their keys.
+CONFIGURATION, MACHINE, ROLLOUT = "config", "machine", "rollout"
+CONTROLLER = "bourse"  # a controller's address; the name on the wire is older than the term
+
+
+class RecordHandler:
+    """Brings the proxy's state up to date, a record at a time."""
+
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        configuration: ActiveConfiguration,
+        endpoints: EndpointTable,
+        pool: ConnectionPool,
+        stage: Stage,
+        history: History,
+        peers: KnownPeers,
+        on_configuration: Callable[[], None],
+    ) -> None:
+        """`on_configuration` is called after another configuration has taken effect."""
+        self.clock = clock
+        self.configuration = configuration
+        self.endpoints = endpoints
+        self.pool = pool
+        self.stage = stage
+        self.history = history
+        self.peers = peers
+        self.on_configuration = on_configuration
+
+    def apply(self, key: str, value: JsonValue) -> None:
+        """A record is new or has changed. Raises InvalidInput where it can't be read."""
+        kind, _, name = key.partition("/")
+        if kind == CONFIGURATION:
+            self._apply_configuration(value)
+        elif kind == MACHINE:
+            self._apply_machine(name, value)
+        elif kind == ROLLOUT:
+            self.stage.hear(self.clock(), rollout_record.decode(value))
+        elif kind == CONTROLLER:
+            self.peers.add_controllers([name])
+
+    def _apply_configuration(self, packed: str) -> None:
+        configuration = config.read(config.unpack(packed), hashed=True)
+        self.configuration.activate(configuration)
+        self.endpoints.max_connections.clear()
+        self.endpoints.max_connections.update(
+            {name: service.max_conns for name, service in configuration.services.items()}
+        )
+        self.on_configuration()
+
+    def _apply_machine(self, id: str, value: dict[str, Any]) -> None:
+        """Idle connections to an endpoint that is out of service are closed."""
+        now = self.clock()
+        record = EndpointRecord.decode(value)
+        self.history.hear(now, id, record.state)
+        endpoint = self.endpoints.update(now, id, record)
+        if endpoint is not None:
+            self.pool.close_idle(endpoint)
--- /dev/null
+++ b/honeywood/gateway/proxy/response_writer.py
@@ -0,0 +1,60 @@
+"""Writes responses to clients, long ones as they come from the endpoint."""
+
+from __future__ import annotations
+
+import httpcore
+
+from honeywood.gateway.rpc.asgi import answer, stream
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+
+    from honeywood.gateway.proxy.asgi_types import Send
+    from honeywood.gateway.proxy.client_response import ClientResponse
+    from honeywood.gateway.rpc.connection import Remainder
+    from honeywood.gateway.rpc.departure import ClientDeparture
+
+CLOSE_CONNECTION = (b"connection", b"close")
+
+
+class ResponseWriter:
+    """`relaying` counts the long responses that are being relayed."""
+
+    def __init__(self) -> None:
+        """Nothing is being relayed."""
+        self.relaying = 0
+
+    async def write(
+        self, send: Send, response: ClientResponse, departure: ClientDeparture, close: bool
+    ) -> None:
+        """Writes a response; `close`: the client's connection ends with it."""
+        headers = [*response.headers, CLOSE_CONNECTION] if close else response.headers
+        if response.remainder is None:
+            await answer(send, response.status, headers, response.body)
+        else:
+            await self._relay(send, response, headers, response.remainder, departure)
+
+    async def _relay(
+        self,
+        send: Send,
+        response: ClientResponse,
+        headers: list[tuple[bytes, bytes]],
+        remainder: Remainder,
+        departure: ClientDeparture,
+    ) -> None:
+        self.relaying += 1
+        try:
+            await stream(send, response.status, headers, _chunks(response.body, remainder))
+        except httpcore.ReadTimeout:  # raised by `abandon`, which ends the reading
+            if not departure.gone:
+                raise
+        finally:
+            self.relaying -= 1
+            departure.unsubscribe(remainder.abandon)
+
+
+async def _chunks(start: bytes, remainder: Remainder) -> AsyncIterator[bytes]:
+    yield start
+    async for chunk in remainder:
+        yield chunk
--- /dev/null
+++ b/honeywood/gateway/proxy/status.py
@@ -0,0 +1,51 @@
+"""What a proxy says of itself: the log's line `counts`, and the metrics page."""
+
+from __future__ import annotations
+
+from honeywood.gateway.metrics import Figures
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from typing import Any
+
+    from honeywood.gateway.proxy.program import Proxy
+
+
+def events(proxy: Proxy) -> dict[str, int]:
+    """Sums since the start by name."""
+    violations = proxy.invariants.violations
+    return {
+        **proxy.counters.counts,
+        **{f"violated: {violation.value}": count for violation, count in violations.items()},
+    }
+
+
+def log_fields(proxy: Proxy) -> dict[str, Any]:
+    """The fields of `counts`; docs/operate/system.md explains them."""
+    endpoints = proxy.endpoints.by_id.values()
+    return {
+        **events(proxy),
+        "dialled": proxy.pool.opened,
+        "connections": sum(endpoint.connection_count for endpoint in endpoints),
+        "machines": len(endpoints),
+        "fronts": proxy.fleet.count(),
+        "told": dict(proxy.publisher.told),
+        "called": dict(proxy.caller.carried),
+        "ready": proxy.ready,
+    }
+
+
+def figures(proxy: Proxy) -> Figures:
+    """The metrics page's figures."""
+    endpoints = proxy.endpoints.by_id.values()
+    gauges = {
+        "ready": proxy.ready,
+        "config_version": proxy.configuration.version or 0,
+        "connections": sum(endpoint.connection_count for endpoint in endpoints),
+        "machines": len(endpoints),
+        "proxies": proxy.fleet.count(),
+        "open_requests": len(proxy.forwarder.open_requests),
+        "open_attempts": sum(endpoint.in_flight for endpoint in endpoints),
+        "connections_opened": proxy.pool.opened,
+    }
+    return Figures(events(proxy), gauges)
--- a/honeywood/gateway/routing/admission.py
+++ b/honeywood/gateway/routing/admission.py
@@ -31,6 +31,12 @@
     tenant: TenantMatch | None = None
     has_tenants: bool = False
 
+    def priority(self, default: int) -> int:
+        """The tenant's priority, or `default` where there is none."""
+        if self.tenant is None or self.tenant.priority is None:
+            return default
+        return self.tenant.priority
+
     def forwarded_headers(self, headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
         """The client's headers as endpoints get them.
 
--- a/honeywood/lab/emulator/clients.py
+++ b/honeywood/lab/emulator/clients.py
@@ -116,7 +116,7 @@
             return SILENCE, 0.0
         self.world.monitor.requests.asked(self.now(), id, request.service, request.safe)
         scope = _scope(id, left_s, request.path)
-        work = process.run(program.app.client(scope, _no_body))
+        work = process.run(program.app.clients.handle(scope, _no_body))
         until_it_leaves_s = max(0.0, request.begun + request.stays_s - self.now())
         await asyncio.wait((work,), timeout=min(left_s, until_it_leaves_s))
         if work.cancelled():
--- a/honeywood/lab/emulator/day.py
+++ b/honeywood/lab/emulator/day.py
@@ -119,7 +119,7 @@
     async def _begin(self, name, program, life):
         await super()._begin(name, program, life)
         if self.day.seeing and name in self.fronts:
-            program.forwarder._choose = lambda request: best_machine(self, program, request)
+            program.selector.select = lambda request: best_machine(self, program, request)
 
     def play(self):
         """Plays the day; its Outcome."""
@@ -160,7 +160,7 @@
                 if self.monitor.proxies.left_at:
                     ready = {one.id for one in program.endpoints.by_id.values() if one.state == READY}
                     self.monitor.proxies.knows(now, name, ready)
-                held = program.table.version if program.table else None
+                held = program.configuration.version
                 self.monitor.proxies.holds(now, name, self.lives[name], held)
         if self.cuts or self.loss or self.operators.unheard:
             self.monitor.core.link_trouble(now)
--- a/honeywood/lab/emulator/network.py
+++ b/honeywood/lab/emulator/network.py
@@ -113,7 +113,7 @@
         """What a program does with a call of another one."""
         if target in self.controllers:
             return node.app.ours["POST", path.strip("/")]("", raw.encode(), source)
-        return node.app.hear(raw.encode(), source)
+        return node.app.peers.answer_poll(raw.encode(), source)
 
     async def _copy(self, source, target, path, raw):
         """A call that comes a second time, seconds later; nobody waits for its answer."""
--- a/tests/gateway/socket_scene.py
+++ b/tests/gateway/socket_scene.py
@@ -149,7 +149,7 @@
 
     def configure(self, sent):
         """Brings a configuration into force as operators send it."""
-        self.proxy.hear("config", for_proxies(json.dumps(sent)))
+        self.proxy.records.apply("config", for_proxies(json.dumps(sent)))
 
     def machine(self, script):
         """The machine that plays a script."""
@@ -164,11 +164,11 @@
             "ver": "v1",
             "slots": 4,
         }
-        self.proxy.hear(f"machine/i-{n}", {**value, "state": state, "cold": 0})
+        self.proxy.records.apply(f"machine/i-{n}", {**value, "state": state, "cold": 0})
 
     async def __aexit__(self, *wrong):
         for _ in range(2):
-            self.proxy.invariants.look(self.proxy.clock())
+            self.proxy.invariants.check(self.proxy.clock())
             await asyncio.sleep(0.01)
         assert not self.proxy.invariants.violations, self.proxy.invariants.violations
         await self.server.close(0.1)
--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -12,10 +12,11 @@
 from ward import each, test
 
 from honeywood.gateway.configuration.config import Limits
-from honeywood.gateway.proxy import responses, sender
-from honeywood.gateway.proxy.forwarding import ANSWER_EARLY_S, ClientRequest
+from honeywood.gateway.proxy import attempt_sender, client_response
+from honeywood.gateway.proxy.client_request import ClientRequest
+from honeywood.gateway.proxy.failure_responses import RESPONSE_MARGIN_S
 from honeywood.gateway.proxy.program import Proxy
-from honeywood.gateway.proxy.sender import LATE_ANSWER_S
+from honeywood.gateway.proxy.attempt_sender import LATE_RESPONSE_S
 from honeywood.gateway.routing.pending_request import PendingRequest
 from honeywood.gateway.routing.outcomes import NOT_RUN_STATUSES, AttemptOutcome, classify_response
 from honeywood.gateway.rpc import connection
@@ -32,7 +33,7 @@
 CALLED = b'HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n{"n":%d}'
 NOBODYS = b"HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"
 STEP = 0.001  # seconds one way
-TIMEOUT, SPARE = 0.6, ANSWER_EARLY_S
+TIMEOUT, SPARE = 0.6, RESPONSE_MARGIN_S
 
 
 def good(id):
@@ -135,9 +136,9 @@
         quiet = type("Quiet", (Proxy,), {"say": lambda *said, **more: None})
         given = settings("f", bear=0), None, self.loop.time, self.loop.time
         self.proxy, self.ran, self.answers = quiet(*given, random=Random(1)), Counter(), {}
-        self.proxy.hear("config", json.dumps(config(5, kind=kind)))
+        self.proxy.records.apply("config", json.dumps(config(5, kind=kind)))
         for id in "mn":
-            self.proxy.hear(f"machine/{id}", machine(id))
+            self.proxy.records.apply(f"machine/{id}", machine(id))
 
     def serve(self, line, request):
         id = id_of(request)
@@ -152,7 +153,7 @@
         """One request of a client on its own."""
         proxy = self.proxy
         fields = {b"host": b"h.example", b"x-try-id": id}
-        route = proxy.table.find(b"h.example", b"/p0/x")
+        route = proxy.configuration.table.find(b"h.example", b"/p0/x")
         began = self.loop.time()
         request = ClientRequest(self.method, b"/p0/x", list(fields.items()), fields, b"body")
         answer = await proxy.forwarder.forward(route, request)
@@ -170,7 +171,7 @@
                 await self.ask(id)
                 await asyncio.sleep(every)
             await asyncio.sleep(3.0)
-            await self.proxy.tidy()
+            await self.proxy.maintain()
             await asyncio.sleep(STEP)
 
         self.loop.run_until_complete(work())
@@ -180,7 +181,7 @@
 
     def broken(self):
         """What doesn't hold of TWICE, MIXED, REFUSED, and of what was given up."""
-        self.proxy.invariants.look(self.loop.time())
+        self.proxy.invariants.check(self.loop.time())
         found = [f"{count} x {what}" for what, count in self.proxy.invariants.violations.items()]
         for id, (status, body, took) in self.answers.items():
             if self.kind == "unsafe" and self.ran[id] > 1:
@@ -284,7 +285,7 @@
                 loop.call_at(TIMEOUT - SPARE + late / 1000 + 0.02, line.say, whole[n:])
 
             yield CallScenario(kind, script), (b"a1", b"a2")
-        for still in (0.3, TIMEOUT - SPARE, TIMEOUT, TIMEOUT + LATE_ANSWER_S, 2.0):
+        for still in (0.3, TIMEOUT - SPARE, TIMEOUT, TIMEOUT + LATE_RESPONSE_S, 2.0):
 
             def frozen(line, id, n=n, still=still):
                 line.loop.now += still  # then what came is heard, and all timers are due
@@ -395,15 +396,15 @@
 
 FAILED = connection.ExchangeFailed
 GUARDS = {  # each guard taken away: (what stands in its place, the family that shows it)
-    "whose refusal it is": ((sender, "classify_response", lax), "strays"),
-    "whose answer it is": ((sender, "classify_response", anyones), "strays"),
+    "whose refusal it is": ((attempt_sender, "classify_response", lax), "strays"),
+    "whose answer it is": ((attempt_sender, "classify_response", anyones), "strays"),
     "what may have run": ((PendingRequest, "may_have_run", property(lambda request: False)), "requests cut"),
     "what has left": (
         (connection, "ExchangeFailed", lambda why, sent, late=False, kind=FAILED: kind(why, False, late)),
         "requests cut",
     ),
     "where it ends": ((connection, "is_framed", lambda *given: True), "endless answers"),
-    "who may promise": ((responses, "may_relay", lambda status: True), "silent promises cut"),
+    "who may promise": ((client_response, "may_relay", lambda status: True), "silent promises cut"),
     "what came at rest": (
         (stream.Stream, "usable", property(lambda line: not (line.eof or line.error))),
         "strays at rest",
@@ -735,7 +736,7 @@
 
     scenario = CallScenario(kind, play, every=True)
     for id in "opq":
-        scenario.proxy.hear(f"machine/{id}", machine(id))
+        scenario.proxy.records.apply(f"machine/{id}", machine(id))
     scenario.play(b"a1", b"a2", b"a3")
     assert len(reached) == 3 and max(len(lines) for lines in reached.values()) <= 2
 
@@ -749,18 +750,18 @@
 ):
     # Clients take up connections after four fifths of idle_s, of the old or the new configuration's.
     scenario = CallScenario()
-    scenario.proxy.limits = Limits(idle_s=before)
+    scenario.proxy.configuration.limits = Limits(idle_s=before)
     visitor = Visitor(scenario)
     visitor.say(REQUEST % (b"GET", b"a1", b""))
     visitor.run(1.0)
-    scenario.proxy.limits = Limits(idle_s=after)
+    scenario.proxy.configuration.limits = Limits(idle_s=after)
     assert visitor.run(at).closing != there
 
 
 @test("a request that came while the proxy stood still is heard before its connection is ended as idle")
 def _():
     scenario = CallScenario()
-    scenario.proxy.limits = Limits(idle_s=5)
+    scenario.proxy.configuration.limits = Limits(idle_s=5)
     visitor = Visitor(scenario)
     visitor.say(REQUEST % (b"GET", b"a1", b""))
 
@@ -840,7 +841,7 @@
     scenario.loop.create_connection = fail
     sent = config(6, kind=kind)
     sent["res"][0]["spec"] |= {"target_s": aim, "timeout_s": 2 * aim}
-    scenario.proxy.hear("config", json.dumps(sent))
+    scenario.proxy.records.apply("config", json.dumps(sent))
     assert not scenario.play(b"a1") and len(set(dials)) == len(dials) == tried
     status, _, took = scenario.answers[b"a1"]
     assert status == 503 and took < (0.01 if when == "at once" else aim / 4 + 0.001)
@@ -857,5 +858,5 @@
     scenario.loop.create_connection = late
     brief = config(6, kind="unsafe")
     brief["res"][0]["spec"]["timeout_s"] = 0.15
-    scenario.proxy.hear("config", json.dumps(brief))
+    scenario.proxy.records.apply("config", json.dumps(brief))
     assert not scenario.play(b"a1") and scenario.answers[b"a1"][0] == 503 and not scenario.ran
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -327,7 +327,7 @@
                 file.write(text)
             os.utime(path, ns=(at + 1, at + 1))
             asyncio.run(proxy.reread())
-            assert proxy.controllers == (known or ["10.0.0.1", "10.0.0.2"])
+            assert proxy.peers.controllers == (known or ["10.0.0.1", "10.0.0.2"])
 
 
 @test("a packed configuration comes back as sent, is short, and one that isn't whole is refused")
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -88,7 +88,7 @@
         endpoints = self.proxy.endpoints.by_id.values()
         forwarder = self.proxy.forwarder
         open_attempts = sum(endpoint.in_flight + endpoint.opening_connections for endpoint in endpoints)
-        return not (forwarder.open_requests or forwarder.sender.flights or open_attempts)
+        return not (forwarder.open_requests or forwarder.sender.in_flight or open_attempts)
 
 
 def reset(writer):
@@ -120,7 +120,7 @@
 
 
 async def at_two_machines(scene):
-    for service in scene.proxy.table.services:
+    for service in scene.proxy.configuration.table.services:
         scene.proxy.endpoints.typical_latencies_s[service] = 0.02  # so that a second attempt comes soon
     return (await asked(scene, 2)).close
 
@@ -144,7 +144,7 @@
 async def after_anothers_answer(scene):
     _, writer = await scene.connect()
     writer.write(LONG_GET % b"a")
-    await scene.until(lambda: scene.proxy.forwarder.counts["surplus answers"] and scene.started())
+    await scene.until(lambda: scene.proxy.counters.counts["surplus answers"] and scene.started())
     return writer.close
 
 
@@ -220,8 +220,7 @@
                 LONG_HEAD % id + LONG_BODY if id == b"b" else b""
             )
             writer.write(LONG_GET % b"a" + LONG_GET % b"b")
-            forwarder = scene.proxy.forwarder
-            assert await scene.until(lambda: forwarder.counts["requests"] == 1)
+            assert await scene.until(lambda: scene.proxy.counters.counts["requests"] == 1)
             writer.close()
             assert await scene.until(lambda: scene.cut() == 2, CUT_WITHIN_S)
             assert await scene.until(scene.is_quiet, CUT_WITHIN_S)
@@ -245,7 +244,7 @@
             await asyncio.sleep(0.05)
             kept = scene.proxy.endpoints.by_id["i-0"].idle_connections
             assert [connection.reusable for connection in kept] == [True]
-            assert not scene.proxy.forwarder.counts["attempts abandoned"]
+            assert not scene.proxy.counters.counts["attempts abandoned"]
 
     play(work)
 
@@ -303,7 +302,7 @@
             scene.note(0, "ready")
             _, writer = await scene.connect()
             writer.write(POST % (b"a", 20_000_000) + bytes(20_000_000))
-            await scene.until(lambda: scene.proxy.forwarder.sender.flights, 3.0)
+            await scene.until(lambda: scene.proxy.forwarder.sender.in_flight, 3.0)
             await asyncio.sleep(0.05)
             writer.close()
             assert await scene.until(scene.is_quiet, CUT_WITHIN_S)
@@ -324,7 +323,7 @@
 
             scene.proxy.pool.open = open_then_leave
             client.sendall(POST % (b"a", 4) + b"body")
-            assert await scene.until(lambda: scene.proxy.forwarder.counts["requests"])
+            assert await scene.until(lambda: scene.proxy.counters.counts["requests"])
             assert not scene.started()
 
     play(work)
--- a/tests/gateway/test_dissemination_links.py
+++ b/tests/gateway/test_dissemination_links.py
@@ -227,7 +227,7 @@
             after = told(world, world.nodes)
             calm[n] = sum(after.values()) - sum(before.values())
             assert "count" not in after, after
-            assert all(program.fronts() == n for name, program in world.nodes.items() if name in fronts)
+            assert all(program.fleet.count() == n for name, program in world.nodes.items() if name in fronts)
             world.say("a", "put 5")
             world.say("b", "beat m ready")
             world.run(12.0)
@@ -251,8 +251,8 @@
         world.run(6.0)
         held = {name: world.nodes[name].store.get(f"count/f/{front.life}") for name in "abc"}
         assert all(note and note["rows"][0][4] == 9 for note in held.values()), held
-        own, asked = front.poller.records_for, []
-        front.poller.records_for = lambda ip: asked.append(own(ip)) or asked[-1]
+        own, asked = front.poller.subscriber.records_for, []
+        front.poller.subscriber.records_for = lambda ip: asked.append(own(ip)) or asked[-1]
         world.run(9.0)
         assert asked and not any(asked), "what hasn't changed is told again"
     finally:
@@ -301,7 +301,7 @@
         world.kill("g")
         world.run(12.0)
         assert [set(world.nodes[name].fleet.proxies) for name in "bc"] == [{"f"}, {"f"}]
-        assert world.nodes["f"].fronts() == 1
+        assert world.nodes["f"].fleet.count() == 1
     finally:
         world.close()
 
@@ -414,7 +414,7 @@
     world = met("f", until=100.0)
     try:
         front = world.nodes["f"]
-        before, doubted = front.stage.heard_at, front.doubted_at
+        before, doubted = front.stage.heard_at, front.revalidation.started_at
 
         async def call(*given, **more):
             await asyncio.sleep(0.01)
@@ -427,7 +427,8 @@
         world.kill("f")
         world.start("f")
         world.run(106.0)
-        assert doubted is None and world.nodes["f"].met_majority and world.nodes["f"].doubted_at is None
+        again = world.nodes["f"]
+        assert doubted is None and again.readiness.met_quorum and again.revalidation.started_at is None
     finally:
         world.close()
 
--- a/tests/gateway/test_dissemination_mutations.py
+++ b/tests/gateway/test_dissemination_mutations.py
@@ -17,7 +17,7 @@
 from honeywood.gateway.dissemination.local import LocalRecords
 from honeywood.gateway.dissemination.messages import Answer, Asker
 from honeywood.gateway.dissemination.publisher import Publisher
-from honeywood.gateway.proxy.count_records import CountRecords
+from honeywood.gateway.proxy.rollout_reports import RolloutReports
 
 Store = store.Store
 LINKS = scenarios("test_dissemination_links")
@@ -39,8 +39,8 @@
     return None
 
 
-def counts_always(self, controller, records_for=CountRecords.records_for):
-    self.held.clear()
+def counts_always(self, controller, records_for=RolloutReports.records_for):
+    self.acknowledged.clear()
     return records_for(self, controller)
 
 
@@ -115,7 +115,7 @@
     Mutation("a part is silence", Answer, "whole", True, LINKS, "parts of what others know"),
     Mutation("one queue", Publisher, "_turn", lambda turn, ask: turn, LINKS, "a controller is told its part"),
     Mutation("lists of proxies to all", store, "PRIVATE", (), LINKS, "what a front is told doesn't grow"),
-    Mutation("counts always told", CountRecords, "records_for", counts_always, LINKS, "all controllers"),
+    Mutation("counts always told", RolloutReports, "records_for", counts_always, LINKS, "all controllers"),
     Mutation("no backoff", Backoff, "rest", lambda *given: 0.0, LINKS, "whoever gets no answers"),
     Mutation("own records of before", LocalRecords, "heard", unlike, LINKS, "a program that hears its own"),
     Mutation("dead controllers", contact, "VOUCHES_S", FOREVER, LINKS, "a controller that is heard"),
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -15,11 +15,12 @@
 from honeywood.gateway.controller.app import App
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.store import Store
-from honeywood.gateway.proxy import polling, sender
-from honeywood.gateway.proxy.forwarding import Forwarder
-from honeywood.gateway.proxy.program import Proxy
-from honeywood.gateway.proxy.responses import own_response
-from honeywood.gateway.proxy.sender import AttemptSender
+from honeywood.gateway.proxy import attempt_sender, poll_interval
+from honeywood.gateway.proxy.controller_poller import ControllerPoller
+from honeywood.gateway.proxy.failure_responses import FailureResponses
+from honeywood.gateway.proxy.update_subscription import UpdateSubscription
+from honeywood.gateway.proxy.client_response import local_response
+from honeywood.gateway.proxy.attempt_sender import AttemptSender
 from honeywood.gateway.register import membership as members
 from honeywood.gateway.register.storage import Storage
 from honeywood.gateway.rollout import record
@@ -145,7 +146,7 @@
     self.rows.update(rows)
 
 
-async def gives_up(self, listen=Proxy.listen):
+async def gives_up(self, listen=UpdateSubscription.poll_once):
     """A proxy that finds nobody listening at its start asks no more."""
     await listen(self)
     if not self.subscriber.known:
@@ -209,7 +210,7 @@
 
 
 def promise(self, ask, best):
-    return own_response(503, "no machine free", 0.1)
+    return local_response(503, "no machine free", 0.1)
 
 
 POOR = {"per_s": 120.0, "bounds": (("retry_slack", 2), ("retry_ratio", 0.02))}
@@ -224,10 +225,10 @@
     ),
     patch=each(
         lambda: unrefused("may have run"),
-        lambda: [(Forwarder, "_give_up", promise)],
-        lambda: [(sender, "classify_response", any_answer), (Connection, "exchange", unexpecting)],
+        lambda: [(FailureResponses, "no_endpoint", promise)],
+        lambda: [(attempt_sender, "classify_response", any_answer), (Connection, "exchange", unexpecting)],
         lambda: unrefused("state"),
-        lambda: [(polling, "POLL_S", 3.0), (Proxy, "listen", idle)],
+        lambda: [(poll_interval, "POLL_S", 3.0), (UpdateSubscription, "poll_once", idle)],
         lambda: [(Store, "put", last_wins), (Store, "since", all_again)],
         lambda: [(RetryBudget, "allows", lambda self, now, fronts: True)],
         lambda: [(Stage, "room", lambda self, now, ask: True)],
@@ -244,7 +245,7 @@
         lambda: [(Storage, "keep", without_rollouts)],
         lambda: unrefused("state"),
         lambda: [(members, "majority", lambda here: len(here["members"]))],
-        lambda: [(Proxy, "listen", gives_up), (Proxy, "poll", idle)],
+        lambda: [(UpdateSubscription, "poll_once", gives_up), (ControllerPoller, "poll_once", idle)],
         lambda: [(App, "leave", unheeded), (machines, "beat", always_ready)],
         lambda: [(RouteTable, "__init__", three_routes)],
         lambda: [(AttemptSender, "abandon", lambda self, request: None)],
--- a/tests/gateway/test_invariants.py
+++ b/tests/gateway/test_invariants.py
@@ -9,7 +9,7 @@
 
 from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.proxy.invariants import ABANDONED_WITHIN_S, Violation
-from honeywood.gateway.proxy.sender import AttemptSender
+from honeywood.gateway.proxy.attempt_sender import AttemptSender
 from honeywood.gateway.routing.attempt_policy import AttemptPolicy
 
 
@@ -61,7 +61,7 @@
 
 
 async def attempt_is_forgotten(scene, patch):
-    patch(AttemptSender, "_end", lambda self, flight: self._forget(flight))
+    patch(AttemptSender, "_finish", lambda self, attempt: self._remove(attempt))
     await scene.get()
 
 
@@ -86,9 +86,9 @@
         configuration_is_not_taken,
     ),
     violation=each(
-        Violation.WORK_FOR_NOBODY,
-        Violation.BEGUN_FOR_NOBODY,
-        Violation.REPEATED,
+        Violation.WORK_AFTER_DEPARTURE,
+        Violation.ATTEMPT_AFTER_DEPARTURE,
+        Violation.UNSAFE_RETRY,
         Violation.ATTEMPTS,
         Violation.CONNECTIONS,
         Violation.CONFIGURATION,
@@ -105,16 +105,16 @@
     async def work():
         async with Scene([script], kind=kind) as scene:
             invariants, told = scene.proxy.invariants, []
-            invariants.tell = lambda *given: told.append(given[0])
+            invariants.on_violation = lambda *given: told.append(given[0])
             await fault(scene, patch)
             for _ in range(LOOKS):
-                invariants.look(scene.proxy.clock())
+                invariants.check(scene.proxy.clock())
                 if invariants.violations[violation]:
                     break
                 await asyncio.sleep(LOOK_S)
             assert invariants.violations[violation] and violation in told
             # for the scene's own looks
-            scene.proxy.invariants = SimpleNamespace(look=lambda now: None, violations={})
+            scene.proxy.invariants = SimpleNamespace(check=lambda now: None, violations={})
 
     try:
         play(work)
@@ -130,9 +130,9 @@
             await scene.get()
             endpoint = scene.proxy.endpoints.by_id["i-0"]
             endpoint.open_connections += 1
-            scene.proxy.invariants.look(1.0)
+            scene.proxy.invariants.check(1.0)
             endpoint.open_connections -= 1
-            scene.proxy.invariants.look(1.5)
+            scene.proxy.invariants.check(1.5)
             assert not scene.proxy.invariants.violations
 
     play(work)
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -101,7 +101,7 @@
             writer.write(HEAD % id + b"ok")
 
         async with Scene([held], kind=kind) as scene:
-            counts = scene.proxy.forwarder.counts
+            counts = scene.proxy.counters.counts
             _, writer = await asyncio.open_connection("127.0.0.1", scene.port)
             writer.write(GET % b"id1")
             await until(lambda: scene.machines[0].seen)
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -479,11 +479,11 @@
             world.loop.now += 20.0  # all stand still while the answer lies there
             return Done(Answer("", 0, in_quorum=True))
 
-        controller.peers.subscriber.ask = front.poller.ask = old
+        controller.peers.subscriber.ask = front.poller.subscriber.ask = old
         world.loop.run_until_complete(controller.peers.poll("b"))
         assert not controller.in_quorum
         now = world.loop.now
-        world.loop.run_until_complete(front.poll())
+        world.loop.run_until_complete(front.poller.poll_once())
         assert front.stage.heard_at == now
     finally:
         world.close()
@@ -513,7 +513,7 @@
         assert world.nodes["g"].ready
         world.join()
         world.run(12.0)
-        assert world.version("g") == 6 and world.nodes["g"].met_majority
+        assert world.version("g") == 6 and world.nodes["g"].readiness.met_quorum
     finally:
         world.close()
 
--- a/tests/gateway/test_pinned_proxy.py
+++ b/tests/gateway/test_pinned_proxy.py
@@ -83,15 +83,15 @@
 
 
 def meet_quorum(proxy: Proxy) -> None:
-    proxy.met_majority = True
+    proxy.readiness.met_quorum = True
 
 
 async def poll_once(proxy: Proxy) -> None:
-    await proxy.ask_controller("127.0.0.1")
+    await proxy.poller._poll("127.0.0.1")
 
 
 async def listen_once(proxy: Proxy) -> None:
-    await proxy.listen()
+    await proxy.subscription.poll_once()
 
 
 def values_of(enumeration: type[RejectionReason] | type[AttemptOutcome]) -> list[str]:
--- a/tests/gateway/test_sockets.py
+++ b/tests/gateway/test_sockets.py
@@ -211,8 +211,8 @@
             assert b"retry-after: 0.1" in found
             told = []
             scene.proxy.say = lambda event, *given, **more: told.append((event, more))
-            await scene.proxy.count()
-            (event, more), counts = told[0], scene.proxy.forwarder.counts
+            await scene.proxy.log_counts()
+            (event, more), counts = told[0], scene.proxy.counters.counts
             assert event == "counts" and more["answered 200"] == more["answered 503"] == 1
             assert counts["requests"] == 2 and counts["no machine: state"] == 1 and more["machines"] == 1
 
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -93,7 +93,7 @@
             found = await scene.raw(get(*headers))
             assert status(found) == told
             assert bool(scene.machines[0].seen) == (told == 200)
-            refused = scene.proxy.app.refusals["not forwarded: no known key"]
+            refused = scene.proxy.counters.counts["not forwarded: no known key"]
             assert refused == (told == 401)
         async with TenantScene([ok], public=True) as scene:
             assert status(await scene.raw(get(*headers))) == public
@@ -269,7 +269,8 @@
         assert (told["put"][0], told["read"][0]) == (200, 200), told
         assert json.loads(told["read"][1]) == sent
         proxy = world.nodes["f"]
-        assert proxy.table.version == 7 and proxy.table.tenants.find(A.encode()).name == b"cuka620"
+        table = proxy.configuration.table
+        assert table.version == 7 and table.tenants.find(A.encode()).name == b"cuka620"
         stores = [world.nodes[name].publisher.store.get("config") for name in ("a", "b", "c", "f")]
         for text in map(configuration.unpack, stores):
             assert not any(key.encode() in text for keys in KEYS.values() for key in keys)
