--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/proxy/test_client_departure.py
@@ -1,4 +1,4 @@
-"""Clients that leave, at each moment of a request's way: work ends where it may, and nothing is left open."""
+"""Clients that leave at each step of a request: idempotent work is ended, and nothing is left open."""
 
 import asyncio
 import socket
@@ -11,7 +11,7 @@
 from honeywood.gateway.dissemination.publisher import Publisher
 from standins.requests import read_request
 
-CUT_WITHIN_S = 0.45  # after a client's leaving in which machines must be rid of what may be repeated
+ABANDONED_WITHIN_S = 0.45  # after a client's departure, in which its idempotent attempts must have ended
 POST = (
     b"POST /p0/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: %s\r\nX-Deadline-Ms: 3000\r\n"
     b"Content-Length: %d\r\n\r\n"
@@ -167,7 +167,7 @@
     return b""
 
 
-@test("a client leaves {leave.__name__}: machines are rid of its repeatable requests, and nothing stays open")
+@test("a client leaves {leave.__name__}: its idempotent attempts are ended, and nothing stays open")
 def _(
     leave=each(
         at_one_machine,
@@ -188,14 +188,14 @@
             begun = scene.started()
             assert begun and not scene.cut()
             go()
-            assert await scene.until(lambda: scene.cut() == begun, CUT_WITHIN_S)
-            assert await scene.until(scene.is_quiet, CUT_WITHIN_S)
+            assert await scene.until(lambda: scene.cut() == begun, ABANDONED_WITHIN_S)
+            assert await scene.until(scene.is_quiet, ABANDONED_WITHIN_S)
             assert scene.started() == begun  # nothing is begun for who has left
 
     play(work)
 
 
-@test("a client leaves while a machine has its request that may not be repeated: it is done whole, once")
+@test("a client leaves while a machine has its unsafe request: it is finished, once")
 def _():
     async def work():
         async with HoldingScene(1, kind="unsafe") as scene:
@@ -203,7 +203,7 @@
             writer.write(POST % (b"a", 4) + b"body")
             await scene.until(lambda: scene.started() == 1)
             writer.close()
-            assert not await scene.until(scene.cut, CUT_WITHIN_S)
+            assert not await scene.until(scene.cut, ABANDONED_WITHIN_S)
             scene.machines[0].release.set()
             assert await scene.until(scene.is_quiet) and scene.machines[0].started == [b"a"]
             assert len(scene.proxy.endpoints.by_id["i-0"].idle_connections) == 1
@@ -211,7 +211,7 @@
     play(work)
 
 
-@test("a client leaves while a long answer waits behind another request: its machine is rid of it")
+@test("a client leaves while a long response waits behind another request: its attempt is ended")
 def _():
     async def work():
         async with HoldingScene(2) as scene:
@@ -222,13 +222,13 @@
             writer.write(LONG_GET % b"a" + LONG_GET % b"b")
             assert await scene.until(lambda: scene.proxy.counters.counts["requests"] == 1)
             writer.close()
-            assert await scene.until(lambda: scene.cut() == 2, CUT_WITHIN_S)
-            assert await scene.until(scene.is_quiet, CUT_WITHIN_S)
+            assert await scene.until(lambda: scene.cut() == 2, ABANDONED_WITHIN_S)
+            assert await scene.until(scene.is_quiet, ABANDONED_WITHIN_S)
 
     play(work)
 
 
-@test("a client leaves after a long answer was read whole: the connection it came on is kept for others")
+@test("a client leaves after a long response was read completely: its connection is kept for others")
 def _():
     async def work():
         async def long(id, writer):
@@ -271,7 +271,7 @@
     return writer
 
 
-@test("a client leaves {leave.__name__}: no machine hears of its {kind} request, and nothing stays open")
+@test("a client leaves {leave.__name__}: its {kind} request reaches no machine, and nothing stays open")
 def _(
     leave=each(*[before_its_body_is_whole, while_a_connection_comes_up] * 2),
     kind=each("safe", "safe", "unsafe", "unsafe"),
@@ -281,14 +281,14 @@
             writer = await leave(scene)
             writer.close()
             await asyncio.sleep(0.15)
-            assert await scene.until(scene.is_quiet, CUT_WITHIN_S) and not scene.started()
+            assert await scene.until(scene.is_quiet, ABANDONED_WITHIN_S) and not scene.started()
             endpoint = scene.proxy.endpoints.by_id["i-0"]
             assert len(endpoint.idle_connections) == endpoint.open_connections  # what came up is kept
 
     play(work)
 
 
-@test("a client leaves while its long body is written to a machine that doesn't read: nothing stays open")
+@test("a client leaves while its long body is sent to a machine that doesn't read: nothing stays open")
 def _():
     class DeafMachine(Machine):
         async def serve(self, reader, writer):
@@ -305,12 +305,12 @@
             await scene.until(lambda: scene.proxy.forwarder.sender.in_flight, 3.0)
             await asyncio.sleep(0.05)
             writer.close()
-            assert await scene.until(scene.is_quiet, CUT_WITHIN_S)
+            assert await scene.until(scene.is_quiet, ABANDONED_WITHIN_S)
 
     play(work)
 
 
-@test("an unsafe request whose client's end lies unread while the proxy is busy is not begun")
+@test("an unsafe request isn't started where the client's departure is unread in the kernel")
 def _():
     async def work():
         async with HoldingScene(1, kind="unsafe") as scene:
@@ -329,7 +329,7 @@
     play(work)
 
 
-@test("one that asked for news and has left takes no part of the link, and the next one is told")
+@test("a poll whose sender has left takes no share of the link, and the next one is answered")
 def _():
     async def work():
         publisher, left = Publisher("l", lambda key, value: None), []
--- /dev/null
+++ b/tests/gateway/proxy/test_connection_pool.py
@@ -0,0 +1,28 @@
+"""Which connections are used again."""
+
+from socket_scene import Scene, chunked, chunked_twice, close, ok, play, status, twice
+from ward import each, test
+
+
+@test("after {first.__name__} the next request gets its own response, with {connections} connections in all")
+def _(first=each(ok, chunked, twice, chunked_twice), connections=each(1, 1, 2, 2)):
+    async def work():
+        async with Scene([first, ok]) as scene:
+            assert b"ok" in await scene.get(b"a") and (await scene.get(b"b")).endswith(b"ok")
+            assert scene.machines[0].accepted == connections
+
+    play(work)
+
+
+@test("an idle connection that the machine has closed is not used, and an unsafe request is sent once")
+def _():
+    async def work():
+        async with Scene([ok], kind="unsafe") as scene:
+            assert status(await scene.post(b"a")) == 200
+            kept = scene.proxy.endpoints.by_id["i-0"].idle_connections[0]
+            scene.machines[0].script = [close]
+            kept.stream.eof_received()  # its end has come
+            scene.machines[0].script = [ok]
+            assert status(await scene.post(b"b")) == 200 and scene.machines[0].accepted == 2
+
+    play(work)
--- /dev/null
+++ b/tests/gateway/proxy/test_forwarder.py
@@ -0,0 +1,120 @@
+"""Requests forwarded over real connections, and what becomes of attempts that fail."""
+
+import asyncio
+
+from socket_scene import (
+    GET,
+    HEAD,
+    Scene,
+    close,
+    cut,
+    endless,
+    full,
+    full_late,
+    noise,
+    ok,
+    other,
+    other_late,
+    play,
+    sealless,
+    sick,
+    silent_503,
+    status,
+    stranger,
+)
+from ward import each, test
+
+
+@test("method, raw path, query, id and body are forwarded unchanged; the response comes back")
+def _():
+    async def work():
+        async with Scene([ok]) as scene:
+            found = await scene.get()
+            head, fields, _ = scene.machines[0].seen[0]
+            assert status(found) == 200 and found.endswith(b"\r\n\r\nok") and b"x-seal: s" in found
+            assert head.startswith(b"GET /p0/a%2Fb?c HTTP/1.1\r\n")
+            assert fields[b"x-want-instance"] == b"i-0" and 500 < int(fields[b"x-deadline-ms"]) <= 600
+        async with Scene([ok], kind="unsafe") as scene:
+            assert status(await scene.post()) == 200 and scene.machines[0].seen[0][2] == b"body"
+
+    play(work)
+
+
+@test("a {kind} request whose machine first does {first.__name__} gets {expected} after {attempts} attempts")
+def _(
+    kind=each(*["safe"] * 10, *["unsafe"] * 11),
+    first=each(
+        cut,
+        close,
+        stranger,
+        sealless,
+        noise,
+        full,
+        other,
+        full_late,
+        other_late,
+        endless,
+        cut,
+        close,
+        stranger,
+        noise,
+        full_late,
+        other_late,
+        endless,
+        full,
+        other,
+        sick,
+        silent_503,
+    ),
+    expected=each(*[200] * 10, *[502] * 2, 504, 502, *[504] * 2, 502, 200, 200, 500, 502),
+    attempts=each(*[2] * 10, *[1] * 7, 2, 2, 1, 1),
+):
+    # No invalid response reaches a client, nothing unsafe that may have run is sent again, and only what a
+    # machine declared not run is promised not to have. After a response to another request (stranger,
+    # full_late, other_late) its own may follow: an unsafe request waits for it until its deadline.
+    async def work():
+        async with Scene([first, ok], [first, ok], kind=kind) as scene:
+            for machine in scene.machines:
+                machine.script = scene.machines[0].script
+            found = await (scene.get() if kind == "safe" else scene.post())
+            assert status(found) == expected
+            assert sum(len(machine.seen) for machine in scene.machines) == attempts
+            assert b"no" != found[-2:] or expected == 500
+
+    play(work)
+
+
+@test("pipelined requests run at the same time, and are answered in order")
+def _():
+    async def work():
+        gate = asyncio.Event()
+
+        async def by_turns(id, writer):
+            if id == b"a":
+                await gate.wait()  # until the one behind it is at work
+            gate.set()
+            writer.write(HEAD % id + b"ok")
+
+        async with Scene([by_turns], [by_turns]) as scene:
+            found = await scene.raw(GET % b"a" + GET % b"b")
+            assert found.count(b"200 OK") == 2 and found.index(b"x-try-id: a") < found.index(b"x-try-id: b")
+
+    play(work)
+
+
+@test("a machine that starts to drain while a connection to it is established gets nothing")
+def _():
+    async def work():
+        async with Scene([ok]) as scene:
+            opened = scene.proxy.pool.open
+
+            async def late(machine, until):
+                connection = await opened(machine, until)
+                scene.note(0, "draining")
+                return connection
+
+            scene.proxy.pool.open = late
+            found = await scene.get()
+            assert status(found) == 503 and b"retry-after" in found and scene.machines[0].seen == []
+
+    play(work)
--- a/tests/gateway/test_invariants.py
+++ b/tests/gateway/proxy/test_invariants.py
@@ -1,4 +1,4 @@
-"""Each invariant of a running proxy is seen to be violated when its guard is taken away."""
+"""Each invariant of a running proxy is violated once the code that ensures it is taken away."""
 
 import asyncio
 from contextlib import suppress
@@ -13,10 +13,10 @@
 from honeywood.gateway.routing.attempt_policy import AttemptPolicy
 
 
-LOOKS, LOOK_S = 150, 0.02  # a busy machine may take long to bring a fault about
+CHECKS, CHECK_INTERVAL_S = 150, 0.02  # a busy machine may take long until the fault shows
 
 
-async def silence(id, writer):
+async def no_answer(id, writer):
     await asyncio.sleep(3.0)
 
 
@@ -33,13 +33,13 @@
     await asyncio.sleep(0.02)
 
 
-async def work_goes_on(scene, patch):
+async def attempt_is_not_abandoned(scene, patch):
     patch(AttemptSender, "abandon", lambda self, request: None)
     await leave(scene, 0.05)
     await asyncio.sleep(ABANDONED_WITHIN_S)
 
 
-async def leaving_is_not_heeded(scene, patch):
+async def departure_is_ignored(scene, patch):
     patch(AttemptPolicy, "request_rejection", lambda self, now, request: None)
     opened = scene.proxy.pool.open
 
@@ -52,7 +52,7 @@
     await asyncio.sleep(0.15)
 
 
-async def unsafe_is_repeated(scene, patch):
+async def unsafe_request_is_retried(scene, patch):
     patch(AttemptPolicy, "request_rejection", lambda self, now, request: None)
     patch(AttemptPolicy, "_repeat_rejection", lambda self, request, endpoint: None)
     asked = asyncio.ensure_future(scene.post())
@@ -60,30 +60,30 @@
     asked.cancel()
 
 
-async def attempt_is_forgotten(scene, patch):
+async def attempt_is_not_finished(scene, patch):
     patch(AttemptSender, "_finish", lambda self, attempt: self._remove(attempt))
     await scene.get()
 
 
-async def connection_is_forgotten(scene, patch):
+async def connection_is_not_counted(scene, patch):
     await scene.get()
     scene.proxy.endpoints.by_id["i-0"].idle_connections.clear()
 
 
-async def configuration_is_not_taken(scene, patch):
+async def configuration_is_not_activated(scene, patch):
     with suppress(Wrong):  # it is kept, and can't be read here
         scene.proxy.publisher.store.put("config", [9], "{}")
 
 
-@test("{fault.__name__}: it is counted as {violation}, and told")
+@test("{fault.__name__}: the violation {violation} is counted and reported")
 def _(
     fault=each(
-        work_goes_on,
-        leaving_is_not_heeded,
-        unsafe_is_repeated,
-        attempt_is_forgotten,
-        connection_is_forgotten,
-        configuration_is_not_taken,
+        attempt_is_not_abandoned,
+        departure_is_ignored,
+        unsafe_request_is_retried,
+        attempt_is_not_finished,
+        connection_is_not_counted,
+        configuration_is_not_activated,
     ),
     violation=each(
         Violation.WORK_AFTER_DEPARTURE,
@@ -93,7 +93,7 @@
         Violation.CONNECTIONS,
         Violation.CONFIGURATION,
     ),
-    script=each(silence, silence, reset, ok, ok, ok),
+    script=each(no_answer, no_answer, reset, ok, ok, ok),
     kind=each("safe", "safe", "unsafe", "safe", "safe", "safe"),
 ):
     undo = []
@@ -104,16 +104,16 @@
 
     async def work():
         async with Scene([script], kind=kind) as scene:
-            invariants, told = scene.proxy.invariants, []
-            invariants.on_violation = lambda *given: told.append(given[0])
+            invariants, reported = scene.proxy.invariants, []
+            invariants.on_violation = lambda violation, details: reported.append(violation)
             await fault(scene, patch)
-            for _ in range(LOOKS):
+            for _ in range(CHECKS):
                 invariants.check(scene.proxy.clock())
                 if invariants.violations[violation]:
                     break
-                await asyncio.sleep(LOOK_S)
-            assert invariants.violations[violation] and violation in told
-            # for the scene's own looks
+                await asyncio.sleep(CHECK_INTERVAL_S)
+            assert invariants.violations[violation] and violation in reported
+            # for the scene's own checks
             scene.proxy.invariants = SimpleNamespace(check=lambda now: None, violations={})
 
     try:
@@ -123,7 +123,7 @@
             setattr(place, name, value) if value is not None else delattr(place, name)
 
 
-@test("what stands for one look only is no violation")
+@test("what a single check finds is no violation")
 def _():
     async def work():
         async with Scene([ok]) as scene:
