--- a/honeywood/gateway/proxy/controller_poller.py
+++ b/honeywood/gateway/proxy/controller_poller.py
@@ -8,6 +8,7 @@
 from honeywood.gateway.dissemination.backoff import FIRST
 from honeywood.gateway.dissemination.history import CUT
 from honeywood.gateway.dissemination.rendezvous import order
+from honeywood.gateway.errors import CallFailed
 from honeywood.gateway.proxy.poll_interval import poll_interval_s
 
 TYPE_CHECKING = False
@@ -83,10 +84,10 @@
         for _ in range(MAX_POLLS_IN_A_ROW):
             # Taken before: an answer may have been unread for long while this process was suspended.
             polled_at = self.clock()
-            reply = await self.subscriber.ask(ip, self.settings.controller_port, 0.0)
-            if not reply.ok:
+            try:
+                answer = await self.subscriber.ask(ip, self.settings.controller_port, 0.0)
+            except CallFailed:
                 return PollResult(polled_at, None)
-            answer = reply.value
             self._record_fleet(ip, answer)
             if not answer.more or self.subscription.max_poll_bytes() is not None:
                 break
--- a/honeywood/gateway/proxy/peer_handler.py
+++ b/honeywood/gateway/proxy/peer_handler.py
@@ -5,9 +5,9 @@
 import json
 
 from honeywood.gateway.configuration.check import read_json
-from honeywood.gateway.configuration.outcome import Wrong
 from honeywood.gateway.dissemination.messages import Ask
 from honeywood.gateway.dissemination.record import PATH
+from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.proxy.client_response import BAD_REQUEST, BODY_TOO_LARGE, NOT_FOUND
 from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of
 
@@ -43,8 +43,8 @@
         departure = scope[CONTEXT].departure
         try:
             found = await self.answer_poll(raw, scope["client"][0], lambda: departure.gone)
-        except Wrong as wrong:
-            await answer(send, BAD_REQUEST, (), str(wrong).encode())
+        except GatewayError as error:
+            await answer(send, BAD_REQUEST, (), str(error).encode())
             return
         await answer(send, OK, [JSON_CONTENT], json.dumps(found, separators=(",", ":")).encode())
 
--- a/honeywood/gateway/proxy/update_subscription.py
+++ b/honeywood/gateway/proxy/update_subscription.py
@@ -7,6 +7,7 @@
 from honeywood.gateway.dissemination.backoff import FIRST
 from honeywood.gateway.dissemination.publisher import HOLD, SMALL
 from honeywood.gateway.dissemination.rendezvous import order
+from honeywood.gateway.errors import CallFailed
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -42,11 +43,13 @@
     async def poll_once(self) -> None:
         """Polls one peer after the other until one answers."""
         for ip, port in self._candidates():
-            reply = await self.subscriber.ask(ip, port, HOLD)
-            if reply.ok:
-                self.answered_at = self.clock()
-                await asyncio.sleep(min(HOLD, reply.value.later_s or 0.0))
-                return
+            try:
+                answer = await self.subscriber.ask(ip, port, HOLD)
+            except CallFailed:
+                continue
+            self.answered_at = self.clock()
+            await asyncio.sleep(min(HOLD, answer.later_s or 0.0))
+            return
         await asyncio.sleep(FIRST)
 
     def _candidates(self) -> list[tuple[str, int]]:
