--- a/tests/gateway/routing_fixtures.py
+++ b/tests/gateway/routing_fixtures.py
@@ -21,9 +21,7 @@
 
 def make_route(kind: str = "safe", max_attempts: int = 2, prefix: str = "/p/") -> Route:
     """A route to the service `s`."""
-    return Route(
-        "r", "h.example", prefix, kind, TIMEOUT_S, LATENCY_TARGET_S, 0, max_attempts, (("s", 1.0),)
-    )
+    return Route("r", "h.example", prefix, kind, TIMEOUT_S, LATENCY_TARGET_S, 0, max_attempts, (("s", 1.0),))
 
 
 def make_request(
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -10,7 +10,6 @@
 from ward import each, test
 
 from honeywood.gateway.configuration import config
-from honeywood.gateway.errors import GatewayError, VersionConflict
 from honeywood.gateway.controller import machines
 from honeywood.gateway.controller.app import App
 from honeywood.gateway.dissemination.record import Record
@@ -21,6 +20,7 @@
 from honeywood.gateway.proxy.update_subscription import UpdateSubscription
 from honeywood.gateway.proxy.client_response import local_response
 from honeywood.gateway.proxy.attempt_sender import AttemptSender
+from honeywood.gateway.errors import GatewayError, VersionConflict
 from honeywood.gateway.register import membership as members
 from honeywood.gateway.register.storage import Storage
 from honeywood.gateway.rollout import record
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -2,6 +2,7 @@
 
 import asyncio
 
+from ports import free_port
 from socket_scene import GET, HEAD, Scene, ok, play
 from ward import each, raises, test
 
@@ -81,7 +82,7 @@
             await proxy.open_metrics(scene.server)
             assert proxy.metrics_port is None and taken == scene.port
             await scene.get()
-            proxy.metrics_port = scene.machines[0].port + 1
+            proxy.metrics_port = free_port()
             await proxy.open_metrics(scene.server)
             page = await read_page("127.0.0.1", proxy.metrics_port, b"/metrics")
             assert b"200 OK" in page and b'honeywood_events_total{event="answered 200"} 1\n' in page
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_orders.py
@@ -7,8 +7,8 @@
 
 from honeywood.gateway.configuration import versions as held
 from honeywood.gateway.configuration.config import unpack
-from honeywood.gateway.dissemination.messages import Answer
 from honeywood.gateway.controller.orders import Orders
+from honeywood.gateway.dissemination.messages import Answer
 from honeywood.gateway.rollout import record as rollouts
 from honeywood.gateway.rpc.asgi import CONTEXT, RequestContext
 from honeywood.gateway.rpc.departure import ClientDeparture
@@ -97,7 +97,8 @@
 
 @test("cut off in one direction alone, {way}, a controller answers by 503; the others go on")
 def _(way=each("deaf", "mute bc")):
-    played("""
+    played(
+        """
       at   | a              | b       | c
       0    | start          | start   | start
       1    | send 5x        |         |
@@ -107,7 +108,8 @@
       4    | send 4x, read  |         |
       5.5  | says 5x 503, says state 503, says v3 503 | says 6x 200 | says state 200 active v2
       5.6  | says 4x 503, says read 503 |  |
-    """.replace("WAY", way))
+    """.replace("WAY", way)
+    )
 
 
 @test("a service brought in by a version that this controller has not heard of is known all the same")
