--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from honeywood.gateway.proxy.client_response import UNAVAILABLE
-from honeywood.gateway.rpc.asgi import CONTEXT, answer
+from honeywood.gateway.rpc.asgi import send_response
+from honeywood.gateway.rpc.request_context import CONTEXT
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -12,7 +13,7 @@
 
     from honeywood.gateway.configuration.config import Limits
     from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
-    from honeywood.gateway.proxy.asgi_types import Receive, Scope, Send
+    from honeywood.gateway.rpc.asgi import Receive, Scope, Send
     from honeywood.gateway.proxy.client_handler import ClientHandler
     from honeywood.gateway.proxy.client_response import ClientResponse
     from honeywood.gateway.proxy.peer_handler import PeerHandler
@@ -63,7 +64,7 @@
         """Answers one request."""
         port = scope["server"][1]
         if port == self.ready_port:
-            await answer(send, OK if self.readiness.is_ready() else UNAVAILABLE)
+            await send_response(send, OK if self.readiness.is_ready() else UNAVAILABLE)
         elif port == self.peer_port:
             await self.peers.handle(scope, receive, send)
         elif port == self.metrics_port():
@@ -77,9 +78,9 @@
         response = await (early if early is not None else self.clients.handle(scope, receive))
         # Pipelined requests that have begun are answered before a stopping proxy closes the connection.
         close = self.stopping.is_set() and not context.others_begun()
-        await self.writer.write(send, response, context.departure, close)
+        await self.writer.write(send, response, context.disconnect, close)
 
-    def early(self, scope: Scope) -> asyncio.Task[ClientResponse] | None:
+    def begin_early(self, scope: Scope) -> asyncio.Task[ClientResponse] | None:
         """Starts a pipelined request early; None where it has to wait for its turn.
 
         A stopping proxy starts none: what follows a response that closes the connection isn't read.
--- a/honeywood/gateway/proxy/attempt_in_flight.py
+++ b/honeywood/gateway/proxy/attempt_in_flight.py
@@ -12,7 +12,8 @@
 
     from honeywood.gateway.routing.endpoint import Endpoint
     from honeywood.gateway.routing.pending_request import Attempt, PendingRequest
-    from honeywood.gateway.rpc.connection import Connection, ExchangeFailed, Reply
+    from honeywood.gateway.rpc.connection import Connection
+    from honeywood.gateway.rpc.reply import ExchangeFailure, Reply
 
 
 @dataclass(slots=True, eq=False)
@@ -30,7 +31,7 @@
     connection_reused: bool = False
     record: Attempt | None = None
     sent_at: float = 0.0
-    reply: Reply | ExchangeFailed | None = None
+    reply: Reply | ExchangeFailure | None = None
     continues: bool = False
 
     @property
--- a/honeywood/gateway/proxy/attempt_sender.py
+++ b/honeywood/gateway/proxy/attempt_sender.py
@@ -10,7 +10,7 @@
 from honeywood.gateway.proxy.request_counters import RequestProgress
 from honeywood.gateway.routing.outcomes import AttemptOutcome, classify_response
 from honeywood.gateway.routing.pending_request import connect_deadline
-from honeywood.gateway.rpc.connection import ExchangeFailed, Reply
+from honeywood.gateway.rpc.reply import ExchangeFailure, Reply
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -123,7 +123,7 @@
         while (connection := await self._connect(attempt)) is not None:
             now = self.clock()
             if not request.route.safe:  # can't be taken back once sent
-                request.departure.check(now)
+                request.disconnect.check(now)
             if self.policy.rejection(now, request, endpoint, connected=True) is not None:
                 return False  # by what has changed while the connection was established
             self.on_attempt(request)
@@ -135,9 +135,9 @@
                 outgoing.headers_for(endpoint, request.deadline - now),
                 outgoing.body,
                 request.deadline + LATE_RESPONSE_S,
-                expected=(TRY_ID_HEADER, request.try_id),
+                expected_header=(TRY_ID_HEADER, request.try_id),
             )
-            if not (attempt.connection_reused and isinstance(reply, ExchangeFailed)):
+            if not (attempt.connection_reused and isinstance(reply, ExchangeFailure)):
                 return True
             if reply.sent:
                 if not reply.timed_out:
@@ -213,7 +213,7 @@
     def _finish(self, attempt: AttemptInFlight) -> None:
         """An attempt is over, however it ended."""
         self._remove(attempt)
-        self._count_work_after_departure(attempt)
+        self._count_work_after_disconnect(attempt)
         if attempt.record is not None and attempt.record.outcome is None:
             attempt.record_outcome(AttemptOutcome.NO_ANSWER)
         reply = attempt.reply if isinstance(attempt.reply, Reply) else None
@@ -228,9 +228,9 @@
             del self.in_flight[attempt.request]
             self.on_idle(attempt.request)
 
-    def _count_work_after_departure(self, attempt: AttemptInFlight) -> None:
+    def _count_work_after_disconnect(self, attempt: AttemptInFlight) -> None:
         """Counts for how long an endpoint had an attempt after its client had left."""
-        left_at = attempt.request.departure.left_at
+        left_at = attempt.request.disconnect.disconnected_at
         if left_at is not None and attempt.record is not None:
             self.counters.attempt_outlived_client(attempt.request, self.clock() - left_at)
 
--- a/honeywood/gateway/proxy/client_handler.py
+++ b/honeywood/gateway/proxy/client_handler.py
@@ -16,7 +16,8 @@
     local_response,
 )
 from honeywood.gateway.routing.admission import ADMITTED_WITHOUT_TENANTS, Admission
-from honeywood.gateway.rpc.asgi import CONTEXT, body_of
+from honeywood.gateway.rpc.asgi import read_body
+from honeywood.gateway.rpc.request_context import CONTEXT
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -25,7 +26,7 @@
 
     from honeywood.gateway.configuration.config import Route
     from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
-    from honeywood.gateway.proxy.asgi_types import Receive, Scope
+    from honeywood.gateway.rpc.asgi import Receive, Scope
     from honeywood.gateway.proxy.forwarder import Forwarder
     from honeywood.gateway.proxy.request_counters import RequestCounters
     from honeywood.gateway.routing.route_table import RouteTable
@@ -59,8 +60,8 @@
             response = self._reject(UNAUTHORIZED, "no known key")
             response.headers.append(CHALLENGE)
             return response
-        body = await body_of(receive, self.configuration.limits.body_bytes)
-        if body is None and scope[CONTEXT].departure.gone:
+        body = await read_body(receive, self.configuration.limits.body_bytes)
+        if body is None and scope[CONTEXT].disconnect.happened:
             return self._reject(BAD_REQUEST, "its client left before its end")
         if body is None:
             return self._reject(BODY_TOO_LARGE, "the body is too long")
@@ -101,13 +102,13 @@
             scope["headers"],
             fields,
             body,
-            context.departure,
+            context.disconnect,
             context.received_at,
             admission,
         )
         response = await self.forwarder.forward(route, request)
         if response.remainder is not None and route.safe:  # may wait long until its predecessors are answered
-            context.departure.subscribe(response.remainder.abandon)
+            context.disconnect.subscribe(response.remainder.abandon)
         return response
 
 
--- a/honeywood/gateway/proxy/client_request.py
+++ b/honeywood/gateway/proxy/client_request.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from honeywood.gateway.routing.admission import ADMITTED_WITHOUT_TENANTS, Admission
-from honeywood.gateway.rpc.connection import end_to_end
-from honeywood.gateway.rpc.departure import ClientDeparture
+from honeywood.gateway.rpc.headers import end_to_end
+from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -53,7 +53,7 @@
     headers: list[tuple[bytes, bytes]]
     fields: Mapping[bytes, bytes]
     body: bytes
-    departure: ClientDeparture = field(default_factory=ClientDeparture)
+    disconnect: ClientDisconnect = field(default_factory=ClientDisconnect)
     received_at: float | None = None
     admission: Admission = ADMITTED_WITHOUT_TENANTS
 
--- a/honeywood/gateway/proxy/client_response.py
+++ b/honeywood/gateway/proxy/client_response.py
@@ -5,11 +5,12 @@
 from dataclasses import dataclass
 
 from honeywood.gateway.routing.outcomes import FIRST_FAILURE, may_relay
-from honeywood.gateway.rpc.connection import Remainder, end_to_end
+from honeywood.gateway.rpc.headers import end_to_end
+from honeywood.gateway.rpc.reply import BodyRemainder
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from honeywood.gateway.rpc.connection import Reply
+    from honeywood.gateway.rpc.reply import Reply
 
 BAD_REQUEST, UNAUTHORIZED, NOT_FOUND, BODY_TOO_LARGE = 400, 401, 404, 413
 BAD_GATEWAY, UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
@@ -27,7 +28,7 @@
     status: int
     headers: list[tuple[bytes, bytes]]
     body: bytes = b""
-    remainder: Remainder | None = None
+    remainder: BodyRemainder | None = None
 
 
 def local_response(status: int, reason: str, retry_after_s: float | None = None) -> ClientResponse:
--- a/honeywood/gateway/proxy/failure_responses.py
+++ b/honeywood/gateway/proxy/failure_responses.py
@@ -22,7 +22,7 @@
     from honeywood.gateway.routing.attempt_policy import AttemptPolicy
     from honeywood.gateway.routing.endpoint_table import EndpointTable
     from honeywood.gateway.routing.pending_request import PendingRequest
-    from honeywood.gateway.rpc.connection import Reply
+    from honeywood.gateway.rpc.reply import Reply
 
 RESPONSE_MARGIN_S = 0.004  # before its client's deadline that a request is answered by the proxy
 NOT_SELECTED = "left alone"  # nothing kept the request from the endpoint when it was looked at again
@@ -61,7 +61,7 @@
 
     def no_endpoint(self, request: PendingRequest, failure: Reply | None) -> ClientResponse:
         """The response where no endpoint may be asked any more; `failure` is the last failed one, if any."""
-        if request.departure.gone:
+        if request.disconnect.happened:
             return local_response(BAD_GATEWAY, "its client has left")  # which nobody reads
         if failure is not None:
             return relayed_response(failure)
--- a/honeywood/gateway/proxy/forwarder.py
+++ b/honeywood/gateway/proxy/forwarder.py
@@ -30,7 +30,7 @@
     from honeywood.gateway.routing.attempt_policy import AttemptPolicy, RolloutRules
     from honeywood.gateway.routing.endpoint_table import EndpointTable
     from honeywood.gateway.routing.retry_budget import RetryBudget
-    from honeywood.gateway.rpc.connection import Reply
+    from honeywood.gateway.rpc.reply import Reply
 
     class Rollouts(RolloutRules, EndpointGrouping, OutcomeObserver, Protocol):
         """One proxy's view of rollouts."""
@@ -89,8 +89,8 @@
             return local_response(BAD_REQUEST, "x-deadline-ms is no number")
         request = self._accept(route, client_request, min(route.timeout, client_timeout_s))
         self.open_requests.add(request)
-        request.on_departure = partial(self._on_departure, request)
-        request.departure.subscribe(request.on_departure)
+        request.on_disconnect = partial(self._on_disconnect, request)
+        request.disconnect.subscribe(request.on_disconnect)
         try:
             response = await self._attempt_until_answered(request, client_request.outgoing())
         finally:
@@ -111,14 +111,14 @@
             client_request.try_id,
             received_at,
             received_at + timeout_s,
-            departure=client_request.departure,
+            disconnect=client_request.disconnect,
             priority=client_request.admission.priority(route.priority),
         )
         self.retry_budget_of(service).record_request(now)
         self.rollouts.taking(request)
         return request
 
-    def _on_departure(self, request: PendingRequest) -> None:
+    def _on_disconnect(self, request: PendingRequest) -> None:
         """The client of a request has left: an idempotent request's attempts are ended.
 
         That includes a hedged attempt beside the one whose response was taken. Other requests are finished:
@@ -131,8 +131,8 @@
 
     def _unsubscribe(self, request: PendingRequest) -> None:
         """A request that is finished and has no attempt in flight doesn't depend on its client any more."""
-        if request.finished and request not in self.sender.in_flight and request.on_departure is not None:
-            request.departure.unsubscribe(request.on_departure)
+        if request.finished and request not in self.sender.in_flight and request.on_disconnect is not None:
+            request.disconnect.unsubscribe(request.on_disconnect)
 
     async def _attempt_until_answered(
         self, request: PendingRequest, outgoing: OutgoingRequest
--- a/honeywood/gateway/proxy/invariants.py
+++ b/honeywood/gateway/proxy/invariants.py
@@ -1,6 +1,6 @@
 """Invariants of a running proxy, checked while it runs. Violations are counted and reported, nothing else.
 
-- No idempotent request is at an endpoint ABANDONED_WITHIN_S after its client's departure was noticed.
+- No idempotent request is at an endpoint ABANDONED_WITHIN_S after its client's disconnect was noticed.
 - No attempt starts for a client that has left, and none of a non-idempotent request while an earlier attempt
   may have run.
 - The attempts in flight are those that endpoints count.
@@ -32,8 +32,8 @@
 class Violation(StrEnum):
     """An invariant that does not hold. The values stand in logs and in counters."""
 
-    WORK_AFTER_DEPARTURE = "work for a client that left"
-    ATTEMPT_AFTER_DEPARTURE = "attempt begun for a client that left"
+    WORK_AFTER_DISCONNECT = "work for a client that left"
+    ATTEMPT_AFTER_DISCONNECT = "attempt begun for a client that left"
     UNSAFE_RETRY = "unsafe attempt repeated"
     ATTEMPTS = "attempts out of balance"
     CONNECTIONS = "connections out of balance"
@@ -52,14 +52,14 @@
 
     def attempt_starts(self, request: PendingRequest) -> None:
         """Checks a request whose next attempt is about to start."""
-        if request.departure.gone:
-            self._report(Violation.ATTEMPT_AFTER_DEPARTURE, _describe(request))
+        if request.disconnect.happened:
+            self._report(Violation.ATTEMPT_AFTER_DISCONNECT, _describe(request))
         if not request.route.safe and request.may_have_run:
             self._report(Violation.UNSAFE_RETRY, _describe(request))
 
     def check(self, now: float) -> None:
         """Checks the proxy's state; called periodically."""
-        found = {*self._work_after_departure(now), *self._balances(), *self._configuration()}
+        found = {*self._work_after_disconnect(now), *self._balances(), *self._configuration()}
         for violation, details in found & self._suspected:
             self._report(violation, details)
         self._suspected = found - self._suspected
@@ -68,13 +68,13 @@
         self.violations[violation] += 1
         self.on_violation(violation, details)
 
-    def _work_after_departure(self, now: float) -> Iterator[Finding]:
+    def _work_after_disconnect(self, now: float) -> Iterator[Finding]:
         for request, attempts in self.proxy.forwarder.sender.in_flight.items():
-            left_at = request.departure.left_at
+            left_at = request.disconnect.disconnected_at
             if not request.route.safe or left_at is None or now - left_at <= ABANDONED_WITHIN_S:
                 continue
             if any(attempt.record is not None for attempt in attempts):
-                yield Violation.WORK_AFTER_DEPARTURE, _describe(request)
+                yield Violation.WORK_AFTER_DISCONNECT, _describe(request)
 
     def _balances(self) -> Iterator[Finding]:
         in_flight = self.proxy.forwarder.sender.in_flight
--- a/honeywood/gateway/proxy/peer_handler.py
+++ b/honeywood/gateway/proxy/peer_handler.py
@@ -9,7 +9,8 @@
 from honeywood.gateway.dissemination.record import PATH
 from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.proxy.client_response import BAD_REQUEST, BODY_TOO_LARGE, NOT_FOUND
-from honeywood.gateway.rpc.asgi import CONTEXT, answer, body_of
+from honeywood.gateway.rpc.asgi import read_body, send_response
+from honeywood.gateway.rpc.request_context import CONTEXT
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -17,7 +18,7 @@
     from typing import Any
 
     from honeywood.gateway.dissemination.publisher import Publisher
-    from honeywood.gateway.proxy.asgi_types import Receive, Scope, Send
+    from honeywood.gateway.rpc.asgi import Receive, Scope, Send
 
 MAX_POLL_BYTES = 8 << 20
 OK = 200
@@ -34,19 +35,19 @@
     async def handle(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answers one request."""
         if scope["path"] != PATH or scope["method"] != "POST":
-            await answer(send, NOT_FOUND)
+            await send_response(send, NOT_FOUND)
             return
-        raw = await body_of(receive, MAX_POLL_BYTES)
+        raw = await read_body(receive, MAX_POLL_BYTES)
         if raw is None:
-            await answer(send, BODY_TOO_LARGE)
+            await send_response(send, BODY_TOO_LARGE)
             return
-        departure = scope[CONTEXT].departure
+        disconnect = scope[CONTEXT].disconnect
         try:
-            found = await self.answer_poll(raw, scope["client"][0], lambda: departure.gone)
+            found = await self.answer_poll(raw, scope["client"][0], lambda: disconnect.happened)
         except GatewayError as error:
-            await answer(send, BAD_REQUEST, (), str(error).encode())
+            await send_response(send, BAD_REQUEST, (), str(error).encode())
             return
-        await answer(send, OK, [JSON_CONTENT], json.dumps(found, separators=(",", ":")).encode())
+        await send_response(send, OK, [JSON_CONTENT], json.dumps(found, separators=(",", ":")).encode())
 
     async def answer_poll(
         self, raw: bytes, peer: str, has_left: Callable[[], bool] = lambda: False
--- a/honeywood/gateway/proxy/request_counters.py
+++ b/honeywood/gateway/proxy/request_counters.py
@@ -35,7 +35,7 @@
     def request_finished(self, request: PendingRequest, status: int, now: float) -> None:
         """A request has its final response; it isn't counted by status where nobody waits for it."""
         self.counts["requests"] += 1
-        if request.departure.gone:
+        if request.disconnect.happened:
             return
         if status < FIRST_FAILURE:
             late = now - request.received_at > request.route.target
--- a/honeywood/gateway/proxy/response_writer.py
+++ b/honeywood/gateway/proxy/response_writer.py
@@ -4,16 +4,16 @@
 
 import httpcore
 
-from honeywood.gateway.rpc.asgi import answer, stream
+from honeywood.gateway.rpc.asgi import send_response, stream_response
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from honeywood.gateway.proxy.asgi_types import Send
+    from honeywood.gateway.rpc.asgi import Send
     from honeywood.gateway.proxy.client_response import ClientResponse
-    from honeywood.gateway.rpc.connection import Remainder
-    from honeywood.gateway.rpc.departure import ClientDeparture
+    from honeywood.gateway.rpc.reply import BodyRemainder
+    from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
 
 CLOSE_CONNECTION = (b"connection", b"close")
 
@@ -26,35 +26,35 @@
         self.relaying = 0
 
     async def write(
-        self, send: Send, response: ClientResponse, departure: ClientDeparture, close: bool
+        self, send: Send, response: ClientResponse, disconnect: ClientDisconnect, close: bool
     ) -> None:
         """Writes a response; `close`: the client's connection ends with it."""
         headers = [*response.headers, CLOSE_CONNECTION] if close else response.headers
         if response.remainder is None:
-            await answer(send, response.status, headers, response.body)
+            await send_response(send, response.status, headers, response.body)
         else:
-            await self._relay(send, response, headers, response.remainder, departure)
+            await self._relay(send, response, headers, response.remainder, disconnect)
 
     async def _relay(
         self,
         send: Send,
         response: ClientResponse,
         headers: list[tuple[bytes, bytes]],
-        remainder: Remainder,
-        departure: ClientDeparture,
+        remainder: BodyRemainder,
+        disconnect: ClientDisconnect,
     ) -> None:
         self.relaying += 1
         try:
-            await stream(send, response.status, headers, _chunks(response.body, remainder))
+            await stream_response(send, response.status, headers, _chunks(response.body, remainder))
         except httpcore.ReadTimeout:  # raised by `abandon`, which ends the reading
-            if not departure.gone:
+            if not disconnect.happened:
                 raise
         finally:
             self.relaying -= 1
-            departure.unsubscribe(remainder.abandon)
+            disconnect.unsubscribe(remainder.abandon)
 
 
-async def _chunks(start: bytes, remainder: Remainder) -> AsyncIterator[bytes]:
+async def _chunks(start: bytes, remainder: BodyRemainder) -> AsyncIterator[bytes]:
     yield start
     async for chunk in remainder:
         yield chunk
--- a/honeywood/gateway/proxy/status.py
+++ b/honeywood/gateway/proxy/status.py
@@ -30,7 +30,7 @@
         "machines": len(endpoints),
         "fronts": proxy.fleet.count(),
         "told": dict(proxy.publisher.told),
-        "called": dict(proxy.caller.carried),
+        "called": dict(proxy.caller.bytes_by_path),
         "ready": proxy.ready,
     }
 
--- a/honeywood/gateway/routing/attempt_policy.py
+++ b/honeywood/gateway/routing/attempt_policy.py
@@ -79,7 +79,7 @@
         """What keeps a request from all endpoints, or None."""
         if request.finished or request.succeeded:
             return RejectionReason.FINISHED
-        if request.departure.gone:
+        if request.disconnect.happened:
             return RejectionReason.CLIENT_GONE
         if self._is_unreachable(now, request):
             return RejectionReason.UNREACHABLE
--- a/honeywood/gateway/routing/pending_request.py
+++ b/honeywood/gateway/routing/pending_request.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from honeywood.gateway.routing.outcomes import AttemptOutcome
-from honeywood.gateway.rpc.departure import ClientDeparture
+from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
 
     Times are seconds on the caller's clock. `try_id` is the client's X-Try-Id. `deadline` is when the client
     or the route gives up. `priority`, 0 the highest, is the tenant's or else the route's. `unreachable` are
-    endpoints to which no connection could be established. `on_departure` is what `departure` calls.
+    endpoints to which no connection could be established. `on_disconnect` is what `disconnect` calls.
     """
 
     route: Route
@@ -43,8 +43,8 @@
     attempts: list[Attempt] = field(default_factory=list)
     finished: bool = False
     unreachable: list[Endpoint] = field(default_factory=list)
-    departure: ClientDeparture = field(default_factory=ClientDeparture)
-    on_departure: Callable[[], None] | None = None
+    disconnect: ClientDisconnect = field(default_factory=ClientDisconnect)
+    on_disconnect: Callable[[], None] | None = None
     priority: int = 0
 
     @property
--- a/tests/gateway/proxy/test_invariants.py
+++ b/tests/gateway/proxy/test_invariants.py
@@ -39,7 +39,7 @@
     await asyncio.sleep(ABANDONED_WITHIN_S)
 
 
-async def departure_is_ignored(scene, patch):
+async def disconnect_is_ignored(scene, patch):
     patch(AttemptPolicy, "request_rejection", lambda self, now, request: None)
     opened = scene.proxy.pool.open
 
@@ -79,15 +79,15 @@
 def _(
     fault=each(
         attempt_is_not_abandoned,
-        departure_is_ignored,
+        disconnect_is_ignored,
         unsafe_request_is_retried,
         attempt_is_not_finished,
         connection_is_not_counted,
         configuration_is_not_activated,
     ),
     violation=each(
-        Violation.WORK_AFTER_DEPARTURE,
-        Violation.ATTEMPT_AFTER_DEPARTURE,
+        Violation.WORK_AFTER_DISCONNECT,
+        Violation.ATTEMPT_AFTER_DISCONNECT,
         Violation.UNSAFE_RETRY,
         Violation.ATTEMPTS,
         Violation.CONNECTIONS,
