--- a/honeywood/balancer/decisions/build_selection.py
+++ b/honeywood/balancer/decisions/build_selection.py
@@ -9,10 +9,10 @@
     from collections.abc import Sequence
     from random import Random
 
-    from honeywood.balancer.decisions.warm_up import WarmUpBudget
     from honeywood.balancer.decisions.release_verdict import ReleaseVerdict
     from honeywood.balancer.decisions.server_groups import ServerGroups
     from honeywood.balancer.decisions.server_selection import ServerSelection
+    from honeywood.balancer.decisions.warm_up import WarmUpBudget
     from honeywood.balancer.model import Attempt, Rpc, Server, Time
 
 REPLACED_SHARE = 0.9  # of the servers before a release, from which on its own servers bear all
--- a/honeywood/gateway/proxy/active_configuration.py
+++ b/honeywood/gateway/proxy/active_configuration.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from honeywood.gateway.configuration.config import Limits
+from honeywood.gateway.configuration.model import Limits
 from honeywood.gateway.routing.route_table import RouteTable
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from honeywood.gateway.configuration.config import Config
+    from honeywood.gateway.configuration.model import Configuration
 
 
 class ActiveConfiguration:
@@ -25,7 +25,7 @@
         self.limits = Limits()
         self.first_activated_at: float | None = None
 
-    def activate(self, configuration: Config) -> None:
+    def activate(self, configuration: Configuration) -> None:
         """Another version takes effect."""
         self.table = RouteTable(configuration)
         self.limits = configuration.limits
--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -11,7 +11,7 @@
     import asyncio
     from collections.abc import Awaitable, Callable
 
-    from honeywood.gateway.configuration.config import Limits
+    from honeywood.gateway.configuration.model import Limits
     from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
     from honeywood.gateway.rpc.asgi import Receive, Scope, Send
     from honeywood.gateway.proxy.client_handler import ClientHandler
--- a/honeywood/gateway/proxy/attempt_sender.py
+++ b/honeywood/gateway/proxy/attempt_sender.py
@@ -29,7 +29,7 @@
     class OutcomeObserver(Protocol):
         """The part of a rollout's stage that counts outcomes."""
 
-        def ended(
+        def record_outcome(
             self,
             now: float,
             request: PendingRequest,
@@ -122,7 +122,7 @@
         request, endpoint = attempt.request, attempt.endpoint
         while (connection := await self._connect(attempt)) is not None:
             now = self.clock()
-            if not request.route.safe:  # can't be taken back once sent
+            if not request.route.idempotent:  # can't be taken back once sent
                 request.disconnect.check(now)
             if self.policy.rejection(now, request, endpoint, connected=True) is not None:
                 return False  # by what has changed while the connection was established
@@ -187,7 +187,7 @@
             return AttemptResult(AttemptOutcome.ABANDONED)
         outcome = self._evaluate(attempt, now)
         attempt.record_outcome(outcome)
-        self.observer.ended(now, attempt.request, attempt.endpoint, outcome, elapsed_s)
+        self.observer.record_outcome(now, attempt.request, attempt.endpoint, outcome, elapsed_s)
         if outcome is AttemptOutcome.INVALID and attempt.connection is not None:
             attempt.connection.close()  # the response to this request may still come, and must meet no other
         reply = attempt.reply if isinstance(attempt.reply, Reply) else None
--- a/honeywood/gateway/proxy/client_handler.py
+++ b/honeywood/gateway/proxy/client_handler.py
@@ -24,7 +24,7 @@
     from collections.abc import Coroutine
     from typing import Any
 
-    from honeywood.gateway.configuration.config import Route
+    from honeywood.gateway.configuration.model import Route
     from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
     from honeywood.gateway.rpc.asgi import Receive, Scope
     from honeywood.gateway.proxy.forwarder import Forwarder
@@ -76,7 +76,7 @@
         if fields.get(b"content-length", b"0") != b"0" or b"transfer-encoding" in fields or table is None:
             return None
         route = _find_route(table, scope, fields)
-        admission = _admit(table, route, scope) if route is not None and route.safe else None
+        admission = _admit(table, route, scope) if route is not None and route.idempotent else None
         if route is None or admission is None:
             return None
         return self._start_task(self._forward(scope, fields, route, admission, b""))
@@ -107,7 +107,7 @@
             admission,
         )
         response = await self.forwarder.forward(route, request)
-        if response.remainder is not None and route.safe:  # may wait long until its predecessors are answered
+        if response.remainder is not None and route.idempotent:  # may wait long for pipelined predecessors
             context.disconnect.subscribe(response.remainder.abandon)
         return response
 
--- a/honeywood/gateway/proxy/controller_poller.py
+++ b/honeywood/gateway/proxy/controller_poller.py
@@ -25,7 +25,7 @@
     from honeywood.gateway.proxy.readiness import Readiness
     from honeywood.gateway.proxy.rollout_reports import RolloutReports
     from honeywood.gateway.proxy.update_subscription import UpdateSubscription
-    from honeywood.gateway.rollout.stage import Stage
+    from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 
 MAX_POLLS_IN_A_ROW = 8  # of one controller while it has more to send
 
@@ -53,7 +53,7 @@
     subscription: UpdateSubscription
     peers: KnownPeers
     fleet: FleetSize
-    stage: Stage
+    stage: RolloutTrafficPolicy
     reports: RolloutReports
     readiness: Readiness
     revalidation: MachineRevalidation
@@ -104,11 +104,15 @@
     def _record_contact(self, polled_at: float, answer: Answer) -> None:
         """A controller in quorum has answered a poll that was sent at `polled_at`."""
         if answer.whole:  # else the end of a rollout's stage may be among what was not sent
-            if self.readiness.met_quorum and polled_at - self.stage.heard_at > CUT:
+            if self.readiness.met_quorum and polled_at - self.stage.controller_contact_at > CUT:
                 self.revalidation.start()
-            self.stage.heard_at = polled_at
+            self.stage.controller_contact_at = polled_at
         self.readiness.met_quorum = True
 
     def _interval_s(self) -> float:
-        controllers = len(self.peers.controllers)
-        return poll_interval_s(self.stage.active, self.fleet.count(), controllers, self.random.random())
+        return poll_interval_s(
+            self.stage.has_active_rollout,
+            self.fleet.count(),
+            len(self.peers.controllers),
+            self.random.random(),
+        )
--- a/honeywood/gateway/proxy/endpoint_selector.py
+++ b/honeywood/gateway/proxy/endpoint_selector.py
@@ -18,7 +18,7 @@
     class EndpointGrouping(Protocol):
         """The part of a rollout's stage that orders endpoints by their versions."""
 
-        def groups(
+        def preference_groups(
             self, now: float, request: PendingRequest, endpoints: Sequence[Endpoint]
         ) -> Sequence[Sequence[Endpoint]]:
             """The endpoints in groups, the first to be tried first."""
@@ -48,7 +48,7 @@
         """The endpoint for an attempt now, or None."""
         now, service = self.clock(), request.service
         typical_s = self.endpoints.typical_latency(service)
-        for group in self.grouping.groups(now, request, self.endpoints.of(service)):
+        for group in self.grouping.preference_groups(now, request, self.endpoints.of(service)):
             eligible = self.policy.eligible(now, request, group)
             attempted = request.attempted_endpoints
             endpoint = choose_endpoint(now, eligible, self.zone, attempted, typical_s, self.random)
--- a/honeywood/gateway/proxy/forwarder.py
+++ b/honeywood/gateway/proxy/forwarder.py
@@ -19,7 +19,7 @@
     from random import Random
     from typing import Protocol
 
-    from honeywood.gateway.configuration.config import Route
+    from honeywood.gateway.configuration.model import Route
     from honeywood.gateway.proxy.attempt_in_flight import AttemptResult
     from honeywood.gateway.proxy.attempt_sender import OutcomeObserver
     from honeywood.gateway.proxy.client_request import ClientRequest, OutgoingRequest
@@ -35,7 +35,7 @@
     class Rollouts(RolloutRules, EndpointGrouping, OutcomeObserver, Protocol):
         """One proxy's view of rollouts."""
 
-        def taking(self, request: PendingRequest) -> None:
+        def record_request(self, request: PendingRequest) -> None:
             """A client's request has come."""
 
 
@@ -87,7 +87,7 @@
             client_timeout_s = client_request.client_timeout_s()
         except ValueError:
             return local_response(BAD_REQUEST, "x-deadline-ms is no number")
-        request = self._accept(route, client_request, min(route.timeout, client_timeout_s))
+        request = self._accept(route, client_request, min(route.timeout_s, client_timeout_s))
         self.open_requests.add(request)
         request.on_disconnect = partial(self._on_disconnect, request)
         request.disconnect.subscribe(request.on_disconnect)
@@ -115,7 +115,7 @@
             priority=client_request.admission.priority(route.priority),
         )
         self.retry_budget_of(service).record_request(now)
-        self.rollouts.taking(request)
+        self.rollouts.record_request(request)
         return request
 
     def _on_disconnect(self, request: PendingRequest) -> None:
@@ -126,7 +126,7 @@
         """
         if not request.finished:
             self.counters.client_left(request, self.sender.progress_of(request))
-        if request.route.safe:
+        if request.route.idempotent:
             self.sender.abandon(request)
 
     def _unsubscribe(self, request: PendingRequest) -> None:
@@ -169,7 +169,7 @@
         now, until = self.clock(), request.deadline - RESPONSE_MARGIN_S
         typical_s = self.endpoints.typical_latency(request.service)
         hedge_delay_s = max(MIN_HEDGE_DELAY_S, HEDGE_AFTER * typical_s)
-        may_hedge = request.route.safe and running == 1 and request.route.tries > 1
+        may_hedge = request.route.idempotent and running == 1 and request.route.max_attempts > 1
         if may_hedge and now + hedge_delay_s < until:
             return AttemptWait(hedge_delay_s, hedge_after=True)
         return AttemptWait(max(0.0, until - now), hedge_after=False)
@@ -179,4 +179,4 @@
     """Whether a response with this outcome is the request's: a success, or a failure without a retry."""
     if outcome is AttemptOutcome.SUCCESS:
         return True
-    return outcome is AttemptOutcome.FAILURE and not request.route.safe
+    return outcome is AttemptOutcome.FAILURE and not request.route.idempotent
--- a/honeywood/gateway/proxy/invariants.py
+++ b/honeywood/gateway/proxy/invariants.py
@@ -54,7 +54,7 @@
         """Checks a request whose next attempt is about to start."""
         if request.disconnect.happened:
             self._report(Violation.ATTEMPT_AFTER_DISCONNECT, _describe(request))
-        if not request.route.safe and request.may_have_run:
+        if not request.route.idempotent and request.may_have_run:
             self._report(Violation.UNSAFE_RETRY, _describe(request))
 
     def check(self, now: float) -> None:
@@ -71,7 +71,7 @@
     def _work_after_disconnect(self, now: float) -> Iterator[Finding]:
         for request, attempts in self.proxy.forwarder.sender.in_flight.items():
             left_at = request.disconnect.disconnected_at
-            if not request.route.safe or left_at is None or now - left_at <= ABANDONED_WITHIN_S:
+            if not request.route.idempotent or left_at is None or now - left_at <= ABANDONED_WITHIN_S:
                 continue
             if any(attempt.record is not None for attempt in attempts):
                 yield Violation.WORK_AFTER_DISCONNECT, _describe(request)
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -31,7 +31,7 @@
 from honeywood.gateway.proxy.retry_budgets import RetryBudgets
 from honeywood.gateway.proxy.rollout_reports import RolloutReports
 from honeywood.gateway.proxy.update_subscription import UpdateSubscription
-from honeywood.gateway.rollout.stage import Stage
+from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 from honeywood.gateway.routing.attempt_policy import AttemptPolicy
 from honeywood.gateway.routing.endpoint_table import EndpointTable
 from honeywood.gateway.rpc.connection import Connection
@@ -73,19 +73,21 @@
         self.configuration = ActiveConfiguration(self.clock)
         self.endpoints = EndpointTable()
         self.fleet = FleetSize(self.clock)
-        self.stage = Stage(self.endpoints, bounds["canary_share"], bounds["canary_slack"], self.fleet.count)
+        self.stage = RolloutTrafficPolicy(
+            self.endpoints, bounds.canary_share, bounds.canary_slack, self.fleet.count
+        )
         self.readiness = Readiness(
             self.configuration,
             self.endpoints,
             self.stopping,
-            bounds["contact_s"],
+            bounds.contact_s,
             lambda: self.say("ready without a controller that hears a majority", LOG_INTERVAL_S),
         )
 
     def _build_data_plane(self, connect: Connect) -> None:
         """What carries requests."""
         bounds = self.settings.bounds
-        budgets = RetryBudgets(bounds["retry_ratio"], bounds["retry_slack"], bounds["retry_win_s"])
+        budgets = RetryBudgets(bounds.retry_ratio, bounds.retry_slack, bounds.retry_win_s)
         self.counters = RequestCounters()
         self.pool = ConnectionPool(self.clock, connect)
         self.policy = AttemptPolicy(budgets.of, self.fleet.count, self.stage, self.endpoints.max_connections)
@@ -109,7 +111,7 @@
     def _build_updates(self) -> None:
         """What keeps the state up to date."""
         s = self.settings
-        self.publisher = Publisher(self.store_incarnation(), self._apply_record, rate=s.link)
+        self.publisher = Publisher(self.store_incarnation(), self._apply_record, rate=s.link_bytes_per_s)
         store, backoff = self.publisher.store, Backoff(self.random, MAX_BACKOFF_S)
         self.peers = KnownPeers(ip for ip, _ in s.seeds)
         self.history = History(store)
@@ -161,7 +163,7 @@
             self.readiness,
             self.stopping,
             self.tell_figures,
-            self.settings.listen["ready"][1],
+            self.settings.listen.ready[1],
             self.settings.proxy_port,
             lambda: self.metrics_port,
         )
@@ -219,14 +221,14 @@
         """Serves until the platform says to stop; then finishes open requests within the grace period."""
         s = self.settings
         self.server = HttpServer(self.app)
-        await self.server.open([s.listen["http"], s.listen["ready"], (s.ip, s.proxy_port)])
+        await self.server.open([s.listen.http, s.listen.ready, (s.ip, s.proxy_port)])
         await self.open_metrics(self.server)
         self.say("started", role=s.role)
         self.begin()
         await self.until_stopped()
         self.say("stopping")
         await asyncio.sleep(UNREADY_NOTICED_S)
-        await self.server.close(s.bounds["grace_s"] - UNREADY_NOTICED_S - STOP_MARGIN_S)
+        await self.server.close(s.bounds.grace_s - UNREADY_NOTICED_S - STOP_MARGIN_S)
         self.say("stopped")
 
     def begin(self) -> None:
--- a/honeywood/gateway/proxy/record_handler.py
+++ b/honeywood/gateway/proxy/record_handler.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from honeywood.gateway.configuration import config
+from honeywood.gateway.configuration.packing import unpack
+from honeywood.gateway.configuration.reader import read_configuration
 from honeywood.gateway.rollout import record as rollout_record
 from honeywood.gateway.routing.endpoint_record import EndpointRecord
 
@@ -15,7 +16,7 @@
     from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
     from honeywood.gateway.proxy.connection_pool import ConnectionPool
     from honeywood.gateway.proxy.known_peers import KnownPeers
-    from honeywood.gateway.rollout.stage import Stage
+    from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
     from honeywood.gateway.routing.endpoint_table import EndpointTable
 
     JsonValue = Any  # of a record; each kind has its own decoder
@@ -34,7 +35,7 @@
         configuration: ActiveConfiguration,
         endpoints: EndpointTable,
         pool: ConnectionPool,
-        stage: Stage,
+        stage: RolloutTrafficPolicy,
         history: History,
         peers: KnownPeers,
         on_configuration: Callable[[], None],
@@ -57,16 +58,16 @@
         elif kind == MACHINE:
             self._apply_machine(name, value)
         elif kind == ROLLOUT:
-            self.stage.hear(self.clock(), rollout_record.decode(value))
+            self.stage.update(self.clock(), rollout_record.decode(value))
         elif kind == CONTROLLER:
             self.peers.add_controllers([name])
 
     def _apply_configuration(self, packed: str) -> None:
-        configuration = config.read(config.unpack(packed), hashed=True)
+        configuration = read_configuration(unpack(packed), hashed_keys=True)
         self.configuration.activate(configuration)
         self.endpoints.max_connections.clear()
         self.endpoints.max_connections.update(
-            {name: service.max_conns for name, service in configuration.services.items()}
+            {name: service.max_connections for name, service in configuration.services.items()}
         )
         self.on_configuration()
 
--- a/honeywood/gateway/proxy/request_counters.py
+++ b/honeywood/gateway/proxy/request_counters.py
@@ -38,7 +38,7 @@
         if request.disconnect.happened:
             return
         if status < FIRST_FAILURE:
-            late = now - request.received_at > request.route.target
+            late = now - request.received_at > request.route.latency_target_s
             self.counts["served late" if late else "served in time"] += 1
         self.counts["further sends"] += max(0, len(request.attempts) - 1)
         self.counts[f"answered {status}"] += 1
--- a/honeywood/gateway/proxy/rollout_reports.py
+++ b/honeywood/gateway/proxy/rollout_reports.py
@@ -10,7 +10,7 @@
     from collections.abc import Callable
 
     from honeywood.gateway.dissemination.store import Store
-    from honeywood.gateway.rollout.stage import Stage
+    from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 
 KNOWN_FOR_STEP_S = 0.5  # after which a report differs only by the time for which a trial has been known
 RECORD_PREFIX = "count/"
@@ -20,7 +20,12 @@
     """Numbers each changed report, and gives it to controllers that have not acknowledged it."""
 
     def __init__(
-        self, stage: Stage, clock: Callable[[], float], node: str, incarnation: str, store: Store
+        self,
+        stage: RolloutTrafficPolicy,
+        clock: Callable[[], float],
+        node: str,
+        incarnation: str,
+        store: Store,
     ) -> None:
         """`store` supplies the epoch that each record carries."""
         self.stage = stage
--- a/honeywood/gateway/routing/attempt_policy.py
+++ b/honeywood/gateway/routing/attempt_policy.py
@@ -21,7 +21,7 @@
         def allows(self, now: float, request: PendingRequest, endpoint: Endpoint) -> bool:
             """Whether the endpoint's version may get the request."""
 
-        def sent(self, now: float, request: PendingRequest, endpoint: Endpoint) -> None:
+        def record_attempt(self, request: PendingRequest, endpoint: Endpoint) -> None:
             """The request is sent to the endpoint."""
 
 
@@ -83,15 +83,16 @@
             return RejectionReason.CLIENT_GONE
         if self._is_unreachable(now, request):
             return RejectionReason.UNREACHABLE
-        if now > request.deadline - max(MIN_REMAINING_S, MIN_REMAINING_TARGET * request.route.target):
+        min_remaining_s = max(MIN_REMAINING_S, MIN_REMAINING_TARGET * request.route.latency_target_s)
+        if now > request.deadline - min_remaining_s:
             return RejectionReason.DEADLINE
         return self._retry_rejection(now, request) if request.attempts else None
 
     def _retry_rejection(self, now: float, request: PendingRequest) -> RejectionReason | None:
         """What keeps a request that has been attempted from all endpoints."""
-        if not request.route.safe and request.may_have_run:
+        if not request.route.idempotent and request.may_have_run:
             return RejectionReason.MAY_HAVE_RUN
-        if len(request.attempts) >= ATTEMPTS_PER_TRY * request.route.tries:
+        if len(request.attempts) >= ATTEMPTS_PER_TRY * request.route.max_attempts:
             return RejectionReason.MAX_ATTEMPTS
         budget = self.retry_budget_of(request.service)
         return None if budget.allows(now, self.proxy_count()) else RejectionReason.RETRY_BUDGET
@@ -123,7 +124,7 @@
             if attempt.endpoint is endpoint and attempt.outcome is AttemptOutcome.FAILURE:
                 return RejectionReason.FAILED_THERE
         attempted = {attempt.endpoint.id for attempt in request.attempts} | {endpoint.id}
-        return RejectionReason.MAX_ATTEMPTS if len(attempted) > request.route.tries else None
+        return RejectionReason.MAX_ATTEMPTS if len(attempted) > request.route.max_attempts else None
 
     def _may_connect(self, endpoint: Endpoint) -> bool:
         return endpoint.connection_count < self.connection_share(endpoint.service)
@@ -137,7 +138,7 @@
         """Records that an attempt starts, which `rejection` permitted."""
         if request.attempts:
             self.retry_budget_of(request.service).record_retry(now)
-        self.rollout.sent(now, request, endpoint)
+        self.rollout.record_attempt(request, endpoint)
         attempt = Attempt(endpoint)
         request.attempts.append(attempt)
         return attempt
--- a/honeywood/gateway/routing/pending_request.py
+++ b/honeywood/gateway/routing/pending_request.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from honeywood.gateway.configuration.config import Route
+    from honeywood.gateway.configuration.model import Route
     from honeywood.gateway.routing.endpoint import Endpoint
 
 REJECT_AFTER = 0.25  # of the route's latency target, in which a request without any endpoint is rejected
@@ -65,7 +65,7 @@
     @property
     def reject_at(self) -> float:
         """When it is rejected if no endpoint could take it: early enough for its client to go elsewhere."""
-        return self.received_at + REJECT_AFTER * self.route.target
+        return self.received_at + REJECT_AFTER * self.route.latency_target_s
 
 
 def connect_deadline(now: float, request: PendingRequest) -> float:
--- a/honeywood/gateway/routing/route_table.py
+++ b/honeywood/gateway/routing/route_table.py
@@ -8,13 +8,13 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-    from honeywood.gateway.configuration.config import Config, Route
+    from honeywood.gateway.configuration.model import Configuration, Route
 
 
 class RouteTable:
     """The routes of one configuration version, and its tenants by key (None where it has no tenants)."""
 
-    def __init__(self, configuration: Config) -> None:
+    def __init__(self, configuration: Configuration) -> None:
         """Indexes a configuration's routes, services and tenants."""
         self.version = configuration.version
         self.routes_by_host: dict[bytes, dict[bytes, Route]] = {}
--- a/tests/gateway/routing/test_route_table.py
+++ b/tests/gateway/routing/test_route_table.py
@@ -3,14 +3,14 @@
 from routing_fixtures import make_route
 from ward import test
 
-from honeywood.gateway.configuration.config import Config, Limits
+from honeywood.gateway.configuration.model import Configuration, Limits
 from honeywood.gateway.routing.route_table import RouteTable, choose_service
 
 
 @test("the longest prefix of a host matches, at segment ends only, whatever the host's case and port")
 def _():
     routes = tuple(make_route(prefix=prefix) for prefix in ("/a/", "/a/b/", "/"))
-    table = RouteTable(Config(1, routes, {}, Limits()))
+    table = RouteTable(Configuration(1, routes, {}, Limits()))
     paths = (b"/a/b/c", b"/a/bc", b"/a", b"/a/%2F/..", b"")
     found = [table.find(b"H.example:80", path) for path in paths]
     assert [one and one.prefix for one in found] == ["/a/b/", "/a/", "/", "/a/", None]
--- a/tests/gateway/routing_fixtures.py
+++ b/tests/gateway/routing_fixtures.py
@@ -3,8 +3,8 @@
 from timeline import machine
 from ward import fixture
 
-from honeywood.gateway.configuration.config import Route
-from honeywood.gateway.rollout.stage import Stage
+from honeywood.gateway.configuration.model import RequestKind, Route, WeightedService
+from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 from honeywood.gateway.routing.attempt_policy import AttemptPolicy
 from honeywood.gateway.routing.endpoint import Endpoint
 from honeywood.gateway.routing.endpoint_record import EndpointRecord
@@ -21,7 +21,9 @@
 
 def make_route(kind: str = "safe", max_attempts: int = 2, prefix: str = "/p/") -> Route:
     """A route to the service `s`."""
-    return Route("r", "h.example", prefix, kind, TIMEOUT_S, LATENCY_TARGET_S, 0, max_attempts, (("s", 1.0),))
+    split = (WeightedService("s", 1.0),)
+    kind = RequestKind(kind)
+    return Route("r", "h.example", prefix, kind, TIMEOUT_S, LATENCY_TARGET_S, 0, max_attempts, split)
 
 
 def make_request(
@@ -40,7 +42,7 @@
 
     def __init__(self, slack: float = 64.0) -> None:
         self.endpoints = EndpointTable()
-        self.stage = Stage(self.endpoints, 0.1, 50, lambda: 1)
+        self.stage = RolloutTrafficPolicy(self.endpoints, 0.1, 50, lambda: 1)
         self.budget = RetryBudget(0.2, slack, 10.0)
         self.policy = AttemptPolicy(
             lambda service: self.budget, lambda: PROXIES, self.stage, {"s": MAX_CONNECTIONS}
