--- a/honeywood/gateway/proxy/client_request.py
+++ b/honeywood/gateway/proxy/client_request.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass, field
 
+from honeywood.gateway.proxy.errors import InvalidDeadline
 from honeywood.gateway.routing.admission import ADMITTED_WITHOUT_TENANTS, Admission
 from honeywood.gateway.rpc.headers import end_to_end
 from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
@@ -63,8 +64,12 @@
         return self.fields.get(TRY_ID_HEADER, b"")
 
     def client_timeout_s(self) -> float:
-        """The seconds that the client waits for the answer; ValueError where it gave no number."""
-        return int(self.fields.get(DEADLINE_HEADER, NO_DEADLINE_MS)) / MS_PER_S
+        """The seconds that the client waits for the answer; InvalidDeadline where it gave no number."""
+        deadline_ms = self.fields.get(DEADLINE_HEADER, NO_DEADLINE_MS)
+        try:
+            return int(deadline_ms) / MS_PER_S
+        except ValueError:
+            raise InvalidDeadline(DEADLINE_HEADER.decode(), f"{deadline_ms!r} is no number") from None
 
     def outgoing(self) -> OutgoingRequest:
         """As endpoints get it: without hop-by-hop headers (RFC 9110, 7.6.1) and those that are rewritten."""
--- a/honeywood/gateway/proxy/forwarder.py
+++ b/honeywood/gateway/proxy/forwarder.py
@@ -8,6 +8,7 @@
 
 from honeywood.gateway.proxy.attempt_sender import AttemptSender
 from honeywood.gateway.proxy.client_response import BAD_REQUEST, local_response, relayed_response
+from honeywood.gateway.proxy.errors import InvalidDeadline
 from honeywood.gateway.proxy.failure_responses import RESPONSE_MARGIN_S, FailureResponses
 from honeywood.gateway.routing.outcomes import AttemptOutcome
 from honeywood.gateway.routing.pending_request import PendingRequest
@@ -85,7 +86,7 @@
         """The response to a request on `route`."""
         try:
             client_timeout_s = client_request.client_timeout_s()
-        except ValueError:
+        except InvalidDeadline:
             return local_response(BAD_REQUEST, "x-deadline-ms is no number")
         request = self._accept(route, client_request, min(route.timeout_s, client_timeout_s))
         self.open_requests.add(request)
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import time
 from random import Random
 
 from honeywood.gateway.dissemination.backoff import Backoff
@@ -39,12 +40,13 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from collections.abc import Iterable
-    from typing import Any
+    from collections.abc import Callable, Iterable
 
+    from honeywood.gateway.configuration.settings import Settings
     from honeywood.gateway.metrics import Figures
     from honeywood.gateway.proxy.connection_pool import Connect
     from honeywood.gateway.proxy.record_handler import JsonValue
+    from honeywood.gateway.rpc.client import Caller
 
 MAX_BACKOFF_S = 1.0  # for which a peer that doesn't answer isn't polled
 SUBSCRIPTION_PAUSE_S, POLL_PAUSE_S = 0.01, 0.05  # between turns of the loops, besides what they wait inside
@@ -57,9 +59,22 @@
 class Proxy(Program):
     """The data plane's process."""
 
-    def __init__(self, *given: Any, random: Random | None = None, connect: Connect = Connection.open) -> None:
-        """`given` is what Program takes; `connect` opens connections to endpoints."""
-        super().__init__(*given)
+    def __init__(
+        self,
+        settings: Settings | None = None,
+        caller: Caller | None = None,
+        clock: Callable[[], float] = time.monotonic,
+        wall_clock: Callable[[], float] = time.time,
+        *,
+        random: Random | None = None,
+        connect: Connect = Connection.open,
+    ) -> None:
+        """Builds the parts; nothing runs yet.
+
+        Without `settings` they are read from the settings file. `caller` calls other programs, `connect`
+        opens connections to endpoints. `clock` gives monotonic seconds, `wall_clock` those since 1970.
+        """
+        super().__init__(settings, caller, clock, wall_clock)
         self.random = random or Random()
         self.server: HttpServer | None = None
         self._build_state()
--- a/tests/gateway/proxy/test_client_request.py
+++ b/tests/gateway/proxy/test_client_request.py
@@ -3,6 +3,7 @@
 from ward import each, raises, test
 
 from honeywood.gateway.proxy.client_request import ClientRequest
+from honeywood.gateway.proxy.errors import InvalidDeadline
 from honeywood.gateway.routing.endpoint import Endpoint
 
 
@@ -20,7 +21,7 @@
 
 @test("a deadline that is no number is an error")
 def _():
-    with raises(ValueError):
+    with raises(InvalidDeadline):
         request(b"GET", b"", (b"x-deadline-ms", b"soon")).client_timeout_s()
 
 
