--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -21,8 +21,8 @@
 from honeywood.gateway.proxy.client_response import local_response
 from honeywood.gateway.proxy.attempt_sender import AttemptSender
 from honeywood.gateway.errors import GatewayError, VersionConflict
-from honeywood.gateway.register import membership as members
-from honeywood.gateway.register.storage import Storage
+from honeywood.gateway.register import membership_rules
+from honeywood.gateway.register.persistent_state import PersistentState
 from honeywood.gateway.rollout import transitions
 from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 from honeywood.gateway.routing.attempt_policy import AttemptPolicy
@@ -136,14 +136,15 @@
     await asyncio.sleep(9.0)
 
 
-async def unwritten(self, rows):
-    self.rows.update(rows)
+async def unwritten(self, update):
+    self.apply(update)
 
 
-async def without_rollouts(self, rows, keep=Storage.keep):
+async def without_rollouts(self, update, write=PersistentState.write):
     """Rollouts are kept in memory alone."""
-    await keep(self, {key: row for key, row in rows.items() if "rollout/" not in key})
-    self.rows.update(rows)
+    rows = {key: row for key, row in update.registers.items() if "rollout/" not in key}
+    await write(self, replace(update, registers=rows))
+    self.apply(update)
 
 
 async def gives_up(self, listen=UpdateSubscription.poll_once):
@@ -232,19 +233,19 @@
         lambda: [(Store, "put", last_wins), (Store, "since", all_again)],
         lambda: [(RetryBudget, "allows", lambda self, now, fronts: True)],
         lambda: [(RolloutTrafficPolicy, "trial_permits", lambda self, now, ask: True)],
-        lambda: [(Storage, "keep", unwritten)],
+        lambda: [(PersistentState, "write", unwritten)],
         lambda: [(App, "replace", by_number)],
         lambda: [(App, "start", once_only)],
         lambda: [(App, "read", own_board)],
         lambda: [(App, "rollout", own_state)],
-        lambda: [(members, "majority", lambda here: len(here["members"]))],
+        lambda: [(membership_rules, "majority", lambda here: len(here.members))],
         lambda: [(App, "start", unlooked)],
         lambda: [(transitions, "start_rollout", forgetful)],
-        lambda: [(Storage, "keep", unwritten)],
-        lambda: [(Storage, "keep", unwritten)],
-        lambda: [(Storage, "keep", without_rollouts)],
+        lambda: [(PersistentState, "write", unwritten)],
+        lambda: [(PersistentState, "write", unwritten)],
+        lambda: [(PersistentState, "write", without_rollouts)],
         lambda: unrefused("state"),
-        lambda: [(members, "majority", lambda here: len(here["members"]))],
+        lambda: [(membership_rules, "majority", lambda here: len(here.members))],
         lambda: [(UpdateSubscription, "poll_once", gives_up), (ControllerPoller, "poll_once", idle)],
         lambda: [(App, "leave", unheeded), (machines, "beat", always_ready)],
         lambda: [(RouteTable, "__init__", three_routes)],
--- a/tests/gateway/test_pinned_register.py
+++ b/tests/gateway/test_pinned_register.py
@@ -18,10 +18,13 @@
 from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.errors import CallRefused, GatewayError
 from honeywood.gateway.register import requests
-from honeywood.gateway.register.disk import Disk
-from honeywood.gateway.register.paging import PagedCaller, PagedResponder
-from honeywood.gateway.register.replica import Register
-from honeywood.gateway.register.storage import row_from_disk
+from honeywood.gateway.register.row_store import RowStore
+from honeywood.gateway.register.errors import RegisterUnavailable
+from honeywood.gateway.register.paged_caller import PagedCaller
+from honeywood.gateway.register.paged_responder import PagedResponder
+from honeywood.gateway.register.register import Register
+from honeywood.gateway.register.row import row_from_json
+from honeywood.gateway.register.state_update import HeartbeatRecord
 from honeywood.gateway.rpc.statuses import status_of
 from honeywood.lab.emulator.boot import boot
 
@@ -46,7 +49,7 @@
 
 
 def use_executor(register, executor):
-    register.storage.thread = executor
+    register.state.executor = executor
 
 
 def answer_of(body):
@@ -69,43 +72,49 @@
 
 async def outcome_of(operation):
     """["value", it], or ["failed", reason, status] of change, read and the like."""
-    found = await operation
-    return ["value", found.value] if found.ok else ["failed", found.why, found.status]
+    try:
+        return ["value", await operation]
+    except RegisterUnavailable as error:
+        return ["failed", error.reason, status_of(error)]
 
 
 async def all_values(register):
-    found = await outcome_of(register.survey())
+    found = await outcome_of(register.read_all())
     return ["value", sorted(found[1].items())] if found[0] == "value" else found
 
 
 async def synchronize(register, known):
-    await register.settle(known)
+    await register.manager.synchronize(known)
 
 
 async def replace_member(register, lost, spare):
-    return await outcome_of(register.replace(lost, spare))
+    found = await outcome_of(register.manager.replace_member(lost, spare))
+    return ["value", found[1].encode_members()] if found[0] == "value" else found
 
 
 async def keep_heartbeats(register, records):
-    await register.keep_notes(records)
+    typed = {id: record and HeartbeatRecord(*record) for id, record in records.items()}
+    await register.write_heartbeats(typed)
 
 
 def kept_heartbeats(register):
-    return register.notes
+    return [[id, *record] for id, record in register.state.heartbeats.items()]
 
 
 def close_files(register):
-    register.storage.disk.close()
+    register.state.store.close()
 
 
 def state_of(register):
     """What the register tells the program of itself."""
-    return [register.epoch, list(register.members), register.sound, register.settled, register.counts]
+    membership = register.membership
+    members = list(membership.members)
+    return [membership.epoch, members, membership.intact, membership.is_synchronized, membership.is_voter]
 
 
 def rows_on(folder):
     """The rows in a folder, as JSON values by key."""
-    disk = Disk(folder)
+    disk = RowStore(folder)
     try:
         return disk.rows()
     finally:
@@ -114,7 +123,7 @@
 
 def read_again(row):
     """A register's row through the type that it has in memory."""
-    return row_from_disk(row)
+    return row_from_json(row)
 
 
 def request_again(text, peer):
@@ -223,7 +232,7 @@
     async def start(self, ip, fresh=True):
         register = register_with(settings_of(ip, fresh), self.caller(ip), RowsInMemory(self.kept))
         use_executor(register, AtOnce())
-        await register.open()
+        await register.manager.open()
         self.registers[ip], self.responders[ip] = register, paged(register, self)
         return register
 
@@ -375,8 +384,8 @@
     async def play():
         net = Net()
         settings = settings_of("127.0.0.1", False, copy)
-        register = register_with(settings, net.caller("127.0.0.1"), Disk)
-        await register.open()
+        register = register_with(settings, net.caller("127.0.0.1"), RowStore)
+        await register.manager.open()
         assert state_of(register) == before["state"]
         assert sorted(kept_heartbeats(register)) == sorted(before["heartbeats"])
         await keep_heartbeats(register, {"new": [[1, 0], {"state": "ready"}]})
