--- a/honeywood/gateway/register/pages.py
+++ b/honeywood/gateway/register/pages.py
@@ -17,7 +17,7 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from collections.abc import Hashable, Mapping
+    from collections.abc import Hashable
 
     from honeywood.gateway.register.json_value import JsonValue
 
@@ -132,8 +132,8 @@
         return PagePosition(digest, len(text)) if digest else None
 
     def add(
-        self, question: Hashable, answer: Mapping[str, JsonValue], peer: str = ""
-    ) -> Mapping[str, JsonValue] | None:
+        self, question: Hashable, answer: dict[str, JsonValue], peer: str = ""
+    ) -> dict[str, JsonValue] | None:
         """Take an answer or a page of one; return the complete answer once it is here.
 
         A page that is damaged or doesn't start where the last one ended changes nothing; a first page starts
@@ -156,7 +156,7 @@
         if len(text) < page.length:
             return None
         del self.open[question]
-        complete: Mapping[str, JsonValue] | None = json.loads(text) if _digest(text) == page.digest else None
+        complete: dict[str, JsonValue] | None = json.loads(text) if _digest(text) == page.digest else None
         return complete
 
 
--- a/honeywood/lab/model/ballots.py
+++ b/honeywood/lab/model/ballots.py
@@ -2,14 +2,13 @@
 
 from dataclasses import replace
 
-from honeywood.gateway.register import acceptor
-from honeywood.gateway.register import membership_rules
+from honeywood.gateway.register import acceptor, membership_rules
 from honeywood.gateway.register.agreement import find_agreed_view
 from honeywood.gateway.register.incarnations import current_replies
 from honeywood.gateway.register.proposal import Proposal
 from honeywood.gateway.register.replies import Accepted, BallotConflict, Promise, ReadReply, RowView
-from honeywood.gateway.register.values import InlineValue
 from honeywood.gateway.register.row import Ballot
+from honeywood.gateway.register.values import InlineValue
 from honeywood.lab.model.state import (
     ACCEPT,
     COMING,
--- a/tests/gateway/test_pinned_register.py
+++ b/tests/gateway/test_pinned_register.py
@@ -18,12 +18,12 @@
 from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.errors import CallRefused, GatewayError
 from honeywood.gateway.register import requests
-from honeywood.gateway.register.row_store import RowStore
 from honeywood.gateway.register.errors import RegisterUnavailable
 from honeywood.gateway.register.paged_caller import PagedCaller
 from honeywood.gateway.register.paged_responder import PagedResponder
 from honeywood.gateway.register.register import Register
 from honeywood.gateway.register.row import row_from_json
+from honeywood.gateway.register.row_store import RowStore
 from honeywood.gateway.register.state_update import HeartbeatRecord
 from honeywood.gateway.rpc.statuses import status_of
 from honeywood.lab.emulator.boot import boot
