--- a/honeywood/gateway/proxy/controller_poller.py
+++ b/honeywood/gateway/proxy/controller_poller.py
@@ -5,9 +5,9 @@
 import asyncio
 from dataclasses import dataclass
 
-from honeywood.gateway.dissemination.backoff import FIRST
-from honeywood.gateway.dissemination.history import CUT
-from honeywood.gateway.dissemination.rendezvous import order
+from honeywood.gateway.dissemination.backoff import INITIAL_DELAY_S
+from honeywood.gateway.dissemination.rendezvous import rank
+from honeywood.gateway.dissemination.retired_machines import MAX_DISCONNECTED_S
 from honeywood.gateway.errors import CallFailed
 from honeywood.gateway.proxy.poll_interval import poll_interval_s
 
@@ -17,7 +17,7 @@
     from random import Random
 
     from honeywood.gateway.configuration.settings import Settings
-    from honeywood.gateway.dissemination.messages import Answer
+    from honeywood.gateway.dissemination.messages import PollResponse
     from honeywood.gateway.dissemination.subscriber import Subscriber
     from honeywood.gateway.proxy.fleet_size import FleetSize
     from honeywood.gateway.proxy.known_peers import KnownPeers
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PollResult:
-    """The last answer of a controller, None where there was none, and when it was asked for."""
+    """A controller's last response, None where there was none, and when it was polled."""
 
     polled_at: float
-    answer: Answer | None
+    response: PollResponse | None
 
 
 @dataclass(slots=True, eq=False)
@@ -65,18 +65,18 @@
         self.polls += 1
         for ip in self._candidates():
             result = await self._poll(ip)
-            if result.answer is not None and result.answer.in_quorum:
-                self._record_contact(result.polled_at, result.answer)
+            if result.response is not None and result.response.in_quorum:
+                self._record_contact(result.polled_at, result.response)
                 await asyncio.sleep(self._interval_s())
                 return
         self.on_no_answer()
-        await asyncio.sleep(FIRST)
+        await asyncio.sleep(INITIAL_DELAY_S)
 
     def _candidates(self) -> list[str]:
         """The controllers that are not in backoff, another one first with each call."""
-        ring = order(self.peers.controllers, self.settings.node)
+        ring = rank(self.peers.controllers, self.settings.node)
         start = self.polls % len(ring)
-        found: list[str] = self.subscriber.backoff.fit(ring[start:] + ring[:start], self.clock())
+        found: list[str] = self.subscriber.backoff.available(ring[start:] + ring[:start], self.clock())
         return found
 
     async def _poll(self, ip: str) -> PollResult:
@@ -85,26 +85,27 @@
             # Taken before: an answer may have been unread for long while this process was suspended.
             polled_at = self.clock()
             try:
-                answer = await self.subscriber.ask(ip, self.settings.controller_port, 0.0)
+                response = await self.subscriber.poll(ip, self.settings.controller_port, 0.0)
             except CallFailed:
                 return PollResult(polled_at, None)
-            self._record_fleet(ip, answer)
-            if not answer.more or self.subscription.max_poll_bytes() is not None:
+            self._record_fleet(ip, response)
+            if not response.has_more or self.subscription.max_poll_bytes() is not None:
                 break
-        return PollResult(polled_at, answer)
+        return PollResult(polled_at, response)
 
-    def _record_fleet(self, ip: str, answer: Answer) -> None:
+    def _record_fleet(self, ip: str, response: PollResponse) -> None:
         """Takes what a controller says of the proxies, and which counts it has."""
-        if answer.fleet is None:
+        if response.fleet is None:
             return
-        count, self.peers.relays = answer.fleet
-        self.reports.acknowledge(ip, answer.counted or 0)
-        self.fleet.report(ip, count)
+        self.peers.relays = response.fleet.relays
+        self.reports.acknowledge(ip, response.counts_number or 0)
+        self.fleet.report(ip, response.fleet.proxy_count)
 
-    def _record_contact(self, polled_at: float, answer: Answer) -> None:
+    def _record_contact(self, polled_at: float, response: PollResponse) -> None:
         """A controller in quorum has answered a poll that was sent at `polled_at`."""
-        if answer.whole:  # else the end of a rollout's stage may be among what was not sent
-            if self.readiness.met_quorum and polled_at - self.stage.controller_contact_at > CUT:
+        if response.is_complete:  # else the end of a rollout's stage may be among what was not sent
+            out_of_contact_s = polled_at - self.stage.controller_contact_at
+            if self.readiness.met_quorum and out_of_contact_s > MAX_DISCONNECTED_S:
                 self.revalidation.start()
             self.stage.controller_contact_at = polled_at
         self.readiness.met_quorum = True
--- a/honeywood/gateway/proxy/invariants.py
+++ b/honeywood/gateway/proxy/invariants.py
@@ -17,6 +17,8 @@
 from collections import Counter
 from enum import StrEnum
 
+from honeywood.gateway.dissemination.keys import RecordKind
+
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
@@ -92,7 +94,7 @@
                 yield Violation.CONNECTIONS, f"{endpoint.id}: {known} known, {counted} counted"
 
     def _configuration(self) -> Iterator[Finding]:
-        stamp = self.proxy.publisher.store.stamp("config")
+        stamp = self.proxy.publisher.store.stamp(RecordKind.CONFIGURATION)
         current = self.proxy.configuration.version
         if stamp is not None and stamp[0] != current:
             yield Violation.CONFIGURATION, f"{stamp[0]:08x} was heard"
--- a/honeywood/gateway/proxy/machine_revalidation.py
+++ b/honeywood/gateway/proxy/machine_revalidation.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from honeywood.gateway.dissemination.keys import RecordKind
+from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.routing.endpoint_state import EndpointState
 
 TYPE_CHECKING = False
@@ -11,7 +13,6 @@
     from honeywood.gateway.dissemination.store import Store
     from honeywood.gateway.dissemination.subscriber import Subscriber
 
-MACHINES = "machine/"  # the prefix of their records' keys
 TIMEOUT_S = 10.0  # within which controllers have repeated all that they know
 
 
@@ -31,9 +32,9 @@
 
     def start(self) -> None:
         """Marks all machine records as stale and requests everything anew."""
-        self.store.doubt(MACHINES)
+        self.store.mark_stale(RecordKind.MACHINE)
         for subscriber in self.subscribers:
-            subscriber.known.clear()
+            subscriber.positions.clear()
         self.started_at = self.clock()
 
     def check(self) -> None:
@@ -41,5 +42,7 @@
         if self.started_at is None or self.clock() - self.started_at <= TIMEOUT_S:
             return
         self.started_at = None
-        for key in self.store.doubted(MACHINES):
-            self.store.put(key, [0], {**self.store.get(key), "state": EndpointState.LOST})
+        for key in self.store.stale_keys(RecordKind.MACHINE):
+            value = self.store.get(key)
+            if isinstance(value, dict):
+                self.store.put(key, Stamp.of(0), {**value, "state": EndpointState.LOST})
--- a/honeywood/gateway/proxy/peer_handler.py
+++ b/honeywood/gateway/proxy/peer_handler.py
@@ -5,7 +5,7 @@
 import json
 
 from honeywood.gateway.configuration.check import read_json
-from honeywood.gateway.dissemination.messages import Ask
+from honeywood.gateway.dissemination.messages import PollRequest
 from honeywood.gateway.dissemination.record import PATH
 from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.proxy.client_response import BAD_REQUEST, BODY_TOO_LARGE, NOT_FOUND
@@ -53,7 +53,7 @@
         self, raw: bytes, peer: str, has_left: Callable[[], bool] = lambda: False
     ) -> dict[str, Any]:
         """The encoded answer to a poll of `peer`; `has_left` says whether it has gone meanwhile."""
-        request = Ask.decode(read_json(raw, PATH, peer), peer)
+        request = PollRequest.decode(read_json(raw, PATH, peer), peer)
         response = await self.publisher.serve(request, has_left)
         encoded: dict[str, Any] = response.encode()
         return encoded
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -7,9 +7,11 @@
 from random import Random
 
 from honeywood.gateway.dissemination.backoff import Backoff
-from honeywood.gateway.dissemination.history import History
-from honeywood.gateway.dissemination.messages import Asker
+from honeywood.gateway.dissemination.chunks import ChunkAssembler
+from honeywood.gateway.dissemination.keys import RecordKind, name_of
+from honeywood.gateway.dissemination.messages import Requester
 from honeywood.gateway.dissemination.publisher import Publisher
+from honeywood.gateway.dissemination.retired_machines import RetiredMachines
 from honeywood.gateway.dissemination.subscriber import Subscriber
 from honeywood.gateway.program import COUNTS, Program
 from honeywood.gateway.proxy import status
@@ -26,7 +28,7 @@
 from honeywood.gateway.proxy.machine_revalidation import MachineRevalidation
 from honeywood.gateway.proxy.peer_handler import PeerHandler
 from honeywood.gateway.proxy.readiness import Readiness
-from honeywood.gateway.proxy.record_handler import CONTROLLER, RecordHandler
+from honeywood.gateway.proxy.record_handler import RecordHandler
 from honeywood.gateway.proxy.request_counters import RequestCounters
 from honeywood.gateway.proxy.response_writer import ResponseWriter
 from honeywood.gateway.proxy.retry_budgets import RetryBudgets
@@ -126,30 +128,41 @@
     def _build_updates(self) -> None:
         """What keeps the state up to date."""
         s = self.settings
-        self.publisher = Publisher(self.store_incarnation(), self._apply_record, rate=s.link_bytes_per_s)
+        self.publisher = Publisher(
+            self.store_incarnation(), self._apply_record, link_bytes_per_s=s.link_bytes_per_s
+        )
         store, backoff = self.publisher.store, Backoff(self.random, MAX_BACKOFF_S)
         self.peers = KnownPeers(ip for ip, _ in s.seeds)
-        self.history = History(store)
+        self.retired_machines = RetiredMachines(store)
         self.records = RecordHandler(
             self.clock,
             self.configuration,
             self.endpoints,
             self.pool,
             self.stage,
-            self.history,
+            self.retired_machines,
             self.peers,
             lambda: self.say("configuration"),
         )
         self.reports = RolloutReports(self.stage, self.clock, s.node, self.life, store)
-        subscriber = Subscriber(self.publisher, self.caller, self._asker, backoff)
+        self.assembler = ChunkAssembler()
+        subscriber = Subscriber(
+            store,
+            self.assembler,
+            self.caller,
+            self._requester,
+            backoff,
+            lambda: self.publisher.max_response_bytes,
+        )
         self.subscription = UpdateSubscription(self.clock, s, subscriber, self.peers, self.configuration)
         poll_subscriber = Subscriber(
-            self.publisher,
+            store,
+            self.assembler,
             self.caller,
-            self._asker,
+            self._requester,
             backoff,
+            self._max_poll_bytes,
             self.reports.records_for,
-            self.subscription.max_poll_bytes,
         )
         self.revalidation = MachineRevalidation(self.clock, store, (subscriber, poll_subscriber))
         self.poller = ControllerPoller(
@@ -183,10 +196,15 @@
             lambda: self.metrics_port,
         )
 
-    def _asker(self) -> Asker:
+    def _requester(self) -> Requester:
         """How this proxy introduces itself in polls."""
         s = self.settings
-        return Asker(s.node, s.ip, s.zone, self.life, proxy=True)
+        return Requester(s.node, s.ip, s.zone, self.life, is_proxy=True)
+
+    def _max_poll_bytes(self) -> int:
+        """The limit on the response to a poll of a controller."""
+        limit = self.publisher.max_response_bytes
+        return min(limit, self.subscription.max_poll_bytes() or limit)
 
     def _apply_record(self, key: str, value: JsonValue) -> None:
         self.records.apply(key, value)
@@ -221,13 +239,13 @@
         now, store = self.clock(), self.publisher.store
         self.invariants.check(now)
         self.pool.close_expired(self.endpoints.by_id.values())
-        self.history.look(now)
-        self._forget_controllers(key for key in store.prune() if key.startswith(f"{CONTROLLER}/"))
+        self.retired_machines.evict(now)
+        self._forget_controllers(key for key in store.prune() if key.startswith(RecordKind.CONTROLLER.prefix))
         self.revalidation.check()
 
     def _forget_controllers(self, keys: Iterable[str]) -> None:
         """Records of controllers have lapsed: those that are not seeds are polled no more."""
-        for ip in self.peers.remove_controllers(key.partition("/")[2] for key in keys):
+        for ip in self.peers.remove_controllers(name_of(key) for key in keys):
             self.reports.forget(ip)
             self.subscription.subscriber.forget(ip)
             self.poller.subscriber.forget(ip)
--- a/honeywood/gateway/proxy/record_handler.py
+++ b/honeywood/gateway/proxy/record_handler.py
@@ -4,6 +4,7 @@
 
 from honeywood.gateway.configuration.packing import unpack
 from honeywood.gateway.configuration.reader import read_configuration
+from honeywood.gateway.dissemination.keys import RecordKind, kind_of, name_of
 from honeywood.gateway.rollout import record as rollout_record
 from honeywood.gateway.routing.endpoint_record import EndpointRecord
 
@@ -12,7 +13,7 @@
     from collections.abc import Callable
     from typing import Any
 
-    from honeywood.gateway.dissemination.history import History
+    from honeywood.gateway.dissemination.retired_machines import RetiredMachines
     from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
     from honeywood.gateway.proxy.connection_pool import ConnectionPool
     from honeywood.gateway.proxy.known_peers import KnownPeers
@@ -21,10 +22,6 @@
 
     JsonValue = Any  # of a record; each kind has its own decoder
 
-# Kinds of records: the first parts of their keys.
-CONFIGURATION, MACHINE, ROLLOUT = "config", "machine", "rollout"
-CONTROLLER = "bourse"  # a controller's address; the name on the wire is older than the term
-
 
 class RecordHandler:
     """Brings the proxy's state up to date, a record at a time."""
@@ -36,7 +33,7 @@
         endpoints: EndpointTable,
         pool: ConnectionPool,
         stage: RolloutTrafficPolicy,
-        history: History,
+        retired_machines: RetiredMachines,
         peers: KnownPeers,
         on_configuration: Callable[[], None],
     ) -> None:
@@ -46,20 +43,20 @@
         self.endpoints = endpoints
         self.pool = pool
         self.stage = stage
-        self.history = history
+        self.retired_machines = retired_machines
         self.peers = peers
         self.on_configuration = on_configuration
 
     def apply(self, key: str, value: JsonValue) -> None:
         """A record is new or has changed. Raises InvalidInput where it can't be read."""
-        kind, _, name = key.partition("/")
-        if kind == CONFIGURATION:
+        kind, name = kind_of(key), name_of(key)
+        if kind == RecordKind.CONFIGURATION:
             self._apply_configuration(value)
-        elif kind == MACHINE:
+        elif kind == RecordKind.MACHINE:
             self._apply_machine(name, value)
-        elif kind == ROLLOUT:
+        elif kind == RecordKind.ROLLOUT:
             self.stage.update(self.clock(), rollout_record.decode(value))
-        elif kind == CONTROLLER:
+        elif kind == RecordKind.CONTROLLER:
             self.peers.add_controllers([name])
 
     def _apply_configuration(self, packed: str) -> None:
@@ -75,7 +72,7 @@
         """Idle connections to an endpoint that is out of service are closed."""
         now = self.clock()
         record = EndpointRecord.decode(value)
-        self.history.hear(now, id, record.state)
+        self.retired_machines.observe(now, id, record.state)
         endpoint = self.endpoints.update(now, id, record)
         if endpoint is not None:
             self.pool.close_idle(endpoint)
--- a/honeywood/gateway/proxy/rollout_reports.py
+++ b/honeywood/gateway/proxy/rollout_reports.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from honeywood.gateway.dissemination.record import Record
+from honeywood.gateway.dissemination.keys import RecordKind
+from honeywood.gateway.dissemination.record import Record, Stamp
 from honeywood.gateway.rollout import report
 
 TYPE_CHECKING = False
@@ -13,7 +14,6 @@
     from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 
 KNOWN_FOR_STEP_S = 0.5  # after which a report differs only by the time for which a trial has been known
-RECORD_PREFIX = "count/"
 
 
 class RolloutReports:
@@ -31,7 +31,7 @@
         self.stage = stage
         self.clock = clock
         self.store = store
-        self.key = f"{RECORD_PREFIX}{node}/{incarnation}"
+        self.key = RecordKind.PROXY_COUNTS.key(node, incarnation)
         self.incarnation = incarnation
         self.number = 0
         self.epoch = 0
@@ -44,7 +44,8 @@
         self._number(encoded)
         if self.acknowledged.get(controller, 0) >= self.number:
             return []
-        return [Record(self.key, [self.number, self.epoch], {"life": self.incarnation, **encoded})]
+        value = {"life": self.incarnation, **encoded}
+        return [Record(self.key, Stamp.of(self.number, self.epoch), value)]
 
     def _number(self, encoded: dict[str, dict[str, list[float]]]) -> None:
         """Gives the report a new number if it differs from the last, or another epoch has begun since."""
--- a/honeywood/gateway/proxy/status.py
+++ b/honeywood/gateway/proxy/status.py
@@ -29,7 +29,7 @@
         "connections": sum(endpoint.connection_count for endpoint in endpoints),
         "machines": len(endpoints),
         "fronts": proxy.fleet.count(),
-        "told": dict(proxy.publisher.told),
+        "told": dict(proxy.publisher.sent_bytes),
         "called": dict(proxy.caller.bytes_by_path),
         "ready": proxy.ready,
     }
--- a/honeywood/gateway/proxy/update_subscription.py
+++ b/honeywood/gateway/proxy/update_subscription.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-from honeywood.gateway.dissemination.backoff import FIRST
-from honeywood.gateway.dissemination.publisher import HOLD, SMALL
-from honeywood.gateway.dissemination.rendezvous import order
+from honeywood.gateway.dissemination.backoff import INITIAL_DELAY_S
+from honeywood.gateway.dissemination.publisher import MAX_HOLD_S, UNPACED_BYTES
+from honeywood.gateway.dissemination.rendezvous import rank
 from honeywood.gateway.errors import CallFailed
 
 TYPE_CHECKING = False
@@ -44,20 +44,20 @@
         """Polls one peer after the other until one answers."""
         for ip, port in self._candidates():
             try:
-                answer = await self.subscriber.ask(ip, port, HOLD)
+                response = await self.subscriber.poll(ip, port, MAX_HOLD_S)
             except CallFailed:
                 continue
             self.answered_at = self.clock()
-            await asyncio.sleep(min(HOLD, answer.later_s or 0.0))
+            await asyncio.sleep(min(MAX_HOLD_S, response.retry_after_s or 0.0))
             return
-        await asyncio.sleep(FIRST)
+        await asyncio.sleep(INITIAL_DELAY_S)
 
     def _candidates(self) -> list[tuple[str, int]]:
         """The addresses to poll, in order: relays, then controllers, without those in backoff."""
         now, backoff = self.clock(), self.subscriber.backoff
         starting = self.configuration.table is None and now - self.started_at < CONTROLLERS_ONLY_S
-        relays = [] if starting else [ip for ip in self.peers.relays if not backoff.rest(ip, now)]
-        controllers = backoff.fit(order(self.peers.controllers, self.settings.node), now)
+        relays = [] if starting else [ip for ip in self.peers.relays if not backoff.remaining_s(ip, now)]
+        controllers = backoff.available(rank(self.peers.controllers, self.settings.node), now)
         found = [(ip, self.settings.proxy_port) for ip in relays]
         return found + [(ip, self.settings.controller_port) for ip in controllers]
 
@@ -67,5 +67,5 @@
         It is small while this subscription receives the first configuration: each controller that is polled
         besides would send all that it has once more.
         """
-        is_answered = self.clock() - self.answered_at < HOLD
-        return SMALL if self.configuration.table is None and is_answered else None
+        is_answered = self.clock() - self.answered_at < MAX_HOLD_S
+        return UNPACED_BYTES if self.configuration.table is None and is_answered else None
--- a/tests/gateway/test_dissemination.py
+++ b/tests/gateway/dissemination/test_convergence.py
@@ -17,22 +17,23 @@
 
 def top(world):
     """The front of the zone that others hear from."""
-    from honeywood.gateway.dissemination.rendezvous import order
+    from honeywood.gateway.dissemination.rendezvous import rank
 
-    return order(world.fronts, "z")[0]
+    return rank(world.fronts, "z")[0]
 
 
-@test("fronts hear from relays, and one relay from a controller")
+@test("proxies poll relays, and one relay polls a controller")
 def _():
     world = met()
     try:
-        asked = {name: {port for _, port in world.nodes[name].subscriber.known} for name in world.fronts}
+        subscribers = {name: world.nodes[name].subscription.subscriber for name in world.fronts}
+        asked = {name: {port for _, port in one.positions} for name, one in subscribers.items()}
         assert [name for name in world.fronts if 7000 not in asked[name]] == [top(world)], asked
     finally:
         world.close()
 
 
-@test("a relay is killed in the moment of a change: all others have it in time")
+@test("a relay is killed at the moment of a change: all others have it in time")
 def _():
     world = met()
     try:
@@ -45,7 +46,7 @@
         world.close()
 
 
-@test("a front that is cut off from its relay, not from the controllers, hears in time")
+@test("a proxy that is partitioned from its relay, not from the controllers, has a change in time")
 def _():
     world = met()
     try:
@@ -58,7 +59,7 @@
         world.close()
 
 
-@test("a controller that hears nobody's answers acknowledges nothing and is believed in nothing")
+@test("a controller that gets no responses acknowledges nothing and is believed in nothing")
 def _():
     # Seen by a hunt: it was cut in one direction, so that others' asks still reached it, took itself for
     # joined, and held the asks of fronts that waited for its news.
@@ -80,7 +81,7 @@
         world.close()
 
 
-@test("a controller that has just started and knows few fronts makes none take more than its part")
+@test("a controller that has just started and knows few proxies makes none take more than its share")
 def _():
     # Seen on standard days: after all controllers were killed, fronts took themselves for alone, and machines
     # reset what was over their connections.
@@ -88,38 +89,38 @@
     try:
         front = world.nodes["f"]
         world.run(4.0)
-        assert front.fronts() == 6
+        assert front.fleet.count() == 6
         for name in "abc":
             world.kill(name)
         world.run(4.6)
         for name in "abc":
             world.start(name)
-        world.run(7.0, lambda: told.add(front.fronts()))
+        world.run(7.0, lambda: told.add(front.fleet.count()))
         assert told == {6}
         world.kill("g")
         world.start("g")
         world.run(7.02)
-        assert world.nodes["g"].fronts() > 6
+        assert world.nodes["g"].fleet.count() > 6
         world.run(12.0)
-        assert world.nodes["g"].fronts() == 6
+        assert world.nodes["g"].fleet.count() == 6
     finally:
         world.close()
 
 
-@test("a front is told a version once, not by its relay and each controller")
+@test("a proxy is sent a version once, not by its relay and each controller")
 def _():
     # Seen on days with a configuration of 370 routes: it crossed the zones four times for each front.
     world, told = met(), {}
     try:
         for name in world.nodes:
-            since = world.nodes[name].publisher.store.since
+            since = world.nodes[name].publisher.feed.since
 
-            def counted(life, rev, private, held=None, since=since, name=name):
-                found = since(life, rev, private, held)
+            def counted(incarnation, revision, private, known=None, since=since, name=name):
+                found = since(incarnation, revision, private, known)
                 told[name] = told.get(name, 0) + sum(record.key == "config" for record in found)
                 return found
 
-            world.nodes[name].publisher.store.since = counted
+            world.nodes[name].publisher.feed.since = counted
         world.say("a", "put 5")
         world.run(6.0)
         assert {world.version(name) for name in world.nodes} == {5}
@@ -128,7 +129,7 @@
         world.close()
 
 
-@test("a storm of versions: nobody goes back, all end at the newest")
+@test("a storm of versions: no program goes back, all end at the newest")
 def _():
     world, seen = met(), {}
 
@@ -149,7 +150,7 @@
         world.close()
 
 
-@test("a draining is acknowledged only when enough others know it, and outlives the one that did")
+@test("a draining is acknowledged only when enough others have it, and outlives the controller that did")
 def _():
     world = met()
     try:
@@ -165,7 +166,7 @@
         world.close()
 
 
-@test("a late beat says nothing; a machine that is silent is lost, and back with its next beat")
+@test("a late heartbeat changes nothing; a silent machine is lost, and back with its next heartbeat")
 def _():
     world = met("f")
     try:
@@ -192,7 +193,7 @@
         world.close()
 
 
-@test("all controllers are killed: fronts keep what they know, and bring machines back to those that start")
+@test("all controllers are killed: proxies keep what they know, and return machines to those that start")
 def _():
     world = met("fg")
     try:
@@ -212,7 +213,7 @@
         world.close()
 
 
-@test("everything is killed: machines are known again before they beat, one that drained as such")
+@test("everything is killed: machines are known again before their heartbeats, a draining one as such")
 def _():
     # Seen on standard days: after the closing fault fronts knew machines only with their next beats, up to
     # 1.5 s later, and sent all requests to the first few.
@@ -235,7 +236,7 @@
         world.close()
 
 
-@test("all fronts start at once: each is told the configuration and the machines once")
+@test("all proxies start at once: each is sent the configuration and the machines once")
 def _():
     # Found on a bench day on which all lost power with 1,100 routes more: three controllers told each front
     # all machines three times and the configuration one and a half times, for 1.2 s on links of 30 Mbit/s.
@@ -246,14 +247,14 @@
             world.say("abc"[n % 3], f"beat m{n} ready")
         world.run(6.0)
         stores = [world.nodes[name].publisher for name in world.controllers]
-        before = [store.told["config"] + store.told["machine"] for store in stores]
+        before = [store.sent_bytes["config"] + store.sent_bytes["machine"] for store in stores]
         world.fronts = "fghijklm"
         for name in world.fronts:
             world.start(name)
         world.run(6.5)
         assert {world.version(name) for name in world.nodes} == {5}
-        told = [store.told["config"] + store.told["machine"] for store in stores]
-        size = stores[0].store.size
+        told = [store.sent_bytes["config"] + store.sent_bytes["machine"] for store in stores]
+        size = stores[0].feed.encoded_size
         once = size("config") + sum(size(f"machine/m{n}") for n in range(40))
         times = (sum(told) - sum(before)) / once / len(world.fronts)
         assert times < 1.5, f"told {times:.2f} times"
--- a/tests/gateway/test_epochs.py
+++ b/tests/gateway/dissemination/test_epochs.py
@@ -9,9 +9,11 @@
 from ward import each, test
 
 from honeywood.gateway.controller.retention import still_counted
-from honeywood.gateway.dissemination import departed, epochs
-from honeywood.gateway.dissemination.local import LocalRecords
-from honeywood.gateway.dissemination.record import Record
+from honeywood.gateway.dissemination import epochs, tombstones
+from honeywood.gateway.dissemination.change_feed import ChangeFeed
+from honeywood.gateway.dissemination.keys import RecordKind
+from honeywood.gateway.dissemination.local_records import LocalRecords
+from honeywood.gateway.dissemination.record import Record, Stamp
 from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.rollout.report import OutcomeCounts, ProxyReport
 
@@ -32,29 +34,29 @@
         self.store = Store(f"{ip}.{n}", self.hear, still_counted)
         self.own = LocalRecords(self.store, incarnation, self.mine)
         self.clock = epochs.EpochClock()
-        self.own.tell(f"bourse/{ip}", ip)
+        self.own.publish(f"bourse/{ip}", ip)
 
     def hear(self, key, value):
-        self.own.heard(key)
+        self.own.on_update(key)
 
     def mine(self, key):
         return key == f"bourse/{self.ip}" or key.startswith(f"fleet/{self.ip}/")
 
     def ask(self, other):
         """Hears what the other has to tell, as an ask of /news does."""
-        other.store.learn(self.store.epoch)
+        other.store.observe_epoch(self.store.epoch)
         life, rev = self.heard.get(other.ip, ("", 0))
-        self.store.hear(carried(other.store.since(life, rev, True)))
-        self.heard[other.ip] = other.store.life, other.store.rev
+        self.store.merge(carried(ChangeFeed(other.store).since(life, rev, True)))
+        self.heard[other.ip] = other.store.incarnation, other.store.revision
 
     def look(self, now, in_quorum):
         for node, (at, place) in list(self.proxies.items()):
             place = place if now - at < 2 * STEP else None
             if self.store.get(f"fleet/{self.ip}/{node}") != place:
-                self.own.tell(f"fleet/{self.ip}/{node}", place)
+                self.own.publish(f"fleet/{self.ip}/{node}", place)
             if place is None:
                 del self.proxies[node]
-        self.store.learn(self.clock.next(now, self.store.epoch, in_quorum))
+        self.store.observe_epoch(self.clock.advance(now, self.store.epoch, in_quorum))
         self.own.refresh()
         self.store.prune()
 
@@ -93,10 +95,10 @@
                 proxy[1:] = proxy[1] + 1, peer.store.epoch
                 if known:
                     self.counted.append((proxy[0], node))
-            key, stamp = f"count/{node}/{proxy[0]}", [proxy[1], proxy[2]]
+            key, stamp = f"count/{node}/{proxy[0]}", Stamp.of(proxy[1], proxy[2])
             peer.store.put(key, stamp, {"rows": [1] * 50, "known": known})
         if self.rollout:
-            peers[0].store.put("rollout/s", [self.rollout["n"]], self.rollout)
+            peers[0].store.put("rollout/s", Stamp.of(self.rollout["n"]), self.rollout)
         self.exchange()
         for ip, peer in self.peers.items():
             peer.look(self.now, ip not in self.cut)
@@ -115,7 +117,7 @@
     def sizes(self):
         """Records and bytes of the largest full retelling."""
         stores = [peer.store for peer in self.connected()]
-        found = [[store.size(key) for key in store.records] for store in stores]
+        found = [[ChangeFeed(store).encoded_size(key) for key in store.records] for store in stores]
         return max(map(len, found)), max(map(sum, found))
 
     def check(self):
@@ -137,10 +139,12 @@
         return self.rollout is not None and self.rollout["state"] == "active"
 
 
-LONG = (epochs.LAPSE + 2) * epochs.EPOCH_S  # seconds after which whatever has ended must have lapsed
+LONG = (epochs.EXPIRY_EPOCHS + 2) * epochs.EPOCH_S  # seconds after which whatever has ended must have lapsed
 
 
-@test("two days with hundreds of restarts, clocks set back, cuts of hours: records stay as few (seed {seed})")
+@test(
+    "two days with hundreds of restarts, clocks set back, long partitions: records stay as few (seed {seed})"
+)
 def _(seed=each(1, 2, 3)):
     # Counts of each life of each proxy, and lists of removed controllers, stood on every store for ever.
     site, sizes = Site(seed), []
@@ -168,7 +172,9 @@
     assert bytes_last < 1.1 * bytes_first < 3000, sizes  # the numbers in stamps get more digits
 
 
-@test("counts of a proxy that has ended stay for as long as the rollout that they follow, and no longer")
+@test(
+    "counts of a proxy that has ended are retained as long as the rollout that they count for, and no longer"
+)
 def _():
     site = Site(4)
     site.rollout = {"n": 3, "order": 3, "state": "active"}
@@ -189,7 +195,7 @@
     site.check()
 
 
-@test("a controller that was removed is forgotten, with all that it told of proxies")
+@test("the records of a controller that was removed expire, with all that it published of proxies")
 def _():
     site = Site(5, "abcd")
     site.restart_proxy("p1")
@@ -203,37 +209,42 @@
     site.check()
 
 
-@test("the epoch needs a quorum and the time it stands, by a steady clock; who is frozen brings it on by one")
+@test("the epoch advances in quorum after its duration, by a steady clock; after a freeze by one")
 def _():
     clock = epochs.EpochClock()
-    assert clock.next(0.0, 7, True) == clock.next(epochs.EPOCH_S - 1, 7, True) == 7
-    assert clock.next(10 * epochs.EPOCH_S, 7, False) == 7
-    assert clock.next(20 * epochs.EPOCH_S, 7, True) == clock.next(20 * epochs.EPOCH_S + 1, 8, True) == 8
-    assert clock.next(20 * epochs.EPOCH_S + 2, 30, True) == 30
+    assert clock.advance(0.0, 7, True) == clock.advance(epochs.EPOCH_S - 1, 7, True) == 7
+    assert clock.advance(10 * epochs.EPOCH_S, 7, False) == 7
+    assert clock.advance(20 * epochs.EPOCH_S, 7, True) == clock.advance(20 * epochs.EPOCH_S + 1, 8, True) == 8
+    assert clock.advance(20 * epochs.EPOCH_S + 2, 30, True) == 30
 
 
-@test("stamps without an epoch, or with a senseless one, never lapse and bring none on")
+@test("records with a stamp without an epoch, or with an invalid one, never expire and advance none")
 def _():
-    stamps = ("fleet/a/p", [5, 1]), ("count/p/l", [3]), ("machine/m", [3, 0]), ("bourse/a", [5, 1, -1])
+    stamps = (
+        ("fleet/a/p", Stamp.of(5, 1)),
+        ("count/p/l", Stamp.of(3)),
+        ("machine/m", Stamp.of(3, 0)),
+        ("bourse/a", Stamp.of(5, 1, -1)),
+    )
     for key, stamp in stamps:
-        assert epochs.told_in(key, stamp) is None and not epochs.lapsed(None, 99)
+        assert epochs.published_in(key, stamp) is None and not epochs.is_expired(None, 99)
     store = Store("l")
-    store.put("fleet/a/p", [5, 1, epochs.MOST + 1], ["z", "p"])
+    store.put("fleet/a/p", Stamp.of(5, 1, epochs.MAX_EPOCH + 1), ["z", "p"])
     assert store.epoch == 0 and store.get("fleet/a/p")
 
 
-@test("what has lapsed is taken from nobody, and gives way to its owner whose clock was set back")
+@test("expired records are taken from no one, and give way to their owner whose clock was set back")
 def _():
     store = Store("l")
-    assert store.put("bourse/a", [900, 7, 1], "a") and store.put("bourse/b", [900, 7, 1], "b")
-    assert store.put("bourse/a", [100, 1, 5], "a"), "the higher incarnation of before has lapsed"
+    assert store.put("bourse/a", Stamp.of(900, 7, 1), "a") and store.put("bourse/b", Stamp.of(900, 7, 1), "b")
+    assert store.put("bourse/a", Stamp.of(100, 1, 5), "a"), "the higher incarnation of before has lapsed"
     assert store.prune() == ["bourse/b"]
-    for stamp in ([900, 9, 1], [900, 9, 3]):
+    for stamp in (Stamp.of(900, 9, 1), Stamp.of(900, 9, 3)):
         assert not store.put("bourse/b", stamp, "b") and store.get("bourse/b") is None
-    assert not store.put("bourse/a", [900, 8, 3], "a") and store.stamp("bourse/a") == [100, 1, 5]
-    assert store.put("bourse/b", [100, 1, 4], "b")
+    assert not store.put("bourse/a", Stamp.of(900, 8, 3), "a") and store.stamp("bourse/a") == (100, 1, 5)
+    assert store.put("bourse/b", Stamp.of(100, 1, 4), "b")
     other = Store("o")
-    other.hear(store.since("", 0, True))
+    other.merge(ChangeFeed(store).since("", 0, True))
     assert other.digest == store.digest and other.epoch == 5
 
 
@@ -264,7 +275,9 @@
             world.run(world.loop.time() + 1.4)
             world.kill(name)
             stores = [world.nodes[one].publisher.store for one in "abc"]
-            sizes.append(max(sum(store.size(key) for key in store.records) for store in stores))
+            sizes.append(
+                max(sum(ChangeFeed(store).encoded_size(key) for key in store.records) for store in stores)
+            )
         world.run(world.loop.time() + 60.0)
         held = {name: set(world.nodes[name].publisher.store.records) for name in "abcf"}
         life = world.nodes["f"].life
@@ -280,7 +293,7 @@
         world.close()
 
 
-@test("programs: controllers that all begin anew, clocks set back, learn the epoch from proxies")
+@test("programs: controllers that all start again, clocks set back, get the epoch from proxies")
 def _():
     before, epochs.EPOCH_S = epochs.EPOCH_S, 8.0
     world = World(fronts="fg")
@@ -303,14 +316,14 @@
         world.run(70.0)  # what proxies hold of the higher incarnations before has lapsed
         assert len({one.digest for one in stores}) == 1
         assert len({str(one.stamp("bourse/a")) for one in stores}) == 1
-        assert all(len([key for key, _ in one.under("bourse/")]) == 3 for one in stores)
+        assert all(len([key for key, _ in one.items_of(RecordKind.CONTROLLER)]) == 3 for one in stores)
         assert {len(world.nodes[name].fleet.proxies) for name in "abc"} == {2}
     finally:
         epochs.EPOCH_S = before
         world.close()
 
 
-@test("programs: a controller that was removed is asked no more, and found again if it comes back")
+@test("programs: a controller that was removed is no longer polled, and found again if it returns")
 def _():
     # Each was called once a second by every proxy and controller for ever.
     before, epochs.EPOCH_S = epochs.EPOCH_S, 8.0
@@ -318,7 +331,7 @@
 
     def known(name):
         program = world.nodes[name]
-        return program.controllers if name == "f" else program.peers.addresses
+        return program.peers.controllers if name == "f" else program.peers.addresses
 
     def asked():
         found = {name: "".join(sorted(known(name))) for name in "abcf"}
@@ -334,7 +347,7 @@
         world.run(40.0)
         assert asked() == ({"abc"}, {2})
         assert "d" not in world.nodes["a"].contacts.peers
-        assert "d" not in world.nodes["f"].poller.backoff.failed
+        assert "d" not in world.nodes["f"].poller.backoff.delays
         world.kill("b")  # a seed and a member
         world.run(80.0)
         assert known("f").count("b") == known("a").count("b") == 1
@@ -349,42 +362,43 @@
 
 
 # names that left
-@test("buckets of names that left come to the same in any order, and keep the newest")
+@test("buckets of tombstones converge in any order, and keep the newest")
 def _():
     draw = random.Random(1)
-    names = [f"i-{n}" for n in range(3 * departed.MOST)]
+    names = [f"i-{n}" for n in range(3 * tombstones.BUCKET_CAPACITY)]
     one = two = None
     for name in names:
-        one = departed.add(one, name)
-    for name in reversed(names[: departed.MOST]):
-        two = departed.add(two, name)
-    both = departed.merge(one, two)
-    assert both == departed.merge(two, one) == departed.merge(both, two)
-    assert departed.holds(one, names[-1]) and not departed.holds(one, names[0])
-    assert [departed.holds(one, name) for name in names] == [
-        departed.hashed(name) in departed.decode(one) for name in names
+        one = tombstones.add(one, name)
+    for name in reversed(names[: tombstones.BUCKET_CAPACITY]):
+        two = tombstones.add(two, name)
+    both = tombstones.merge(one, two)
+    assert both == tombstones.merge(two, one) == tombstones.merge(both, two)
+    assert tombstones.contains(one, names[-1]) and not tombstones.contains(one, names[0])
+    assert [tombstones.contains(one, name) for name in names] == [
+        tombstones.machine_hash(name) in tombstones.decode(one) for name in names
     ]
-    across = departed.ENTRY.pack(0, 1)[4:] + departed.ENTRY.pack(0, 1)[:4]  # bytes of the end of one entry
-    entries = b"\0" * 4 + departed.hashed("i-1").to_bytes(8, "little") + across
-    assert not departed.holds(b2a_base64(entries).decode(), "i-1")
-    entries += departed.ENTRY.pack(departed.hashed("i-1"), 3)
-    assert departed.holds(b2a_base64(entries).decode(), "i-1")
+    entry = tombstones.ENTRY.pack(0, 1)
+    across = entry[4:] + entry[:4]  # bytes of the end of one entry
+    entries = b"\0" * 4 + tombstones.machine_hash("i-1").to_bytes(8, "little") + across
+    assert not tombstones.contains(b2a_base64(entries).decode(), "i-1")
+    entries += tombstones.ENTRY.pack(tombstones.machine_hash("i-1"), 3)
+    assert tombstones.contains(b2a_base64(entries).decode(), "i-1")
     stores = [Store(n) for n in "abc"]
     for n in range(2000):
         store = draw.choice(stores)
-        store.forget(f"i-{n}", True)
+        store.drop_machine(f"i-{n}", True)
         if n % 7 == 0:
             for other in stores:
-                other.hear(carried(store.since("", 0, True)))
+                other.merge(carried(ChangeFeed(store).since("", 0, True)))
     for _ in range(2):
         for store in stores:
             for other in stores:
-                other.hear(store.since("", 0, True))
-    held = [dict(store.under(departed.PREFIX)) for store in stores]
-    assert held[0] == held[1] == held[2] and stores[0].departed > 1900
+                other.merge(ChangeFeed(store).since("", 0, True))
+    held = [dict(store.items_of(RecordKind.TOMBSTONES)) for store in stores]
+    assert held[0] == held[1] == held[2] and stores[0].tombstone_count > 1900
 
 
-@test("a machine that left stays so over {what}: a late copy of its heartbeat brings nothing back")
+@test("a tombstone outlives {what}: a late copy of a heartbeat brings no machine back")
 def _(what=each("a restart of a controller", "the loss of its disk", "a restart of all")):
     # Kept in memory alone: a controller that had begun anew took such a copy, and told it to all.
     world = World(fronts="f")
@@ -408,12 +422,12 @@
         world.say("b", "beat m ready")
         world.run(136.0)
         assert [world.state(name, "m") for name in "abcf"] == ["unknown"] * 4
-        assert all(world.nodes[name].store.departed == 1 for name in "abc")
+        assert all(world.nodes[name].store.tombstone_count == 1 for name in "abc")
     finally:
         world.close()
 
 
-@test("a copy taken before a controller was told that the machine left is taken back everywhere")
+@test("a copy taken before a controller had the machine's tombstone is withdrawn everywhere")
 def _():
     world = World(fronts="f")
     try:
@@ -421,10 +435,10 @@
             world.start(name)
         world.run(1.0)
         for name in "ab":
-            world.nodes[name].store.forget("m", True)
-        world.nodes["c"].store.put("machine/m", [1, 0], machine("m"))
+            world.nodes[name].store.drop_machine("m", True)
+        world.nodes["c"].store.put("machine/m", Stamp.of(1, 0), machine("m"))
         front = world.nodes["f"].publisher.store
-        front.put("machine/m", [1, 0], machine("m"))
+        front.put("machine/m", Stamp.of(1, 0), machine("m"))
         world.run(4.0)
         assert world.state("c", "m") == world.state("f", "m") == "gone"
         assert world.nodes["f"].endpoints.by_id == {}
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -5,6 +5,7 @@
 
 from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.controller import machines
+from honeywood.gateway.dissemination.keys import RecordKind
 from honeywood.gateway.errors import InvalidInput
 from honeywood.gateway.rpc.statuses import status_of
 from honeywood.lab.emulator.boot import boot
@@ -97,7 +98,7 @@
         found = [task.result() for task in tasks]
         assert all(400 <= status < 500 for status, _ in found), f"{found}"
         assert all(told.operation and told.reason for _, told in found), f"{found}"
-        assert world.version("b") is None and not world.nodes["b"].store.under("machine/")
+        assert world.version("b") is None and not world.nodes["b"].store.items_of(RecordKind.MACHINE)
     finally:
         world.close()
 
