--- a/tests/gateway/dissemination/test_epochs.py
+++ b/tests/gateway/dissemination/test_epochs.py
@@ -347,7 +347,7 @@
         world.run(40.0)
         assert asked() == ({"abc"}, {2})
         assert "d" not in world.nodes["a"].contacts.peers
-        assert "d" not in world.nodes["f"].poller.backoff.delays
+        assert "d" not in world.nodes["f"].poller.subscriber.backoff.delays
         world.kill("b")  # a seed and a member
         world.run(80.0)
         assert known("f").count("b") == known("a").count("b") == 1
