--- /dev/null
+++ b/honeywood/gateway/controller/rollout_evidence.py
@@ -0,0 +1,100 @@
+"""What is known at one controller of a rollout: since when, what proxies have counted, and how they vote."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from honeywood.gateway.dissemination.keys import RecordKind
+from honeywood.gateway.rollout import report
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from honeywood.gateway.controller.proxy_fleet import ProxyFleet
+    from honeywood.gateway.dissemination.store import Store
+    from honeywood.gateway.rollout.record import Rollout
+    from honeywood.gateway.rollout.report import OutcomeCounts, ProxyReport, RolloutStatus, Vote
+
+
+@dataclass(frozen=True, slots=True)
+class KnownRevision:
+    """Which revision of a rollout is known here, and since when (steady seconds)."""
+
+    revision: int
+    since: float
+
+
+@dataclass(frozen=True, slots=True)
+class ProxyEvidence:
+    """What proxies say of one revision of a rollout."""
+
+    outcome_counts: list[OutcomeCounts]  # of all proxies since the order, also of those that have ended
+    votes: list[Vote | None]  # of each proxy that shares the traffic; None: it has not voted on this revision
+    all_left: bool  # whether all of these follow it and have nothing in flight where its stage leaves
+
+
+class RolloutEvidence:
+    """Collects evidence from the records on this controller's store."""
+
+    def __init__(self, store: Store, fleet: ProxyFleet, clock: Callable[[], float]) -> None:
+        """Start without any rollout; `clock` gives steady seconds."""
+        self.store, self.fleet, self.clock = store, fleet, clock
+        self._known: dict[str, KnownRevision] = {}  # by service
+
+    def record_revision(self, service: str, revision: int) -> None:
+        """Take note of a rollout's record that has come to the store."""
+        self._known[service] = KnownRevision(revision, self.clock())
+
+    def known_for_s(self, rollout: Rollout) -> float:
+        """Return for how many seconds at least the rollout's revision has been known, here or at a proxy.
+
+        Steady clocks of proxies go on where all controllers restart.
+        """
+        known_s: list[float] = []
+        local = self._known.get(rollout.service)
+        if local is not None and local.revision == rollout.revision:
+            known_s.append(self.clock() - local.since)
+        for _, value in self.store.items_of(RecordKind.PROXY_COUNTS):
+            status = report.decode(value).status(rollout.service)
+            if status is None or status.revision != rollout.revision or status.revision_age_s is None:
+                continue
+            known_s.append(status.revision_age_s)
+        return max(known_s, default=0.0)
+
+    def collect(self, rollout: Rollout) -> ProxyEvidence:
+        """Return what proxies say of a rollout."""
+        reports = self._reports()
+        # What arrived last is of the incarnation that runs, whatever its clock said: a later entry wins.
+        latest = dict(reports)
+        outcome_counts = [
+            counts for _, one in reports if _follows_order(one, rollout) for counts in one.outcome_counts
+        ]
+        statuses = [
+            self._current_status(latest.get(node), rollout)
+            for node in self.fleet.current_proxies(self.clock())
+        ]
+        return ProxyEvidence(
+            outcome_counts=outcome_counts,
+            votes=[status.vote if status else None for status in statuses],
+            all_left=bool(statuses) and all(status and not status.pending for status in statuses),
+        )
+
+    def _reports(self) -> list[tuple[str, ProxyReport]]:
+        """Return each incarnation's report with its proxy's node, in the order of their arrival."""
+        by_arrival = self.store.items_by_revision(RecordKind.PROXY_COUNTS)
+        return [(key.split("/")[1], report.decode(value)) for key, value in by_arrival]
+
+    @staticmethod
+    def _current_status(latest: ProxyReport | None, rollout: Rollout) -> RolloutStatus | None:
+        """Return a proxy's status in the rollout's present revision, or None."""
+        status = None if latest is None else latest.status(rollout.service)
+        return status if status is not None and status.revision == rollout.revision else None
+
+
+def _follows_order(report_of_proxy: ProxyReport, rollout: Rollout) -> bool:
+    """Return whether a report is of a proxy that knew the rollout's order."""
+    status = report_of_proxy.status(rollout.service)
+    if status is None or status.revision_age_s is None:
+        return False
+    return status.revision >= rollout.order_revision
--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -9,9 +9,8 @@
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     import asyncio
-    from collections.abc import Awaitable, Callable
-
     from honeywood.gateway.configuration.model import Limits
+    from honeywood.gateway.metrics_endpoint import MetricsEndpoint
     from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
     from honeywood.gateway.rpc.asgi import Receive, Scope, Send
     from honeywood.gateway.proxy.client_handler import ClientHandler
@@ -26,8 +25,8 @@
 class App:
     """What the HTTP server calls for each request on any of the proxy's listeners.
 
-    `ready_port`, `peer_port` and `metrics_port` are those of the platform's readiness checks, of other
-    proxies and of the metrics page; every other request is a client's.
+    `ready_port` and `peer_port` are those of the platform's readiness checks and of other proxies; what comes
+    neither there nor to the metrics endpoint is a client's.
     """
 
     def __init__(
@@ -38,22 +37,20 @@
         writer: ResponseWriter,
         readiness: Readiness,
         stopping: asyncio.Event,
-        serve_metrics: Callable[[Scope, Send], Awaitable[None]],
+        metrics: MetricsEndpoint,
         ready_port: int,
         peer_port: int,
-        metrics_port: Callable[[], int | None],
     ) -> None:
-        """`metrics_port` gives None while there is no metrics listener."""
+        """The application of one proxy."""
         self.configuration = configuration
         self.clients = clients
         self.peers = peers
         self.writer = writer
         self.readiness = readiness
         self.stopping = stopping
-        self.serve_metrics = serve_metrics
+        self.metrics = metrics
         self.ready_port = ready_port
         self.peer_port = peer_port
-        self.metrics_port = metrics_port
 
     @property
     def limits(self) -> Limits:
@@ -67,8 +64,8 @@
             await send_response(send, OK if self.readiness.is_ready() else UNAVAILABLE)
         elif port == self.peer_port:
             await self.peers.handle(scope, receive, send)
-        elif port == self.metrics_port():
-            await self.serve_metrics(scope, send)
+        elif port == self.metrics.port:
+            await self.metrics.serve(scope, send)
         else:
             await self._serve_client(scope, receive, send)
 
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import time
-from random import Random
 
 from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.chunks import ChunkAssembler
@@ -13,7 +12,7 @@
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.dissemination.retired_machines import RetiredMachines
 from honeywood.gateway.dissemination.subscriber import Subscriber
-from honeywood.gateway.program import COUNTS, Program
+from honeywood.gateway.program import COUNTS_INTERVAL_S, Program
 from honeywood.gateway.proxy import status
 from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
 from honeywood.gateway.proxy.app import App
@@ -43,9 +42,11 @@
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
+    from random import Random
 
     from honeywood.gateway.configuration.settings import Settings
-    from honeywood.gateway.metrics import Figures
+    from honeywood.gateway.event_log import EventLog
+    from honeywood.gateway.metrics import Metrics
     from honeywood.gateway.proxy.connection_pool import Connect
     from honeywood.gateway.proxy.record_handler import JsonValue
     from honeywood.gateway.rpc.client import Caller
@@ -70,14 +71,14 @@
         *,
         random: Random | None = None,
         connect: Connect = Connection.open,
+        log: EventLog | None = None,
     ) -> None:
         """Builds the parts; nothing runs yet.
 
         Without `settings` they are read from the settings file. `caller` calls other programs, `connect`
         opens connections to endpoints. `clock` gives monotonic seconds, `wall_clock` those since 1970.
         """
-        super().__init__(settings, caller, clock, wall_clock)
-        self.random = random or Random()
+        super().__init__(settings, caller, clock, wall_clock, log, random)
         self.server: HttpServer | None = None
         self._build_state()
         self._build_data_plane(connect)
@@ -98,7 +99,7 @@
             self.endpoints,
             self.stopping,
             bounds.contact_s,
-            lambda: self.say("ready without a controller that hears a majority", LOG_INTERVAL_S),
+            self._log_unconfirmed,
         )
 
     def _build_data_plane(self, connect: Connect) -> None:
@@ -142,9 +143,9 @@
             self.stage,
             self.retired_machines,
             self.peers,
-            lambda: self.say("configuration"),
+            lambda: self.log.info("configuration"),
         )
-        self.reports = RolloutReports(self.stage, self.clock, s.node, self.life, store)
+        self.reports = RolloutReports(self.stage, self.clock, s.node, self.incarnation, store)
         self.assembler = ChunkAssembler()
         subscriber = Subscriber(
             store,
@@ -177,7 +178,7 @@
             self.reports,
             self.readiness,
             self.revalidation,
-            lambda: self.say("no controller answers", LOG_INTERVAL_S),
+            self._log_no_controller,
         )
 
     def _build_app(self) -> None:
@@ -190,16 +191,15 @@
             self.writer,
             self.readiness,
             self.stopping,
-            self.tell_figures,
+            self.metrics_endpoint,
             self.settings.listen.ready[1],
             self.settings.proxy_port,
-            lambda: self.metrics_port,
         )
 
     def _requester(self) -> Requester:
         """How this proxy introduces itself in polls."""
         s = self.settings
-        return Requester(s.node, s.ip, s.zone, self.life, is_proxy=True)
+        return Requester(s.node, s.ip, s.zone, self.incarnation, is_proxy=True)
 
     def _max_poll_bytes(self) -> int:
         """The limit on the response to a poll of a controller."""
@@ -211,13 +211,22 @@
 
     def _log_violation(self, violation: Violation, details: str) -> None:
         """An invariant doesn't hold: a defect of this program, which operators have to see."""
-        self.say("invariant violated", LOG_INTERVAL_S, what=violation.value, details=details)
+        what = violation.value
+        self.log.info("invariant violated", min_interval_s=LOG_INTERVAL_S, what=what, details=details)
 
-    def config_held(self) -> str | None:
+    def _log_unconfirmed(self) -> None:
+        """The proxy is ready, and no controller in quorum has confirmed its configuration."""
+        self.log.info("ready without a controller that hears a majority", min_interval_s=LOG_INTERVAL_S)
+
+    def _log_no_controller(self) -> None:
+        """No controller in quorum answers polls."""
+        self.log.info("no controller answers", min_interval_s=LOG_INTERVAL_S)
+
+    def configuration_version(self) -> str | None:
         """The configuration version in effect, in hexadecimal digits."""
         return self.configuration.version_text
 
-    def found(self, controllers: Iterable[str]) -> None:
+    def discover_controllers(self, controllers: Iterable[str]) -> None:
         """The settings file names controllers."""
         self.peers.add_controllers(controllers)
 
@@ -226,13 +235,13 @@
         """Whether the proxy reports itself ready for clients."""
         return self.readiness.is_ready()
 
-    def figures(self) -> Figures:
+    def metrics(self) -> Metrics:
         """The metrics page's figures."""
-        return status.figures(self)
+        return status.metrics(self)
 
     async def log_counts(self) -> None:
         """Logs sums since the start, and what stands now."""
-        self.say("counts", **status.log_fields(self))
+        self.log.info("counts", **status.log_fields(self))
 
     async def maintain(self) -> None:
         """Checks invariants and drops what has expired."""
@@ -255,18 +264,18 @@
         s = self.settings
         self.server = HttpServer(self.app)
         await self.server.open([s.listen.http, s.listen.ready, (s.ip, s.proxy_port)])
-        await self.open_metrics(self.server)
-        self.say("started", role=s.role)
+        await self.metrics_endpoint.open(self.server)
+        self.log.info("started", role=s.role)
         self.begin()
-        await self.until_stopped()
-        self.say("stopping")
+        await self.wait_until_stopped()
+        self.log.info("stopping")
         await asyncio.sleep(UNREADY_NOTICED_S)
         await self.server.close(s.bounds.grace_s - UNREADY_NOTICED_S - STOP_MARGIN_S)
-        self.say("stopped")
+        self.log.info("stopped")
 
     def begin(self) -> None:
         """Starts the loops."""
-        self.loop(self.subscription.poll_once, SUBSCRIPTION_PAUSE_S)
-        self.loop(self.poller.poll_once, POLL_PAUSE_S)
-        self.loop(self.maintain, MAINTENANCE_S)
-        self.loop(self.log_counts, COUNTS)
+        self.periodic_tasks.start(self.subscription.poll_once, SUBSCRIPTION_PAUSE_S)
+        self.periodic_tasks.start(self.poller.poll_once, POLL_PAUSE_S)
+        self.periodic_tasks.start(self.maintain, MAINTENANCE_S)
+        self.periodic_tasks.start(self.log_counts, COUNTS_INTERVAL_S)
--- a/honeywood/gateway/proxy/status.py
+++ b/honeywood/gateway/proxy/status.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from honeywood.gateway.metrics import Figures
+from honeywood.gateway.metrics import Metrics
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -35,8 +35,8 @@
     }
 
 
-def figures(proxy: Proxy) -> Figures:
-    """The metrics page's figures."""
+def metrics(proxy: Proxy) -> Metrics:
+    """A reading of the metrics."""
     endpoints = proxy.endpoints.by_id.values()
     gauges = {
         "ready": proxy.ready,
@@ -48,4 +48,4 @@
         "open_attempts": sum(endpoint.in_flight for endpoint in endpoints),
         "connections_opened": proxy.pool.opened,
     }
-    return Figures(events(proxy), gauges)
+    return Metrics(events(proxy), gauges)
--- a/honeywood/gateway/register/persistent_state.py
+++ b/honeywood/gateway/register/persistent_state.py
@@ -16,6 +16,7 @@
     from typing import Protocol, TypeVar
 
     from honeywood.gateway.configuration.settings import Settings
+    from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.register.json_value import JsonValue
     from honeywood.gateway.register.membership_configuration import MembershipConfiguration
     from honeywood.gateway.register.row import Ballot, Row
@@ -46,12 +47,10 @@
     those of other disks that are known to be later than the first.
     """
 
-    def __init__(
-        self, settings: Settings, open_store: Callable[[str], Store], say: Callable[..., None]
-    ) -> None:
+    def __init__(self, settings: Settings, open_store: Callable[[str], Store], log: EventLog) -> None:
         """`open_store` opens the store in a folder; nothing is read before `open`."""
         self.local_ip, self._folder = settings.ip, settings.data_directory
-        self._open_store, self._say = open_store, say
+        self._open_store, self._log = open_store, log
         self.store: Store | None = None
         self.executor: Executor = ThreadPoolExecutor(1)
         self.registers: dict[str, Row] = {}
@@ -66,7 +65,7 @@
             try:
                 self.store = await self._on_disk(self._open_store, self._folder)
             except OSError as error:
-                self._say("disk open failed", every=OPEN_LOG_INTERVAL_S, why=str(error))
+                self._log.info("disk open failed", min_interval_s=OPEN_LOG_INTERVAL_S, why=str(error))
                 await asyncio.sleep(REOPEN_INTERVAL_S)
         self.apply(StateUpdate.decode(await self._on_disk(self.store.rows)))
 
--- a/tests/gateway/proxy/test_failure_responses.py
+++ b/tests/gateway/proxy/test_failure_responses.py
@@ -27,7 +27,7 @@
             assert status(found.upper()) == 503 and b"no machine free: state" in found
             assert b"retry-after: 0.1" in found
             logged = []
-            scene.proxy.say = lambda event, *given, **more: logged.append((event, more))
+            scene.proxy.log.info = lambda event, **more: logged.append((event, more))
             await scene.proxy.log_counts()
             (event, more), counts = logged[0], scene.proxy.counters.counts
             assert event == "counts" and more["answered 200"] == more["answered 503"] == 1
