--- a/honeywood/gateway/controller/machine_service.py
+++ b/honeywood/gateway/controller/machine_service.py
@@ -8,7 +8,7 @@
 from honeywood.gateway.controller.machine_row_writer import MachineRowWriter
 from honeywood.gateway.controller.machine_table import MachineTable
 from honeywood.gateway.errors import GatewayError, Unavailable
-from honeywood.gateway.routing.endpoints import DRAINING
+from honeywood.gateway.routing.endpoint_state import DRAINING
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
--- a/honeywood/gateway/controller/machine_table.py
+++ b/honeywood/gateway/controller/machine_table.py
@@ -21,7 +21,7 @@
 from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.dissemination.retired_machines import RetiredMachines
 from honeywood.gateway.register.state_update import HeartbeatRecord
-from honeywood.gateway.routing.endpoints import GONE, LOST
+from honeywood.gateway.routing.endpoint_state import GONE, LOST
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
--- /dev/null
+++ b/honeywood/gateway/proxy/record_handler.py
@@ -0,0 +1,78 @@
+"""Applies records that have come to the proxy's store."""
+
+from __future__ import annotations
+
+from honeywood.gateway.configuration.packing import unpack
+from honeywood.gateway.configuration.reader import read_configuration
+from honeywood.gateway.dissemination.keys import RecordKind, kind_of, name_of
+from honeywood.gateway.rollout import record as rollout_record
+from honeywood.gateway.routing.endpoint_record import EndpointRecord
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from typing import Any
+
+    from honeywood.gateway.dissemination.retired_machines import RetiredMachines
+    from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
+    from honeywood.gateway.proxy.connection_pool import ConnectionPool
+    from honeywood.gateway.proxy.known_peers import KnownPeers
+    from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
+    from honeywood.gateway.routing.endpoint_table import EndpointTable
+
+    JsonValue = Any  # of a record; each kind has its own decoder
+
+
+class RecordHandler:
+    """Brings the proxy's state up to date, a record at a time."""
+
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        configuration: ActiveConfiguration,
+        endpoints: EndpointTable,
+        pool: ConnectionPool,
+        stage: RolloutTrafficPolicy,
+        retired_machines: RetiredMachines,
+        peers: KnownPeers,
+        on_configuration: Callable[[], None],
+    ) -> None:
+        """`on_configuration` is called after another configuration has taken effect."""
+        self.clock = clock
+        self.configuration = configuration
+        self.endpoints = endpoints
+        self.pool = pool
+        self.stage = stage
+        self.retired_machines = retired_machines
+        self.peers = peers
+        self.on_configuration = on_configuration
+
+    def apply(self, key: str, value: JsonValue) -> None:
+        """A record is new or has changed. Raises InvalidInput where it can't be read."""
+        kind, name = kind_of(key), name_of(key)
+        if kind == RecordKind.CONFIGURATION:
+            self._apply_configuration(value)
+        elif kind == RecordKind.MACHINE:
+            self._apply_machine(name, value)
+        elif kind == RecordKind.ROLLOUT:
+            self.stage.update(self.clock(), rollout_record.decode(value))
+        elif kind == RecordKind.CONTROLLER:
+            self.peers.add_controllers([name])
+
+    def _apply_configuration(self, packed: str) -> None:
+        configuration = read_configuration(unpack(packed), hashed_keys=True)
+        self.configuration.activate(configuration)
+        self.endpoints.max_connections.clear()
+        self.endpoints.max_connections.update(
+            {name: service.max_connections for name, service in configuration.services.items()}
+        )
+        self.on_configuration()
+
+    def _apply_machine(self, id: str, value: dict[str, Any]) -> None:
+        """Idle connections to an endpoint that is out of service are closed."""
+        now = self.clock()
+        record = EndpointRecord.decode(value)
+        self.retired_machines.observe(now, id, record.state)
+        endpoint = self.endpoints.update(now, id, record)
+        if endpoint is not None:
+            self.pool.close_idle(endpoint)
--- a/honeywood/gateway/rollout/version_status.py
+++ b/honeywood/gateway/rollout/version_status.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from honeywood.gateway.rollout.proxy_voter import ProxyVoters
     from honeywood.gateway.rollout.record import Rollout
-    from honeywood.gateway.routing.endpoints import Endpoints
+    from honeywood.gateway.routing.endpoint_table import EndpointTable
 
 
 class VersionStatus(StrEnum):
@@ -33,7 +33,7 @@
 
     __slots__ = ("rollouts", "_endpoints", "_voters")
 
-    def __init__(self, endpoints: Endpoints, voters: ProxyVoters) -> None:
+    def __init__(self, endpoints: EndpointTable, voters: ProxyVoters) -> None:
         """No rollout is known; `endpoints` and `voters` are the proxy's."""
         self.rollouts: dict[str, Rollout] = {}  # by service
         self._endpoints = endpoints
--- a/tests/gateway/dissemination/test_mutations.py
+++ b/tests/gateway/dissemination/test_mutations.py
@@ -22,7 +22,7 @@
 from honeywood.gateway.dissemination.poll_waiters import PollWaiters
 from honeywood.gateway.dissemination.publisher import Publisher
 from honeywood.gateway.dissemination.store import Store
-from honeywood.gateway.proxy.count_records import CountRecords
+from honeywood.gateway.proxy.rollout_reports import RolloutReports
 from honeywood.gateway.rpc.text_chunks import PartialText
 
 FILES = (
@@ -59,8 +59,8 @@
     return None
 
 
-def counts_always(self, controller, records_for=CountRecords.records_for):
-    self.held.clear()
+def counts_always(self, controller, records_for=RolloutReports.records_for):
+    self.acknowledged.clear()
     return records_for(self, controller)
 
 
@@ -159,7 +159,7 @@
         (),
         "what a proxy is sent doesn't grow with their",
     ),
-    Mutation("counts always told", CountRecords, "records_for", counts_always, "all controllers"),
+    Mutation("counts always told", RolloutReports, "records_for", counts_always, "all controllers"),
     Mutation(
         "no backoff", Backoff, "remaining_s", lambda *given: 0.0, "a proxy without responses polls less and"
     ),
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -33,4 +33,4 @@
                 file.write(text)
             os.utime(path, ns=(at + 1, at + 1))
             asyncio.run(proxy.reload_settings())
-            assert proxy.controllers == (known or ["10.0.0.1", "10.0.0.2"])
+            assert proxy.peers.controllers == (known or ["10.0.0.1", "10.0.0.2"])
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -15,20 +15,21 @@
 from honeywood.gateway.dissemination.change_feed import ChangeFeed
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.store import Store
+from honeywood.gateway.proxy import attempt_sender, poll_interval
+from honeywood.gateway.proxy.controller_poller import ControllerPoller
+from honeywood.gateway.proxy.failure_responses import FailureResponses
+from honeywood.gateway.proxy.update_subscription import UpdateSubscription
+from honeywood.gateway.proxy.client_response import local_response
+from honeywood.gateway.proxy.attempt_sender import AttemptSender
 from honeywood.gateway.errors import GatewayError, VersionConflict
-from honeywood.gateway.proxy import polling, sender
-from honeywood.gateway.proxy.forwarding import Forwarder
-from honeywood.gateway.proxy.program import Proxy
-from honeywood.gateway.proxy.responses import own_response
-from honeywood.gateway.proxy.sender import AttemptSender
 from honeywood.gateway.register import membership_rules
 from honeywood.gateway.register.persistent_state import PersistentState
 from honeywood.gateway.rollout import transitions
 from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
-from honeywood.gateway.routing.attempts import AttemptPolicy
-from honeywood.gateway.routing.budget import RetryBudget
+from honeywood.gateway.routing.attempt_policy import AttemptPolicy
+from honeywood.gateway.routing.retry_budget import RetryBudget
 from honeywood.gateway.routing.outcomes import AttemptOutcome
-from honeywood.gateway.routing.routes import RouteTable
+from honeywood.gateway.routing.route_table import RouteTable
 from honeywood.lab.emulator import hunt
 from honeywood.lab.emulator.day import Day, EmulatedDay, draw, play
 from honeywood.lab.emulator.faults import Fault
@@ -108,7 +109,8 @@
         kept = AttemptPolicy.__dict__[method]
         return lambda *given: None if kept(*given) == name else kept(*given)
 
-    return [(AttemptPolicy, method, without(method)) for method in ("request_refusal", "endpoint_refusal")]
+    methods = ("request_rejection", "endpoint_rejection")
+    return [(AttemptPolicy, method, without(method)) for method in methods]
 
 
 def any_answer(status, fields, try_id):
@@ -147,7 +149,7 @@
     self.apply(update)
 
 
-async def gives_up(self, listen=Proxy.listen):
+async def gives_up(self, listen=UpdateSubscription.poll_once):
     """A proxy that finds nobody listening at its start asks no more."""
     await listen(self)
     if not self.subscriber.positions:
@@ -207,11 +209,11 @@
 def three_routes(self, config, init=RouteTable.__init__):
     """Routes beyond the first three of a configuration are forgotten."""
     init(self, config)
-    self.hosts = {host: dict([*routes.items()][:3]) for host, routes in self.hosts.items()}
+    self.routes_by_host = {host: dict([*routes.items()][:3]) for host, routes in self.routes_by_host.items()}
 
 
 def promise(self, ask, best):
-    return own_response(503, "no machine free", 0.1)
+    return local_response(503, "no machine free", 0.1)
 
 
 POOR = {"per_s": 120.0, "bounds": (("retry_slack", 2), ("retry_ratio", 0.02))}
@@ -226,10 +228,10 @@
     ),
     patch=each(
         lambda: unrefused("may have run"),
-        lambda: [(Forwarder, "_give_up", promise)],
-        lambda: [(sender, "classify", any_answer), (Connection, "exchange", unexpecting)],
+        lambda: [(FailureResponses, "no_endpoint", promise)],
+        lambda: [(attempt_sender, "classify_response", any_answer), (Connection, "exchange", unexpecting)],
         lambda: unrefused("state"),
-        lambda: [(polling, "POLL_S", 3.0), (Proxy, "listen", idle)],
+        lambda: [(poll_interval, "POLL_S", 3.0), (UpdateSubscription, "poll_once", idle)],
         lambda: [(Store, "put", last_wins), (ChangeFeed, "since", all_again)],
         lambda: [(RetryBudget, "allows", lambda self, now, fronts: True)],
         lambda: [(RolloutTrafficPolicy, "trial_permits", lambda self, now, ask: True)],
@@ -246,7 +248,7 @@
         lambda: [(PersistentState, "write", without_rollouts)],
         lambda: unrefused("state"),
         lambda: [(membership_rules, "majority", lambda here: len(here.members))],
-        lambda: [(Proxy, "listen", gives_up), (Proxy, "poll", idle)],
+        lambda: [(UpdateSubscription, "poll_once", gives_up), (ControllerPoller, "poll_once", idle)],
         lambda: [(Operations, "leave", unheeded), (heartbeat, "decode_heartbeat", always_ready)],
         lambda: [(RouteTable, "__init__", three_routes)],
         lambda: [(AttemptSender, "abandon", lambda self, request: None)],
--- a/tests/gateway/test_pinned_proxy.py
+++ b/tests/gateway/test_pinned_proxy.py
@@ -38,7 +38,7 @@
 from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.proxy.program import Proxy
-from honeywood.gateway.routing.attempts import Refusal
+from honeywood.gateway.routing.rejection import RejectionReason
 from honeywood.gateway.routing.outcomes import AttemptOutcome
 from honeywood.gateway.rpc.server import HttpServer
 from honeywood.lab.emulator.boot import BOUNDS, boot
@@ -84,18 +84,18 @@
 
 
 def meet_quorum(proxy: Proxy) -> None:
-    proxy.met_majority = True
+    proxy.readiness.met_quorum = True
 
 
 async def poll_once(proxy: Proxy) -> None:
-    await proxy.ask_controller("127.0.0.1")
+    await proxy.poller._poll("127.0.0.1")
 
 
 async def listen_once(proxy: Proxy) -> None:
-    await proxy.listen()
+    await proxy.subscription.poll_once()
 
 
-def values_of(enumeration: type[Refusal] | type[AttemptOutcome]) -> list[str]:
+def values_of(enumeration: type[RejectionReason] | type[AttemptOutcome]) -> list[str]:
     return sorted(str(one) for one in enumeration)
 
 
@@ -465,5 +465,5 @@
 
 @test("what stands in X-Gateway and in counts keeps its names")
 def _():
-    found = {"refusals": values_of(Refusal), "outcomes": values_of(AttemptOutcome)}
+    found = {"refusals": values_of(RejectionReason), "outcomes": values_of(AttemptOutcome)}
     assert found == RECORDED["names"]
