--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -9,15 +9,16 @@
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     import asyncio
+
     from honeywood.gateway.configuration.model import Limits
     from honeywood.gateway.metrics_endpoint import MetricsEndpoint
     from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
-    from honeywood.gateway.rpc.asgi import Receive, Scope, Send
     from honeywood.gateway.proxy.client_handler import ClientHandler
     from honeywood.gateway.proxy.client_response import ClientResponse
     from honeywood.gateway.proxy.peer_handler import PeerHandler
     from honeywood.gateway.proxy.readiness import Readiness
     from honeywood.gateway.proxy.response_writer import ResponseWriter
+    from honeywood.gateway.rpc.asgi import Receive, Scope, Send
 
 OK = 200
 
--- a/honeywood/gateway/proxy/client_handler.py
+++ b/honeywood/gateway/proxy/client_handler.py
@@ -26,10 +26,10 @@
 
     from honeywood.gateway.configuration.model import Route
     from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
-    from honeywood.gateway.rpc.asgi import Receive, Scope
     from honeywood.gateway.proxy.forwarder import Forwarder
     from honeywood.gateway.proxy.request_counters import RequestCounters
     from honeywood.gateway.routing.route_table import RouteTable
+    from honeywood.gateway.rpc.asgi import Receive, Scope
 
 CHALLENGE = (b"www-authenticate", b"ApiKey")  # 401 names how to authenticate (RFC 9110, 15.5.2)
 
--- a/honeywood/gateway/proxy/client_request.py
+++ b/honeywood/gateway/proxy/client_request.py
@@ -6,8 +6,8 @@
 
 from honeywood.gateway.proxy.errors import InvalidDeadline
 from honeywood.gateway.routing.admission import ADMITTED_WITHOUT_TENANTS, Admission
-from honeywood.gateway.rpc.headers import end_to_end
 from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
+from honeywood.gateway.rpc.headers import end_to_end
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
--- a/honeywood/gateway/proxy/response_writer.py
+++ b/honeywood/gateway/proxy/response_writer.py
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from honeywood.gateway.rpc.asgi import Send
     from honeywood.gateway.proxy.client_response import ClientResponse
-    from honeywood.gateway.rpc.reply import BodyRemainder
+    from honeywood.gateway.rpc.asgi import Send
     from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
+    from honeywood.gateway.rpc.reply import BodyRemainder
 
 CLOSE_CONNECTION = (b"connection", b"close")
 
--- a/honeywood/gateway/rollout/outcome_counters.py
+++ b/honeywood/gateway/rollout/outcome_counters.py
@@ -12,8 +12,8 @@
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from honeywood.gateway.rollout.record import Rollout
-    from honeywood.gateway.routing.pending_request import PendingRequest
     from honeywood.gateway.routing.endpoint import Endpoint
+    from honeywood.gateway.routing.pending_request import PendingRequest
 
 # Latency of a service's slowest machines as a multiple of the usual one, whatever their version.
 MACHINE_LATENCY_SPREAD = 1.5
--- a/honeywood/gateway/rollout/traffic_policy.py
+++ b/honeywood/gateway/rollout/traffic_policy.py
@@ -18,10 +18,10 @@
     from honeywood.gateway.rollout.record import Rollout
     from honeywood.gateway.rollout.report import OutcomeCounts
     from honeywood.gateway.rollout.version_status import VersionStatus
-    from honeywood.gateway.routing.pending_request import PendingRequest
     from honeywood.gateway.routing.endpoint import Endpoint
     from honeywood.gateway.routing.endpoint_table import EndpointTable
     from honeywood.gateway.routing.outcomes import AttemptOutcome
+    from honeywood.gateway.routing.pending_request import PendingRequest
 
 SAFETY_FACTOR = 0.8  # of the share and slack in the settings: requests end up elsewhere than they began
 MIN_ENDPOINT_AGE_S = 3.0  # seconds: younger endpoints say nothing of their version, and get no trial traffic
--- a/tests/gateway/proxy/test_invariants.py
+++ b/tests/gateway/proxy/test_invariants.py
@@ -9,11 +9,10 @@
 
 from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.errors import GatewayError
-from honeywood.gateway.proxy.invariants import ABANDONED_WITHIN_S, Violation
 from honeywood.gateway.proxy.attempt_sender import AttemptSender
+from honeywood.gateway.proxy.invariants import ABANDONED_WITHIN_S, Violation
 from honeywood.gateway.routing.attempt_policy import AttemptPolicy
 
-
 CHECKS, CHECK_INTERVAL_S = 150, 0.02  # a busy machine may take long until the fault shows
 
 
--- a/tests/gateway/rollout/test_traffic_policy.py
+++ b/tests/gateway/rollout/test_traffic_policy.py
@@ -11,8 +11,8 @@
 from honeywood.gateway.rollout.record import RolloutStage, RolloutState
 from honeywood.gateway.rollout.report import RolloutStatus
 from honeywood.gateway.routing.endpoint_record import EndpointRecord
-from honeywood.gateway.routing.pending_request import PendingRequest
 from honeywood.gateway.routing.outcomes import AttemptOutcome
+from honeywood.gateway.routing.pending_request import PendingRequest
 
 SUCCESS, FAILURE = AttemptOutcome.SUCCESS, AttemptOutcome.FAILURE
 ACTIVE, DONE, REVERTED = RolloutState.ACTIVE, RolloutState.DONE, RolloutState.REVERTED
--- a/tests/gateway/rollout_fleet.py
+++ b/tests/gateway/rollout_fleet.py
@@ -10,10 +10,10 @@
 from honeywood.gateway.rollout.record import RolloutState
 from honeywood.gateway.rollout.report import OutcomeCounts
 from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
-from honeywood.gateway.routing.pending_request import PendingRequest
 from honeywood.gateway.routing.endpoint_record import EndpointRecord
 from honeywood.gateway.routing.endpoint_table import EndpointTable
 from honeywood.gateway.routing.outcomes import AttemptOutcome
+from honeywood.gateway.routing.pending_request import PendingRequest
 
 SUCCESS, FAILURE = AttemptOutcome.SUCCESS, AttemptOutcome.FAILURE
 
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -15,20 +15,20 @@
 from honeywood.gateway.dissemination.change_feed import ChangeFeed
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.store import Store
+from honeywood.gateway.errors import GatewayError, VersionConflict
 from honeywood.gateway.proxy import attempt_sender, poll_interval
+from honeywood.gateway.proxy.attempt_sender import AttemptSender
+from honeywood.gateway.proxy.client_response import local_response
 from honeywood.gateway.proxy.controller_poller import ControllerPoller
 from honeywood.gateway.proxy.failure_responses import FailureResponses
 from honeywood.gateway.proxy.update_subscription import UpdateSubscription
-from honeywood.gateway.proxy.client_response import local_response
-from honeywood.gateway.proxy.attempt_sender import AttemptSender
-from honeywood.gateway.errors import GatewayError, VersionConflict
 from honeywood.gateway.register import membership_rules
 from honeywood.gateway.register.persistent_state import PersistentState
 from honeywood.gateway.rollout import transitions
 from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 from honeywood.gateway.routing.attempt_policy import AttemptPolicy
-from honeywood.gateway.routing.retry_budget import RetryBudget
 from honeywood.gateway.routing.outcomes import AttemptOutcome
+from honeywood.gateway.routing.retry_budget import RetryBudget
 from honeywood.gateway.routing.route_table import RouteTable
 from honeywood.lab.emulator import hunt
 from honeywood.lab.emulator.day import Day, EmulatedDay, draw, play
--- a/tests/gateway/test_pinned_proxy.py
+++ b/tests/gateway/test_pinned_proxy.py
@@ -38,8 +38,8 @@
 from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.proxy.program import Proxy
-from honeywood.gateway.routing.rejection import RejectionReason
 from honeywood.gateway.routing.outcomes import AttemptOutcome
+from honeywood.gateway.routing.rejection import RejectionReason
 from honeywood.gateway.rpc.server import HttpServer
 from honeywood.lab.emulator.boot import BOUNDS, boot
 from honeywood.lab.emulator.silent_log import SilentLog
--- a/tests/gateway/test_pinned_rollout.py
+++ b/tests/gateway/test_pinned_rollout.py
@@ -17,10 +17,10 @@
 from honeywood.gateway.rollout.record import RolloutStage, RolloutState
 from honeywood.gateway.rollout.report import Vote
 from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
-from honeywood.gateway.routing.pending_request import PendingRequest
 from honeywood.gateway.routing.endpoint_record import EndpointRecord
 from honeywood.gateway.routing.endpoint_table import EndpointTable
 from honeywood.gateway.routing.outcomes import AttemptOutcome
+from honeywood.gateway.routing.pending_request import PendingRequest
 from honeywood.gateway.rpc.statuses import status_of
 
 RECORDED = json.loads((Path(__file__).parent / "recorded" / "rollout.json").read_text())
