--- a/Makefile
+++ b/Makefile
@@ -4,6 +4,7 @@
 test: $(VENV)/made
 	$(VENV)/bin/ruff check --no-cache honeywood tests benchmarks
 	$(VENV)/bin/ruff format --no-cache --check honeywood tests benchmarks
+	$(VENV)/bin/mypy --no-incremental --cache-dir=/dev/null
 	PYTHONDONTWRITEBYTECODE=1 $(VENV)/bin/python tests/ci/run_tests.py
 
 demo: $(VENV)/made
