--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_settings_reload.py
@@ -1,4 +1,4 @@
-"""A settings file that changes while a program runs."""
+"""A settings file that changes while a program runs is read again."""
 
 from ward import test
 
