--- a/honeywood/gateway/controller/peers.py
+++ b/honeywood/gateway/controller/peers.py
@@ -5,7 +5,8 @@
 
 from honeywood.gateway.controller.contact import disk_state
 from honeywood.gateway.dissemination.backoff import Backoff
-from honeywood.gateway.dissemination.messages import Asker
+from honeywood.gateway.dissemination.chunks import ChunkAssembler
+from honeywood.gateway.dissemination.messages import Requester
 from honeywood.gateway.dissemination.subscriber import Subscriber
 from honeywood.gateway.errors import CallFailed
 
@@ -23,7 +24,14 @@
         """The seeds are known."""
         self.settings, self.contacts, self.local_disk = settings, contacts, local_disk
         self.clock, self.start_loop = clock, start_loop
-        self.subscriber = Subscriber(publisher, caller, self._asker, Backoff(random, BACKOFF_S))
+        self.subscriber = Subscriber(
+            publisher.store,
+            ChunkAssembler(),
+            caller,
+            self._requester,
+            Backoff(random, BACKOFF_S),
+            lambda: publisher.max_response_bytes,
+        )
         self.addresses, self.polled = [ip for ip, _ in settings.seeds], set()
 
     def discover(self, addresses):
@@ -38,10 +46,10 @@
             self.subscriber.forget(ip)
             self.contacts.forget(ip)
 
-    def _asker(self):
+    def _requester(self):
         s = self.settings
         stamps, disk = self.contacts.stamps(), self.local_disk().value
-        return Asker(s.node, s.ip, controller=True, stamps=stamps, disk=disk)
+        return Requester(s.node, s.ip, is_controller=True, echo_stamps=stamps, disk=disk)
 
     def start(self):
         """Begins to poll each controller that is known and isn't polled yet."""
@@ -56,10 +64,11 @@
             self.polled.discard(ip)
             raise asyncio.CancelledError  # ends the loop that this is a turn of
         asked_at = self.clock()  # an answer may lie here unread while this process is frozen
-        with suppress(CallFailed):
-            told = await self.subscriber.ask(ip, self.settings.controller_port, HOLD_S)
-            self.contacts.answered(ip, asked_at, told.whole, told.stamp, disk_state(told.disk))
-        await asyncio.sleep(min(BACKOFF_S, self.subscriber.backoff.rest(ip, self.clock())))
+        with suppress(CallFailed):  # the subscriber's backoff says when the next poll may follow
+            response = await self.subscriber.poll(ip, self.settings.controller_port, HOLD_S)
+            disk = disk_state(response.disk)
+            self.contacts.answered(ip, asked_at, response.is_complete, response.echo_stamp, disk)
+        await asyncio.sleep(min(BACKOFF_S, self.subscriber.backoff.remaining_s(ip, self.clock())))
 
     async def poll_all(self):
         """Polls all other controllers for what they know now; whether enough told all of it."""
@@ -69,7 +78,7 @@
 
     async def _tells_all(self, ip):
         try:
-            answer = await self.subscriber.ask(ip, self.settings.controller_port, 0.0)
+            response = await self.subscriber.poll(ip, self.settings.controller_port, 0.0)
         except CallFailed:
             return False
-        return answer.whole
+        return response.is_complete
--- a/honeywood/gateway/controller/rollout_loop.py
+++ b/honeywood/gateway/controller/rollout_loop.py
@@ -3,12 +3,12 @@
 import asyncio
 from dataclasses import dataclass
 
-from honeywood.gateway.dissemination.rendezvous import order
+from honeywood.gateway.dissemination.keys import RecordKind
+from honeywood.gateway.dissemination.rendezvous import rank
 from honeywood.gateway.register.errors import RegisterUnavailable
 from honeywood.gateway.rollout import record, report, transitions
 from honeywood.gateway.rollout.evaluator import RolloutEvaluator
 
-ROLLOUT, COUNT = "rollout/", "count/"  # keys of the register, and of what proxies tell
 TURN_S = 0.15  # seconds by which controllers act after each other
 LATE_S = 0.5  # seconds beyond a controller's turn after which what it decided before it is decided anew
 
@@ -41,7 +41,7 @@
         knows of proxies' counts may be as old as its cut or its standstill."""
         if not self.contacts.in_quorum(self.clock()):
             return
-        for key, value in self.store.under(ROLLOUT):
+        for key, value in self.store.items_of(RecordKind.ROLLOUT):
             rollout = record.decode(value)
             if not rollout.active:
                 self.evaluators.pop(rollout.service, None)
@@ -61,7 +61,7 @@
 
     async def _turn(self, rollout, key, value):
         """Waits for this controller's turn; whether what was decided before still holds."""
-        turns = order({*self.register.membership.members, self.local_ip}, rollout.service)
+        turns = rank({*self.register.membership.members, self.local_ip}, rollout.service)
         wait_s, decided_at = turns.index(self.local_ip) * TURN_S, self.clock()
         await asyncio.sleep(wait_s)
         now = self.clock()
@@ -88,7 +88,8 @@
         steady clocks go on where all controllers begin anew."""
         here = self._known.get(rollout.service, Known())
         known = [self.clock() - here.since] if here.revision == rollout.revision else []
-        statuses = (report.decode(value).status(rollout.service) for _, value in self.store.under(COUNT))
+        counts = self.store.items_of(RecordKind.PROXY_COUNTS)
+        statuses = (report.decode(value).status(rollout.service) for _, value in counts)
         known += [
             status.revision_age_s
             for status in statuses
@@ -102,8 +103,8 @@
         """All proxies' outcome counts since the order, those of proxies that have died too; of the proxies
         that share in the traffic their votes on this revision, and whether all follow it and have nothing out
         where it leaves."""
-        told = sorted(self.store.heard(COUNT), key=lambda one: one[2])
-        reports = [(key.split("/")[1], report.decode(value)) for key, value, _ in told]
+        counts = self.store.items_by_revision(RecordKind.PROXY_COUNTS)
+        reports = [(key.split("/")[1], report.decode(value)) for key, value in counts]
         last = dict(reports)  # the life last heard of is the one that lives, whatever its clock said
         outcome_counts = [
             tally for _, one in reports if self._since_order(one, rollout) for tally in one.outcome_counts
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -6,11 +6,14 @@
 from honeywood.gateway.configuration.model import Limits
 from honeywood.gateway.configuration.packing import unpack
 from honeywood.gateway.configuration.reader import read_configuration
-from honeywood.gateway.dissemination.backoff import FIRST, Backoff
-from honeywood.gateway.dissemination.history import CUT, History
-from honeywood.gateway.dissemination.messages import Asker
-from honeywood.gateway.dissemination.publisher import HOLD, SMALL, Publisher
-from honeywood.gateway.dissemination.rendezvous import order
+from honeywood.gateway.dissemination.backoff import INITIAL_DELAY_S, Backoff
+from honeywood.gateway.dissemination.chunks import ChunkAssembler
+from honeywood.gateway.dissemination.keys import RecordKind, kind_of, name_of
+from honeywood.gateway.dissemination.messages import Requester
+from honeywood.gateway.dissemination.publisher import MAX_HOLD_S, UNPACED_BYTES, Publisher
+from honeywood.gateway.dissemination.record import Stamp
+from honeywood.gateway.dissemination.rendezvous import rank
+from honeywood.gateway.dissemination.retired_machines import MAX_DISCONNECTED_S, RetiredMachines
 from honeywood.gateway.dissemination.subscriber import Subscriber
 from honeywood.gateway.errors import CallFailed
 from honeywood.gateway.metrics import Figures
@@ -60,13 +63,14 @@
         parts = self.endpoints, self.policy, self.stage, self.pool, self.budget_of
         self.invariants = InvariantChecks(self, self.on_violation)
         self.forwarder = Forwarder(self.clock, self.random, s.zone, *parts, self.invariants.attempt_begins)
-        self.publisher = Publisher(self.store_incarnation(), self.hear, rate=s.link_bytes_per_s)
+        self.publisher = Publisher(self.store_incarnation(), self.hear, link_bytes_per_s=s.link_bytes_per_s)
         store, backoff = self.publisher.store, Backoff(self.random, BACKOFF_MOST_S)
-        self.history, self.doubted_at = History(store), None
+        self.retired, self.doubted_at = RetiredMachines(store), None
         self.counts = CountRecords(self.stage, self.clock, s.node, self.life, store)
-        self.subscriber = Subscriber(self.publisher, self.caller, self.who, backoff)
-        told = self.counts.records_for, self.poll_most
-        self.poller = Subscriber(self.publisher, self.caller, self.who, backoff, *told)
+        self.assembler = ChunkAssembler()
+        shared = store, self.assembler, self.caller, self.who, backoff
+        self.subscriber = Subscriber(*shared, lambda: self.publisher.max_response_bytes)
+        self.poller = Subscriber(*shared, self.poll_max_bytes, self.counts.records_for)
         self.controllers, self.relays = [ip for ip, _ in s.seeds], []
         self.turn, self.met_majority = 0, False
         self.started_at = self.listened_at = self.clock()  # `listen` was answered last
@@ -82,7 +86,7 @@
     def lose(self, keys):
         """Records of controllers have lapsed: whoever isn't a seed is asked no more."""
         seeds = {ip for ip, _ in self.settings.seeds}
-        for ip in {key.partition("/")[2] for key in keys} - seeds:
+        for ip in {name_of(key) for key in keys} - seeds:
             self.controllers = [one for one in self.controllers if one != ip]
             self.counts.forget(ip)
             for subscriber in (self.subscriber, self.poller):
@@ -110,18 +114,18 @@
     def who(self):
         """Who asks for news."""
         s = self.settings
-        return Asker(s.node, s.ip, s.zone, self.life, proxy=True)
+        return Requester(s.node, s.ip, s.zone, self.life, is_proxy=True)
 
     def hear(self, key, value):
         """A record has come, or has changed."""
-        kind, _, name = key.partition("/")
-        if kind == "config":
+        kind, name = kind_of(key), name_of(key)
+        if kind == RecordKind.CONFIGURATION:
             self.hear_config(read_configuration(unpack(value), hashed_keys=True))
-        elif kind == "machine":
+        elif kind == RecordKind.MACHINE:
             self.hear_endpoint(name, value)
-        elif kind == "rollout":
+        elif kind == RecordKind.ROLLOUT:
             self.stage.update(self.clock(), record.decode(value))
-        elif kind == "bourse":
+        elif kind == RecordKind.CONTROLLER:
             self.found([name])
 
     def hear_config(self, read):
@@ -136,7 +140,7 @@
     def hear_endpoint(self, id, value):
         """An endpoint has changed; one that leaves service keeps no idle connection."""
         now = self.clock()
-        self.history.hear(now, id, value["state"])
+        self.retired.observe(now, id, value["state"])
         endpoint, left = self.endpoints.update(now, id, value)
         if left:
             self.pool.close_idle(endpoint)
@@ -146,24 +150,24 @@
         s, now, backoff = self.settings, self.clock(), self.subscriber.backoff
         starting = self.table is None and now - self.started_at < STARTING_S
         relays = [] if starting else self.relays
-        places = [(ip, s.proxy_port) for ip in relays if not backoff.rest(ip, now)]
-        places += [(ip, s.controller_port) for ip in backoff.fit(order(self.controllers, s.node), now)]
+        places = [(ip, s.proxy_port) for ip in relays if not backoff.remaining_s(ip, now)]
+        places += [(ip, s.controller_port) for ip in backoff.available(rank(self.controllers, s.node), now)]
         for ip, port in places:
             try:
-                answer = await self.subscriber.ask(ip, port, HOLD)
+                response = await self.subscriber.poll(ip, port, MAX_HOLD_S)
             except CallFailed:
                 continue
             self.listened_at = self.clock()
-            return await asyncio.sleep(min(HOLD, answer.later_s or 0.0))
-        await asyncio.sleep(FIRST)
+            return await asyncio.sleep(min(MAX_HOLD_S, response.retry_after_s or 0.0))
+        await asyncio.sleep(INITIAL_DELAY_S)
 
     async def poll(self):
         """Asks one controller after the other, of those that hear a majority, for what was missed, and tells
         it this proxy's counts: whoever is cut off from the others is not the only one asked for long."""
         self.turn += 1
-        ring = order(self.controllers, self.settings.node)
+        ring = rank(self.controllers, self.settings.node)
         start = self.turn % len(ring)
-        for ip in self.poller.backoff.fit(ring[start:] + ring[:start], self.clock()):
+        for ip in self.poller.backoff.available(ring[start:] + ring[:start], self.clock()):
             asked_at, answer = await self.ask_controller(ip)
             if answer is not None and answer.in_quorum:
                 self.met_quorum(asked_at, answer)
@@ -172,28 +176,28 @@
                 )
                 return await asyncio.sleep(pause_s)
         self.say("no controller answers", SAY_AGAIN_S)
-        await asyncio.sleep(FIRST)
+        await asyncio.sleep(INITIAL_DELAY_S)
 
     async def ask_controller(self, ip):
         """(when it was asked last, its last Answer or None): again while it has more to tell."""
         for _ in range(ASKS_IN_A_ROW):
             asked_at = self.clock()  # an answer may have lain here unread while this process was frozen
             try:
-                answer = await self.poller.ask(ip, self.settings.controller_port, 0.0)
+                answer = await self.poller.poll(ip, self.settings.controller_port, 0.0)
             except CallFailed:
                 return asked_at, None
             if answer.fleet is not None:
-                count, self.relays = answer.fleet
-                self.counts.held_by(ip, answer.counted or 0)
-                self.fleet.report(ip, count)
-            if not answer.more or self.poll_most():
+                self.relays = answer.fleet.relays
+                self.counts.held_by(ip, answer.counts_number or 0)
+                self.fleet.report(ip, answer.fleet.proxy_count)
+            if not answer.has_more or self.poll_most():
                 break
         return asked_at, answer
 
     def met_quorum(self, asked_at, answer):
         """A controller that hears a majority has answered."""
-        if answer.whole:  # else what ends a stage may be among what was not told
-            if self.met_majority and asked_at - self.stage.controller_contact_at > CUT:
+        if answer.is_complete:  # else what ends a stage may be among what was not told
+            if self.met_majority and asked_at - self.stage.controller_contact_at > MAX_DISCONNECTED_S:
                 self.doubt()
             self.stage.controller_contact_at = asked_at
         self.met_majority = True
@@ -201,8 +205,13 @@
     def poll_most(self):
         """The most bytes of an answer to a poll: few while `listen` hears the first configuration, since each
         controller that is asked besides would tell all that it holds once more."""
-        listens = self.clock() - self.listened_at < HOLD
-        return SMALL if self.table is None and listens else None
+        listens = self.clock() - self.listened_at < MAX_HOLD_S
+        return UNPACED_BYTES if self.table is None and listens else None
+
+    def poll_max_bytes(self):
+        """The most bytes of the next answer to a poll."""
+        most = self.publisher.max_response_bytes
+        return min(most, self.poll_most() or most)
 
     @property
     def ready(self):
@@ -219,9 +228,9 @@
     def doubt(self):
         """After so long a cut that news of machines that left may have been dropped meanwhile: asks for all
         anew, and takes for lost whichever machine nobody tells of."""
-        self.publisher.store.doubt("machine/")
-        self.subscriber.known.clear()
-        self.poller.known.clear()
+        self.publisher.store.mark_stale(RecordKind.MACHINE)
+        self.subscriber.positions.clear()
+        self.poller.positions.clear()
         self.doubted_at = self.clock()
 
     async def tidy(self):
@@ -229,12 +238,12 @@
         now, store = self.clock(), self.publisher.store
         self.invariants.look(now)
         self.pool.close_expired(self.endpoints.by_id.values())
-        self.history.look(now)
-        self.lose(key for key in store.prune() if key.startswith("bourse/"))
+        self.retired.evict(now)
+        self.lose(key for key in store.prune() if key.startswith(RecordKind.CONTROLLER.prefix))
         if self.doubted_at is not None and now - self.doubted_at > DOUBT_S:
             self.doubted_at = None
-            for key in store.doubted("machine/"):
-                store.put(key, [0], {**store.get(key), "state": LOST})
+            for key in store.stale_keys(RecordKind.MACHINE):
+                store.put(key, Stamp.of(0), {**store.get(key), "state": LOST})
 
     async def count(self):
         """A line of what was done since the start, and of what stands now."""
@@ -248,7 +257,7 @@
             connections=sum(endpoint.connections for endpoint in endpoints),
             machines=len(endpoints),
             fronts=self.fronts(),
-            told=dict(self.publisher.told),
+            told=dict(self.publisher.sent_bytes),
             called=dict(self.caller.bytes_by_path),
             ready=self.ready,
         )
--- /dev/null
+++ b/tests/gateway/dissemination/test_subscriber.py
@@ -0,0 +1,43 @@
+"""Polls, and what is merged of their responses."""
+
+import asyncio
+import random
+
+from ward import test
+
+from honeywood.gateway.dissemination.backoff import Backoff
+from honeywood.gateway.dissemination.chunks import ChunkAssembler
+from honeywood.gateway.dissemination.messages import PollRequest, Requester
+from honeywood.gateway.dissemination.publisher import Publisher
+from honeywood.gateway.dissemination.record import Stamp
+from honeywood.gateway.dissemination.subscriber import Subscriber
+from honeywood.lab.emulator.world import Loop
+
+
+@test("a proxy that has all records from others is sent none again by a peer that has just started")
+def _():
+    loop = Loop()
+    asyncio.set_event_loop(loop)
+    try:
+        sender = Publisher("new")
+        receiver = Publisher("h")
+        for publisher, keys in ((sender, range(50)), (receiver, reversed(range(50)))):
+            for n in keys:
+                publisher.store.put(f"machine/{n}", Stamp.of(n), {"n": n})
+
+        class Caller:
+            async def call(self, ip, port, path, body, timeout_s, idempotent=False):
+                return (await sender.serve(PollRequest.decode(body, ip))).encode()
+
+        who, backoff = Requester(is_proxy=True), Backoff(random.Random(0), 1.0)
+        most = receiver.max_response_bytes
+        subscriber = Subscriber(
+            receiver.store, ChunkAssembler(), Caller(), lambda: who, backoff, lambda: most
+        )
+        response = loop.run_until_complete(subscriber.poll("p", 1, 0.0))
+        assert response.records == [] and response.revision == 50
+        sender.store.put("machine/7", Stamp.of(99), {"n": 0})
+        response = loop.run_until_complete(subscriber.poll("p", 1, 0.0))
+        assert [record.key for record in response.records] == ["machine/7"]
+    finally:
+        loop.close()
--- a/tests/gateway/rollout/test_rollout_days.py
+++ b/tests/gateway/rollout/test_rollout_days.py
@@ -4,6 +4,7 @@
 from timeline import World
 from ward import each, test
 
+from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.rollout import report, transitions
 from honeywood.gateway.rollout.record import RolloutStage, RolloutState
 from honeywood.gateway.rollout.report import OutcomeCounts, RolloutStatus
@@ -128,7 +129,7 @@
         for front, n in (("before", 1), ("after", 3)):
             tally = OutcomeCounts("s", front, "v2", 9, 9, ())
             told = report.encode(report.ProxyReport((tally,), {"s": RolloutStatus(n, 0, None, 1.0)}))
-            controller.store.put(f"count/{front}/1", [1], told)
+            controller.store.put(f"count/{front}/1", Stamp.of(1), told)
         assert [tally.route for tally in controller.rollouts.counted(held)[0]] == ["after"]
     finally:
         world.close()
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -12,6 +12,7 @@
 from honeywood.gateway.configuration import packing
 from honeywood.gateway.controller import machines
 from honeywood.gateway.controller.app import App
+from honeywood.gateway.dissemination.change_feed import ChangeFeed
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.errors import GatewayError, VersionConflict
@@ -124,9 +125,10 @@
     return put(self, key, stamp, value)
 
 
-def all_again(self, life, rev, private, held=None, since=Store.since):
-    found = [record for record in since(self, life, rev, private) if record.key != "config"]
-    again = [Record(key, self.stamp(key), self.get(key)) for key in ("config",) if key in self.records]
+def all_again(self, incarnation, revision, private, known=None, since=ChangeFeed.since):
+    found = [record for record in since(self, incarnation, revision, private) if record.key != "config"]
+    held = self.store.records.get("config")
+    again = [Record("config", held.stamp, held.value)] if held else []
     return found + again
 
 
@@ -148,7 +150,7 @@
 async def gives_up(self, listen=Proxy.listen):
     """A proxy that finds nobody listening at its start asks no more."""
     await listen(self)
-    if not self.subscriber.known:
+    if not self.subscriber.positions:
         await asyncio.sleep(99.0)
 
 
@@ -228,7 +230,7 @@
         lambda: [(sender, "classify", any_answer), (Connection, "exchange", unexpecting)],
         lambda: unrefused("state"),
         lambda: [(polling, "POLL_S", 3.0), (Proxy, "listen", idle)],
-        lambda: [(Store, "put", last_wins), (Store, "since", all_again)],
+        lambda: [(Store, "put", last_wins), (ChangeFeed, "since", all_again)],
         lambda: [(RetryBudget, "allows", lambda self, now, fronts: True)],
         lambda: [(RolloutTrafficPolicy, "trial_permits", lambda self, now, ask: True)],
         lambda: [(PersistentState, "write", unwritten)],
--- a/tests/gateway/test_invariants.py
+++ b/tests/gateway/test_invariants.py
@@ -7,6 +7,7 @@
 from socket_scene import GET, Scene, ok, play
 from ward import each, test
 
+from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.proxy.invariants import ABANDONED_WITHIN_S, Violation
 from honeywood.gateway.proxy.sender import AttemptSender
@@ -71,7 +72,7 @@
 
 async def configuration_is_not_taken(scene, patch):
     with suppress(GatewayError):  # it is kept, and can't be read here
-        scene.proxy.publisher.store.put("config", [9], "{}")
+        scene.proxy.publisher.store.put("config", Stamp.of(9), "{}")
 
 
 @test("{fault.__name__}: it is counted as {violation}, and told")
