--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -1,116 +1,127 @@
-"""The controller's ASGI application: one dispatch of machines', operators' and our own calls."""
+"""The controller's ASGI application: dispatches calls, and turns their results and errors into answers."""
+
+from __future__ import annotations
 
 import json
 from collections import Counter
-from dataclasses import replace
 from urllib.parse import parse_qs
 
-from honeywood.gateway.configuration import packing
-from honeywood.gateway.configuration.check import need, read_json
+from honeywood.gateway.configuration.check import read_json
 from honeywood.gateway.configuration.model import Limits
-from honeywood.gateway.configuration.reader import read_configuration
-from honeywood.gateway.controller import machines
+from honeywood.gateway.controller.call import Call, CallName
 from honeywood.gateway.dissemination.messages import PollRequest
-from honeywood.gateway.dissemination.record import PATH
+from honeywood.gateway.dissemination.record import PATH as POLL_PATH
 from honeywood.gateway.errors import GatewayError, NotFound, PayloadTooLarge
 from honeywood.gateway.register.message_fields import PATH as REGISTER_PATH
 from honeywood.gateway.rpc.asgi import read_body, send_response
 from honeywood.gateway.rpc.request_context import CONTEXT
 from honeywood.gateway.rpc.statuses import status_of
 
-MOST = 8 << 20  # bytes of a call's body
-JSON = [(b"content-type", b"application/json")]
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable, Mapping
+    from typing import Any
+
+    from honeywood.gateway.controller.operations import Answer, Handler, Operations
+    from honeywood.gateway.controller.poll_service import PollService
+    from honeywood.gateway.event_log import EventLog
+    from honeywood.gateway.metrics_endpoint import MetricsEndpoint
+
+    RegisterResponder = Callable[[Mapping[str, Any], str], Awaitable[Mapping[str, object]]]
+
+BODY_MAX_BYTES = 8 << 20
+RPC_PATH = "/v1/rpc"
+METHOD = "POST"
+JSON_HEADERS = [(b"content-type", b"application/json")]
+OK = 200
+REFUSAL_LOG_INTERVAL_S = 1.0
+CALL_NAMES = frozenset(CallName)
 
 
 class App:
-    def __init__(self, controller):
-        self.controller, self.refused = controller, Counter()  # refusals by step and status
-        self.calls = {
-            ("POST", "v1", "rpc", "instances.heartbeat"): self.heartbeat,
-            ("POST", "v1", "rpc", "instances.leave"): self.leave,
-            ("POST", "v1", "rpc", "config.replace"): self.replace,
-            ("POST", "v1", "rpc", "config.read"): self.read,
-            ("POST", "v1", "rpc", "rollouts.start"): self.start,
-            ("POST", "v1", "rpc", "rollouts.read"): self.rollout,
-        }
-        self.ours = {("POST", "news"): self.news, ("POST", "register"): self.register}
-
-    limits = Limits()  # callers here are machines, operators and our own programs
-
-    def begin_early(self, scope):
-        """Nothing is begun early: the calls of one connection are answered one after the other."""
-        return None
-
-    async def __call__(self, scope, receive, send):
+    """The calls of machines and operators on the operators' address, those of our own programs on another."""
+
+    limits = Limits()  # the server's; callers are machines, operators and our own programs
+
+    def __init__(
+        self,
+        operations: Operations,
+        polls: PollService,
+        register: RegisterResponder,
+        metrics: MetricsEndpoint,
+        internal_port: int,
+        clock: Callable[[], float],
+        log: EventLog,
+    ) -> None:
+        """Serve our own programs on `internal_port`, others elsewhere; `clock` gives steady seconds."""
+        self.operations, self.polls, self.register = operations, polls, register
+        self.metrics, self.internal_port, self.clock, self.log = metrics, internal_port, clock, log
+        self.refused: Counter[str] = Counter()  # refused calls by call and status
+        self.internal_handlers = {POLL_PATH: self.poll, REGISTER_PATH: self.register_step}
+
+    def begin_early(self, scope: Any) -> None:
+        """Begin nothing early: the calls of one connection are answered one after the other."""
+
+    async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
+        """Answer one request."""
+        if scope["server"][1] == self.metrics.port:
+            await self.metrics.serve(scope, send)
+            return
         peer = scope["client"][0]
-        asked = parse_qs(scope["query_string"].decode("latin-1"))
-        named, of = (asked.get(key, [""])[0] for key in ("call", "of"))
-        place = (scope["method"], *scope["path"].strip("/").split("/"))
-        inside = scope["server"][1] == self.controller.settings.controller_port
-        if scope["server"][1] == self.controller.metrics_port:
-            return await self.controller.tell_figures(scope, send)
-        call = self.ours.get(place) if inside else self.calls.get((*place, named))
+        query = parse_qs(scope["query_string"].decode("latin-1"))
+        name, subject = (query.get(key, [""])[0] for key in ("call", "of"))
         try:
-            if call is None:
-                raise NotFound("dispatch", f"no such call: {scope['method']} {scope['path']} {named}", peer)
-            body = await read_body(receive, MOST)
+            handler = self._handler(scope, name, peer)
+            body = await read_body(receive, BODY_MAX_BYTES)
             if body is None:
-                raise PayloadTooLarge(named, "the body is too long or broken off", peer)
-            # an order begins nothing for a caller that has gone, nor is it told what others wait for
+                raise PayloadTooLarge(name, "the body is too long or broken off", peer)
             disconnect = scope[CONTEXT].disconnect
-            clock = self.controller.clock
-            heeds_disconnect = call in (self.start, self.news)
-            more = {"left": lambda: disconnect.check(clock())} if heeds_disconnect else {}
-            found = await call(of, body, peer, **more)
+            result = await handler(Call(subject, body, peer, lambda: disconnect.check(self.clock())))
         except GatewayError as error:
-            status = status_of(error)
-            self.refused[f"refused: {named or error.operation} {status}"] += 1
-            self.controller.say(
-                "refused", 1.0, step=error.operation, peer=peer, why=error.reason, status=status
-            )
-            found = json.dumps({"step": error.operation, "peer": peer, "why": error.reason}).encode()
-            return await send_response(send, status, JSON, found)
-        if not isinstance(found, bytes):
-            found = json.dumps(found, separators=(",", ":")).encode()
-        await send_response(send, 200, JSON, found)
-
-    # machines
-    async def heartbeat(self, of, body, peer):
-        stamp, value = machines.beat(of, read_json(body, machines.STEP, peer), peer)
-        await self.controller.machine_loop.heartbeat(of, stamp, value)
-        return {}
-
-    async def leave(self, of, body, peer):
-        machines.named("instances.leave", of, peer)
-        await self.controller.machine_loop.leave(of)
-        return {}
-
-    # operators
-    async def replace(self, of, body, peer):
-        found, ver = await self.controller.orders.replace(read_configuration(body, peer).version, body, peer)
-        return {"outcome": found, "ver": f"{ver:08x}"}
-
-    async def read(self, of, body, peer):
-        return packing.unpack(await self.controller.orders.configuration(peer), peer)
-
-    async def start(self, of, body, peer, left=lambda: False):
-        order = read_json(body, "rollouts.start", peer)
-        svc, to_ver = (need(order, key, str, "rollouts.start") for key in ("svc", "to_ver"))
-        over_s = need(order, "over_s", float, "rollouts.start", least=0.001)
-        return self.told(await self.controller.orders.order(svc, to_ver, over_s, peer, left))
-
-    async def rollout(self, of, body, peer):
-        return self.told(await self.controller.orders.rollout(of, peer))
-
-    @staticmethod
-    def told(rollout):
-        return {"state": rollout.state, "to_ver": rollout.version}
-
-    # our own
-    async def news(self, of, body, peer, left=lambda: False):
-        poll = PollRequest.decode(read_json(body, PATH, peer), peer)
-        response = await self.controller.publisher.serve(poll, left)
-        return replace(response, **self.controller.beside(poll.requester)).encode()
-
-    async def register(self, of, body, peer):
-        return await self.controller.register_responder(read_json(body, REGISTER_PATH, peer), peer)
+            await self._refuse(send, error, name, peer)
+        else:
+            await send_response(send, OK, JSON_HEADERS, _encode(result))
+
+    def _handler(self, scope: Any, name: str, peer: str) -> Handler:
+        """Return the handler of a request; raises NotFound where there is none."""
+        path = "/" + scope["path"].strip("/")
+        handler: Handler | None = None
+        if scope["method"] == METHOD:
+            if scope["server"][1] == self.internal_port:
+                handler = self.internal_handlers.get(path)
+            elif path == RPC_PATH:
+                handler = self.operations.handlers.get(CallName(name)) if name in CALL_NAMES else None
+        if handler is None:
+            reason = f"no such call: {scope['method']} {scope['path']} {name}"
+            raise NotFound("dispatch", reason, peer)
+        return handler
+
+    async def _refuse(self, send: Any, error: GatewayError, name: str, peer: str) -> None:
+        """Count, log and answer a call that was refused."""
+        status = status_of(error)
+        self.refused[f"refused: {name or error.operation} {status}"] += 1
+        self.log.info(
+            "refused",
+            min_interval_s=REFUSAL_LOG_INTERVAL_S,
+            step=error.operation,
+            peer=peer,
+            why=error.reason,
+            status=status,
+        )
+        body = json.dumps({"step": error.operation, "peer": peer, "why": error.reason}).encode()
+        await send_response(send, status, JSON_HEADERS, body)
+
+    async def poll(self, call: Call) -> Answer:
+        """Answer another program's poll of the store."""
+        request = PollRequest.decode(read_json(call.body, POLL_PATH, call.peer), call.peer)
+        return (await self.polls.answer(request, call.has_left)).encode()
+
+    async def register_step(self, call: Call) -> Answer:
+        """Answer another controller's step of the register's protocol."""
+        reply: Answer = await self.register(read_json(call.body, REGISTER_PATH, call.peer), call.peer)
+        return reply
+
+
+def _encode(result: Answer) -> bytes:
+    """Return an answer's body."""
+    return result if isinstance(result, bytes) else json.dumps(result, separators=(",", ":")).encode()
--- /dev/null
+++ b/honeywood/gateway/controller/count_retention.py
@@ -0,0 +1,33 @@
+"""Which proxies' counts stay on the store though their proxy has ended: those that a rollout still needs."""
+
+from __future__ import annotations
+
+from honeywood.gateway.dissemination.keys import RecordKind
+from honeywood.gateway.rollout.record import RolloutState
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from honeywood.gateway.controller.register_access import StoredValue
+    from honeywood.gateway.dissemination.store import Store
+
+
+def is_count_needed(store: Store, key: str, value: StoredValue) -> bool:
+    """Return whether a record holds counts of an active rollout, or of one that is not known here yet.
+
+    The revisions of a rollout and of its order only rise: counts that are not needed any more never are
+    again.
+    """
+    if not key.startswith(RecordKind.PROXY_COUNTS.prefix):
+        return False
+    return any(
+        _is_needed_by(store.get(RecordKind.ROLLOUT.key(service)), revision)
+        for service, (revision, _) in value["known"].items()
+    )
+
+
+def _is_needed_by(stored_rollout: StoredValue | None, revision: int) -> bool:
+    """Return whether a rollout, in its stored form, needs counts that were taken in `revision` of it."""
+    if stored_rollout is None or stored_rollout["n"] < revision:
+        return True
+    is_active = bool(stored_rollout["state"] == RolloutState.ACTIVE)
+    return is_active and revision >= int(stored_rollout["order"])
--- a/tests/gateway/rollout/test_rollout_days.py
+++ b/tests/gateway/rollout/test_rollout_days.py
@@ -130,6 +130,6 @@
             tally = OutcomeCounts("s", front, "v2", 9, 9, ())
             told = report.encode(report.ProxyReport((tally,), {"s": RolloutStatus(n, 0, None, 1.0)}))
             controller.store.put(f"count/{front}/1", Stamp.of(1), told)
-        assert [tally.route for tally in controller.rollouts.counted(held)[0]] == ["after"]
+        assert [tally.route for tally in controller.evidence.collect(held).outcome_counts] == ["after"]
     finally:
         world.close()
