--- a/honeywood/gateway/__init__.py
+++ b/honeywood/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The system: proxies on edge machines carry requests, controllers on core machines keep what must last.
+"""The gateway: proxies on edge machines forward requests, controllers store configuration and rollouts.
 
 Start reading at proxy/program.py and controller/program.py; docs/design/system.md says why.
 """
--- a/tests/gateway/test_architecture.py
+++ b/tests/gateway/test_architecture.py
@@ -40,6 +40,7 @@
 AT_TIMES = {"KNOWN-RED.txt"}  # there only while a test is listed in it
 # Packages and targets that were renamed. `bourse` isn't among them: it is a kind of record on the wire.
 WITHDRAWN_NAMES = {"cart", "crier", "ledger", "market", "porter", "prove", "scales", "stall", "terms"}
+QUOTED = re.compile(r"`([^`\n]+)`")
 QUOTED_WORD = re.compile(r"`(\w+)`")
 NAMED_MODULE = re.compile(r"\bhoneywood(?:\.\w+)+(?<!\.py)\b")
 WITHDRAWN = re.compile(r"^## Old names$.*?(?=^## |\Z)", re.MULTILINE | re.DOTALL)
@@ -92,6 +93,13 @@
     assert rooms - {"__init__"} == set(FLOORS)
 
 
+@test("the architecture page has the floors as they are")
+def _():
+    rows = re.findall(r"^\| (\d) \| (`[^|]+) \|", text_of("docs/architecture.md"), re.MULTILINE)
+    floors = {name: int(floor) for floor, names in rows for name in QUOTED.findall(names)}
+    assert {name.removesuffix(".py"): floor for name, floor in floors.items()} == FLOORS
+
+
 @test("a package of the gateway imports lower floors only")
 def _():
     inside = {(here, room(name)) for here, name in steps() if name.startswith(f"{PACKAGE}.")}
