--- /dev/null
+++ b/honeywood/gateway/proxy/controller_poller.py
@@ -0,0 +1,119 @@
+"""Polls controllers in turn, for what long polling has missed, and reports this proxy's counts to them."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+from honeywood.gateway.dissemination.backoff import INITIAL_DELAY_S
+from honeywood.gateway.dissemination.rendezvous import rank
+from honeywood.gateway.dissemination.retired_machines import MAX_DISCONNECTED_S
+from honeywood.gateway.errors import CallFailed
+from honeywood.gateway.proxy.poll_interval import poll_interval_s
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from random import Random
+
+    from honeywood.gateway.configuration.settings import Settings
+    from honeywood.gateway.dissemination.messages import PollResponse
+    from honeywood.gateway.dissemination.subscriber import Subscriber
+    from honeywood.gateway.proxy.fleet_size import FleetSize
+    from honeywood.gateway.proxy.known_peers import KnownPeers
+    from honeywood.gateway.proxy.machine_revalidation import MachineRevalidation
+    from honeywood.gateway.proxy.readiness import Readiness
+    from honeywood.gateway.proxy.rollout_reports import RolloutReports
+    from honeywood.gateway.proxy.update_subscription import UpdateSubscription
+    from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
+
+MAX_POLLS_IN_A_ROW = 8  # of one controller while it has more to send
+
+
+@dataclass(frozen=True, slots=True)
+class PollResult:
+    """A controller's last response, None where there was none, and when it was polled."""
+
+    polled_at: float
+    response: PollResponse | None
+
+
+@dataclass(slots=True, eq=False)
+class ControllerPoller:
+    """Polls one controller after the other, and the next one if the one polled is not in quorum.
+
+    So a controller that is partitioned from the others is never the only one polled for long.
+    `on_no_answer` is called where no controller in quorum answers.
+    """
+
+    clock: Callable[[], float]
+    random: Random
+    settings: Settings
+    subscriber: Subscriber
+    subscription: UpdateSubscription
+    peers: KnownPeers
+    fleet: FleetSize
+    stage: RolloutTrafficPolicy
+    reports: RolloutReports
+    readiness: Readiness
+    revalidation: MachineRevalidation
+    on_no_answer: Callable[[], None]
+    polls: int = 0  # since the start
+
+    async def poll_once(self) -> None:
+        """Polls until a controller in quorum has answered, then waits for the interval."""
+        self.polls += 1
+        for ip in self._candidates():
+            result = await self._poll(ip)
+            if result.response is not None and result.response.in_quorum:
+                self._record_contact(result.polled_at, result.response)
+                await asyncio.sleep(self._interval_s())
+                return
+        self.on_no_answer()
+        await asyncio.sleep(INITIAL_DELAY_S)
+
+    def _candidates(self) -> list[str]:
+        """The controllers that are not in backoff, another one first with each call."""
+        ring = rank(self.peers.controllers, self.settings.node)
+        start = self.polls % len(ring)
+        found: list[str] = self.subscriber.backoff.available(ring[start:] + ring[:start], self.clock())
+        return found
+
+    async def _poll(self, ip: str) -> PollResult:
+        """Polls a controller, again while it has more to send."""
+        for _ in range(MAX_POLLS_IN_A_ROW):
+            # Taken before: an answer may have been unread for long while this process was suspended.
+            polled_at = self.clock()
+            try:
+                response = await self.subscriber.poll(ip, self.settings.controller_port, 0.0)
+            except CallFailed:
+                return PollResult(polled_at, None)
+            self._record_fleet(ip, response)
+            if not response.has_more or self.subscription.max_poll_bytes() is not None:
+                break
+        return PollResult(polled_at, response)
+
+    def _record_fleet(self, ip: str, response: PollResponse) -> None:
+        """Takes what a controller says of the proxies, and which counts it has."""
+        if response.fleet is None:
+            return
+        self.peers.relays = response.fleet.relays
+        self.reports.acknowledge(ip, response.counts_number or 0)
+        self.fleet.report(ip, response.fleet.proxy_count)
+
+    def _record_contact(self, polled_at: float, response: PollResponse) -> None:
+        """A controller in quorum has answered a poll that was sent at `polled_at`."""
+        if response.is_complete:  # else the end of a rollout's stage may be among what was not sent
+            out_of_contact_s = polled_at - self.stage.controller_contact_at
+            if self.readiness.met_quorum and out_of_contact_s > MAX_DISCONNECTED_S:
+                self.revalidation.start()
+            self.stage.controller_contact_at = polled_at
+        self.readiness.met_quorum = True
+
+    def _interval_s(self) -> float:
+        return poll_interval_s(
+            self.stage.has_active_rollout,
+            self.fleet.count(),
+            len(self.peers.controllers),
+            self.random.random(),
+        )
--- a/honeywood/gateway/rollout/trial_endpoints.py
+++ b/honeywood/gateway/rollout/trial_endpoints.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from honeywood.gateway.routing.endpoints import Endpoint
+    from honeywood.gateway.routing.endpoint import Endpoint
 
 
 class TrialEndpointSelector:
--- a/tests/gateway/dissemination/test_convergence.py
+++ b/tests/gateway/dissemination/test_convergence.py
@@ -26,7 +26,8 @@
 def _():
     world = met()
     try:
-        asked = {name: {port for _, port in world.nodes[name].subscriber.positions} for name in world.fronts}
+        subscribers = {name: world.nodes[name].subscription.subscriber for name in world.fronts}
+        asked = {name: {port for _, port in one.positions} for name, one in subscribers.items()}
         assert [name for name in world.fronts if 7000 not in asked[name]] == [top(world)], asked
     finally:
         world.close()
@@ -88,20 +89,20 @@
     try:
         front = world.nodes["f"]
         world.run(4.0)
-        assert front.fronts() == 6
+        assert front.fleet.count() == 6
         for name in "abc":
             world.kill(name)
         world.run(4.6)
         for name in "abc":
             world.start(name)
-        world.run(7.0, lambda: told.add(front.fronts()))
+        world.run(7.0, lambda: told.add(front.fleet.count()))
         assert told == {6}
         world.kill("g")
         world.start("g")
         world.run(7.02)
-        assert world.nodes["g"].fronts() > 6
+        assert world.nodes["g"].fleet.count() > 6
         world.run(12.0)
-        assert world.nodes["g"].fronts() == 6
+        assert world.nodes["g"].fleet.count() == 6
     finally:
         world.close()
 
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -2,6 +2,7 @@
 
 import asyncio
 
+from ports import free_port
 from socket_scene import GET, HEAD, Scene, ok, play
 from ward import each, raises, test
 
@@ -59,7 +60,7 @@
             await proxy.metrics_endpoint.open(scene.server)
             assert proxy.metrics_endpoint.port is None and taken == scene.port
             await scene.get()
-            proxy.metrics_endpoint.port = scene.machines[0].port + 1
+            proxy.metrics_endpoint.port = free_port()
             await proxy.metrics_endpoint.open(scene.server)
             page = await read_page("127.0.0.1", proxy.metrics_endpoint.port, b"/metrics")
             assert b"200 OK" in page and b'honeywood_events_total{event="answered 200"} 1\n' in page
@@ -79,7 +80,7 @@
             writer.write(HEAD % id + b"ok")
 
         async with Scene([held], kind=kind) as scene:
-            counts = scene.proxy.forwarder.counts
+            counts = scene.proxy.counters.counts
             _, writer = await asyncio.open_connection("127.0.0.1", scene.port)
             writer.write(GET % b"id1")
             await until(lambda: scene.machines[0].seen)
--- a/tests/gateway/test_pages.py
+++ b/tests/gateway/test_pages.py
@@ -32,7 +32,8 @@
 LINK = re.compile(r"\]\(([^)#:\s]+)(?:#[\w-]*)?\)")
 CODE_LINE = re.compile(r"^ {4}(.+)$", re.MULTILINE)
 COMMAND = re.compile(r"(?:^|; |&& |bin/)(honeywood|make|python -m [\w.]+)((?: [\w./=*-]+)*)")
-TERM_ROW = re.compile(r"^\| (`[^|]+) \| [^|]+ \| ([^|]+) \| [^|]* \|$", re.MULTILINE)
+TERM_SECTION = re.compile(r"^## Terms of .*?(?=^## |\Z)", re.MULTILINE | re.DOTALL)
+TERM_ROW = re.compile(r"^\| ([^|]*`[^|]+) \| [^|]+ \| (`[^|]+) \| [^|]* \|$", re.MULTILINE)
 OLD_NAMES = re.compile(r"^## Old names$.*?(?=^## |\Z)", re.MULTILINE | re.DOTALL)
 EVENT_SECTION = re.compile(r"^## Events of .*?(?=^## )", re.MULTILINE | re.DOTALL)
 EVENT_ROW = re.compile(r"^\| (`[^|]+) \|", re.MULTILINE)
@@ -156,7 +157,8 @@
 
 @test("every term of the glossary stands in the module beside it")
 def _():
-    rows = TERM_ROW.findall(text_of(GLOSSARY))
+    sections = TERM_SECTION.findall(text_of(GLOSSARY))
+    rows = [row for section in sections for row in TERM_ROW.findall(section)]
     assert rows
     missing = []
     for terms, modules in rows:
