--- a/tests/gateway/test_architecture.py
+++ b/tests/gateway/test_architecture.py
@@ -9,9 +9,9 @@
 ROOT = Path(__file__).resolve().parents[2]
 GATEWAY = ROOT / "honeywood" / "gateway"
 PACKAGE = "honeywood.gateway"
-# The gateway's floors, docs/architecture.md: a package imports lower ones only. A module directly under
-# gateway/ stands under its own name.
-FLOORS = {
+# The gateway's layers, docs/architecture.md: a package imports lower ones only. A module directly under
+# gateway/ has its own name here.
+LAYERS = {
     "errors": 0,
     "configuration": 1,
     "rpc": 1,
@@ -30,7 +30,7 @@
     "controller": 4,
 }
 BELOW_THE_GATEWAY = ("honeywood.release_analysis",)  # the statistics, which both fronts share
-# Imports that break the floors, each with its reason.
+# Imports that break the layers, each with its reason.
 EXCEPTIONS = {
     ("rpc", "configuration"): "calls read JSON as configuration/check.py does",
     ("dissemination", "routing"): "retired_machines.py needs the states of a machine out of service",
@@ -49,7 +49,7 @@
             yield from (f"{node.module}.{alias.name}" for alias in node.names)
 
 
-def room(module):
+def package_of(module):
     """The package under gateway/ that a module is part of, or the module directly under it."""
     return module.removeprefix(f"{PACKAGE}.").split(".")[0]
 
@@ -60,30 +60,32 @@
     for path in GATEWAY.rglob("*.py"):
         here = path.relative_to(GATEWAY).with_suffix("").parts[0]
         found |= {
-            (here, name) for name in imported(path) if name.startswith("honeywood.") and room(name) != here
+            (here, name)
+            for name in imported(path)
+            if name.startswith("honeywood.") and package_of(name) != here
         }
     return found
 
 
-@test("every package of the gateway has a floor, and so has nothing else")
+@test("every package of the gateway has a layer, and so has nothing else")
 def _():
-    rooms = {path.relative_to(GATEWAY).with_suffix("").parts[0] for path in GATEWAY.rglob("*.py")}
-    assert rooms - {"__init__"} == set(FLOORS)
+    packages = {path.relative_to(GATEWAY).with_suffix("").parts[0] for path in GATEWAY.rglob("*.py")}
+    assert packages - {"__init__"} == set(LAYERS)
 
 
-@test("the architecture page has the floors as they are")
+@test("the architecture page has the layers as they are")
 def _():
     _, _, packages = (ROOT / "docs" / "architecture.md").read_text().partition("\n## Packages\n")
     rows = re.findall(r"^\| (\d) \| (`[^|]+) \|", packages, re.MULTILINE)
-    floors = {name: int(floor) for floor, names in rows for name in re.findall(r"`([^`]+)`", names)}
-    assert {name.removesuffix(".py"): floor for name, floor in floors.items()} == FLOORS
+    layers = {name: int(layer) for layer, names in rows for name in re.findall(r"`([^`]+)`", names)}
+    assert {name.removesuffix(".py"): layer for name, layer in layers.items()} == LAYERS
 
 
-@test("a package of the gateway imports lower floors only")
+@test("a package of the gateway imports lower layers only")
 def _():
-    inside = {(here, room(name)) for here, name in steps() if name.startswith(f"{PACKAGE}.")}
-    upward = {(here, there) for here, there in inside if FLOORS[here] <= FLOORS[there]}
-    assert upward <= set(EXCEPTIONS)
+    inside = {(here, package_of(name)) for here, name in steps() if name.startswith(f"{PACKAGE}.")}
+    upward = {(here, there) for here, there in inside if LAYERS[here] <= LAYERS[there]}
+    assert upward == set(EXCEPTIONS)
 
 
 @test("the gateway imports nothing of ours beside it but the statistics")
--- a/tests/gateway/test_pages.py
+++ b/tests/gateway/test_pages.py
@@ -1,4 +1,4 @@
-"""What the pages name exists: paths, links, modules, commands and options, log events, the glossary's terms."""
+"""What the pages name exists: paths, links, modules, commands, log events, the terms of the glossary."""
 
 import ast
 import importlib
