--- /dev/null
+++ b/honeywood/gateway/controller/membership.py
@@ -0,0 +1,94 @@
+"""How a controller takes part in the register.
+
+Its disk is brought to where it belongs, what a majority of the disks holds is published, and a member that
+can't be used is replaced.
+"""
+
+from __future__ import annotations
+
+from contextlib import suppress
+
+from honeywood.gateway.controller.disk_health import DiskHealth
+from honeywood.gateway.register.errors import RegisterUnavailable
+from honeywood.gateway.register.replacement import DiskState, propose_replacement
+
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from honeywood.gateway.configuration.settings import Settings
+    from honeywood.gateway.controller.contacts import Contacts
+    from honeywood.gateway.controller.peer_polling import PeerPolling
+    from honeywood.gateway.controller.register_access import StoredValue
+    from honeywood.gateway.event_log import EventLog
+    from honeywood.gateway.register.register import Register
+
+# A member that can't be used is replaced by a spare that was there all the time after so many times
+# `contact_s` + `sync_s`: a member that restarts comes back sooner, with its disk.
+REPLACE_AFTER_FACTOR = 3.0
+LOG_INTERVAL_S = 1.0  # seconds between two lines of one member that can't be used
+
+
+class Membership:
+    """Keeps this disk and the register's members usable."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        register: Register,
+        contacts: Contacts,
+        peers: PeerPolling,
+        publish: Callable[[str, StoredValue | None], None],
+        clock: Callable[[], float],
+        log: EventLog,
+    ) -> None:
+        """Start; `publish(key, value)` publishes a value that a majority holds, `clock` is steady."""
+        self.settings, self.register, self.contacts, self.peers = settings, register, contacts, peers
+        self.publish, self.clock, self.log = publish, clock, log
+        self.disk_health = DiskHealth(lambda: register.write_heartbeats({}), clock, log)
+
+    @property
+    def disk(self) -> DiskState:
+        """The state of this disk as other controllers are told it."""
+        if not self.register.membership.intact:
+            return DiskState.LOST
+        return DiskState.REFUSES if self.disk_health.refuses_writes else DiskState.WORKS
+
+    async def synchronize(self) -> None:
+        """Bring this disk to where it belongs; once it is there, look after the other members."""
+        if not self.register.membership.is_synchronized:
+            await self.register.manager.synchronize(self.peers.addresses)
+        elif self.disk is DiskState.WORKS:  # otherwise the others see to this one
+            await self._replace_unusable_member()
+
+    async def _replace_unusable_member(self) -> None:
+        """Propose a spare controller for the place of a member that can't be used."""
+        bounds = self.settings.bounds
+        soon_s = bounds.contact_s
+        late_s = REPLACE_AFTER_FACTOR * (bounds.contact_s + bounds.sync_s)
+        states, now = self.contacts.peer_states(), self.clock()
+        configuration = self.register.membership.configuration
+        proposed = propose_replacement(configuration, self.settings.ip, states, now, soon_s, late_s)
+        if proposed is None:
+            return
+        self.log.info(
+            "member unusable",
+            min_interval_s=LOG_INTERVAL_S,
+            member=proposed.member,
+            spare=proposed.spare,
+            why=proposed.reason,
+        )
+        with suppress(RegisterUnavailable):  # proposed again as long as the member can't be used
+            await self.register.manager.replace_member(proposed.member, proposed.spare)
+
+    async def check_disk(self) -> None:
+        """Find out whether this disk accepts writes."""
+        if self.register.membership.intact:
+            await self.disk_health.check()
+
+    async def publish_register(self) -> None:
+        """Publish all that a majority of the members holds."""
+        self.peers.start()
+        with suppress(RegisterUnavailable):
+            for key, value in (await self.register.read_all()).items():
+                self.publish(key, value)
--- a/honeywood/gateway/register/membership_manager.py
+++ b/honeywood/gateway/register/membership_manager.py
@@ -19,9 +19,10 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from collections.abc import Callable, Iterable, Mapping, Sequence
+    from collections.abc import Iterable, Mapping, Sequence
 
     from honeywood.gateway.configuration.settings import Settings
+    from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.register.json_value import JsonValue
     from honeywood.gateway.register.membership_state import MembershipState
     from honeywood.gateway.register.peer_client import PeerClient
@@ -42,7 +43,7 @@
     def __init__(
         self,
         settings: Settings,
-        say: Callable[..., None],
+        log: EventLog,
         state: PersistentState,
         membership: MembershipState,
         peers: PeerClient,
@@ -50,7 +51,7 @@
         transfer: StateTransfer,
     ) -> None:
         """Take the seeds, and how many members may fail at once, from `settings`."""
-        self._settings, self._say, self._state, self._membership = settings, say, state, membership
+        self._settings, self._log, self._state, self._membership = settings, log, state, membership
         self._peers, self._proposer, self._transfer = peers, proposer, transfer
         self._bootstrap_started_at: float | None = None
 
@@ -68,8 +69,8 @@
             try:
                 await membership.initialize(tuple(seed.ip for seed in self._settings.seeds))
             except DiskUnavailable as error:  # taken for a lost one until it can be written to
-                self._say("register not initialized", why=str(error))
-        self._say(
+                self._log.info("register not initialized", why=str(error))
+        self._log.info(
             "register opened",
             intact=membership.intact,
             rows=len(state.registers),
@@ -88,7 +89,7 @@
                 await membership.adopt(membership.pending)
             await self._advance(ips)
         except DiskUnavailable as error:
-            self._say("register blocked by disk", every=BLOCKED_LOG_INTERVAL_S, why=str(error))
+            self._log.info("register blocked by disk", min_interval_s=BLOCKED_LOG_INTERVAL_S, why=str(error))
 
     async def _advance(self, ips: set[str]) -> None:
         """Take the next step towards the newest epoch."""
@@ -123,7 +124,7 @@
         Returns the configuration that was agreed on. Raises RegisterUnavailable, or DiskRefused.
         """
         agreed = await self._agree(sorted({*self._membership.members, spare} - {member}))
-        self._say("member replaced", member=member, spare=spare, **agreed.encode_members())
+        self._log.info("member replaced", member=member, spare=spare, **agreed.encode_members())
         return agreed
 
     async def _agree(self, members: Sequence[str]) -> MembershipConfiguration:
@@ -195,7 +196,7 @@
                 peer_incarnations=self._merged_incarnations(collected.quorum),
             )
             await self._membership.enter(update)
-        self._say(
+        self._log.info(
             "disk rebuilt",
             rows=len(rows),
             sources=len(collected.quorum.replies),
--- a/honeywood/gateway/register/membership_state.py
+++ b/honeywood/gateway/register/membership_state.py
@@ -12,8 +12,7 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from collections.abc import Callable
-
+    from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.register.persistent_state import PersistentState
 
 NO_CONFIGURATION = MembershipConfiguration(BOOTSTRAP_EPOCH, ())
@@ -27,9 +26,9 @@
     `intact` whether it stores all that it ever promised and accepted; `lock` orders what is written.
     """
 
-    def __init__(self, state: PersistentState, say: Callable[..., None]) -> None:
+    def __init__(self, state: PersistentState, log: EventLog) -> None:
         """Know no members before the disk is open."""
-        self._state, self._say = state, say
+        self._state, self._log = state, log
         self.configuration = NO_CONFIGURATION
         self.pending: MembershipConfiguration | None = None
         self.intact = False
@@ -126,7 +125,7 @@
         await self._state.write(update)
         self.configuration, self.intact = update.configuration, True
         self._drop_pending(self.epoch)
-        self._say(
+        self._log.info(
             "epoch entered",
             epoch=self.epoch,
             members=self.members,
--- a/tests/gateway/call_scenario.py
+++ b/tests/gateway/call_scenario.py
@@ -8,17 +8,19 @@
 from scripted_transport import STEP, ScriptedLoop, ScriptedTransport
 from timeline import config, machine
 
-from honeywood.gateway.proxy.forwarding import ANSWER_EARLY_S, ClientRequest
+from honeywood.gateway.proxy.client_request import ClientRequest
+from honeywood.gateway.proxy.failure_responses import RESPONSE_MARGIN_S
 from honeywood.gateway.proxy.program import Proxy
-from honeywood.gateway.routing.outcomes import PROMISES
+from honeywood.gateway.routing.outcomes import NOT_RUN_STATUSES
 from honeywood.gateway.rpc.protocol import HttpProtocol
 from honeywood.gateway.rpc.server import HttpServer
 from honeywood.lab.emulator.boot import settings
+from honeywood.lab.emulator.silent_log import SilentLog
 
 HEAD = b"HTTP/1.1 %s\r\nX-Try-Id: %s\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\n%s"
 FULL = b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Try-Id: %s\r\nContent-Length: 0\r\n\r\n"
 NOBODYS = b"HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"
-TIMEOUT, SPARE = 0.6, ANSWER_EARLY_S
+TIMEOUT, SPARE = 0.6, RESPONSE_MARGIN_S
 
 
 def good(id):
@@ -40,12 +42,11 @@
         self.method = b"POST"
         self.served = False  # whether nothing keeps a request from being served
         asyncio.set_event_loop(self.loop)
-        quiet = type("Quiet", (Proxy,), {"say": lambda *said, **more: None})
         given = settings("f", bear=0), None, self.loop.time, self.loop.time
-        self.proxy, self.ran, self.answers = quiet(*given, random=Random(1)), Counter(), {}
-        self.proxy.hear("config", json.dumps(config(5, kind=kind)))
+        self.proxy, self.ran, self.answers = Proxy(*given, random=Random(1), log=SilentLog()), Counter(), {}
+        self.proxy.records.apply("config", json.dumps(config(5, kind=kind)))
         for id in "mn":
-            self.proxy.hear(f"machine/{id}", machine(id))
+            self.proxy.records.apply(f"machine/{id}", machine(id))
 
     def serve(self, line, request):
         id = id_of(request)
@@ -60,13 +61,13 @@
         """One request of a client on its own."""
         proxy = self.proxy
         fields = {b"host": b"h.example", b"x-try-id": id}
-        route = proxy.table.find(b"h.example", b"/p0/x")
+        route = proxy.configuration.table.find(b"h.example", b"/p0/x")
         began = self.loop.time()
         request = ClientRequest(self.method, b"/p0/x", list(fields.items()), fields, b"body")
         answer = await proxy.forwarder.forward(route, request)
         self.answers[id] = answer.status, answer.body, self.loop.time() - began
-        at_work = sum(one.in_flight - one.connecting for one in proxy.endpoints.by_id.values())
-        if answer.status in PROMISES and at_work:  # one that is still being dialled gets nothing any more
+        at_work = sum(one.in_flight - one.opening_connections for one in proxy.endpoints.by_id.values())
+        if answer.status in NOT_RUN_STATUSES and at_work:  # what is still being dialled gets nothing
             self.still_out.append(id)
         return answer.status
 
@@ -78,7 +79,7 @@
                 await self.ask(id)
                 await asyncio.sleep(every)
             await asyncio.sleep(3.0)
-            await self.proxy.tidy()
+            await self.proxy.maintain()
             await asyncio.sleep(STEP)
 
         self.loop.run_until_complete(work())
@@ -88,7 +89,7 @@
 
     def broken(self):
         """What doesn't hold of TWICE, MIXED, REFUSED, and of what was given up."""
-        self.proxy.invariants.look(self.loop.time())
+        self.proxy.invariants.check(self.loop.time())
         found = [f"{count} x {what}" for what, count in self.proxy.invariants.violations.items()]
         for id, (status, body, took) in self.answers.items():
             if self.kind == "unsafe" and self.ran[id] > 1:
@@ -97,7 +98,7 @@
                 found.append(f"{id} got {status} though nothing of it was lost")
             if status == 200 and body != id[-2:]:
                 found.append(f"{id} got {body}")
-            if status in PROMISES and self.ran[id]:
+            if status in NOT_RUN_STATUSES and self.ran[id]:
                 found.append(f"{id} was refused and ran")
             if id in self.still_out:
                 found.append(f"{id} was refused with a machine at work")
@@ -105,8 +106,9 @@
                 found.append(f"{id} was held for {took}")
         for held in self.proxy.endpoints.by_id.values():
             kept = sum(one.reusable for one in held.idle_connections)
-            if held.in_flight or held.connecting or held.connected != kept:
-                found.append(f"{held.id}: {held.in_flight} open, {held.connected} connections, {kept} kept")
+            if held.in_flight or held.opening_connections or held.open_connections != kept:
+                counted = f"{held.in_flight} open, {held.open_connections} connections, {kept} kept"
+                found.append(f"{held.id}: {counted}")
         return found
 
 
--- a/tests/gateway/dissemination/test_retired_machines.py
+++ b/tests/gateway/dissemination/test_retired_machines.py
@@ -3,7 +3,9 @@
 from timeline import World
 from ward import test
 
-from honeywood.gateway.controller.machines import DEPARTED_ROW, Machines
+from honeywood.gateway.controller.heartbeat import Heartbeat
+from honeywood.gateway.controller.machine_record import MachineRecord, heartbeat_stamp
+from honeywood.gateway.controller.machine_table import DEPARTED_ROW_PREFIX, MachineTable
 from honeywood.gateway.dissemination import tombstones
 from honeywood.gateway.dissemination.record import Record, Stamp
 from honeywood.gateway.dissemination.retired_machines import MAX_RETIRED, RETENTION_S, RetiredMachines
@@ -51,9 +53,9 @@
         world.nodes["c"].publisher.store.merge(late)
         world.run(RETENTION_S + 7.0)
         assert not any(told(world, name, "m") for name in "abcf")
-        assert "m" not in world.nodes["b"].machines.heard
+        assert "m" not in world.nodes["b"].machines.last_seen_at
         kept = list(world.nodes["a"].register.state.heartbeats)
-        assert kept == [DEPARTED_ROW + tombstones.bucket_key("m")], "its name alone stays on disk"
+        assert kept == [DEPARTED_ROW_PREFIX + tombstones.bucket_key("m")], "its name alone stays on disk"
     finally:
         world.close()
 
@@ -116,19 +118,29 @@
 
 @test("after ten thousand incarnations of machines a store has as many records as after two thousand")
 def _():
-    store = Store("x", lambda key, value: key.startswith("machine/") and machines.hear(now, key[8:], value))
-    machines, rows, now = Machines(store, 1.5), {}, 0.0
-    machines.changed = lambda id, note: rows.pop(id, None) if note is None else rows.__setitem__(id, note)
+    def merge(key, value):
+        if key.startswith("machine/"):
+            machines.merge_record(now, key[8:], value)
+
+    def save(id, row):
+        if row is None:
+            rows.pop(id, None)
+        else:
+            rows[id] = row
+
+    store, rows, now = Store("x", merge), {}, 0.0
+    machines = MachineTable(store, 1.5, save)
+    heartbeat = Heartbeat(heartbeat_stamp(1), MachineRecord.decode(BEAT))
     for life in range(10_000):
         now += 0.01
-        machines.beat(now, f"i-{life}", Stamp.of(1, 0), BEAT)
-        machines.leave(f"i-{life}") if life % 2 else None
+        machines.record_heartbeat(now, f"i-{life}", heartbeat)
+        machines.record_departure(f"i-{life}") if life % 2 else None
         if life % 100 == 0:
-            machines.look(now)
-    machines.look(now)
+            machines.expire(now)
+    machines.expire(now)
     names = tombstones.BUCKET_COUNT * tombstones.BUCKET_CAPACITY
     assert len(store.records) < 2 * (MAX_RETIRED + 600) + tombstones.BUCKET_COUNT
-    assert len(rows) < MAX_RETIRED + 600 and len(machines.heard) < 600
+    assert len(rows) < MAX_RETIRED + 600 and len(machines.last_seen_at) < 600
     assert 1000 < store.tombstone_count <= names
     for life in range(20_000):
         store.drop_machine(f"j-{life}", True)
--- a/tests/gateway/rollout/test_allowance.py
+++ b/tests/gateway/rollout/test_allowance.py
@@ -9,7 +9,7 @@
 from honeywood.gateway.rollout import transitions
 from honeywood.gateway.rollout.record import RolloutStage, RolloutState
 from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
-from honeywood.gateway.routing.attempts import PendingRequest
+from honeywood.gateway.routing.pending_request import PendingRequest
 
 ACTIVE, DONE, REVERTED = RolloutState.ACTIVE, RolloutState.DONE, RolloutState.REVERTED
 TRIAL, WIDE, FULL = RolloutStage.TRIAL, RolloutStage.WIDE, RolloutStage.FULL
--- a/tests/gateway/socket_scene.py
+++ b/tests/gateway/socket_scene.py
@@ -11,6 +11,7 @@
 from honeywood.gateway.proxy.program import Proxy
 from honeywood.gateway.rpc.server import HttpServer
 from honeywood.lab.emulator.boot import boot
+from honeywood.lab.emulator.silent_log import SilentLog
 from honeywood.standins.requests import read_request
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Try-Id: %s\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\n"
@@ -128,8 +129,7 @@
 
     async def __aenter__(self):
         text = boot("127.0.0.1", bear=0, ports=(free_port(), free_port(), free_port(), 7000, 7010))
-        quiet = type("Quiet", (Proxy,), {"say": lambda *said, **more: None})
-        self.proxy = quiet(read_settings(text))
+        self.proxy = Proxy(read_settings(text), log=SilentLog())
         self.configure(self.configuration())
         self.machines = []
         for n, script in enumerate(self.scripts):
@@ -149,7 +149,7 @@
 
     def configure(self, sent):
         """Brings a configuration into force as operators send it."""
-        self.proxy.hear("config", pack_for_proxies(json.dumps(sent)))
+        self.proxy.records.apply("config", pack_for_proxies(json.dumps(sent)))
 
     def machine(self, script):
         """The machine that plays a script."""
@@ -164,11 +164,11 @@
             "ver": "v1",
             "slots": 4,
         }
-        self.proxy.hear(f"machine/i-{n}", {**value, "state": state, "cold": 0})
+        self.proxy.records.apply(f"machine/i-{n}", {**value, "state": state, "cold": 0})
 
     async def __aexit__(self, *wrong):
         for _ in range(2):
-            self.proxy.invariants.look(self.proxy.clock())
+            self.proxy.invariants.check(self.proxy.clock())
             await asyncio.sleep(0.01)
         assert not self.proxy.invariants.violations, self.proxy.invariants.violations
         await self.server.close(0.1)
--- a/tests/gateway/test_emulator.py
+++ b/tests/gateway/test_emulator.py
@@ -10,25 +10,26 @@
 from ward import each, test
 
 from honeywood.gateway.configuration import packing
-from honeywood.gateway.controller import machines
-from honeywood.gateway.controller.app import App
+from honeywood.gateway.controller import heartbeat
+from honeywood.gateway.controller.operations import Operations
 from honeywood.gateway.dissemination.change_feed import ChangeFeed
 from honeywood.gateway.dissemination.record import Record
 from honeywood.gateway.dissemination.store import Store
 from honeywood.gateway.errors import GatewayError, VersionConflict
-from honeywood.gateway.proxy import polling, sender
-from honeywood.gateway.proxy.forwarding import Forwarder
-from honeywood.gateway.proxy.program import Proxy
-from honeywood.gateway.proxy.responses import own_response
-from honeywood.gateway.proxy.sender import AttemptSender
+from honeywood.gateway.proxy import attempt_sender, poll_interval
+from honeywood.gateway.proxy.attempt_sender import AttemptSender
+from honeywood.gateway.proxy.client_response import local_response
+from honeywood.gateway.proxy.controller_poller import ControllerPoller
+from honeywood.gateway.proxy.failure_responses import FailureResponses
+from honeywood.gateway.proxy.update_subscription import UpdateSubscription
 from honeywood.gateway.register import membership_rules
 from honeywood.gateway.register.persistent_state import PersistentState
 from honeywood.gateway.rollout import transitions
 from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
-from honeywood.gateway.routing.attempts import AttemptPolicy
-from honeywood.gateway.routing.budget import RetryBudget
+from honeywood.gateway.routing.attempt_policy import AttemptPolicy
 from honeywood.gateway.routing.outcomes import AttemptOutcome
-from honeywood.gateway.routing.routes import RouteTable
+from honeywood.gateway.routing.retry_budget import RetryBudget
+from honeywood.gateway.routing.route_table import RouteTable
 from honeywood.lab.emulator import hunt
 from honeywood.lab.emulator.day import Day, EmulatedDay, draw, play
 from honeywood.lab.emulator.faults import Fault
@@ -108,7 +109,8 @@
         kept = AttemptPolicy.__dict__[method]
         return lambda *given: None if kept(*given) == name else kept(*given)
 
-    return [(AttemptPolicy, method, without(method)) for method in ("request_refusal", "endpoint_refusal")]
+    methods = ("request_rejection", "endpoint_rejection")
+    return [(AttemptPolicy, method, without(method)) for method in methods]
 
 
 def any_answer(status, fields, try_id):
@@ -147,42 +149,42 @@
     self.apply(update)
 
 
-async def gives_up(self, listen=Proxy.listen):
+async def gives_up(self, listen=UpdateSubscription.poll_once):
     """A proxy that finds nobody listening at its start asks no more."""
     await listen(self)
     if not self.subscriber.positions:
         await asyncio.sleep(99.0)
 
 
-async def by_number(self, of, body, peer, replace=App.replace):
+async def by_number(self, call, replace=Operations.replace_configuration):
     """A configuration is confirmed by its number, whatever it holds."""
     try:
-        return await replace(self, of, body, peer)
+        return await replace(self, call)
     except GatewayError:
-        stamp = self.controller.store.stamp("config")
-        if stamp is None or stamp[0] != int(json.loads(body)["ver"], 16):
+        stamp = self.rollouts.store.stamp("config")
+        if stamp is None or stamp[0] != int(json.loads(call.body)["ver"], 16):
             raise
         return {}
 
 
-async def once_only(self, of, body, peer, start=App.start):
+async def once_only(self, call, start=Operations.start_rollout):
     """An order that is known is refused."""
-    svc = json.loads(body)["svc"]
-    if self.controller.store.get(f"rollout/{svc}"):
-        raise VersionConflict("rollouts.start", "there is one", peer)
-    return await start(self, of, body, peer)
+    svc = json.loads(call.body)["svc"]
+    if self.rollouts.store.get(f"rollout/{svc}"):
+        raise VersionConflict("rollouts.start", "there is one", call.peer)
+    return await start(self, call)
 
 
-async def own_board(self, of, body, peer):
+async def own_board(self, call):
     """A configuration is read from this controller's store."""
-    held = self.controller.store.get("config")
+    held = self.rollouts.store.get("config")
     return packing.unpack(held) if held else b'{"ver":"00000000"}'
 
 
-async def own_state(self, of, body, peer, rollout=App.rollout):
+async def own_state(self, call, read=Operations.read_rollout):
     """So is a rollout."""
-    held = self.controller.store.get(f"rollout/{of}")
-    return {"state": held["state"], "to_ver": held["to_ver"]} if held else await rollout(self, of, body, peer)
+    held = self.rollouts.store.get(f"rollout/{call.subject}")
+    return {"state": held["state"], "to_ver": held["to_ver"]} if held else await read(self, call)
 
 
 def forgetful(held, *order, start=transitions.start_rollout):
@@ -190,28 +192,28 @@
     return start(replace(held, previous_orders=()) if held else held, *order)
 
 
-async def unlooked(self, of, body, peer):
+async def unlooked(self, call):
     return {}["nothing"]
 
 
-async def unheeded(self, of, body, peer):
+async def unheeded(self, call):
     """A machine's leaving is confirmed, and forgotten."""
     return {}
 
 
-def always_ready(id, body, peer, beat=machines.beat):
+def always_ready(id, body, peer, decode=heartbeat.decode_heartbeat):
     """Whatever a machine says, it is ready."""
-    return beat(id, {**body, "state": "ready"}, peer)
+    return decode(id, {**body, "state": "ready"}, peer)
 
 
 def three_routes(self, config, init=RouteTable.__init__):
     """Routes beyond the first three of a configuration are forgotten."""
     init(self, config)
-    self.hosts = {host: dict([*routes.items()][:3]) for host, routes in self.hosts.items()}
+    self.routes_by_host = {host: dict([*routes.items()][:3]) for host, routes in self.routes_by_host.items()}
 
 
 def promise(self, ask, best):
-    return own_response(503, "no machine free", 0.1)
+    return local_response(503, "no machine free", 0.1)
 
 
 POOR = {"per_s": 120.0, "bounds": (("retry_slack", 2), ("retry_ratio", 0.02))}
@@ -226,28 +228,28 @@
     ),
     patch=each(
         lambda: unrefused("may have run"),
-        lambda: [(Forwarder, "_give_up", promise)],
-        lambda: [(sender, "classify", any_answer), (Connection, "exchange", unexpecting)],
+        lambda: [(FailureResponses, "no_endpoint", promise)],
+        lambda: [(attempt_sender, "classify_response", any_answer), (Connection, "exchange", unexpecting)],
         lambda: unrefused("state"),
-        lambda: [(polling, "POLL_S", 3.0), (Proxy, "listen", idle)],
+        lambda: [(poll_interval, "POLL_S", 3.0), (UpdateSubscription, "poll_once", idle)],
         lambda: [(Store, "put", last_wins), (ChangeFeed, "since", all_again)],
         lambda: [(RetryBudget, "allows", lambda self, now, fronts: True)],
         lambda: [(RolloutTrafficPolicy, "trial_permits", lambda self, now, ask: True)],
         lambda: [(PersistentState, "write", unwritten)],
-        lambda: [(App, "replace", by_number)],
-        lambda: [(App, "start", once_only)],
-        lambda: [(App, "read", own_board)],
-        lambda: [(App, "rollout", own_state)],
+        lambda: [(Operations, "replace_configuration", by_number)],
+        lambda: [(Operations, "start_rollout", once_only)],
+        lambda: [(Operations, "read_configuration", own_board)],
+        lambda: [(Operations, "read_rollout", own_state)],
         lambda: [(membership_rules, "majority", lambda here: len(here.members))],
-        lambda: [(App, "start", unlooked)],
+        lambda: [(Operations, "start_rollout", unlooked)],
         lambda: [(transitions, "start_rollout", forgetful)],
         lambda: [(PersistentState, "write", unwritten)],
         lambda: [(PersistentState, "write", unwritten)],
         lambda: [(PersistentState, "write", without_rollouts)],
         lambda: unrefused("state"),
         lambda: [(membership_rules, "majority", lambda here: len(here.members))],
-        lambda: [(Proxy, "listen", gives_up), (Proxy, "poll", idle)],
-        lambda: [(App, "leave", unheeded), (machines, "beat", always_ready)],
+        lambda: [(UpdateSubscription, "poll_once", gives_up), (ControllerPoller, "poll_once", idle)],
+        lambda: [(Operations, "leave", unheeded), (heartbeat, "decode_heartbeat", always_ready)],
         lambda: [(RouteTable, "__init__", three_routes)],
         lambda: [(AttemptSender, "abandon", lambda self, request: None)],
     ),
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -2,10 +2,11 @@
 
 import asyncio
 
+from ports import free_port
 from socket_scene import GET, HEAD, Scene, ok, play
 from ward import each, raises, test
 
-from honeywood.gateway.metrics import Figures, port_of, render
+from honeywood.gateway.metrics import Metrics, parse_port, render
 
 
 async def read_page(ip, port, path):
@@ -27,7 +28,7 @@
 
 @test("figures are told as text, with names escaped")
 def _():
-    page = render(Figures({'answered "200"\\': 2}, {"ready": True, "connections": 3}))
+    page = render(Metrics({'answered "200"\\': 2}, {"ready": True, "connections": 3}))
     assert page.decode().splitlines() == [
         "# TYPE honeywood_events_total counter",
         'honeywood_events_total{event="answered \\"200\\"\\\\"} 2',
@@ -40,13 +41,13 @@
 
 @test("the command line {given} names the metrics port {port}")
 def _(given=each([], ["--metrics", "9464"]), port=each(None, 9464)):
-    assert port_of(given) == port
+    assert parse_port(given) == port
 
 
 @test("a command line {given} that can't be used ends the program with status 2")
 def _(given=each(["--metrics"], ["--metrics", "x"], ["--metrics", "0"], ["--metrics", "65536"], ["-v"])):
     with raises(SystemExit) as ended:
-        port_of(given)
+        parse_port(given)
     assert ended.raised.code == 2
 
 
@@ -55,16 +56,16 @@
     async def work():
         async with Scene([ok]) as scene:
             proxy = scene.proxy
-            taken = proxy.metrics_port = scene.port
-            await proxy.open_metrics(scene.server)
-            assert proxy.metrics_port is None and taken == scene.port
+            taken = proxy.metrics_endpoint.port = scene.port
+            await proxy.metrics_endpoint.open(scene.server)
+            assert proxy.metrics_endpoint.port is None and taken == scene.port
             await scene.get()
-            proxy.metrics_port = scene.machines[0].port + 1
-            await proxy.open_metrics(scene.server)
-            page = await read_page("127.0.0.1", proxy.metrics_port, b"/metrics")
+            proxy.metrics_endpoint.port = free_port()
+            await proxy.metrics_endpoint.open(scene.server)
+            page = await read_page("127.0.0.1", proxy.metrics_endpoint.port, b"/metrics")
             assert b"200 OK" in page and b'honeywood_events_total{event="answered 200"} 1\n' in page
             assert b"honeywood_config_version 5\n" in page and b"honeywood_open_requests 0\n" in page
-            assert b" 404 " in await read_page("127.0.0.1", proxy.metrics_port, b"/other")
+            assert b" 404 " in await read_page("127.0.0.1", proxy.metrics_endpoint.port, b"/other")
 
     play(work)
 
@@ -79,7 +80,7 @@
             writer.write(HEAD % id + b"ok")
 
         async with Scene([held], kind=kind) as scene:
-            counts = scene.proxy.forwarder.counts
+            counts = scene.proxy.counters.counts
             _, writer = await asyncio.open_connection("127.0.0.1", scene.port)
             writer.write(GET % b"id1")
             await until(lambda: scene.machines[0].seen)
--- a/tests/gateway/test_pinned_proxy.py
+++ b/tests/gateway/test_pinned_proxy.py
@@ -38,10 +38,11 @@
 from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.proxy.program import Proxy
-from honeywood.gateway.routing.attempts import Refusal
 from honeywood.gateway.routing.outcomes import AttemptOutcome
+from honeywood.gateway.routing.rejection import RejectionReason
 from honeywood.gateway.rpc.server import HttpServer
 from honeywood.lab.emulator.boot import BOUNDS, boot
+from honeywood.lab.emulator.silent_log import SilentLog
 
 RECORDED = json.loads((Path(__file__).parent / "recorded" / "proxy.json").read_text())
 LONGEST_BODY = 2000  # bytes that are recorded as they are
@@ -57,11 +58,10 @@
 # Accessors: everything below that depends on names of the code, besides the imports.
 def make_proxy(text: str, frozen: bool) -> Proxy:
     """A proxy with these settings that logs nothing; its incarnation is always the same."""
-    quiet = type("Quiet", (Proxy,), {"say": lambda *said, **more: None})
     now = asyncio.get_running_loop().time
     began_at = now()
     clock = (lambda: began_at) if frozen else now
-    proxy = quiet(read_settings(text), None, clock, lambda: 1.7e9, random=Random(1))
+    proxy = Proxy(read_settings(text), None, clock, lambda: 1.7e9, random=Random(1), log=SilentLog())
     proxy.server = HttpServer(proxy.app)
     return proxy
 
@@ -69,9 +69,9 @@
 async def listen(proxy: Proxy) -> None:
     """Opens all listeners of a proxy."""
     s = proxy.settings
-    proxy.metrics_port = free_port()
+    proxy.metrics_endpoint.port = free_port()
     await proxy.server.open([s.listen.http, s.listen.ready, (s.ip, s.proxy_port)])
-    await proxy.open_metrics(proxy.server)
+    await proxy.metrics_endpoint.open(proxy.server)
 
 
 def deliver(proxy: Proxy, key: str, value: object) -> None:
@@ -84,18 +84,18 @@
 
 
 def meet_quorum(proxy: Proxy) -> None:
-    proxy.met_majority = True
+    proxy.readiness.met_quorum = True
 
 
 async def poll_once(proxy: Proxy) -> None:
-    await proxy.ask_controller("127.0.0.1")
+    await proxy.poller._poll("127.0.0.1")
 
 
 async def listen_once(proxy: Proxy) -> None:
-    await proxy.listen()
+    await proxy.subscription.poll_once()
 
 
-def values_of(enumeration: type[Refusal] | type[AttemptOutcome]) -> list[str]:
+def values_of(enumeration: type[RejectionReason] | type[AttemptOutcome]) -> list[str]:
     return sorted(str(one) for one in enumeration)
 
 
@@ -321,7 +321,8 @@
 
 def port_of(proxy: Proxy, name: str) -> int:
     s = proxy.settings
-    return {"proxies": s.proxy_port, "metrics": proxy.metrics_port}.get(name) or s.listen.addresses[name].port
+    ports = {"proxies": s.proxy_port, "metrics": proxy.metrics_endpoint.port}
+    return ports.get(name) or s.listen.addresses[name].port
 
 
 async def play(case: Case) -> dict[str, list[str]]:
@@ -464,5 +465,5 @@
 
 @test("what stands in X-Gateway and in counts keeps its names")
 def _():
-    found = {"refusals": values_of(Refusal), "outcomes": values_of(AttemptOutcome)}
+    found = {"refusals": values_of(RejectionReason), "outcomes": values_of(AttemptOutcome)}
     assert found == RECORDED["names"]
--- /dev/null
+++ b/tests/gateway/test_settings_reload.py
@@ -0,0 +1,36 @@
+"""A settings file that changes while a program runs is read again."""
+
+from ward import test
+
+from honeywood.gateway.configuration.settings import read_settings
+from honeywood.lab.emulator.boot import boot
+from honeywood.lab.emulator.silent_log import SilentLog
+
+GOOD = boot("n", seeds=["10.0.0.1:82"], ip="10.0.0.9")
+
+
+@test("settings that change are read again: seeds are taken over, what can't be used leaves all as it was")
+def _():
+    import asyncio
+    import os
+    import tempfile
+
+    from honeywood.gateway.proxy.program import Proxy
+    from honeywood.gateway.settings_file import SettingsFile
+
+    with tempfile.TemporaryDirectory() as folder:
+        path = os.path.join(folder, "boot.toml")
+        proxy = Proxy(read_settings(GOOD), log=SilentLog())
+        proxy.settings_file = SettingsFile(path)
+        for at, (text, known) in enumerate(
+            (
+                (GOOD, ["10.0.0.1"]),
+                (GOOD.replace("0.0.1:82", "0.0.2:82"), ["10.0.0.1", "10.0.0.2"]),
+                ("seeds = 1", None),
+            )
+        ):
+            with open(path, "w") as file:
+                file.write(text)
+            os.utime(path, ns=(at + 1, at + 1))
+            asyncio.run(proxy.reload_settings())
+            assert proxy.peers.controllers == (known or ["10.0.0.1", "10.0.0.2"])
