--- a/honeywood/cli/soak.py
+++ b/honeywood/cli/soak.py
@@ -15,10 +15,11 @@
 def command(seeds, first, seconds, jobs, keep):
     """Real processes and sockets on loopback, killed, stopped, paused and cut off at random, with clients
     that leave and keys that move; ends with 1 where a rule was broken."""
-    from honeywood.lab.soak.series import line, series
+    from honeywood.lab.soak.series import run_series, summary
 
-    found = series(first, seeds, seconds, jobs, keep, lambda outcome: click.echo(line(outcome)))
-    broken = sum(bool(outcome.breaches) for outcome in found)
-    tries, left = sum(outcome.tries for outcome in found), sum(outcome.left for outcome in found)
-    click.echo(f"{len(found)} soaks, {tries} requests, {left} left by their clients; {broken} broken")
+    outcomes = run_series(first, seeds, seconds, jobs, keep, lambda outcome: click.echo(summary(outcome)))
+    broken = sum(bool(outcome.violations) for outcome in outcomes)
+    requests = sum(outcome.requests for outcome in outcomes)
+    left = sum(outcome.disconnected for outcome in outcomes)
+    click.echo(f"{len(outcomes)} soaks, {requests} requests, {left} left by their clients; {broken} broken")
     sys.exit(bool(broken))
--- a/honeywood/lab/emulator/boot.py
+++ b/honeywood/lab/emulator/boot.py
@@ -1,5 +1,6 @@
 """The settings file of a process in worlds and tests, and what their routes ask for."""
 
+from collections.abc import Mapping, Sequence
 from dataclasses import replace
 
 from honeywood.gateway.configuration.addresses import Address
@@ -46,7 +47,17 @@
 """
 
 
-def boot(node, zone="z", seeds=(), fresh=True, bear=1, ip=None, data=None, ports=PORTS, bounds=BOUNDS):
+def boot(
+    node: str,
+    zone: str = "z",
+    seeds: Sequence[str] = (),
+    fresh: bool = True,
+    bear: int = 1,
+    ip: str | None = None,
+    data: str | None = None,
+    ports: tuple[int, int, int, int, int] = PORTS,
+    bounds: Mapping[str, float] = BOUNDS,
+) -> str:
     """The file's text: `seeds` are addresses, the node's name stands for what isn't given."""
     text = TEXT.format(
         node=node,
--- a/honeywood/lab/soak/__init__.py
+++ b/honeywood/lab/soak/__init__.py
@@ -1,4 +1,4 @@
-"""The system's own processes on one machine, with real sockets, under troubles that overlap in time.
+"""Soak tests: the real processes on one machine, with real sockets, under faults that overlap in time.
 
-Start reading at run.py (one seed), then rules.py (what must hold).
+Start reading at soak.py (one seed), then rules.py (what must hold).
 """
--- /dev/null
+++ b/honeywood/lab/soak/clients.py
@@ -0,0 +1,129 @@
+"""The scripted clients of a soak, some of which disconnect before their response."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import socket
+import struct
+from collections.abc import Callable, Mapping, Sequence
+
+from honeywood.lab.soak.record import ClientRequest, Record
+
+DEADLINE_S = 1.5
+MAX_STAY_S = 0.4
+"""Of a client that disconnects."""
+IDEMPOTENT_SHARE = 0.7
+PIPELINED_SHARE = 0.2
+"""Of clients with idempotent requests: they send two at once."""
+RESET_SHARE = 0.3
+"""Of connections: they end by a reset."""
+NO_LINGER = struct.pack("ii", 1, 0)
+
+
+class SoakClients:
+    """Clients that send requests to proxies; `disconnecting_share` of them leave before their response."""
+
+    def __init__(
+        self,
+        record: Record,
+        proxies: Mapping[str, tuple[str, int]],
+        random: random.Random,
+        clock: Callable[[], float],
+        known_keys: Callable[[], Sequence[str]],
+    ) -> None:
+        """`proxies` are addresses by name; `known_keys()` are the API keys that may be sent now."""
+        self.disconnecting_share = 0.0
+        self._record = record
+        self._proxies = proxies
+        self._random = random
+        self._clock = clock
+        self._known_keys = known_keys
+        self._last_id = 0
+        self._open: set[asyncio.Future[None]] = set()
+
+    async def run(self, seconds: float, requests_per_s: float) -> None:
+        """Send requests at a rate, then wait for those that are open."""
+        end = self._clock() + seconds
+        while self._clock() < end:
+            client = asyncio.ensure_future(self._run_client())
+            self._open.add(client)
+            client.add_done_callback(self._open.discard)
+            await asyncio.sleep(self._random.expovariate(requests_per_s))
+        if self._open:
+            await asyncio.wait(set(self._open), timeout=DEADLINE_S + 1.0)
+
+    async def _run_client(self) -> None:
+        proxy = self._random.choice(sorted(self._proxies))
+        idempotent = self._random.random() < IDEMPOTENT_SHARE
+        count = 2 if idempotent and self._random.random() < PIPELINED_SHARE else 1
+        stay_s = self._draw_stay_s()
+        requests = [self._new_request(proxy, idempotent) for _ in range(count)]
+        try:
+            async with asyncio.timeout(DEADLINE_S):
+                reader, writer = await asyncio.open_connection(*self._proxies[proxy])
+        except (OSError, TimeoutError):
+            return
+        self._send(requests, writer)
+        try:
+            await self._read_responses(reader, requests, stay_s)
+        finally:
+            self._close(writer)
+
+    def _draw_stay_s(self) -> float | None:
+        """Return after how long a client disconnects; None where it stays."""
+        if self._random.random() < self.disconnecting_share:
+            return self._random.uniform(0.0, MAX_STAY_S)
+        return None
+
+    def _new_request(self, proxy: str, idempotent: bool) -> ClientRequest:
+        self._last_id += 1
+        key = self._random.choice(self._known_keys())
+        return ClientRequest(b"%016x" % self._last_id, idempotent, proxy, key, self._clock())
+
+    def _send(self, requests: Sequence[ClientRequest], writer: asyncio.StreamWriter) -> None:
+        for request in requests:
+            self._record.requests[request.id] = request
+        writer.write(b"".join(_encode(request) for request in requests))
+
+    async def _read_responses(
+        self, reader: asyncio.StreamReader, requests: Sequence[ClientRequest], stay_s: float | None
+    ) -> None:
+        """Read the responses until the client's deadline or its disconnect."""
+        try:
+            async with asyncio.timeout(DEADLINE_S if stay_s is None else stay_s):
+                for request in requests:
+                    await _read_response(reader, request)
+        except TimeoutError:  # before OSError, of which it is one
+            for request in requests:
+                if stay_s is not None and request.status is None:
+                    request.disconnected_at = self._clock()
+        except (OSError, EOFError):
+            pass
+
+    def _close(self, writer: asyncio.StreamWriter) -> None:
+        if self._random.random() < RESET_SHARE:
+            connection = writer.get_extra_info("socket")
+            if connection is not None and connection.fileno() >= 0:
+                connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
+            writer.transport.abort()
+        else:
+            writer.close()
+
+
+def _encode(request: ClientRequest) -> bytes:
+    method, path = (b"GET", b"/safe/x") if request.idempotent else (b"POST", b"/unsafe/x")
+    body = b"" if request.idempotent else b"body"
+    length = b"" if request.idempotent else b"Content-Length: 4\r\n"
+    return (
+        b"%s %s HTTP/1.1\r\nHost: soak.example\r\nX-Try-Id: %s\r\nX-Api-Key: %s\r\n"
+        b"X-Deadline-Ms: %d\r\n%s\r\n%s"
+        % (method, path, request.id, request.key.encode(), DEADLINE_S * 1000, length, body)
+    )
+
+
+async def _read_response(reader: asyncio.StreamReader, request: ClientRequest) -> None:
+    head = (await reader.readuntil(b"\r\n\r\n")).lower()
+    length = next(line for line in head.split(b"\r\n") if line.startswith(b"content-length:"))
+    body = await reader.readexactly(int(length.partition(b":")[2]))
+    request.status, request.body = int(head[9:12]), body
--- /dev/null
+++ b/honeywood/lab/soak/fault_injector.py
@@ -0,0 +1,143 @@
+"""Injects the faults of a soak."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import signal
+from collections.abc import Awaitable, Callable, Collection, Sequence
+
+from honeywood.lab.soak.clients import SoakClients
+from honeywood.lab.soak.cluster import Cluster
+from honeywood.lab.soak.faults import Fault, FaultKind
+from honeywood.lab.soak.machine import MachineFaults, SoakMachine
+from honeywood.lab.soak.operator_client import OperatorClient
+from honeywood.lab.soak.record import Record
+
+FAULTY_SHARE = 0.4
+"""Of the requests of machines, or of clients, that a fault touches."""
+
+
+class FaultInjector:
+    """Injects faults into the cluster, the machines and the clients."""
+
+    def __init__(
+        self,
+        record: Record,
+        cluster: Cluster,
+        machines: Sequence[SoakMachine],
+        clients: SoakClients,
+        operator: OperatorClient,
+        clock: Callable[[], float],
+    ) -> None:
+        """Note in `record` which processes a fault touches, and when."""
+        self._record = record
+        self._cluster = cluster
+        self._machines = machines
+        self._clients = clients
+        self._operator = operator
+        self._clock = clock
+        self._handlers: dict[FaultKind, Callable[[Fault], Awaitable[Collection[str]]]] = {
+            FaultKind.KILL: self._kill,
+            FaultKind.STOP: self._stop,
+            FaultKind.PAUSE: self._pause,
+            FaultKind.PARTITION: self._partition,
+            FaultKind.MACHINE_PARTITION: self._partition_from_machines,
+            FaultKind.LOST_RESPONSES: self._lose_responses,
+            FaultKind.STRAY_RESPONSES: self._send_stray_responses,
+            FaultKind.SLOW_MACHINES: self._slow_machines,
+            FaultKind.DISCONNECTING_CLIENTS: self._disconnect_clients,
+            FaultKind.CONFIGURATION_CHANGE: self._change_configuration,
+        }
+
+    async def inject(self, fault: Fault) -> None:
+        """Wait for the fault's time, inject it, and end it after its duration."""
+        await asyncio.sleep(fault.at_s)
+        began_at = self._clock()
+        for ip in await self._handlers[fault.kind](fault):
+            self._record.disturbances[ip].append((began_at, self._clock()))
+
+    # Each handler returns the processes that the fault touched.
+
+    async def _kill(self, fault: Fault) -> Collection[str]:
+        ip = self._target_node(fault)
+        await self._cluster.kill(ip)
+        await asyncio.sleep(fault.duration_s)
+        await self._cluster.start(ip)
+        return [ip]
+
+    async def _stop(self, fault: Fault) -> Collection[str]:
+        ip = self._target_node(fault)
+        await self._cluster.stop(ip)
+        await self._cluster.start(ip)
+        return [ip]
+
+    async def _pause(self, fault: Fault) -> Collection[str]:
+        ip = self._target_node(fault)
+        self._cluster.send_signal(ip, signal.SIGSTOP)
+        await asyncio.sleep(fault.duration_s)
+        self._cluster.send_signal(ip, signal.SIGCONT)
+        return [ip]
+
+    async def _partition(self, fault: Fault) -> Collection[str]:
+        ip, nodes = self._target_node(fault), self._cluster.nodes
+        candidates = sorted({*nodes} - {ip})
+        others = set(random.Random(fault.target).sample(candidates, k=len(nodes) // 2))
+        await self._partition_for(fault, ip, others)
+        return [ip, *others]
+
+    async def _partition_from_machines(self, fault: Fault) -> Collection[str]:
+        proxies = self._cluster.proxies
+        ip = proxies[int(fault.target * len(proxies))]
+        blocked_machines = self._machines[:: 2 + int(fault.target * 2)]
+        await self._partition_for(fault, ip, {machine.address for machine in blocked_machines})
+        return [ip]
+
+    async def _partition_for(self, fault: Fault, ip: str, others: set[str]) -> None:
+        self._cluster.partition(ip, others)
+        await asyncio.sleep(fault.duration_s)
+        self._cluster.heal(ip, others)
+
+    async def _lose_responses(self, fault: Fault) -> Collection[str]:
+        def set_share(faults: MachineFaults, share: float) -> None:
+            faults.lost_share = share
+
+        return await self._disturb_machines(fault, set_share)
+
+    async def _send_stray_responses(self, fault: Fault) -> Collection[str]:
+        def set_share(faults: MachineFaults, share: float) -> None:
+            faults.stray_share = share
+
+        return await self._disturb_machines(fault, set_share)
+
+    async def _slow_machines(self, fault: Fault) -> Collection[str]:
+        def set_share(faults: MachineFaults, share: float) -> None:
+            faults.slow_share = share
+
+        return await self._disturb_machines(fault, set_share)
+
+    async def _disturb_machines(
+        self, fault: Fault, set_share: Callable[[MachineFaults, float], None]
+    ) -> Collection[str]:
+        """Set a share on every other machine for the fault's duration."""
+        machines = self._machines[int(fault.target * 2) :: 2]
+        for machine in machines:
+            set_share(machine.faults, FAULTY_SHARE)
+        await asyncio.sleep(fault.duration_s)
+        for machine in machines:
+            set_share(machine.faults, 0.0)
+        return []
+
+    async def _disconnect_clients(self, fault: Fault) -> Collection[str]:
+        self._clients.disconnecting_share = FAULTY_SHARE
+        await asyncio.sleep(fault.duration_s)
+        self._clients.disconnecting_share = 0.0
+        return []
+
+    async def _change_configuration(self, fault: Fault) -> Collection[str]:
+        await self._operator.order_configuration()
+        return []
+
+    def _target_node(self, fault: Fault) -> str:
+        nodes = self._cluster.nodes
+        return nodes[int(fault.target * len(nodes))]
--- /dev/null
+++ b/honeywood/lab/soak/faults.py
@@ -0,0 +1,65 @@
+"""Which faults come when, drawn from a seed. Pure."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass
+from enum import StrEnum
+
+FIRST_FAULT_S = 0.5
+"""Of traffic before the first fault."""
+
+QUIET_END_S = 1.0
+"""Of traffic in which no fault begins."""
+
+MEAN_CONCURRENT_FAULTS = 2.5
+MIN_DURATION_S, MAX_DURATION_S = 0.4, 2.0
+
+
+class FaultKind(StrEnum):
+    """What fails; the values are shown to operators."""
+
+    KILL = "kill"
+    """A process is killed, and started again after the fault."""
+    STOP = "stop"
+    """A process is asked to end, and started again once it has."""
+    PAUSE = "pause"
+    """A process doesn't run for a while."""
+    PARTITION = "cut"
+    """A process and some others of the system can't reach each other."""
+    MACHINE_PARTITION = "cut from machines"
+    """A proxy can't connect to some machines."""
+    LOST_RESPONSES = "lost answers"
+    """Machines execute requests and close the connection."""
+    STRAY_RESPONSES = "stray answers"
+    """Machines respond for another request first."""
+    SLOW_MACHINES = "slow machines"
+    DISCONNECTING_CLIENTS = "leaving clients"
+    CONFIGURATION_CHANGE = "configure"
+    """Operators change the configuration: API keys are added, removed and moved."""
+
+
+@dataclass(frozen=True, slots=True)
+class Fault:
+    """One fault: `at_s` seconds of traffic, for `duration_s`. `target`, 0 to 1, stands for what it hits."""
+
+    kind: FaultKind
+    at_s: float
+    duration_s: float
+    target: float
+
+
+def draw_faults(seed: int, traffic_s: float) -> tuple[Fault, ...]:
+    """Return the faults of a run, in the order in which they begin."""
+    chance = random.Random(seed)
+    mean_duration_s = (MIN_DURATION_S + MAX_DURATION_S) / 2
+    count = max(2, round(MEAN_CONCURRENT_FAULTS * traffic_s / mean_duration_s))
+    faults = [_draw_fault(chance, traffic_s) for _ in range(count)]
+    return tuple(sorted(faults, key=lambda fault: fault.at_s))
+
+
+def _draw_fault(random: random.Random, traffic_s: float) -> Fault:
+    kind = random.choice(list(FaultKind))
+    at_s = random.uniform(FIRST_FAULT_S, max(FIRST_FAULT_S, traffic_s - QUIET_END_S))
+    duration_s = random.uniform(MIN_DURATION_S, MAX_DURATION_S)
+    return Fault(kind, round(at_s, 3), round(duration_s, 3), random.random())
--- /dev/null
+++ b/honeywood/lab/soak/http_probe.py
@@ -0,0 +1,21 @@
+"""GET requests to the processes of a soak."""
+
+from __future__ import annotations
+
+import asyncio
+
+TIMEOUT_S = 1.0
+
+
+async def get(ip: str, port: int, path: str) -> bytes:
+    """Return the response with its head; empty where there is none."""
+    request = f"GET {path} HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n"
+    try:
+        async with asyncio.timeout(TIMEOUT_S):
+            reader, writer = await asyncio.open_connection(ip, port)
+            writer.write(request.encode())
+            response = await reader.read()
+            writer.close()
+            return response
+    except (OSError, TimeoutError):
+        return b""
--- a/honeywood/lab/soak/node.py
+++ b/honeywood/lab/soak/node.py
@@ -1,14 +1,18 @@
-"""One process of the system as a soak starts it: the real program, whose calls and connections to the
-addresses named in a file don't get through.
+"""One process of a soak: the real program, with partitions.
 
-`python -m honeywood.lab.soak.node proxy|controller`, with the file in SOAK_CUTS.
+`python -m honeywood.lab.soak.node proxy|controller` reads the addresses that it can't reach from the file
+named by the environment variable BLOCKED_ADDRESSES_FILE. Calls and connections to these time out.
 """
 
+from __future__ import annotations
+
 import asyncio
 import json
 import os
 import sys
 import time
+from pathlib import Path
+from typing import TYPE_CHECKING
 
 import httpcore
 
@@ -19,61 +23,76 @@
 from honeywood.gateway.rpc.client import Caller
 from honeywood.gateway.rpc.connection import Connection
 
-CUTS_FILE = "SOAK_CUTS"  # the variable that names the file: a JSON list of "ip" and "ip:port"
-REREAD_S = 0.05  # seconds between looks at the file
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from honeywood.gateway.proxy.connection_pool import Connect
+    from honeywood.gateway.rpc.client import JsonObject
 
+BLOCKED_ADDRESSES_FILE = "SOAK_BLOCKED_ADDRESSES"
+REREAD_INTERVAL_S = 0.05
 
-class Cuts:
-    """The addresses that this process can't reach just now."""
 
-    def __init__(self, path):
-        """`path` is written anew as a whole by the soak."""
-        self.path, self.read_at, self.cut = path, 0.0, frozenset()
+class BlockedAddresses:
+    """The addresses that this process can't reach now."""
 
-    def bar(self, ip, port):
-        """Whether an address can't be reached."""
+    def __init__(self, path: Path) -> None:
+        """`path` is a JSON list of "ip" and "ip:port", which the soak replaces atomically."""
+        self._path = path
+        self._read_at = 0.0
+        self._addresses: frozenset[str] = frozenset()
+
+    def blocks(self, ip: str, port: int) -> bool:
+        """Return whether an address can't be reached."""
         now = time.monotonic()
-        if now - self.read_at > REREAD_S:
-            with open(self.path, encoding="utf-8") as file:
-                self.read_at, self.cut = now, frozenset(json.load(file))
-        return ip in self.cut or f"{ip}:{port}" in self.cut
+        if now - self._read_at > REREAD_INTERVAL_S:
+            self._addresses = frozenset(json.loads(self._path.read_text(encoding="utf-8")))
+            self._read_at = now
+        return ip in self._addresses or f"{ip}:{port}" in self._addresses
 
 
-class CutCaller(Caller):
-    """Calls that get no answer where the peer is cut off."""
+class PartitionedCaller(Caller):
+    """A caller whose calls to blocked addresses time out."""
 
-    def __init__(self, cuts):
+    def __init__(self, blocked: BlockedAddresses) -> None:
+        """Make calls except to `blocked`."""
         super().__init__()
-        self.cuts = cuts
-
-    async def call(self, ip, port, path, body, within, idempotent=False):
-        """As Caller.call."""
-        if self.cuts.bar(ip, port):
-            await asyncio.sleep(within)
+        self._blocked = blocked
+
+    async def call(
+        self, ip: str, port: int, path: str, body: JsonObject, timeout_s: float, idempotent: bool = False
+    ) -> JsonObject:
+        """Make a call as Caller.call does; raises CallFailed after the time-out where it is blocked."""
+        if self._blocked.blocks(ip, port):
+            await asyncio.sleep(timeout_s)
             raise CallFailed(path, "cut off", f"{ip}:{port}")
-        return await super().call(ip, port, path, body, within, idempotent)
+        return await super().call(ip, port, path, body, timeout_s, idempotent)
 
 
-def cut_connect(cuts):
-    """Opens connections as Connection.open does, but for those that are cut off."""
+def partitioned_connect(blocked: BlockedAddresses) -> Connect:
+    """Return a function that opens connections as Connection.open does, except to blocked addresses."""
 
-    async def connect(ip, port, within_s, *on_change):
-        if cuts.bar(ip, port):
-            await asyncio.sleep(within_s)
+    async def connect(
+        ip: str, port: int, timeout_s: float, on_count_change: Callable[[int], None]
+    ) -> Connection:
+        if blocked.blocks(ip, port):
+            await asyncio.sleep(timeout_s)
             raise httpcore.ConnectTimeout("cut off")
-        return await Connection.open(ip, port, within_s, *on_change)
+        return await Connection.open(ip, port, timeout_s, on_count_change)
 
     return connect
 
 
-def main():
-    """Runs the program that the first word names."""
+def main() -> None:
+    """Run the program that the first argument names."""
     role, *arguments = sys.argv[1:]
-    cuts = Cuts(os.environ[CUTS_FILE])
+    blocked = BlockedAddresses(Path(os.environ[BLOCKED_ADDRESSES_FILE]))
+    caller = PartitionedCaller(blocked)
+    program: Proxy | Controller
     if role == "proxy":
-        program = Proxy(None, CutCaller(cuts), connect=cut_connect(cuts))
+        program = Proxy(None, caller, connect=partitioned_connect(blocked))
     else:
-        program = Controller(None, CutCaller(cuts))
+        program = Controller(None, caller)
     program.metrics_endpoint.port = parse_port(arguments)
     asyncio.run(program.run())
 
--- a/honeywood/lab/soak/rules.py
+++ b/honeywood/lab/soak/rules.py
@@ -1,121 +1,132 @@
-"""What a soak has seen, and which rules it broke. Pure: all times are told, seconds on the soak's clock.
-
-gone     a machine is rid of a repeatable request GONE_WITHIN_S after its client has left, where the proxy was
-         undisturbed around it
-once     a request that may not be repeated runs once at most
-promise  what was answered 408, 421, 429 or 503 has not run, and doesn't
-own      a success carries the answer to its own request
-tenant   a machine hears the name of a tenant that a configuration names as the owner of the client's key
-key      nothing runs with a key that no configuration has held, and no machine is shown a key
-kept     the newest configuration that was acknowledged is read back in the end
-quiet    once all clients have left, no proxy holds an open request or attempt
-told     no process tells of a violated invariant or a failed loop
-served   most requests of clients that stay are served
-"""
+"""The rules that a soak checks on its record. Pure."""
+
+from __future__ import annotations
 
 from collections import defaultdict
-from dataclasses import dataclass, field
+from collections.abc import Iterator, Sequence
+from dataclasses import dataclass
+from enum import StrEnum
+from http import HTTPStatus
 
 from honeywood.lab.emulator.rules.requests import GONE_WITHIN_S, PROMISES
-
-UNDISTURBED_S = 1.0  # seconds around a leaving in which nothing may happen to its proxy
-SERVED_SHARE = 0.5  # of requests whose clients stay
+from honeywood.lab.soak.record import ClientRequest, Execution, Record
+
+UNDISTURBED_S = 1.0
+"""Before and after a disconnect in which no fault may touch the proxy, or its cancellation isn't checked."""
+
+MIN_SERVED_SHARE = 0.5
+"""Of requests whose clients stay."""
+
+
+class Rule(StrEnum):
+    """What must hold."""
+
+    CANCELLATION = "cancellation"
+    """Machines stop an idempotent request within GONE_WITHIN_S of its client's disconnect."""
+    AT_MOST_ONCE = "at most once"
+    """A request that is not idempotent is executed once at the most."""
+    NOT_EXECUTED = "not executed"
+    """A request that is not idempotent and was answered 408, 421, 429 or 503 is never executed."""
+    OWN_RESPONSE = "own response"
+    """A success carries the response to its own request."""
+    TENANT = "tenant"
+    """A machine receives the name of a tenant that a configuration named as the owner of the client's key."""
+    API_KEY = "api key"
+    """No request with an unknown key is executed, and no machine receives a key."""
+    DURABILITY = "durability"
+    """The newest acknowledged configuration is read back at the end."""
+    NO_LEAK = "no leak"
+    """No proxy has an open request or attempt after all clients have left."""
+    NO_ERROR = "no error"
+    """No process logs a violated invariant or an unexpected failure."""
+    AVAILABILITY = "availability"
+    """Most requests of clients that stay are served."""
 
 
 @dataclass(frozen=True, slots=True)
-class Breach:
-    """A rule that was broken."""
-
-    rule: str
-    why: str
-
-
-@dataclass(slots=True)
-class Try:
-    """One request of a client, and what came of it."""
-
-    id: bytes
-    safe: bool
-    proxy: str
-    key: str
-    sent_at: float
-    left_at: float | None = None
-    status: int | None = None
-    body: bytes = b""
-
-
-@dataclass(slots=True)
-class Run:
-    """One run of a request at a machine; `ended_at` is None while the machine is at it."""
-
-    id: bytes
-    tenant: str
-    showed_key: bool
-    began_at: float
-    ended_at: float | None = None
-
-
-@dataclass(slots=True)
-class Record:
-    """All that a soak has seen."""
-
-    tries: dict[bytes, Try] = field(default_factory=dict)
-    runs: list[Run] = field(default_factory=list)
-    disturbed: dict[str, list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
-    owners: dict[str, set[str]] = field(default_factory=lambda: defaultdict(set))  # by key
-    acknowledged: int = 0  # the highest configuration
-    read_back: int | None = None
-    open_at_end: dict[str, float] = field(default_factory=dict)  # requests and attempts, by proxy
-    complaints: list[str] = field(default_factory=list)  # lines of logs that tell of a fault of ours
-    observer_lag_s: float = 0.0  # the longest that the soak itself stood still
-
-
-def breaches(record: Record) -> list[Breach]:
-    """Every rule that was broken."""
-    runs_of = defaultdict(list)
-    for run in record.runs:
-        runs_of[run.id].append(run)
-    found = [Breach("told", line) for line in record.complaints]
-    for one in record.tries.values():
-        found += _of_try(one, runs_of[one.id], record)
-    if record.read_back != record.acknowledged:
-        found.append(Breach("kept", f"{record.read_back} is read back, not {record.acknowledged}"))
-    found += [
-        Breach("quiet", f"{name}: {count:g} open") for name, count in record.open_at_end.items() if count
-    ]
-    stayed = [one for one in record.tries.values() if one.left_at is None]
-    served = sum(one.status == 200 for one in stayed)
-    if served < SERVED_SHARE * len(stayed):
-        found.append(Breach("served", f"{served} of {len(stayed)}"))
-    return found
-
-
-def _of_try(one, runs, record):
-    name = one.id.decode()
-    if not one.safe and len(runs) > 1:
-        yield Breach("once", f"{name} ran {len(runs)} times")
-    if not one.safe and one.status in PROMISES and runs:
-        yield Breach("promise", f"{name} was answered {one.status} and ran")
-    if one.status == 200 and one.body != one.id:
-        yield Breach("own", f"{name} got {one.body!r}")
-    for run in runs:
-        if run.showed_key:
-            yield Breach("key", f"{name} showed its machine a key")
-        if one.key not in record.owners:
-            yield Breach("key", f"{name} ran with a key of nobody")
-        elif run.tenant not in record.owners[one.key]:
-            yield Breach("tenant", f"{name} ran for {run.tenant!r}")
-    if one.safe and one.left_at is not None and not _disturbed(one, record):
-        yield from _gone(one, runs, record.observer_lag_s)
-
-
-def _gone(one, runs, lag_s):
-    for run in runs:
-        after_s = (run.ended_at if run.ended_at is not None else float("inf")) - one.left_at
-        if after_s > GONE_WITHIN_S + lag_s:
-            yield Breach("gone", f"{one.id.decode()} via {one.proxy}: {after_s:.2f} s, lag {lag_s:.2f} s")
-
-
-def _disturbed(one, record):
-    begin, end = one.left_at - UNDISTURBED_S, one.left_at + UNDISTURBED_S
-    return any(since < end and until > begin for since, until in record.disturbed[one.proxy])
+class Violation:
+    """A rule that was violated, and how."""
+
+    rule: Rule
+    details: str
+
+
+def find_violations(record: Record) -> list[Violation]:
+    """Return every violation."""
+    violations = [Violation(Rule.NO_ERROR, line) for line in record.errors]
+    executions: dict[bytes, list[Execution]] = defaultdict(list)
+    for execution in record.executions:
+        executions[execution.request_id].append(execution)
+    for request in record.requests.values():
+        violations += _check_request(request, executions[request.id], record)
+    violations += _check_end(record)
+    return violations
+
+
+def _check_request(
+    request: ClientRequest, executions: Sequence[Execution], record: Record
+) -> Iterator[Violation]:
+    name = request.id.decode()
+    if not request.idempotent:
+        yield from _check_executions(request, len(executions))
+    if request.status == HTTPStatus.OK and request.body != request.id:
+        yield Violation(Rule.OWN_RESPONSE, f"{name} got {request.body!r}")
+    for execution in executions:
+        yield from _check_identity(request, execution, record)
+    if request.idempotent and not _is_disturbed(request, record):
+        yield from _check_cancellation(request, executions, record.observer_lag_s)
+
+
+def _check_executions(request: ClientRequest, count: int) -> Iterator[Violation]:
+    name = request.id.decode()
+    if count > 1:
+        yield Violation(Rule.AT_MOST_ONCE, f"{name} was executed {count} times")
+    if request.status in PROMISES and count:
+        yield Violation(Rule.NOT_EXECUTED, f"{name} was answered {request.status} and executed")
+
+
+def _check_identity(request: ClientRequest, execution: Execution, record: Record) -> Iterator[Violation]:
+    name = request.id.decode()
+    if execution.has_api_key:
+        yield Violation(Rule.API_KEY, f"{name} carried a key to its machine")
+    if request.key not in record.owners:
+        yield Violation(Rule.API_KEY, f"{name} was executed with an unknown key")
+    elif execution.tenant not in record.owners[request.key]:
+        yield Violation(Rule.TENANT, f"{name} was executed for {execution.tenant!r}")
+
+
+def _check_cancellation(
+    request: ClientRequest, executions: Sequence[Execution], observer_lag_s: float
+) -> Iterator[Violation]:
+    if request.disconnected_at is None:
+        return
+    for execution in executions:
+        ended_at = float("inf") if execution.ended_at is None else execution.ended_at
+        after_s = ended_at - request.disconnected_at
+        if after_s > GONE_WITHIN_S + observer_lag_s:
+            details = (
+                f"{request.id.decode()} via {request.proxy}: {after_s:.2f} s, lag {observer_lag_s:.2f} s"
+            )
+            yield Violation(Rule.CANCELLATION, details)
+
+
+def _is_disturbed(request: ClientRequest, record: Record) -> bool:
+    """Return whether a fault touched the proxy around the client's disconnect."""
+    if request.disconnected_at is None:
+        return False
+    begin, end = request.disconnected_at - UNDISTURBED_S, request.disconnected_at + UNDISTURBED_S
+    return any(since < end and until > begin for since, until in record.disturbances[request.proxy])
+
+
+def _check_end(record: Record) -> Iterator[Violation]:
+    """Check what holds once the soak is over."""
+    read, acknowledged = record.read_back_version, record.acknowledged_version
+    if read != acknowledged:
+        yield Violation(Rule.DURABILITY, f"{read} is read back, not {acknowledged}")
+    for proxy, count in record.open_at_end.items():
+        if count:
+            yield Violation(Rule.NO_LEAK, f"{proxy}: {count:g} open")
+    stayed = [request for request in record.requests.values() if request.disconnected_at is None]
+    served = sum(request.status == HTTPStatus.OK for request in stayed)
+    if served < MIN_SERVED_SHARE * len(stayed):
+        yield Violation(Rule.AVAILABILITY, f"{served} of {len(stayed)}")
--- a/honeywood/lab/soak/series.py
+++ b/honeywood/lab/soak/series.py
@@ -1,43 +1,70 @@
 """Soaks of many seeds, several at once."""
 
+from __future__ import annotations
+
 import os
 from collections.abc import Callable
+from dataclasses import dataclass
 from multiprocessing import get_context
 from pathlib import Path
 
-from honeywood.lab.soak.run import Outcome, play
+from honeywood.lab.soak.soak import Outcome, run_soak
+
+SLOTS = 200
+"""Addresses 127.1 to 127.200, one for each soak that runs."""
+
+
+@dataclass(frozen=True, slots=True)
+class SoakJob:
+    """The arguments of one soak."""
 
-SLOTS = 200  # addresses 127.1 to 127.200, one for each soak under way
+    seed: int
+    traffic_s: float
+    slot: int
+    folder: Path | None
 
 
-def _one(given: tuple[int, float, int, str | None]) -> Outcome:
-    return play(*given)
+def _run(job: SoakJob) -> Outcome:
+    return run_soak(job.seed, job.traffic_s, job.slot, job.folder)
 
 
-def series(
-    first: int, count: int, seconds: float, jobs: int, folder: Path | None, told: Callable[[Outcome], None]
+def run_series(
+    first_seed: int,
+    count: int,
+    traffic_s: float,
+    concurrency: int,
+    folder: Path | None,
+    on_outcome: Callable[[Outcome], None],
 ) -> list[Outcome]:
-    """Plays the seeds from `first` on; `told` hears of each as it ends. Logs and disks stay in `folder`, one
-    subfolder a seed, where it is given."""
-    first_slot = os.getpid()  # other series on this machine get other addresses
-    works = [
-        (seed, seconds, 1 + (first_slot + at) % SLOTS, str(folder / str(seed)) if folder else None)
-        for at, seed in enumerate(range(first, first + count))
+    """Run `count` seeds; `on_outcome` is called with each outcome as its soak ends.
+
+    Logs and disks are kept in `folder`, a subfolder for each seed, where it is given.
+    """
+    jobs = [
+        SoakJob(seed, traffic_s, slot_of_process(index), folder / str(seed) if folder else None)
+        for index, seed in enumerate(range(first_seed, first_seed + count))
     ]
-    found = []
-    with get_context("spawn").Pool(jobs) as pool:
-        for outcome in pool.imap_unordered(_one, works):
-            found.append(outcome)
-            told(outcome)
-    return found
+    outcomes = []
+    with get_context("spawn").Pool(concurrency) as pool:
+        for outcome in pool.imap_unordered(_run, jobs):
+            outcomes.append(outcome)
+            on_outcome(outcome)
+    return outcomes
+
 
+def slot_of_process(index: int = 0) -> int:
+    """Return the slot of a soak of this process; those of other processes on the machine differ."""
+    return 1 + (os.getpid() + index) % SLOTS
 
-def line(outcome: Outcome) -> str:
-    """One soak in a line, its breaches below."""
-    kinds = ", ".join(trouble.kind.value for trouble in outcome.troubles)
+
+def summary(outcome: Outcome) -> str:
+    """Return one soak as a line, with a line for each violation."""
+    kinds = ", ".join(fault.kind.value for fault in outcome.faults)
     head = (
-        f"seed {outcome.seed}: {outcome.tries} requests, {outcome.served} served,"
-        f" {outcome.left} left by their clients, {outcome.runs} runs,"
-        f" observer late by {outcome.observer_lag_s:.2f} s, {len(outcome.breaches)} broken ({kinds})"
+        f"seed {outcome.seed}: {outcome.requests} requests, {outcome.served} served,"
+        f" {outcome.disconnected} left by their clients, {outcome.executions} runs,"
+        f" observer late by {outcome.observer_lag_s:.2f} s, {len(outcome.violations)} broken ({kinds})"
+    )
+    return "\n".join(
+        [head, *(f"  {violation.rule}: {violation.details}" for violation in outcome.violations)]
     )
-    return "\n".join([head, *(f"  {breach.rule}: {breach.why}" for breach in outcome.breaches)])
--- /dev/null
+++ b/honeywood/lab/soak/soak.py
@@ -0,0 +1,180 @@
+"""One soak by a seed: starts everything, injects the drawn faults, and checks what was observed.
+
+The processes are the real ones; machines, clients and operator are scripted here, over real sockets.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import tempfile
+import time
+from collections.abc import Sequence
+from dataclasses import dataclass
+from http import HTTPStatus
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from honeywood.lab.soak import http_probe
+from honeywood.lab.soak.clients import SoakClients
+from honeywood.lab.soak.cluster import HTTP_PORT, METRICS_PORT, READY_PORT, Cluster
+from honeywood.lab.soak.fault_injector import FaultInjector
+from honeywood.lab.soak.faults import Fault, draw_faults
+from honeywood.lab.soak.machine import SoakMachine
+from honeywood.lab.soak.operator_client import OperatorClient
+from honeywood.lab.soak.record import Record
+from honeywood.lab.soak.rules import Violation, find_violations
+
+if TYPE_CHECKING:
+    from honeywood.gateway.rpc.client import JsonObject
+
+SERVICES = ("safe", "unsafe")
+MACHINES_OF_A_SERVICE = 4
+REQUESTS_PER_S = 60.0
+HEARTBEAT_INTERVAL_S = 0.5
+READY_TIMEOUT_S = 20.0
+READY_POLL_INTERVAL_S = 0.05
+SETTLING_S = 4.0
+"""After the faults, before the end is checked."""
+LAG_CHECK_INTERVAL_S = 0.02
+OPEN_GAUGES = ("honeywood_open_requests", "honeywood_open_attempts")
+
+
+@dataclass(slots=True)
+class Outcome:
+    """The result of a soak."""
+
+    seed: int
+    faults: tuple[Fault, ...]
+    violations: list[Violation]
+    requests: int
+    served: int
+    disconnected: int
+    executions: int
+    observer_lag_s: float
+
+
+class Soak:
+    """The parts of one soak."""
+
+    def __init__(self, seed: int, traffic_s: float, slot: int, folder: Path) -> None:
+        """`slot` selects the addresses of the processes, which keep their files in `folder`."""
+        self._seed = seed
+        self._traffic_s = traffic_s
+        self._clock = time.monotonic
+        self._record = Record()
+        self._faults = draw_faults(seed, traffic_s)
+        chance = random.Random(seed)
+        self._cluster = Cluster(folder, slot)
+        self._operator = OperatorClient(self._record, self._cluster.controllers, chance)
+        self._machines = [
+            SoakMachine(self._record, f"i-{service}-{index}", service, chance, self._clock)
+            for service in SERVICES
+            for index in range(MACHINES_OF_A_SERVICE)
+        ]
+        self._clients = self._make_clients(chance)
+        self._injector = FaultInjector(
+            self._record, self._cluster, self._machines, self._clients, self._operator, self._clock
+        )
+        self._heartbeats: set[asyncio.Future[JsonObject | None]] = set()
+
+    def _make_clients(self, random: random.Random) -> SoakClients:
+        addresses = {ip: (ip, HTTP_PORT) for ip in self._cluster.proxies}
+        operator = self._operator
+        return SoakClients(self._record, addresses, random, self._clock, lambda: operator.known_keys)
+
+    async def run(self) -> Outcome:
+        """Run the soak to its end."""
+        background: list[asyncio.Future[None]] = []
+        try:
+            for machine in self._machines:
+                await machine.open()
+            await self._cluster.start_all()
+            background = [
+                asyncio.ensure_future(task) for task in (self._send_heartbeats(), self._measure_lag())
+            ]
+            await self._run_traffic()
+            await self._observe_end()
+        finally:
+            await self._close(background)
+        return self._outcome()
+
+    async def _run_traffic(self) -> None:
+        await self._operator.order_configuration()
+        await self._wait_until_ready()
+        injected = [asyncio.ensure_future(self._injector.inject(fault)) for fault in self._faults]
+        await self._clients.run(self._traffic_s, REQUESTS_PER_S)
+        await asyncio.gather(*injected)
+
+    async def _observe_end(self) -> None:
+        await self._wait_until_ready()
+        await asyncio.sleep(SETTLING_S)
+        await self._operator.read_back()
+        for ip in self._cluster.proxies:
+            await self._read_open_gauges(ip)
+        self._record.errors += self._cluster.logged_errors()
+
+    async def _close(self, background: Sequence[asyncio.Future[None]]) -> None:
+        for task in background:
+            task.cancel()
+        await self._cluster.close()
+        for machine in self._machines:
+            machine.close()
+
+    def _outcome(self) -> Outcome:
+        requests = self._record.requests.values()
+        return Outcome(
+            self._seed,
+            self._faults,
+            find_violations(self._record),
+            len(requests),
+            sum(request.status == HTTPStatus.OK for request in requests),
+            sum(request.disconnected_at is not None for request in requests),
+            len(self._record.executions),
+            self._record.observer_lag_s,
+        )
+
+    async def _send_heartbeats(self) -> None:
+        while True:
+            for machine in self._machines:
+                name = f"instances.heartbeat&of={machine.id}"
+                call = asyncio.ensure_future(self._operator.call(name, machine.next_heartbeat()))
+                self._heartbeats.add(call)
+                call.add_done_callback(self._heartbeats.discard)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+
+    async def _measure_lag(self) -> None:
+        """Note for how long this process itself did not run: what it observed then is late."""
+        while True:
+            due = self._clock() + LAG_CHECK_INTERVAL_S
+            await asyncio.sleep(LAG_CHECK_INTERVAL_S)
+            self._record.observer_lag_s = max(self._record.observer_lag_s, self._clock() - due)
+
+    async def _wait_until_ready(self) -> None:
+        """Wait until all proxies report ready; note those that don't in time as an error."""
+        deadline = self._clock() + READY_TIMEOUT_S
+        for ip in self._cluster.proxies:
+            while b" 200 " not in await http_probe.get(ip, READY_PORT, "/v1/readyz"):
+                if self._clock() > deadline:
+                    self._record.errors.append(f"{ip} is not ready after {READY_TIMEOUT_S:g} s")
+                    break
+                await asyncio.sleep(READY_POLL_INTERVAL_S)
+
+    async def _read_open_gauges(self, ip: str) -> None:
+        lines = (await http_probe.get(ip, METRICS_PORT, "/metrics")).decode().splitlines()
+        gauges = dict(line.rsplit(" ", 1) for line in lines if line.startswith(OPEN_GAUGES))
+        missing = [name for name in OPEN_GAUGES if name not in gauges]
+        self._record.errors += [f"{ip} doesn't report {name}" for name in missing]
+        self._record.open_at_end[ip] = sum(float(value) for value in gauges.values())
+
+
+def run_soak(seed: int, traffic_s: float, slot: int = 1, folder: Path | None = None) -> Outcome:
+    """Run one soak.
+
+    Logs and disks are kept in `folder`, which must not exist yet, or in a temporary one.
+    """
+    if folder is not None:
+        folder.mkdir(parents=True)  # an earlier run's disks and logs must not be taken for this one's
+        return asyncio.run(Soak(seed, traffic_s, slot, folder).run())
+    with tempfile.TemporaryDirectory(prefix="honeywood-soak-") as temporary:
+        return asyncio.run(Soak(seed, traffic_s, slot, Path(temporary)).run())
--- a/honeywood/standins/requests.py
+++ b/honeywood/standins/requests.py
@@ -1,7 +1,9 @@
 """Reading a request, for all stand-in machines."""
 
+import asyncio
 
-async def read_request(reader):
+
+async def read_request(reader: asyncio.StreamReader) -> tuple[bytes, dict[bytes, bytes], bytes]:
     """(head, fields in lower case, body) of the next request; IncompleteReadError where there is none."""
     head = await reader.readuntil(b"\r\n\r\n")
     fields = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:] if line)
