--- a/honeywood/gateway/dissemination/publisher.py
+++ b/honeywood/gateway/dissemination/publisher.py
@@ -28,7 +28,7 @@
 
 MAX_HOLD_S = 1.0  # for which a poll is held without a change
 COALESCE_S = 0.02  # waited after a change for others that come with it
-SILENT_PREFIXES = (RecordKind.HEARTBEAT.prefix, RecordKind.TOMBSTONES.prefix)  # wake no held poll
+NON_WAKING_PREFIXES = (RecordKind.HEARTBEAT.prefix, RecordKind.TOMBSTONES.prefix)  # wake no held poll
 # Records that wake only controllers, together with others that come within so many seconds.
 WAKE_DELAYS_S = {RecordKind.PROXY_COUNTS.prefix: 0.2, RecordKind.PROXY_LOCATION.prefix: 0.1}
 UNPACED_BYTES = 2048  # of a response that isn't paced
@@ -74,7 +74,7 @@
 
     def _record_changed(self, key: str, value: JsonValue) -> None:
         self._on_update(key, value)
-        if key.startswith(SILENT_PREFIXES):
+        if key.startswith(NON_WAKING_PREFIXES):
             return
         delay_s = next((delay_s for prefix, delay_s in WAKE_DELAYS_S.items() if key.startswith(prefix)), None)
         if delay_s is None:
--- a/honeywood/gateway/rpc/text_chunks.py
+++ b/honeywood/gateway/rpc/text_chunks.py
@@ -44,7 +44,7 @@
         return (chunk.digest, chunk.offset) == (self.digest, len(self.text))
 
     def extended(self, chunk: TextChunk) -> PartialText:
-        """This text and the chunk that continues it."""
+        """The text with a chunk that continues it."""
         return PartialText(self.digest, self.text + chunk.text)
 
     @property
--- a/tests/gateway/dissemination/test_mutations.py
+++ b/tests/gateway/dissemination/test_mutations.py
@@ -34,6 +34,7 @@
     "programs",
     "publisher",
     "subscriber",
+    "tombstones",
 )
 SCENARIOS = {
     description: scenario
