--- a/honeywood/gateway/dissemination/retired_machines.py
+++ b/honeywood/gateway/dissemination/retired_machines.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from honeywood.gateway.routing.endpoints import GONE, LOST
+from honeywood.gateway.routing.endpoint_state import GONE, LOST
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
--- a/tests/gateway/test_invariants.py
+++ b/tests/gateway/proxy/test_invariants.py
@@ -1,4 +1,4 @@
-"""Each invariant of a running proxy is seen to be violated when its guard is taken away."""
+"""Each invariant of a running proxy is violated once the code that ensures it is taken away."""
 
 import asyncio
 from contextlib import suppress
@@ -9,14 +9,14 @@
 
 from honeywood.gateway.dissemination.record import Stamp
 from honeywood.gateway.errors import GatewayError
+from honeywood.gateway.proxy.attempt_sender import AttemptSender
 from honeywood.gateway.proxy.invariants import ABANDONED_WITHIN_S, Violation
-from honeywood.gateway.proxy.sender import AttemptSender
-from honeywood.gateway.routing.attempts import AttemptPolicy
+from honeywood.gateway.routing.attempt_policy import AttemptPolicy
 
-LOOKS, LOOK_S = 150, 0.02  # a busy machine may take long to bring a fault about
+CHECKS, CHECK_INTERVAL_S = 150, 0.02  # a busy machine may take long until the fault shows
 
 
-async def silence(id, writer):
+async def no_answer(id, writer):
     await asyncio.sleep(3.0)
 
 
@@ -33,14 +33,14 @@
     await asyncio.sleep(0.02)
 
 
-async def work_goes_on(scene, patch):
+async def attempt_is_not_abandoned(scene, patch):
     patch(AttemptSender, "abandon", lambda self, request: None)
     await leave(scene, 0.05)
     await asyncio.sleep(ABANDONED_WITHIN_S)
 
 
-async def leaving_is_not_heeded(scene, patch):
-    patch(AttemptPolicy, "request_refusal", lambda self, now, request: None)
+async def disconnect_is_ignored(scene, patch):
+    patch(AttemptPolicy, "request_rejection", lambda self, now, request: None)
     opened = scene.proxy.pool.open
 
     async def late(endpoint, until):
@@ -52,48 +52,48 @@
     await asyncio.sleep(0.15)
 
 
-async def unsafe_is_repeated(scene, patch):
-    patch(AttemptPolicy, "request_refusal", lambda self, now, request: None)
-    patch(AttemptPolicy, "_repeat_refusal", lambda self, request, endpoint: None)
+async def unsafe_request_is_retried(scene, patch):
+    patch(AttemptPolicy, "request_rejection", lambda self, now, request: None)
+    patch(AttemptPolicy, "_repeat_rejection", lambda self, request, endpoint: None)
     asked = asyncio.ensure_future(scene.post())
     await asyncio.sleep(0.1)
     asked.cancel()
 
 
-async def attempt_is_forgotten(scene, patch):
-    patch(AttemptSender, "_end", lambda self, flight: self._forget(flight))
+async def attempt_is_not_finished(scene, patch):
+    patch(AttemptSender, "_finish", lambda self, attempt: self._remove(attempt))
     await scene.get()
 
 
-async def connection_is_forgotten(scene, patch):
+async def connection_is_not_counted(scene, patch):
     await scene.get()
     scene.proxy.endpoints.by_id["i-0"].idle_connections.clear()
 
 
-async def configuration_is_not_taken(scene, patch):
+async def configuration_is_not_activated(scene, patch):
     with suppress(GatewayError):  # it is kept, and can't be read here
         scene.proxy.publisher.store.put("config", Stamp.of(9), "{}")
 
 
-@test("{fault.__name__}: it is counted as {violation}, and told")
+@test("{fault.__name__}: the violation {violation} is counted and reported")
 def _(
     fault=each(
-        work_goes_on,
-        leaving_is_not_heeded,
-        unsafe_is_repeated,
-        attempt_is_forgotten,
-        connection_is_forgotten,
-        configuration_is_not_taken,
+        attempt_is_not_abandoned,
+        disconnect_is_ignored,
+        unsafe_request_is_retried,
+        attempt_is_not_finished,
+        connection_is_not_counted,
+        configuration_is_not_activated,
     ),
     violation=each(
-        Violation.WORK_FOR_NOBODY,
-        Violation.BEGUN_FOR_NOBODY,
-        Violation.REPEATED,
+        Violation.WORK_AFTER_DISCONNECT,
+        Violation.ATTEMPT_AFTER_DISCONNECT,
+        Violation.UNSAFE_RETRY,
         Violation.ATTEMPTS,
         Violation.CONNECTIONS,
         Violation.CONFIGURATION,
     ),
-    script=each(silence, silence, reset, ok, ok, ok),
+    script=each(no_answer, no_answer, reset, ok, ok, ok),
     kind=each("safe", "safe", "unsafe", "safe", "safe", "safe"),
 ):
     undo = []
@@ -104,17 +104,17 @@
 
     async def work():
         async with Scene([script], kind=kind) as scene:
-            invariants, told = scene.proxy.invariants, []
-            invariants.tell = lambda *given: told.append(given[0])
+            invariants, reported = scene.proxy.invariants, []
+            invariants.on_violation = lambda violation, details: reported.append(violation)
             await fault(scene, patch)
-            for _ in range(LOOKS):
-                invariants.look(scene.proxy.clock())
+            for _ in range(CHECKS):
+                invariants.check(scene.proxy.clock())
                 if invariants.violations[violation]:
                     break
-                await asyncio.sleep(LOOK_S)
-            assert invariants.violations[violation] and violation in told
-            # for the scene's own looks
-            scene.proxy.invariants = SimpleNamespace(look=lambda now: None, violations={})
+                await asyncio.sleep(CHECK_INTERVAL_S)
+            assert invariants.violations[violation] and violation in reported
+            # for the scene's own checks
+            scene.proxy.invariants = SimpleNamespace(check=lambda now: None, violations={})
 
     try:
         play(work)
@@ -123,16 +123,16 @@
             setattr(place, name, value) if value is not None else delattr(place, name)
 
 
-@test("what stands for one look only is no violation")
+@test("what a single check finds is no violation")
 def _():
     async def work():
         async with Scene([ok]) as scene:
             await scene.get()
             endpoint = scene.proxy.endpoints.by_id["i-0"]
-            endpoint.connected += 1
-            scene.proxy.invariants.look(1.0)
-            endpoint.connected -= 1
-            scene.proxy.invariants.look(1.5)
+            endpoint.open_connections += 1
+            scene.proxy.invariants.check(1.0)
+            endpoint.open_connections -= 1
+            scene.proxy.invariants.check(1.5)
             assert not scene.proxy.invariants.violations
 
     play(work)
--- a/tests/gateway/rollout/test_traffic_policy.py
+++ b/tests/gateway/rollout/test_traffic_policy.py
@@ -10,8 +10,9 @@
 from honeywood.gateway.rollout import transitions
 from honeywood.gateway.rollout.record import RolloutStage, RolloutState
 from honeywood.gateway.rollout.report import RolloutStatus
-from honeywood.gateway.routing.attempts import PendingRequest
+from honeywood.gateway.routing.endpoint_record import EndpointRecord
 from honeywood.gateway.routing.outcomes import AttemptOutcome
+from honeywood.gateway.routing.pending_request import PendingRequest
 
 SUCCESS, FAILURE = AttemptOutcome.SUCCESS, AttemptOutcome.FAILURE
 ACTIVE, DONE, REVERTED = RolloutState.ACTIVE, RolloutState.DONE, RolloutState.REVERTED
@@ -133,10 +134,10 @@
     fleet = Fleet(good, 0)
     endpoints, stage = fleet.fronts[0]
     stage.update(0.0, played((0, V2), (3, "reverted"), (1, V3)))
-    endpoints.update(0.0, "o", machine("o", "v3"))
+    endpoints.update(0.0, "o", EndpointRecord.decode(machine("o", "v3")))
     statuses = [stage.version_status("s", ver) for ver in ("v1", "v2", "v3")]
     assert statuses == ["established", "closed", "trial"]
-    endpoints.update(0.0, "m", {**machine("m", "v1"), "state": "gone"})
+    endpoints.update(0.0, "m", EndpointRecord.decode({**machine("m", "v1"), "state": "gone"}))
     assert stage.version_status("s", "v2") == "established"
     stage.update(0.0, played((0, V2), (3, "reverted"), (1, V3), (9, "done"), (1, V2)))
     assert stage.version_status("s", "v2") == "trial"
--- a/tests/gateway/rpc/test_protocol.py
+++ b/tests/gateway/rpc/test_protocol.py
@@ -62,18 +62,18 @@
 ):
     # Clients take up connections after four fifths of idle_s, of the old or the new configuration's.
     scenario = CallScenario()
-    scenario.proxy.limits = Limits(idle_s=before)
+    scenario.proxy.configuration.limits = Limits(idle_s=before)
     client = ScriptedClient(scenario)
     client.say(REQUEST % (b"GET", b"a1", b""))
     client.run(1.0)
-    scenario.proxy.limits = Limits(idle_s=after)
+    scenario.proxy.configuration.limits = Limits(idle_s=after)
     assert client.run(at).closing != is_open
 
 
 @test("a request that came while the proxy was suspended is read before its connection is ended as idle")
 def _():
     scenario = CallScenario()
-    scenario.proxy.limits = Limits(idle_s=5)
+    scenario.proxy.configuration.limits = Limits(idle_s=5)
     client = ScriptedClient(scenario)
     client.say(REQUEST % (b"GET", b"a1", b""))
 
--- a/tests/gateway/test_pinned_rollout.py
+++ b/tests/gateway/test_pinned_rollout.py
@@ -17,9 +17,10 @@
 from honeywood.gateway.rollout.record import RolloutStage, RolloutState
 from honeywood.gateway.rollout.report import Vote
 from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
-from honeywood.gateway.routing.attempts import PendingRequest
-from honeywood.gateway.routing.endpoints import Endpoints
+from honeywood.gateway.routing.endpoint_record import EndpointRecord
+from honeywood.gateway.routing.endpoint_table import EndpointTable
 from honeywood.gateway.routing.outcomes import AttemptOutcome
+from honeywood.gateway.routing.pending_request import PendingRequest
 from honeywood.gateway.rpc.statuses import status_of
 
 RECORDED = json.loads((Path(__file__).parent / "recorded" / "rollout.json").read_text())
@@ -96,7 +97,7 @@
     """One proxy's part in a rollout: three versions of a service at six machines."""
 
     def __init__(self, proxies):
-        self.endpoints = Endpoints()
+        self.endpoints = EndpointTable()
         self.stage = RolloutTrafficPolicy(self.endpoints, 0.1, 50, lambda: proxies)
         self.routes = {
             name: Route(name, "shop.example", f"/{name}/", kind, 0.8, 0.3, 0, 2, (("search", 1.0),))
@@ -105,7 +106,7 @@
 
     def update_endpoint(self, now, id, value):
         """A record of a machine has come."""
-        self.endpoints.update(now, id, value)
+        self.endpoints.update(now, id, EndpointRecord.decode(value))
 
     def update_rollout(self, now, stored):
         """A record of a rollout has come."""
@@ -129,14 +130,14 @@
 
     def attempt(self, now, request, id):
         """An attempt of a request begins."""
-        self.endpoints.by_id[id].request_began(now)
+        self.endpoints.by_id[id].attempt_started(now)
         self.stage.record_attempt(request, self.endpoints.by_id[id])
         request.attempts.append(id)
 
     def ended(self, now, request, id, outcome, took_s):
         """An attempt of a request has ended."""
         machine = self.endpoints.by_id[id]
-        machine.request_ended(now, True)
+        machine.attempt_ended(now, True)
         self.stage.record_outcome(now, request, machine, AttemptOutcome(outcome), took_s)
 
     def standings(self):
