--- a/honeywood/gateway/controller/__init__.py
+++ b/honeywood/gateway/controller/__init__.py
@@ -1,4 +1,4 @@
-"""The program on core machines: hears machines and operators, keeps the register, steers rollouts.
+"""The program on core machines: serves machines and operators, keeps the register, steers rollouts.
 
-Start reading at program.py, then app.py (calls) and orders.py.
+Start reading at program.py, then app.py and operations.py.
 """
--- a/honeywood/gateway/controller/machine_service.py
+++ b/honeywood/gateway/controller/machine_service.py
@@ -22,6 +22,7 @@
     from honeywood.gateway.register.register import Register
 
 LEAVE_OPERATION = "instances.leave"
+SAVE_LOG_INTERVAL_S = 5.0
 DISK_TIMEOUT_S = 0.2  # seconds that an acknowledgement waits for this disk, besides other controllers
 
 
@@ -75,7 +76,7 @@
             if self.register.membership.intact:
                 await self.rows.flush()
         except GatewayError as error:
-            self.log.info("notes not kept", min_interval_s=5.0, why=str(error))
+            self.log.info("machine states not saved", min_interval_s=SAVE_LOG_INTERVAL_S, why=str(error))
 
     def expire(self, now: float) -> None:
         """Mark silent machines as lost, where enough others have lately sent all that they know.
--- a/honeywood/gateway/controller/stall_detector.py
+++ b/honeywood/gateway/controller/stall_detector.py
@@ -31,7 +31,7 @@
         gap_s = now - self._last_tick_at
         if gap_s > STALL_THRESHOLD_S:
             self._resumed_at = now
-            self._log.info("frozen", gap_s=round(gap_s, 1))
+            self._log.info("process stalled", gap_s=round(gap_s, 1))
         self._last_tick_at = now
 
     @property
--- a/honeywood/gateway/metrics_endpoint.py
+++ b/honeywood/gateway/metrics_endpoint.py
@@ -31,7 +31,7 @@
         try:
             await server.open([(self.ip, self.port)])
         except OSError as error:
-            self.log.info("no metrics address", port=self.port, why=str(error))
+            self.log.info("metrics port unavailable", port=self.port, why=str(error))
             self.port = None
 
     async def serve(self, scope: Scope, send: Send) -> None:
--- a/honeywood/gateway/periodic_tasks.py
+++ b/honeywood/gateway/periodic_tasks.py
@@ -40,7 +40,7 @@
             # next run may succeed. None is hidden: each is logged with its type.
             except Exception as error:
                 self.log.info(
-                    "loop failed",
+                    "periodic task failed",
                     min_interval_s=FAILURE_LOG_INTERVAL_S,
                     step=step.__qualname__,
                     why=repr(error),
--- a/honeywood/gateway/program.py
+++ b/honeywood/gateway/program.py
@@ -95,11 +95,11 @@
         try:
             settings = self.settings_file.read_if_modified()
         except FAILURES as error:
-            self.log.info("settings not taken", min_interval_s=RELOAD_LOG_INTERVAL_S, why=str(error))
+            self.log.info("settings rejected", min_interval_s=RELOAD_LOG_INTERVAL_S, why=str(error))
             return
         if settings is not None:
             self.discover_controllers([ip for ip, _ in settings.seeds])
-            self.log.info("settings read again")
+            self.log.info("settings reloaded")
 
     async def wait_until_stopped(self) -> None:
         """Return at SIGTERM; until then reload the settings at SIGHUP and when the file has changed."""
--- a/honeywood/lab/emulator/world.py
+++ b/honeywood/lab/emulator/world.py
@@ -50,7 +50,7 @@
 
     def info(self, event: str, min_interval_s: float = 0.0, **fields: object) -> None:
         """Take an event of a program."""
-        if event == "loop failed" and not fields["foreseen"]:
+        if event == "periodic task failed" and not fields["foreseen"]:
             self.raised.append(RuntimeError(f"{fields['step']}: {fields['why']}"))
 
 
--- a/honeywood/lab/soak/nodes.py
+++ b/honeywood/lab/soak/nodes.py
@@ -15,7 +15,7 @@
 CONTROLLERS, PROXIES = 3, 3
 HTTP, READY, CTL, FIRST, LAST, METRICS = 18080, 18081, 18082, 18090, 18099, 19464
 STOPPED_WITHIN_S = 8.0  # more than grace_s: who was told to end has ended
-FAULTS = re.compile(r'"event": "(invariant violated|loop failed|library)"')
+FAULTS = re.compile(r'"event": "(invariant violated|periodic task failed|library)"')
 EXPECTED = re.compile(r'"foreseen": true')  # loops that failed for what peers did
 
 
