--- a/honeywood/gateway/controller/machine_record.py
+++ b/honeywood/gateway/controller/machine_record.py
@@ -13,7 +13,7 @@
 from typing import cast
 
 from honeywood.gateway.dissemination.record import Stamp
-from honeywood.gateway.routing.endpoints import DRAINING, GONE, LOST, READY
+from honeywood.gateway.routing.endpoint_state import DRAINING, GONE, LOST, READY
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -1,292 +1,266 @@
-"""The proxy's program: what it wants to know, and the loops that bring it there."""
+"""The proxy's process: its parts, how they are connected, and its life cycle."""
+
+from __future__ import annotations
 
 import asyncio
+import time
 
-from honeywood.gateway.configuration.model import Limits
-from honeywood.gateway.configuration.packing import unpack
-from honeywood.gateway.configuration.reader import read_configuration
-from honeywood.gateway.dissemination.backoff import INITIAL_DELAY_S, Backoff
+from honeywood.gateway.dissemination.backoff import Backoff
 from honeywood.gateway.dissemination.chunks import ChunkAssembler
-from honeywood.gateway.dissemination.keys import RecordKind, kind_of, name_of
+from honeywood.gateway.dissemination.keys import RecordKind, name_of
 from honeywood.gateway.dissemination.messages import Requester
-from honeywood.gateway.dissemination.publisher import MAX_HOLD_S, UNPACED_BYTES, Publisher
-from honeywood.gateway.dissemination.record import Stamp
-from honeywood.gateway.dissemination.rendezvous import rank
-from honeywood.gateway.dissemination.retired_machines import MAX_DISCONNECTED_S, RetiredMachines
+from honeywood.gateway.dissemination.publisher import Publisher
+from honeywood.gateway.dissemination.retired_machines import RetiredMachines
 from honeywood.gateway.dissemination.subscriber import Subscriber
-from honeywood.gateway.errors import CallFailed
-from honeywood.gateway.metrics import Metrics
 from honeywood.gateway.program import COUNTS_INTERVAL_S, Program
+from honeywood.gateway.proxy import status
+from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
 from honeywood.gateway.proxy.app import App
-from honeywood.gateway.proxy.connections import ConnectionPool
-from honeywood.gateway.proxy.count_records import CountRecords
-from honeywood.gateway.proxy.fleet import FleetSize
-from honeywood.gateway.proxy.forwarding import Forwarder
-from honeywood.gateway.proxy.invariants import InvariantChecks
-from honeywood.gateway.proxy.polling import poll_pause
-from honeywood.gateway.rollout import record
+from honeywood.gateway.proxy.client_handler import ClientHandler
+from honeywood.gateway.proxy.connection_pool import ConnectionPool
+from honeywood.gateway.proxy.controller_poller import ControllerPoller
+from honeywood.gateway.proxy.endpoint_selector import EndpointSelector
+from honeywood.gateway.proxy.fleet_size import FleetSize
+from honeywood.gateway.proxy.forwarder import Forwarder
+from honeywood.gateway.proxy.invariants import InvariantChecks, Violation
+from honeywood.gateway.proxy.known_peers import KnownPeers
+from honeywood.gateway.proxy.machine_revalidation import MachineRevalidation
+from honeywood.gateway.proxy.peer_handler import PeerHandler
+from honeywood.gateway.proxy.readiness import Readiness
+from honeywood.gateway.proxy.record_handler import RecordHandler
+from honeywood.gateway.proxy.request_counters import RequestCounters
+from honeywood.gateway.proxy.response_writer import ResponseWriter
+from honeywood.gateway.proxy.retry_budgets import RetryBudgets
+from honeywood.gateway.proxy.rollout_reports import RolloutReports
+from honeywood.gateway.proxy.update_subscription import UpdateSubscription
 from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
-from honeywood.gateway.routing.attempts import AttemptPolicy
-from honeywood.gateway.routing.budget import RetryBudget
-from honeywood.gateway.routing.endpoints import LOST, Endpoints
-from honeywood.gateway.routing.routes import RouteTable
+from honeywood.gateway.routing.attempt_policy import AttemptPolicy
+from honeywood.gateway.routing.endpoint_table import EndpointTable
 from honeywood.gateway.rpc.connection import Connection
 from honeywood.gateway.rpc.server import HttpServer
 
-BACKOFF_MOST_S = 1.0  # for which one that doesn't answer isn't asked
-ASKS_IN_A_ROW = 8  # of one controller while it has more to tell
-DOUBT_S = 10.0  # in which controllers have told again all that they know
-TIDY_S = 0.5  # between looks at idle connections
-UNREADY_SEEN_S = 2.2  # in which the platform has noticed a proxy that isn't ready (two misses of 1 s)
-STOP_MARGIN_S = 0.5  # of the grace that is left for the end of the process
-STARTING_S = 1.0  # in which one without a configuration asks no relay: it may have started too
-SETTLE_S = 2.0  # a proxy with a configuration waits for endpoints before it calls itself ready
-SAY_AGAIN_S = 5.0  # between lines of one trouble
-LISTEN_PAUSE_S, POLL_PAUSE_S = 0.01, 0.05  # between turns of the loops, besides what they wait themselves
+TYPE_CHECKING = False
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+    from random import Random
 
+    from honeywood.gateway.configuration.settings import Settings
+    from honeywood.gateway.event_log import EventLog
+    from honeywood.gateway.metrics import Metrics
+    from honeywood.gateway.proxy.connection_pool import Connect
+    from honeywood.gateway.proxy.record_handler import JsonValue
+    from honeywood.gateway.rpc.client import Caller
 
-class Proxy(Program):
-    """The data plane's process: its state, and the loops that keep it up to date."""
+MAX_BACKOFF_S = 1.0  # for which a peer that doesn't answer isn't polled
+SUBSCRIPTION_PAUSE_S, POLL_PAUSE_S = 0.01, 0.05  # between turns of the loops, besides what they wait inside
+MAINTENANCE_S = 0.5  # between turns of the maintenance loop
+UNREADY_NOTICED_S = 2.2  # in which the platform notices a proxy that isn't ready: two checks, 1 s apart
+STOP_MARGIN_S = 0.5  # of the grace period, left for the end of the process
+LOG_INTERVAL_S = 5.0  # between lines about one condition
 
-    def __init__(self, *given, random=None, connect=Connection.open, log=None):
-        """`given` is what Program takes; `connect` opens connections to endpoints."""
-        super().__init__(*given, log=log, random=random)
-        s, self.app = self.settings, App(self)
-        self.table, self.limits, self.config_at, self.server = None, Limits(), None, None
-        self.endpoints, self.budgets, self.fleet = Endpoints(), {}, FleetSize(self.clock)
-        self.stage = RolloutTrafficPolicy(
-            self.endpoints, s.bounds.canary_share, s.bounds.canary_slack, self.fronts
-        )
-        self.pool, self.tasks = ConnectionPool(self.clock, connect), set()
-        self.policy = AttemptPolicy(self.budget_of, self.fronts, self.stage, self.endpoints.max_connections)
-        parts = self.endpoints, self.policy, self.stage, self.pool, self.budget_of
-        self.invariants = InvariantChecks(self, self.on_violation)
-        self.forwarder = Forwarder(self.clock, self.random, s.zone, *parts, self.invariants.attempt_begins)
-        self.publisher = Publisher(self.store_incarnation(), self.hear, link_bytes_per_s=s.link_bytes_per_s)
-        store, backoff = self.publisher.store, Backoff(self.random, BACKOFF_MOST_S)
-        self.retired, self.doubted_at = RetiredMachines(store), None
-        self.counts = CountRecords(self.stage, self.clock, s.node, self.incarnation, store)
-        self.assembler = ChunkAssembler()
-        shared = store, self.assembler, self.caller, self.who, backoff
-        self.subscriber = Subscriber(*shared, lambda: self.publisher.max_response_bytes)
-        self.poller = Subscriber(*shared, self.poll_max_bytes, self.counts.records_for)
-        self.controllers, self.relays = [ip for ip, _ in s.seeds], []
-        self.turn, self.met_majority = 0, False
-        self.started_at = self.listened_at = self.clock()  # `listen` was answered last
-
-    def configuration_version(self):
-        """The version in force here, in digits as operators send it."""
-        return f"{self.table.version:08x}" if self.table else None
 
-    def discover_controllers(self, controllers):
-        """Controllers that are told of."""
-        self.controllers += [ip for ip in controllers if ip not in self.controllers]
+class Proxy(Program):
+    """The data plane's process."""
 
-    def lose(self, keys):
-        """Records of controllers have lapsed: whoever isn't a seed is asked no more."""
-        seeds = {ip for ip, _ in self.settings.seeds}
-        for ip in {name_of(key) for key in keys} - seeds:
-            self.controllers = [one for one in self.controllers if one != ip]
-            self.counts.forget(ip)
-            for subscriber in (self.subscriber, self.poller):
-                subscriber.forget(ip)
+    def __init__(
+        self,
+        settings: Settings | None = None,
+        caller: Caller | None = None,
+        clock: Callable[[], float] = time.monotonic,
+        wall_clock: Callable[[], float] = time.time,
+        *,
+        random: Random | None = None,
+        connect: Connect = Connection.open,
+        log: EventLog | None = None,
+    ) -> None:
+        """Builds the parts; nothing runs yet.
 
-    def start(self, work):
-        """A task of `work` that is kept until it ends."""
-        task = asyncio.get_running_loop().create_task(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
-        return task
+        Without `settings` they are read from the settings file. `caller` calls other programs, `connect`
+        opens connections to endpoints. `clock` gives monotonic seconds, `wall_clock` those since 1970.
+        """
+        super().__init__(settings, caller, clock, wall_clock, log, random)
+        self.server: HttpServer | None = None
+        self._build_state()
+        self._build_data_plane(connect)
+        self._build_updates()
+        self._build_app()
 
-    def budget_of(self, service):
-        """A service's RetryBudget."""
-        if service not in self.budgets:
-            bounds = self.settings.bounds
-            self.budgets[service] = RetryBudget(bounds.retry_ratio, bounds.retry_slack, bounds.retry_win_s)
-        return self.budgets[service]
+    def _build_state(self) -> None:
+        """What the proxy knows: configuration, endpoints, rollouts and the number of proxies."""
+        bounds = self.settings.bounds
+        self.configuration = ActiveConfiguration(self.clock)
+        self.endpoints = EndpointTable()
+        self.fleet = FleetSize(self.clock)
+        self.stage = RolloutTrafficPolicy(
+            self.endpoints, bounds.canary_share, bounds.canary_slack, self.fleet.count
+        )
+        self.readiness = Readiness(
+            self.configuration,
+            self.endpoints,
+            self.stopping,
+            bounds.contact_s,
+            self._log_unconfirmed,
+        )
 
-    def fronts(self):
-        """How many proxies share what all may do together."""
-        return self.fleet.count()
+    def _build_data_plane(self, connect: Connect) -> None:
+        """What carries requests."""
+        bounds = self.settings.bounds
+        budgets = RetryBudgets(bounds.retry_ratio, bounds.retry_slack, bounds.retry_win_s)
+        self.counters = RequestCounters()
+        self.pool = ConnectionPool(self.clock, connect)
+        self.policy = AttemptPolicy(budgets.of, self.fleet.count, self.stage, self.endpoints.max_connections)
+        self.selector = EndpointSelector(
+            self.clock, self.random, self.settings.zone, self.endpoints, self.policy, self.stage
+        )
+        self.invariants = InvariantChecks(self, self._log_violation)
+        self.forwarder = Forwarder(
+            self.clock,
+            self.random,
+            self.selector,
+            self.endpoints,
+            self.policy,
+            self.stage,
+            self.pool,
+            budgets.of,
+            self.counters,
+            self.invariants.attempt_starts,
+        )
 
-    # news
-    def who(self):
-        """Who asks for news."""
+    def _build_updates(self) -> None:
+        """What keeps the state up to date."""
         s = self.settings
-        return Requester(s.node, s.ip, s.zone, self.incarnation, is_proxy=True)
+        self.publisher = Publisher(
+            self.store_incarnation(), self._apply_record, link_bytes_per_s=s.link_bytes_per_s
+        )
+        store, backoff = self.publisher.store, Backoff(self.random, MAX_BACKOFF_S)
+        self.peers = KnownPeers(ip for ip, _ in s.seeds)
+        self.retired_machines = RetiredMachines(store)
+        self.records = RecordHandler(
+            self.clock,
+            self.configuration,
+            self.endpoints,
+            self.pool,
+            self.stage,
+            self.retired_machines,
+            self.peers,
+            lambda: self.log.info("configuration"),
+        )
+        self.reports = RolloutReports(self.stage, self.clock, s.node, self.incarnation, store)
+        self.assembler = ChunkAssembler()
+        subscriber = Subscriber(
+            store,
+            self.assembler,
+            self.caller,
+            self._requester,
+            backoff,
+            lambda: self.publisher.max_response_bytes,
+        )
+        self.subscription = UpdateSubscription(self.clock, s, subscriber, self.peers, self.configuration)
+        poll_subscriber = Subscriber(
+            store,
+            self.assembler,
+            self.caller,
+            self._requester,
+            backoff,
+            self._max_poll_bytes,
+            self.reports.records_for,
+        )
+        self.revalidation = MachineRevalidation(self.clock, store, (subscriber, poll_subscriber))
+        self.poller = ControllerPoller(
+            self.clock,
+            self.random,
+            s,
+            poll_subscriber,
+            self.subscription,
+            self.peers,
+            self.fleet,
+            self.stage,
+            self.reports,
+            self.readiness,
+            self.revalidation,
+            self._log_no_controller,
+        )
 
-    def hear(self, key, value):
-        """A record has come, or has changed."""
-        kind, name = kind_of(key), name_of(key)
-        if kind == RecordKind.CONFIGURATION:
-            self.hear_config(read_configuration(unpack(value), hashed_keys=True))
-        elif kind == RecordKind.MACHINE:
-            self.hear_endpoint(name, value)
-        elif kind == RecordKind.ROLLOUT:
-            self.stage.update(self.clock(), record.decode(value))
-        elif kind == RecordKind.CONTROLLER:
-            self.discover_controllers([name])
+    def _build_app(self) -> None:
+        """What answers on the proxy's listeners."""
+        self.writer = ResponseWriter()
+        self.app = App(
+            self.configuration,
+            ClientHandler(self.configuration, self.forwarder, self.counters),
+            PeerHandler(self.publisher),
+            self.writer,
+            self.readiness,
+            self.stopping,
+            self.metrics_endpoint,
+            self.settings.listen.ready[1],
+            self.settings.proxy_port,
+        )
 
-    def hear_config(self, read):
-        """Another configuration is in force here."""
-        self.table, self.limits = RouteTable(read), read.limits
-        self.config_at = self.config_at or self.clock()
-        most = self.endpoints.max_connections
-        most.clear()
-        most.update({name: service.max_connections for name, service in read.services.items()})
-        self.log.info("configuration")
+    def _requester(self) -> Requester:
+        """How this proxy introduces itself in polls."""
+        s = self.settings
+        return Requester(s.node, s.ip, s.zone, self.incarnation, is_proxy=True)
 
-    def hear_endpoint(self, id, value):
-        """An endpoint has changed; one that leaves service keeps no idle connection."""
-        now = self.clock()
-        self.retired.observe(now, id, value["state"])
-        endpoint, left = self.endpoints.update(now, id, value)
-        if left:
-            self.pool.close_idle(endpoint)
+    def _max_poll_bytes(self) -> int:
+        """The limit on the response to a poll of a controller."""
+        limit = self.publisher.max_response_bytes
+        return min(limit, self.subscription.max_poll_bytes() or limit)
 
-    async def listen(self):
-        """Asks its relay for news, held until there are some; where that one is silent, the next above it."""
-        s, now, backoff = self.settings, self.clock(), self.subscriber.backoff
-        starting = self.table is None and now - self.started_at < STARTING_S
-        relays = [] if starting else self.relays
-        places = [(ip, s.proxy_port) for ip in relays if not backoff.remaining_s(ip, now)]
-        places += [(ip, s.controller_port) for ip in backoff.available(rank(self.controllers, s.node), now)]
-        for ip, port in places:
-            try:
-                response = await self.subscriber.poll(ip, port, MAX_HOLD_S)
-            except CallFailed:
-                continue
-            self.listened_at = self.clock()
-            return await asyncio.sleep(min(MAX_HOLD_S, response.retry_after_s or 0.0))
-        await asyncio.sleep(INITIAL_DELAY_S)
+    def _apply_record(self, key: str, value: JsonValue) -> None:
+        self.records.apply(key, value)
 
-    async def poll(self):
-        """Asks one controller after the other, of those that hear a majority, for what was missed, and tells
-        it this proxy's counts: whoever is cut off from the others is not the only one asked for long."""
-        self.turn += 1
-        ring = rank(self.controllers, self.settings.node)
-        start = self.turn % len(ring)
-        for ip in self.poller.backoff.available(ring[start:] + ring[:start], self.clock()):
-            asked_at, answer = await self.ask_controller(ip)
-            if answer is not None and answer.in_quorum:
-                self.met_quorum(asked_at, answer)
-                pause_s = poll_pause(
-                    self.stage.has_active_rollout, self.fronts(), len(self.controllers), self.random.random()
-                )
-                return await asyncio.sleep(pause_s)
-        self.log.info("no controller answers", min_interval_s=SAY_AGAIN_S)
-        await asyncio.sleep(INITIAL_DELAY_S)
+    def _log_violation(self, violation: Violation, details: str) -> None:
+        """An invariant doesn't hold: a defect of this program, which operators have to see."""
+        what = violation.value
+        self.log.info("invariant violated", min_interval_s=LOG_INTERVAL_S, what=what, details=details)
 
-    async def ask_controller(self, ip):
-        """(when it was asked last, its last Answer or None): again while it has more to tell."""
-        for _ in range(ASKS_IN_A_ROW):
-            asked_at = self.clock()  # an answer may have lain here unread while this process was frozen
-            try:
-                answer = await self.poller.poll(ip, self.settings.controller_port, 0.0)
-            except CallFailed:
-                return asked_at, None
-            if answer.fleet is not None:
-                self.relays = answer.fleet.relays
-                self.counts.held_by(ip, answer.counts_number or 0)
-                self.fleet.report(ip, answer.fleet.proxy_count)
-            if not answer.has_more or self.poll_most():
-                break
-        return asked_at, answer
+    def _log_unconfirmed(self) -> None:
+        """The proxy is ready, and no controller in quorum has confirmed its configuration."""
+        self.log.info("ready without a controller that hears a majority", min_interval_s=LOG_INTERVAL_S)
 
-    def met_quorum(self, asked_at, answer):
-        """A controller that hears a majority has answered."""
-        if answer.is_complete:  # else what ends a stage may be among what was not told
-            if self.met_majority and asked_at - self.stage.controller_contact_at > MAX_DISCONNECTED_S:
-                self.doubt()
-            self.stage.controller_contact_at = asked_at
-        self.met_majority = True
+    def _log_no_controller(self) -> None:
+        """No controller in quorum answers polls."""
+        self.log.info("no controller answers", min_interval_s=LOG_INTERVAL_S)
 
-    def poll_most(self):
-        """The most bytes of an answer to a poll: few while `listen` hears the first configuration, since each
-        controller that is asked besides would tell all that it holds once more."""
-        listens = self.clock() - self.listened_at < MAX_HOLD_S
-        return UNPACED_BYTES if self.table is None and listens else None
+    def configuration_version(self) -> str | None:
+        """The configuration version in effect, in hexadecimal digits."""
+        return self.configuration.version_text
 
-    def poll_max_bytes(self):
-        """The most bytes of the next answer to a poll."""
-        most = self.publisher.max_response_bytes
-        return min(most, self.poll_most() or most)
+    def discover_controllers(self, controllers: Iterable[str]) -> None:
+        """The settings file names controllers."""
+        self.peers.add_controllers(controllers)
 
     @property
-    def ready(self):
-        """Whether it calls itself ready for clients."""
-        if self.stopping.is_set() or self.table is None:
-            return False
-        if not self.met_majority:  # the configuration may be that of a controller cut off from the others
-            if self.clock() - self.config_at < self.settings.bounds.contact_s:
-                return False
-            self.log.info("ready without a controller that hears a majority", min_interval_s=SAY_AGAIN_S)
-        known = self.table.services <= set(self.endpoints.by_service)
-        return known or self.clock() - self.config_at > SETTLE_S
+    def ready(self) -> bool:
+        """Whether the proxy reports itself ready for clients."""
+        return self.readiness.is_ready()
+
+    def metrics(self) -> Metrics:
+        """The metrics page's figures."""
+        return status.metrics(self)
 
-    def doubt(self):
-        """After so long a cut that news of machines that left may have been dropped meanwhile: asks for all
-        anew, and takes for lost whichever machine nobody tells of."""
-        self.publisher.store.mark_stale(RecordKind.MACHINE)
-        self.subscriber.positions.clear()
-        self.poller.positions.clear()
-        self.doubted_at = self.clock()
+    async def log_counts(self) -> None:
+        """Logs sums since the start, and what stands now."""
+        self.log.info("counts", **status.log_fields(self))
 
-    async def tidy(self):
-        """Ends what is too old, and what nobody told of again after a doubt."""
+    async def maintain(self) -> None:
+        """Checks invariants and drops what has expired."""
         now, store = self.clock(), self.publisher.store
-        self.invariants.look(now)
+        self.invariants.check(now)
         self.pool.close_expired(self.endpoints.by_id.values())
-        self.retired.evict(now)
-        self.lose(key for key in store.prune() if key.startswith(RecordKind.CONTROLLER.prefix))
-        if self.doubted_at is not None and now - self.doubted_at > DOUBT_S:
-            self.doubted_at = None
-            for key in store.stale_keys(RecordKind.MACHINE):
-                store.put(key, Stamp.of(0), {**store.get(key), "state": LOST})
-
-    async def count(self):
-        """A line of what was done since the start, and of what stands now."""
-        endpoints = self.endpoints.by_id.values()
-        self.log.info(
-            "counts",
-            **self.forwarder.counts,
-            **self.app.refusals,
-            **self.violations(),
-            dialled=self.pool.opened,
-            connections=sum(endpoint.connections for endpoint in endpoints),
-            machines=len(endpoints),
-            fronts=self.fronts(),
-            told=dict(self.publisher.sent_bytes),
-            called=dict(self.caller.bytes_by_path),
-            ready=self.ready,
-        )
-
-    def on_violation(self, violation, details):
-        """What must always hold didn't: a fault of ours, which has to be seen."""
-        self.log.info("invariant violated", min_interval_s=SAY_AGAIN_S, what=violation.value, details=details)
-
-    def violations(self):
-        """Violated invariants by name, for counts and metrics."""
-        return {f"violated: {one.value}": count for one, count in self.invariants.violations.items()}
+        self.retired_machines.evict(now)
+        self._forget_controllers(key for key in store.prune() if key.startswith(RecordKind.CONTROLLER.prefix))
+        self.revalidation.check()
 
-    def metrics(self):
-        """Sums since the start, and what stands now."""
-        endpoints = list(self.endpoints.by_id.values())
-        events = {**self.forwarder.counts, **self.app.refusals, **self.violations()}
-        gauges = {
-            "ready": self.ready,
-            "config_version": self.table.version if self.table else 0,
-            "connections": sum(endpoint.connections for endpoint in endpoints),
-            "machines": len(endpoints),
-            "proxies": self.fronts(),
-            "open_requests": len(self.forwarder.open_requests),
-            "open_attempts": sum(endpoint.in_flight for endpoint in endpoints),
-            "connections_opened": self.pool.opened,
-        }
-        return Metrics(events, gauges)
+    def _forget_controllers(self, keys: Iterable[str]) -> None:
+        """Records of controllers have lapsed: those that are not seeds are polled no more."""
+        for ip in self.peers.remove_controllers(name_of(key) for key in keys):
+            self.reports.forget(ip)
+            self.subscription.subscriber.forget(ip)
+            self.poller.subscriber.forget(ip)
 
-    async def run(self):
-        """Serves until the platform says to stop; then what is at work ends within the grace."""
+    async def run(self) -> None:
+        """Serves until the platform says to stop; then finishes open requests within the grace period."""
         s = self.settings
         self.server = HttpServer(self.app)
         await self.server.open([s.listen.http, s.listen.ready, (s.ip, s.proxy_port)])
@@ -295,13 +269,13 @@
         self.begin()
         await self.wait_until_stopped()
         self.log.info("stopping")
-        await asyncio.sleep(UNREADY_SEEN_S)
-        await self.server.close(s.bounds.grace_s - UNREADY_SEEN_S - STOP_MARGIN_S)
+        await asyncio.sleep(UNREADY_NOTICED_S)
+        await self.server.close(s.bounds.grace_s - UNREADY_NOTICED_S - STOP_MARGIN_S)
         self.log.info("stopped")
 
-    def begin(self):
+    def begin(self) -> None:
         """Starts the loops."""
-        self.periodic_tasks.start(self.listen, LISTEN_PAUSE_S)
-        self.periodic_tasks.start(self.poll, POLL_PAUSE_S)
-        self.periodic_tasks.start(self.tidy, TIDY_S)
-        self.periodic_tasks.start(self.count, COUNTS_INTERVAL_S)
+        self.periodic_tasks.start(self.subscription.poll_once, SUBSCRIPTION_PAUSE_S)
+        self.periodic_tasks.start(self.poller.poll_once, POLL_PAUSE_S)
+        self.periodic_tasks.start(self.maintain, MAINTENANCE_S)
+        self.periodic_tasks.start(self.log_counts, COUNTS_INTERVAL_S)
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/proxy/test_client_departure.py
@@ -1,4 +1,4 @@
-"""Clients that leave, at each moment of a request's way: work ends where it may, and nothing is left open."""
+"""Clients that leave at each step of a request: idempotent work is ended, and nothing is left open."""
 
 import asyncio
 import socket
@@ -12,7 +12,7 @@
 from honeywood.gateway.dissemination.record import Stamp
 from honeywood.standins.requests import read_request
 
-CUT_WITHIN_S = 0.45  # after a client's leaving in which machines must be rid of what may be repeated
+ABANDONED_WITHIN_S = 0.45  # after a client's departure, in which its idempotent attempts must have ended
 POST = (
     b"POST /p0/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: %s\r\nX-Deadline-Ms: 3000\r\n"
     b"Content-Length: %d\r\n\r\n"
@@ -88,8 +88,8 @@
         """Whether nothing of any request is open at the proxy."""
         endpoints = self.proxy.endpoints.by_id.values()
         forwarder = self.proxy.forwarder
-        open_attempts = sum(endpoint.in_flight + endpoint.connecting for endpoint in endpoints)
-        return not (forwarder.open_requests or forwarder.sender.flights or open_attempts)
+        open_attempts = sum(endpoint.in_flight + endpoint.opening_connections for endpoint in endpoints)
+        return not (forwarder.open_requests or forwarder.sender.in_flight or open_attempts)
 
 
 def reset(writer):
@@ -121,8 +121,8 @@
 
 
 async def at_two_machines(scene):
-    for service in scene.proxy.table.services:
-        scene.proxy.endpoints.latencies[service] = 0.02  # so that a second attempt comes soon
+    for service in scene.proxy.configuration.table.services:
+        scene.proxy.endpoints.typical_latencies_s[service] = 0.02  # so that a second attempt comes soon
     return (await asked(scene, 2)).close
 
 
@@ -145,7 +145,7 @@
 async def after_anothers_answer(scene):
     _, writer = await scene.connect()
     writer.write(LONG_GET % b"a")
-    await scene.until(lambda: scene.proxy.forwarder.counts["surplus answers"] and scene.started())
+    await scene.until(lambda: scene.proxy.counters.counts["surplus answers"] and scene.started())
     return writer.close
 
 
@@ -168,7 +168,7 @@
     return b""
 
 
-@test("a client leaves {leave.__name__}: machines are rid of its repeatable requests, and nothing stays open")
+@test("a client leaves {leave.__name__}: its idempotent attempts are ended, and nothing stays open")
 def _(
     leave=each(
         at_one_machine,
@@ -189,14 +189,14 @@
             begun = scene.started()
             assert begun and not scene.cut()
             go()
-            assert await scene.until(lambda: scene.cut() == begun, CUT_WITHIN_S)
-            assert await scene.until(scene.is_quiet, CUT_WITHIN_S)
+            assert await scene.until(lambda: scene.cut() == begun, ABANDONED_WITHIN_S)
+            assert await scene.until(scene.is_quiet, ABANDONED_WITHIN_S)
             assert scene.started() == begun  # nothing is begun for who has left
 
     play(work)
 
 
-@test("a client leaves while a machine has its request that may not be repeated: it is done whole, once")
+@test("a client leaves while a machine has its unsafe request: it is finished, once")
 def _():
     async def work():
         async with HoldingScene(1, kind="unsafe") as scene:
@@ -204,7 +204,7 @@
             writer.write(POST % (b"a", 4) + b"body")
             await scene.until(lambda: scene.started() == 1)
             writer.close()
-            assert not await scene.until(scene.cut, CUT_WITHIN_S)
+            assert not await scene.until(scene.cut, ABANDONED_WITHIN_S)
             scene.machines[0].release.set()
             assert await scene.until(scene.is_quiet) and scene.machines[0].started == [b"a"]
             assert len(scene.proxy.endpoints.by_id["i-0"].idle_connections) == 1
@@ -212,7 +212,7 @@
     play(work)
 
 
-@test("a client leaves while a long answer waits behind another request: its machine is rid of it")
+@test("a client leaves while a long response waits behind another request: its attempt is ended")
 def _():
     async def work():
         async with HoldingScene(2) as scene:
@@ -221,16 +221,15 @@
                 LONG_HEAD % id + LONG_BODY if id == b"b" else b""
             )
             writer.write(LONG_GET % b"a" + LONG_GET % b"b")
-            forwarder = scene.proxy.forwarder
-            assert await scene.until(lambda: forwarder.counts["requests"] == 1)
+            assert await scene.until(lambda: scene.proxy.counters.counts["requests"] == 1)
             writer.close()
-            assert await scene.until(lambda: scene.cut() == 2, CUT_WITHIN_S)
-            assert await scene.until(scene.is_quiet, CUT_WITHIN_S)
+            assert await scene.until(lambda: scene.cut() == 2, ABANDONED_WITHIN_S)
+            assert await scene.until(scene.is_quiet, ABANDONED_WITHIN_S)
 
     play(work)
 
 
-@test("a client leaves after a long answer was read whole: the connection it came on is kept for others")
+@test("a client leaves after a long response was read completely: its connection is kept for others")
 def _():
     async def work():
         async def long(id, writer):
@@ -246,7 +245,7 @@
             await asyncio.sleep(0.05)
             kept = scene.proxy.endpoints.by_id["i-0"].idle_connections
             assert [connection.reusable for connection in kept] == [True]
-            assert not scene.proxy.forwarder.counts["attempts abandoned"]
+            assert not scene.proxy.counters.counts["attempts abandoned"]
 
     play(work)
 
@@ -273,7 +272,7 @@
     return writer
 
 
-@test("a client leaves {leave.__name__}: no machine hears of its {kind} request, and nothing stays open")
+@test("a client leaves {leave.__name__}: its {kind} request reaches no machine, and nothing stays open")
 def _(
     leave=each(*[before_its_body_is_whole, while_a_connection_comes_up] * 2),
     kind=each("safe", "safe", "unsafe", "unsafe"),
@@ -283,14 +282,14 @@
             writer = await leave(scene)
             writer.close()
             await asyncio.sleep(0.15)
-            assert await scene.until(scene.is_quiet, CUT_WITHIN_S) and not scene.started()
+            assert await scene.until(scene.is_quiet, ABANDONED_WITHIN_S) and not scene.started()
             endpoint = scene.proxy.endpoints.by_id["i-0"]
-            assert len(endpoint.idle_connections) == endpoint.connected  # what came up is kept
+            assert len(endpoint.idle_connections) == endpoint.open_connections  # what came up is kept
 
     play(work)
 
 
-@test("a client leaves while its long body is written to a machine that doesn't read: nothing stays open")
+@test("a client leaves while its long body is sent to a machine that doesn't read: nothing stays open")
 def _():
     class DeafMachine(Machine):
         async def serve(self, reader, writer):
@@ -304,15 +303,15 @@
             scene.note(0, "ready")
             _, writer = await scene.connect()
             writer.write(POST % (b"a", 20_000_000) + bytes(20_000_000))
-            await scene.until(lambda: scene.proxy.forwarder.sender.flights, 3.0)
+            await scene.until(lambda: scene.proxy.forwarder.sender.in_flight, 3.0)
             await asyncio.sleep(0.05)
             writer.close()
-            assert await scene.until(scene.is_quiet, CUT_WITHIN_S)
+            assert await scene.until(scene.is_quiet, ABANDONED_WITHIN_S)
 
     play(work)
 
 
-@test("an unsafe request whose client's end lies unread while the proxy is busy is not begun")
+@test("an unsafe request isn't started where the client's departure is unread in the kernel")
 def _():
     async def work():
         async with HoldingScene(1, kind="unsafe") as scene:
@@ -325,13 +324,13 @@
 
             scene.proxy.pool.open = open_then_leave
             client.sendall(POST % (b"a", 4) + b"body")
-            assert await scene.until(lambda: scene.proxy.forwarder.counts["requests"])
+            assert await scene.until(lambda: scene.proxy.counters.counts["requests"])
             assert not scene.started()
 
     play(work)
 
 
-@test("one that asked for news and has left takes no part of the link, and the next one is told")
+@test("a poll whose sender has left takes no share of the link, and the next one is answered")
 def _():
     async def work():
         publisher, left = Publisher("l"), []
--- a/tests/gateway/rollout_fleet.py
+++ b/tests/gateway/rollout_fleet.py
@@ -10,9 +10,10 @@
 from honeywood.gateway.rollout.record import RolloutState
 from honeywood.gateway.rollout.report import OutcomeCounts
 from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
-from honeywood.gateway.routing.attempts import PendingRequest
-from honeywood.gateway.routing.endpoints import Endpoints
+from honeywood.gateway.routing.endpoint_record import EndpointRecord
+from honeywood.gateway.routing.endpoint_table import EndpointTable
 from honeywood.gateway.routing.outcomes import AttemptOutcome
+from honeywood.gateway.routing.pending_request import PendingRequest
 
 SUCCESS, FAILURE = AttemptOutcome.SUCCESS, AttemptOutcome.FAILURE
 
@@ -31,9 +32,10 @@
         ]
         self.fronts = []
         for _ in range(fronts):
-            endpoints = Endpoints()
+            endpoints = EndpointTable()
             for id, ver in (("m", "v1"), *((f"n{n}", "v2") for n in range(8))):
-                endpoints.update(warm_s if ver == "v2" else -5.0, id, machine(id, ver, slots=6))
+                known_at, value = warm_s if ver == "v2" else -5.0, machine(id, ver, slots=6)
+                endpoints.update(known_at, id, EndpointRecord.decode(value))
             self.fronts.append((endpoints, RolloutTrafficPolicy(endpoints, 0.1, 50, lambda: fronts)))
         self.record = transitions.start_rollout(None, "s", "v2", over_s, 0.0)
         for _, stage in self.fronts:
--- a/tests/gateway/test_pages.py
+++ b/tests/gateway/test_pages.py
@@ -23,7 +23,7 @@
     GLOSSARY,
     ON_CALL,
 )
-LOG_METHODS = {"say", "_say", "info"}
+LOG_METHODS = {"info"}
 LEAST_EVENTS = 20
 
 TOP_FOLDERS = ("benchmarks", "deploy", "docs", "honeywood", "journal", "tests")
