--- a/honeywood/gateway/controller/peer_polling.py
+++ b/honeywood/gateway/controller/peer_polling.py
@@ -14,6 +14,7 @@
 from honeywood.gateway.dissemination.messages import Requester
 from honeywood.gateway.dissemination.subscriber import Subscriber
 from honeywood.gateway.errors import CallFailed
+from honeywood.gateway.periodic_tasks import TaskFinished
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -101,11 +102,11 @@
     async def poll(self, ip: str) -> None:
         """Poll a controller once, and back off where it does not answer.
 
-        Ends the task whose step this is (by CancelledError) once that controller is not known any more.
+        Raises TaskFinished once that controller is not known any more.
         """
         if ip not in self.addresses:
             self.polled.discard(ip)
-            raise asyncio.CancelledError
+            raise TaskFinished
         sent_at = self.clock()  # its answer may lie unread while this process is stalled
         with suppress(CallFailed):
             response = await self.subscriber.poll(ip, self.settings.controller_port, LONG_POLL_S)
--- a/honeywood/gateway/periodic_tasks.py
+++ b/honeywood/gateway/periodic_tasks.py
@@ -17,6 +17,10 @@
 FAILURE_LOG_INTERVAL_S = 1.0
 
 
+class TaskFinished(Exception):  # noqa: N818 - it is no error
+    """Raised by a step whose task has nothing more to do."""
+
+
 class PeriodicTasks:
     """The running tasks of a program."""
 
@@ -28,14 +32,18 @@
     def start(self, step: Step, interval_s: float) -> None:
         """Run `step` again and again, `interval_s` seconds after it ended.
 
-        A step ends its task by raising CancelledError.
+        A step ends its task by raising TaskFinished.
         """
-        self.tasks.add(asyncio.get_running_loop().create_task(self._repeat(step, interval_s)))
+        task = asyncio.get_running_loop().create_task(self._repeat(step, interval_s))
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
 
     async def _repeat(self, step: Step, interval_s: float) -> None:
         while True:
             try:
                 await step()
+            except TaskFinished:
+                return
             # Every exception of a step ends here, foreseen or not: other parts rely on the task, and the
             # next run may succeed. None is hidden: each is logged with its type.
             except Exception as error:
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -26,7 +26,7 @@
     raise AssertionError("not within a second")
 
 
-@test("figures are told as text, with names escaped")
+@test("metrics are rendered as text, with names escaped")
 def _():
     page = render(Metrics({'answered "200"\\': 2}, {"ready": True, "connections": 3}))
     assert page.decode().splitlines() == [
@@ -51,7 +51,7 @@
     assert ended.raised.code == 2
 
 
-@test("a proxy tells its figures at its metrics address only, and does without where that is taken")
+@test("a proxy serves its metrics at their address only, and does without where that is taken")
 def _():
     async def work():
         async with Scene([ok]) as scene:
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_settings_file.py
@@ -1,23 +1,22 @@
 """A settings file that changes while a program runs."""
 
+import asyncio
+import os
+import tempfile
+
 from ward import test
 
 from honeywood.gateway.configuration.settings import read_settings
+from honeywood.gateway.proxy.program import Proxy
+from honeywood.gateway.settings_file import SettingsFile
 from honeywood.lab.emulator.boot import boot
 from honeywood.lab.emulator.silent_log import SilentLog
 
 GOOD = boot("n", seeds=["10.0.0.1:82"], ip="10.0.0.9")
 
 
-@test("settings that change are read again: seeds are taken over, what can't be used leaves all as it was")
+@test("settings that change are reloaded: seeds are taken over, what can't be used leaves all as it was")
 def _():
-    import asyncio
-    import os
-    import tempfile
-
-    from honeywood.gateway.proxy.program import Proxy
-    from honeywood.gateway.settings_file import SettingsFile
-
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "boot.toml")
         proxy = Proxy(read_settings(GOOD), log=SilentLog())
