--- a/honeywood/gateway/periodic_tasks.py
+++ b/honeywood/gateway/periodic_tasks.py
@@ -17,7 +17,7 @@
 FAILURE_LOG_INTERVAL_S = 1.0
 
 
-class TaskFinished(Exception):  # noqa: N818 - it is no error
+class TaskFinished(Exception):
     """Raised by a step whose task has nothing more to do."""
 
 
