--- a/honeywood/gateway/controller/__main__.py
+++ b/honeywood/gateway/controller/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the controller."""
+"""Run a controller: `python3 -S -m honeywood.gateway.controller`."""
 
 from honeywood.gateway.startup import run
 
