--- a/honeywood/lab/soak/cluster.py
+++ b/honeywood/lab/soak/cluster.py
@@ -19,8 +19,8 @@
 HTTP_PORT, READY_PORT, CONTROL_PORT, METRICS_PORT = 18080, 18081, 18082, 19464
 FIRST_PORT, LAST_PORT = 18090, 18099
 STOP_TIMEOUT_S = 8.0  # longer than the bound grace_s, in which a process that was asked to end does
-ERROR_EVENTS = re.compile(r'"event": "(invariant violated|loop failed|library)"')
-EXPECTED_ERRORS = re.compile(r'"foreseen": true')  # loops that failed for what peers did
+ERROR_EVENTS = re.compile(r'"event": "(invariant violated|periodic task failed|library)"')
+EXPECTED_ERRORS = re.compile(r'"foreseen": true')  # periodic tasks that failed for what peers did
 
 
 class Cluster:
