--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -113,7 +113,7 @@
 
 async def work(count, pipe):
     port = pipe.recv()
-    proxy = Proxy(read_settings(boot("127.0.0.1", bear=0, ports=(18180, 18181, 18182, 7000, 7010))))
+    proxy = Proxy(read_settings(boot("127.0.0.1", tolerated_failures=0, ports=(18180, 18181, 18182, 7000, 7010))))
     proxy.records.apply("config", json.dumps(config(5)))
     for n in range(4):
         proxy.records.apply(
--- a/honeywood/cli/emulator.py
+++ b/honeywood/cli/emulator.py
@@ -44,15 +44,15 @@
 @shape
 def run(seed, chart, **given):
     """One day of a seed, and what came of it."""
-    from honeywood.lab.emulator import hunt, report
-    from honeywood.lab.emulator.day import draw
+    from honeywood.lab.emulator import day_codec, hunt, report
+    from honeywood.lab.emulator.faults.draw import draw_day
 
-    day = draw(seed, **given)
-    found = hunt.played(day)
-    click.echo(report.told(day, found))
+    day = draw_day(day_codec.from_options({**given, "seed": seed}))
+    outcome = hunt.play(day)
+    click.echo(report.describe(day, outcome))
     if chart:
-        report.chart(chart, {f"seed {seed}": (day, found)})
-    sys.exit(bool(found.breaches))
+        report.chart(chart, {f"seed {seed}": report.PlayedDay(day, outcome)})
+    sys.exit(bool(outcome.violations))
 
 
 @command.command()
@@ -65,6 +65,7 @@
     """Many days with drawn faults, to find a broken rule; failing days are shrunk."""
     from rich.progress import Progress
 
+    from honeywood.lab.emulator import day_codec
     from honeywood.lab.emulator import hunt as hunts
 
     with Progress(transient=True) as shown:
@@ -73,37 +74,40 @@
         def progress(done, broken):
             shown.update(bar, completed=done, description=f"days, {broken} broken")
 
-        found, totals = hunts.hunt(first, days, jobs, given, progress)
+        result = hunts.hunt(day_codec.from_options(given), first, days, jobs, progress)
+    totals = result.totals
     click.echo(
-        f"{totals.days} days, {totals.faults} faults, {totals.owed} requests in {totals.took_s:.0f} s "
-        f"({60 * totals.days / totals.took_s:.0f} a minute), worth {totals.worth / totals.owed:.3f}, "
-        f"{len(found)} with a broken rule"
+        f"{totals.days} days, {totals.faults} faults, {totals.requests} requests "
+        f"in {totals.duration_s:.0f} s "
+        f"({60 * totals.days / totals.duration_s:.0f} a minute), worth {totals.worth / totals.requests:.3f}, "
+        f"{len(result.failures)} with a broken rule"
     )
     small = []
-    for seed, failure in sorted(found.items())[:10]:
-        least = hunts.shrink(failure.day, failure.breaches[0].rule)
-        small.append(hunts.written(least))
-        kinds = [fault.kind for fault in least.faults]
-        click.echo(f"seed {seed}: {failure.breaches[0]}; least faults: {kinds}")
+    for seed, failure in sorted(result.failures.items())[:10]:
+        violation = failure.violations[0]
+        least = hunts.minimize(failure.day, violation.rule)
+        small.append(day_codec.encode(least))
+        kinds = [str(fault.kind) for fault in least.faults]
+        click.echo(f"seed {seed}: {violation}; least faults: {kinds}")
     if out and small:
         with open(out, "w") as file:
             json.dump(small, file, indent=1)
-    sys.exit(bool(found))
+    sys.exit(bool(result.failures))
 
 
 @command.command()
 @click.argument("file", type=click.Path(exists=True))
 def replay(file):
     """The days of a FILE that a hunt wrote."""
+    from honeywood.lab.emulator import day_codec, report
     from honeywood.lab.emulator import hunt as hunts
-    from honeywood.lab.emulator import report
 
     with open(file) as text:
-        days = [hunts.read(plain) for plain in json.load(text)]
-    found = [hunts.played(day) for day in days]
-    for day, one in zip(days, found):
-        click.echo(report.told(day, one) + "\n")
-    sys.exit(any(one.breaches for one in found))
+        days = [day_codec.decode(stored) for stored in json.load(text)]
+    outcomes = [hunts.play(day) for day in days]
+    for day, outcome in zip(days, outcomes):
+        click.echo(report.describe(day, outcome) + "\n")
+    sys.exit(any(outcome.violations for outcome in outcomes))
 
 
 @command.command()
@@ -115,7 +119,7 @@
     from honeywood.lab.emulator import report
 
     numbers = [int(one) for one in sizes.split(",")]
-    click.echo(report.sweep(numbers, hunts.played, range(days)))
+    click.echo(report.sweep(numbers, hunts.play, range(days)))
 
 
 @command.command("report")
@@ -125,13 +129,14 @@
 @shape
 def report_(days, first, chart, **given):
     """By kind of fault: worth beside that of a router with sight of all machines."""
+    from honeywood.lab.emulator import day_codec, report
     from honeywood.lab.emulator import hunt as hunts
-    from honeywood.lab.emulator import report
 
-    text, played = report.bound(range(first, first + days), hunts.played, **given)
+    shape = day_codec.from_options(given)
+    text, played = report.compare_with_omniscient_router(shape, range(first, first + days), hunts.play)
     click.echo(text)
     if chart:
-        report.chart(chart, {f"seed {day.seed}": (day, found) for day, found in played[:4]})
+        report.chart(chart, {f"seed {one.day.seed}": one for one in played[:4]})
 
 
 @command.command()
--- a/honeywood/lab/emulator/boot.py
+++ b/honeywood/lab/emulator/boot.py
@@ -1,12 +1,14 @@
 """The settings file of a process in worlds and tests, and what their routes ask for."""
 
+from __future__ import annotations
+
 from collections.abc import Mapping, Sequence
 from dataclasses import replace
 
 from honeywood.gateway.configuration.addresses import Address
-from honeywood.gateway.configuration.settings import ListenAddresses, read_settings
+from honeywood.gateway.configuration.settings import ListenAddresses, Settings, read_settings
 
-AIM_S, DEADLINE_S = 0.25, 0.8  # of requests in worlds
+LATENCY_TARGET_S, DEADLINE_S = 0.25, 0.8  # of requests in worlds
 
 BOUNDS = {
     "seed_lag_s": 3,
@@ -42,7 +44,7 @@
 ready = "{ip}:{ports[1]}"
 ctl = "{ip}:{ports[2]}"
 [tolerate]
-machines = {bear}
+machines = {tolerated_failures}
 [bounds]
 """
 
@@ -52,13 +54,13 @@
     zone: str = "z",
     seeds: Sequence[str] = (),
     fresh: bool = True,
-    bear: int = 1,
+    tolerated_failures: int = 1,
     ip: str | None = None,
     data: str | None = None,
     ports: tuple[int, int, int, int, int] = PORTS,
     bounds: Mapping[str, float] = BOUNDS,
 ) -> str:
-    """The file's text: `seeds` are addresses, the node's name stands for what isn't given."""
+    """Return the file's text; `seeds` are addresses, the node's name stands for what isn't given."""
     text = TEXT.format(
         node=node,
         ip=ip or node,
@@ -67,14 +69,31 @@
         seeds=", ".join(f'"{seed}"' for seed in seeds),
         fresh=str(fresh).lower(),
         data=data or node,
-        bear=bear,
+        tolerated_failures=tolerated_failures,
     )
     return text + "".join(f"{key} = {value}\n" for key, value in bounds.items())
 
 
-def settings(node, controllers=(), **more):
-    """The settings of a node in a world: its net has no addresses, nodes' names stand for them."""
-    found = read_settings(boot(node, ip="127.0.0.1", data=node, **more))
+def settings(
+    node: str,
+    controllers: Sequence[str] = (),
+    *,
+    zone: str = "z",
+    fresh: bool = True,
+    tolerated_failures: int = 1,
+    bounds: Mapping[str, float] = BOUNDS,
+) -> Settings:
+    """Return the settings of a program in a world, whose network has no addresses: names stand for them."""
+    text = boot(
+        node,
+        zone,
+        fresh=fresh,
+        tolerated_failures=tolerated_failures,
+        ip="127.0.0.1",
+        data=node,
+        bounds=bounds,
+    )
+    found = read_settings(text)
     seeds = tuple(Address(name, PORTS[2]) for name in controllers)
-    listen = {key: Address(node, at.port) for key, at in found.listen.addresses.items()}
+    listen = {key: Address(node, address.port) for key, address in found.listen.addresses.items()}
     return replace(found, ip=node, seeds=seeds, listen=ListenAddresses(listen))
--- a/honeywood/lab/emulator/clients.py
+++ b/honeywood/lab/emulator/clients.py
@@ -1,161 +1,235 @@
-"""Clients: requests with deadlines and tries, and the platform that tells them which proxies are ready."""
+"""Clients: requests with deadlines and retries, and the load balancer's view of which proxies are ready."""
+
+from __future__ import annotations
 
 import asyncio
 from collections import Counter
 from dataclasses import dataclass
+from enum import Enum
+from http import HTTPStatus
 from math import inf
+from typing import TYPE_CHECKING
 
 from honeywood.gateway.rpc.request_context import CONTEXT, RequestContext
-from honeywood.lab.emulator.boot import AIM_S, DEADLINE_S
+from honeywood.lab.emulator.boot import DEADLINE_S, LATENCY_TARGET_S
 from honeywood.lab.emulator.network import OUTSIDE
-from honeywood.lab.emulator.operators import LATER_ROUTES
-from honeywood.lab.emulator.rules import PROMISES
+from honeywood.lab.emulator.operators import MAX_ADDED_ROUTES
+from honeywood.lab.emulator.process import FULL_SPEED, Process
+from honeywood.lab.emulator.rules.request_rules import NOT_EXECUTED_STATUSES
+
+if TYPE_CHECKING:
+    from typing import Any
+
+    from honeywood.gateway.proxy.client_response import ClientResponse
+    from honeywood.lab.emulator.emulated_day import EmulatedDay
+
+LATE_WORTH = 0.3
+"""Of a request that is served after its latency target."""
+MAX_ATTEMPTS, MAX_NON_COMPLIANT_ATTEMPTS = 3, 9
+MIN_ATTEMPT_S = 0.01
+"""With less time left a client gives up."""
+IDEMPOTENT_SHARE = 0.7
+ADDED_ROUTE_SHARE = 0.2
+"""Of idempotent requests: they are on routes that were added later."""
+READINESS_INTERVAL_S = 1.0
+UNREADY_THRESHOLD = 2
+"""Failed readiness checks after which a proxy gets no new requests."""
+REFUSED_DELAY_S = 0.002
+DEFAULT_RETRY_AFTER = b"0.02"
+
+
+class NoResponse(Enum):
+    """How an attempt ends without a response; the values are shown to operators."""
+
+    TIMEOUT = "silence"
+    REFUSED = "refused"
+    BROKEN = "cut"
+    DISCONNECTED = "left"
+    """The client has left."""
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptResult:
+    """The status of an attempt's response, or why there was none, and the delay before the next attempt."""
 
-LATE_WORTH = 0.3  # of a request that is served after its aim
-TRIES, DEAF_TRIES = 3, 9  # of a client, and of one that doesn't heed what it is told
-SHORTEST_TRY_S = 0.01  # with less time left a client gives up
-SAFE_SHARE = 0.7  # of requests may be repeated
-LATER_SHARE = 0.2  # of these are on routes that were added later
-NO_ROUTE = 404
-READINESS_S, MISSES = 1.0, 2  # seconds between the platform's looks; after so many bad ones nothing new comes
-SILENCE, REFUSED, CUT, LEFT = "silence", "refused", "cut", "left"  # how a try ends without an answer
+    end: int | NoResponse
+    retry_after_s: float = 0.0
 
+    @property
+    def name(self) -> str:
+        """The name under which results are counted."""
+        return self.end.value if isinstance(self.end, NoResponse) else str(self.end)
 
-@dataclass(slots=True)
-class Request:
-    """What a client wants, from its first try on."""
+    def may_be_retried(self, idempotent: bool) -> bool:
+        """Return whether a client tries again; if not idempotent, only what was surely not executed."""
+        if self.end in (HTTPStatus.OK, HTTPStatus.NOT_FOUND):
+            return False
+        return idempotent or self.end is NoResponse.REFUSED or self.end in NOT_EXECUTED_STATUSES
 
-    begun: float
+
+@dataclass(frozen=True, slots=True)
+class ClientRequest:
+    """What a client requests; it disconnects `stay_s` after it began."""
+
+    began_at: float
     zone: str
     service: str
-    safe: bool
+    idempotent: bool
     path: bytes
-    stays_s: float = inf  # after which its client leaves
+    stay_s: float
 
 
 class Clients:
-    """All clients of a day. `deaf` is the share that doesn't heed what it is told, `leaving` the share that
-    leaves, `leaves_within_s` after it asked at the latest."""
-
-    def __init__(self, world):
-        """`world` is an EmulatedDay."""
-        self.world, self.chance, self.now = world, world.chance, world.loop.time
-        self.deaf, self.tries, self.ready = 0.0, 0, set(world.fronts)
-        self.leaving, self.leaves_within_s = 0.0, AIM_S
-
-    async def run(self, until):
-        """Requests at the day's rate."""
-        while self.now() < until:
-            await asyncio.sleep(self.chance.expovariate(self.world.day.per_s))
-            self.world.loop.create_task(self._request(self.chance.random() < SAFE_SHARE))
-
-    async def _request(self, safe):
-        begun, deaf = self.now(), self.chance.random() < self.deaf
-        stays_s = self._stays_s()
-        zone, path = self.chance.choice(self.world.zone_names), self._path(safe)
-        request = Request(begun, zone, "s" if safe else "u", safe, path, stays_s)
-        end, outcome = SILENCE, self.world.outcome
-        outcome.owed += 1
-        for _ in range(DEAF_TRIES if deaf else TRIES):
-            left_s = begun + DEADLINE_S - self.now()
-            if left_s <= SHORTEST_TRY_S:
+    """All clients of a day.
+
+    `non_compliant_share` is the share that ignores Retry-After and retry limits, `disconnecting_share` that
+    of those that leave, at the latest `max_stay_s` after they began.
+    """
+
+    def __init__(self, world: EmulatedDay) -> None:
+        """Clients of a world."""
+        self.non_compliant_share = 0.0
+        self.disconnecting_share = 0.0
+        self.max_stay_s = LATENCY_TARGET_S
+        self.attempts = 0
+        self._world = world
+        self._random = world.chance
+        self._now = world.loop.time
+        self._ready = set(world.proxies)
+
+    async def run(self, end: float) -> None:
+        """Send requests at the day's rate."""
+        while self._now() < end:
+            await asyncio.sleep(self._random.expovariate(self._world.day.requests_per_s))
+            idempotent = self._random.random() < IDEMPOTENT_SHARE
+            self._world.loop.create_task(self._run_request(idempotent))
+
+    async def _run_request(self, idempotent: bool) -> None:
+        compliant = self._random.random() >= self.non_compliant_share
+        request = self._draw_request(idempotent)
+        outcome = self._world.outcome
+        outcome.requests += 1
+        result = await self._attempt_until_done(request, compliant)
+        if result.end is NoResponse.DISCONNECTED:
+            outcome.requests -= 1  # it needed no response in the end
+            return
+        outcome.record(int(request.began_at), self._worth(request, result), result.name)
+
+    def _draw_request(self, idempotent: bool) -> ClientRequest:
+        began_at, stay_s = self._now(), self._draw_stay_s()
+        zone, path = self._random.choice(self._world.zone_names), self._draw_path(idempotent)
+        return ClientRequest(began_at, zone, "s" if idempotent else "u", idempotent, path, stay_s)
+
+    def _worth(self, request: ClientRequest, result: AttemptResult) -> float:
+        if result.end != HTTPStatus.OK:
+            return 0.0
+        return 1.0 if self._now() - request.began_at <= LATENCY_TARGET_S else LATE_WORTH
+
+    async def _attempt_until_done(self, request: ClientRequest, compliant: bool) -> AttemptResult:
+        result = AttemptResult(NoResponse.TIMEOUT)
+        for _ in range(MAX_ATTEMPTS if compliant else MAX_NON_COMPLIANT_ATTEMPTS):
+            remaining_s = request.began_at + DEADLINE_S - self._now()
+            if remaining_s <= MIN_ATTEMPT_S:
                 break
-            end, pause_s = await self._try(request, left_s)
-            if end == LEFT:
-                outcome.owed -= 1  # it wanted no answer in the end
-                return
-            if end == "200" or not _may_be_tried_again(end, safe):
+            result = await self._attempt(request, remaining_s)
+            if result.end is NoResponse.DISCONNECTED or not result.may_be_retried(request.idempotent):
                 break
-            await asyncio.sleep(0.0 if deaf else min(pause_s, left_s / 3))
-        worth = 0.0
-        if end == "200":
-            worth = 1.0 if self.now() - begun <= AIM_S else LATE_WORTH
-        outcome.earned(int(begun), worth, end)
-
-    def _stays_s(self):
-        """For how long a client stays."""
-        if not self.leaving or self.chance.random() >= self.leaving:
-            return inf
-        return self.chance.uniform(0.0, self.leaves_within_s)
-
-    def _leave(self, proxy, process, id, context):
-        """The client closes its connection, and the proxy hears of it."""
-        self.world.monitor.requests.client_left(self.now(), id, proxy)
+            await asyncio.sleep(min(result.retry_after_s, remaining_s / 3) if compliant else 0.0)
+        return result
 
-        async def hear():
-            context.disconnect.notify(self.now())
-
-        process.run(hear())
+    def _draw_stay_s(self) -> float:
+        """Return after how long a client disconnects."""
+        if not self.disconnecting_share or self._random.random() >= self.disconnecting_share:
+            return inf
+        return self._random.uniform(0.0, self.max_stay_s)
 
-    def _path(self, safe):
-        """A path on a route that all proxies in touch must know by now."""
-        if not safe:
+    def _draw_path(self, idempotent: bool) -> bytes:
+        """Return a path on a route that all proxies in contact must know by now."""
+        if not idempotent:
             return b"/w/x"
-        due = self.world.monitor.orders.newest_acknowledged(self.now() - self.world.bounds["apply_s"])
-        if due is None or self.chance.random() >= LATER_SHARE:
+        apply_s = self._world.bounds["apply_s"]
+        due = self._world.monitor.orders.newest_acknowledged(self._now() - apply_s)
+        if due is None or self._random.random() >= ADDED_ROUTE_SHARE:
             return b"/r/x"
-        return b"/t%d/x" % self.chance.randrange(min(due, LATER_ROUTES))
-
-    def _proxy(self, zone):
-        """A proxy that seems ready, in the client's zone where there is one."""
-        fit = [name for name in self.world.fronts if name in self.ready]
-        near = [name for name in fit if self.world.zones[name] == zone]
-        return self.chance.choice(near or fit or self.world.fronts)
-
-    async def _try(self, request, left_s):
-        """(how it ended, seconds to wait): one try at a proxy, over a new connection."""
-        self.tries += 1
-        id = b"%016x" % self.tries
-        proxy = self._proxy(request.zone)
-        program, process = self.world.nodes.get(proxy), self.world.processes.get(proxy)
-        if program is None:
-            await asyncio.sleep(0.002)
-            return REFUSED, 0.0
-        if (OUTSIDE, proxy) in self.world.cuts:
-            await asyncio.sleep(left_s)
-            return SILENCE, 0.0
-        self.world.monitor.requests.asked(self.now(), id, request.service, request.safe)
-        scope = _scope(id, left_s, request.path)
-        work = process.run(program.app.clients.handle(scope, _no_body))
-        until_it_leaves_s = max(0.0, request.begun + request.stays_s - self.now())
-        await asyncio.wait((work,), timeout=min(left_s, until_it_leaves_s))
-        if work.cancelled():
-            return CUT, 0.0
-        if not work.done():
-            self._leave(proxy, process, id, scope[CONTEXT])
-            return LEFT if until_it_leaves_s < left_s else SILENCE, 0.0
-        answer = work.result()
-        if answer.status == NO_ROUTE:
-            self.world.monitor.proxies.knows_no_route(self.now(), proxy, request.path)
-        self.world.monitor.requests.answered(self.now(), id, answer.status, answer.body)
-        return str(answer.status), float(dict(answer.headers).get(b"retry-after", b"0.02"))
-
-    async def watch_readiness(self):
-        """The platform looks at readiness every second; two misses and a proxy gets nothing new."""
-        missed = Counter()
+        return b"/t%d/x" % self._random.randrange(min(due, MAX_ADDED_ROUTES))
+
+    def _choose_proxy(self, zone: str) -> str:
+        """Return a proxy that seems ready, in the client's zone where there is one."""
+        ready = [name for name in self._world.proxies if name in self._ready]
+        near = [name for name in ready if self._world.zones[name] == zone]
+        return self._random.choice(near or ready or self._world.proxies)
+
+    async def _attempt(self, request: ClientRequest, remaining_s: float) -> AttemptResult:
+        """Make one attempt at a proxy, over a new connection."""
+        self.attempts += 1
+        attempt_id = b"%016x" % self.attempts
+        proxy = self._choose_proxy(request.zone)
+        program, process = self._world.nodes.get(proxy), self._world.processes.get(proxy)
+        if program is None or process is None:
+            await asyncio.sleep(REFUSED_DELAY_S)
+            return AttemptResult(NoResponse.REFUSED)
+        if (OUTSIDE, proxy) in self._world.partitions:
+            await asyncio.sleep(remaining_s)
+            return AttemptResult(NoResponse.TIMEOUT)
+        rules = self._world.monitor.requests
+        rules.on_sent(self._now(), attempt_id, request.service, request.idempotent)
+        context = RequestContext(request.path)
+        scope = _scope(attempt_id, remaining_s, context)
+        handling = process.run(program.app.clients.handle(scope, _empty_body))
+        remaining_stay_s = max(0.0, request.began_at + request.stay_s - self._now())
+        await asyncio.wait((handling,), timeout=min(remaining_s, remaining_stay_s))
+        if handling.cancelled():
+            return AttemptResult(NoResponse.BROKEN)
+        if not handling.done():
+            self._disconnect(proxy, process, attempt_id, context)
+            left = remaining_stay_s < remaining_s
+            return AttemptResult(NoResponse.DISCONNECTED if left else NoResponse.TIMEOUT)
+        return self._on_response(proxy, attempt_id, request, handling.result())
+
+    def _on_response(
+        self, proxy: str, attempt_id: bytes, request: ClientRequest, response: ClientResponse
+    ) -> AttemptResult:
+        monitor, now = self._world.monitor, self._now()
+        if response.status == HTTPStatus.NOT_FOUND:
+            monitor.proxies.on_missing_route(now, proxy, request.path)
+        monitor.requests.on_response(now, attempt_id, response.status, response.body)
+        retry_after = dict(response.headers).get(b"retry-after", DEFAULT_RETRY_AFTER)
+        return AttemptResult(response.status, float(retry_after))
+
+    def _disconnect(self, proxy: str, process: Process, attempt_id: bytes, context: RequestContext) -> None:
+        """Close the client's connection, and let the proxy notice it."""
+        self._world.monitor.requests.on_disconnect(self._now(), attempt_id, proxy)
+
+        async def notify() -> None:
+            context.disconnect.notify(self._now())
+
+        process.run(notify())
+
+    async def watch_readiness(self) -> None:
+        """Check the readiness of proxies as a load balancer does."""
+        failures: Counter[str] = Counter()
         while True:
-            for name in self.world.fronts:
-                missed[name] = 0 if self._is_ready(name) else missed[name] + 1
-                self.ready.discard(name) if missed[name] >= MISSES else self.ready.add(name)
-            await asyncio.sleep(READINESS_S)
-
-    def _is_ready(self, name):
-        program = self.world.nodes.get(name)
-        reached = program is not None and program.ready and (OUTSIDE, name) not in self.world.cuts
-        return reached and self.world.processes[name].pace == 1.0
-
+            for name in self._world.proxies:
+                failures[name] = 0 if self._is_ready(name) else failures[name] + 1
+                if failures[name] >= UNREADY_THRESHOLD:
+                    self._ready.discard(name)
+                else:
+                    self._ready.add(name)
+            await asyncio.sleep(READINESS_INTERVAL_S)
 
-def _may_be_tried_again(end, safe):
-    """Whether a client tries again after how a try ended: what can't be repeated only after a promise."""
-    promise = end in [str(status) for status in PROMISES] or end == REFUSED
-    return end != "404" and (safe or promise)
+    def _is_ready(self, name: str) -> bool:
+        program = self._world.nodes.get(name)
+        if program is None or not program.ready or (OUTSIDE, name) in self._world.partitions:
+            return False
+        return self._world.processes[name].slowdown == FULL_SPEED
 
 
-def _scope(id, left_s, path):
-    """A request as the proxy's server hands it on."""
-    headers = [(b"host", b"h"), (b"x-try-id", id), (b"x-deadline-ms", b"%d" % (left_s * 1000))]
-    return {"headers": headers, "raw_path": path, "method": "GET", CONTEXT: RequestContext(path)}
+def _scope(attempt_id: bytes, remaining_s: float, context: RequestContext) -> dict[str, Any]:
+    """Return a request as the proxy's server hands it on."""
+    deadline_ms = b"%d" % (remaining_s * 1000)
+    headers = [(b"host", b"h"), (b"x-try-id", attempt_id), (b"x-deadline-ms", deadline_ms)]
+    return {"headers": headers, "raw_path": context.target, "method": "GET", CONTEXT: context}
 
 
-async def _no_body():
+async def _empty_body() -> dict[str, Any]:
     return {"type": "http.request", "body": b"", "more_body": False}
--- /dev/null
+++ b/honeywood/lab/emulator/day_codec.py
@@ -0,0 +1,59 @@
+"""Days as JSON objects, for files, and as options of the command; both have names of their own."""
+
+from __future__ import annotations
+
+from dataclasses import fields
+from typing import TYPE_CHECKING
+
+from honeywood.lab.emulator.day import Day
+from honeywood.lab.emulator.faults.fault import Fault, FaultKind
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+    from typing import Any
+
+STORED_NAMES = {
+    "traffic_s": "seconds",
+    "proxies": "fronts",
+    "requests_per_s": "per_s",
+    "tolerated_failures": "bear",
+    "omniscient_routing": "seeing",
+    "configuration_changes": "changes",
+    "max_faults": "most_faults",
+    "link_bytes_per_s": "link",
+}
+"""By the name of the field, where they differ."""
+
+_FIELDS = {STORED_NAMES.get(field.name, field.name): field.name for field in fields(Day)}
+
+
+def encode(day: Day) -> dict[str, Any]:
+    """Return a day as a JSON object."""
+    stored = {name: getattr(day, field) for name, field in _FIELDS.items()}
+    return {**stored, "faults": [_encode_fault(fault) for fault in day.faults]}
+
+
+def decode(stored: Mapping[str, Any]) -> Day:
+    """Return the day of a JSON object."""
+    faults = tuple(_decode_fault(fault) for fault in stored["faults"])
+    return from_options({**stored, "faults": faults})
+
+
+def from_options(options: Mapping[str, Any]) -> Day:
+    """Return a day of options by their stored names; its seed is 0 unless one is given."""
+    return Day(**{"seed": 0, **{_FIELDS[name]: value for name, value in options.items()}})
+
+
+def _encode_fault(fault: Fault) -> dict[str, Any]:
+    return {
+        "kind": str(fault.kind),
+        "at_s": fault.at_s,
+        "for_s": fault.duration_s,
+        "target": fault.target,
+        "variant": fault.variant,
+    }
+
+
+def _decode_fault(stored: Mapping[str, Any]) -> Fault:
+    kind = FaultKind(stored["kind"])
+    return Fault(kind, stored["at_s"], stored["for_s"], stored["target"], stored["variant"])
--- /dev/null
+++ b/honeywood/lab/emulator/disk.py
@@ -0,0 +1,36 @@
+"""A simulated disk."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Mapping
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from typing import TypeAlias
+
+    from honeywood.gateway.register.json_value import JsonValue
+
+    Disks: TypeAlias = dict[str, dict[str, JsonValue]]
+    """The rows of each disk, by the folder that stands for it."""
+
+
+class MemoryStore:
+    """A row store whose rows stay until the disk is wiped."""
+
+    def __init__(self, disks: Disks, folder: str) -> None:
+        """`folder` names the disk."""
+        self._rows = disks.setdefault(folder, {})
+
+    def rows(self) -> dict[str, JsonValue]:
+        """Return all rows by key."""
+        return dict(self._rows)
+
+    def put(self, rows: Mapping[str, JsonValue]) -> None:
+        """Write rows, or remove those that are None."""
+        self._rows.update(json.loads(json.dumps(rows)))
+        for key in [key for key, row in rows.items() if row is None]:
+            del self._rows[key]
+
+    def close(self) -> None:
+        """Need nothing."""
--- a/honeywood/lab/emulator/faults/__init__.py
+++ b/honeywood/lab/emulator/faults/__init__.py
@@ -1,10 +1,5 @@
-"""What goes wrong in a day: drawn by a seed (drawing.py), caused on the day's clock, a module a kind.
+"""What fails in a day: drawn from a seed (draw.py), caused on the day's clock (causes.py), a module a kind.
 
-All faults are within what must be borne: at most `bear` disks are lost or down for long at once, and the rest
-comes back. fault.py holds the record of a fault and what all kinds share.
+All faults are tolerable: at most `tolerated_failures` disks are lost or down for long at once, and the rest
+comes back.
 """
-
-from honeywood.lab.emulator.faults.drawing import cause, draw
-from honeywood.lab.emulator.faults.fault import Fault, start_spread
-
-__all__ = ["Fault", "cause", "draw", "start_spread"]
--- a/honeywood/lab/emulator/faults/disks.py
+++ b/honeywood/lab/emulator/faults/disks.py
@@ -1,127 +1,154 @@
-"""Faults of disks: lost, right after an acknowledgement too, slow, hanging, or refusing."""
+"""Faults of disks: lost, also right after an acknowledgement, slow, hanging, or refusing writes."""
+
+from __future__ import annotations
 
 import asyncio
+from collections.abc import Coroutine
+from http import HTTPStatus
 from random import Random
-
-from honeywood.lab.emulator.faults.fault import RESTART_S, chosen, lasts, lost_controllers, restart
-from honeywood.lab.emulator.faults.machines import chosen_machine
-from honeywood.lab.emulator.fleet import DRAIN_TURNS
-from honeywood.lab.emulator.loop import SPOILT
-from honeywood.lab.emulator.machines import LEFT
-from honeywood.lab.emulator.rules import ConfigurationOrder, RolloutOrder
-
-HANGING, SLOW = 1000.0, 30.0  # times that a disk is slower
-TROUBLES = (None, SPOILT, HANGING, SLOW)
-EARLY_SHARE, EARLY_S = (
-    0.3,
-    0.3,
-)  # share of losses that come before the acknowledgement, within so many seconds
-POWER_SHARE = 0.6  # of losses of disks while all other controllers lose power, half of them with all proxies
-LINGERS_S = 6.0  # seconds that a machine which leaves serves on after drain_s, at times
-
-
-async def wipe_controller(world, fault):
-    """As many controllers as may be lost lose their disks."""
-    names = lost_controllers(world, fault)
-    await restart(world, names, fault.for_s, True, names)
-
-
-async def after_ack(world, fault):
-    """The one that acknowledges a version loses its disk at once, with as many others as may, while the rest
-    lose power."""
-    await _send_configuration(world, fault, chosen(world.controllers, fault))
-    wiped = lost_controllers(world, fault) if fault.variant < 0.5 else []
+from typing import TYPE_CHECKING
+
+from honeywood.gateway.controller.call import CallName
+from honeywood.lab.emulator.faults.disturbance import (
+    RESTART_S,
+    disturb_while,
+    restart,
+    target_controllers,
+    target_of,
+)
+from honeywood.lab.emulator.faults.fault import Fault
+from honeywood.lab.emulator.faults.machines import target_machine
+from honeywood.lab.emulator.fleet import DRAIN_ATTEMPTS
+from honeywood.lab.emulator.loop import HEALTHY_DISK, REFUSING_AFTER_EFFECT, REFUSING_DISK, DiskFault
+from honeywood.lab.emulator.machine import DRAINING, READY, Machine, MachineEnd
+from honeywood.lab.emulator.rules.orders import ConfigurationOrder, RolloutOrder
+
+if TYPE_CHECKING:
+    from typing import Any, TypeAlias
+
+    from honeywood.lab.emulator.emulated_day import EmulatedDay
+
+    Continuation: TypeAlias = Coroutine[Any, Any, None]
+    """What goes on after an order was sent and disks were lost."""
+
+HANGING_DISK, SLOW_DISK = DiskFault(slowdown=1000.0), DiskFault(slowdown=30.0)
+DISK_FAULTS = (REFUSING_DISK, REFUSING_AFTER_EFFECT, HANGING_DISK, SLOW_DISK)
+EARLY_SHARE = 0.3
+"""Of losses: they come before the acknowledgement, within MAX_EARLY_S."""
+MAX_EARLY_S = 0.3
+POWER_LOSS_SHARE = 0.6
+"""Of losses of disks: all other controllers lose power, half of these times with all proxies."""
+LONG_GRACE_S = 6.0
+"""That a machine which drains serves on after drain_s, at times."""
+ROLLOUT_S = 3.0
+
+
+async def wipe_controllers(world: EmulatedDay, fault: Fault) -> None:
+    """As many controllers as may fail lose their disks."""
+    names = target_controllers(world, fault)
+    await restart(world, names, fault.duration_s, True, names)
+
+
+async def wipe_after_acknowledgement(world: EmulatedDay, fault: Fault) -> None:
+    """The controller that acknowledges a version loses its disk at once, with as many others as may fail,
+    while the rest lose power."""
+    await _send_configuration(world, fault, target_of(world.controllers, fault))
+    wiped = target_controllers(world, fault) if fault.variant < 0.5 else []
     await restart(world, world.controllers, RESTART_S, True, wiped)
 
 
-async def lost_after_order(world, fault):
-    """Right after an order's acknowledgement, or soon after it was sent, the controller that it was sent to
-    loses its disk with as many others as may, at times while all others lose power: a configuration, a
-    rollout, a machine that says that it leaves, or one that has left."""
+async def wipe_after_order(world: EmulatedDay, fault: Fault) -> None:
+    """A controller loses its disk right after it acknowledged an order, or soon after the order was sent.
+
+    As many others as may fail lose theirs, at times while all lose power. The order is a configuration, a
+    rollout, a machine's draining, or its end.
+    """
     chance = Random(fault.target)
-    controller = chosen(world.controllers, fault)
+    controller = target_of(world.controllers, fault)
     send = chance.choice((_send_configuration, _send_rollout, _send_draining, _send_leave))
-    early = chance.random() < EARLY_SHARE
+    is_early = chance.random() < EARLY_SHARE
     sending = world.loop.create_task(send(world, fault, controller))
-    if early:
-        await asyncio.wait((sending,), timeout=EARLY_S * chance.random())
+    if is_early:
+        await asyncio.wait((sending,), timeout=MAX_EARLY_S * chance.random())
     else:
         await sending
-    wiped = lost_controllers(world, fault)
-    without_power = world.controllers if fault.variant < POWER_SHARE else wiped
-    if fault.variant < POWER_SHARE / 2:
-        without_power += world.fronts
+    wiped = target_controllers(world, fault)
+    without_power = list(world.controllers) if fault.variant < POWER_LOSS_SHARE else list(wiped)
+    if fault.variant < POWER_LOSS_SHARE / 2:
+        without_power += world.proxies
     await restart(world, without_power, RESTART_S, True, wiped)
-    after = await sending
-    if after is not None:
-        await after
+    continuation = await sending
+    if continuation is not None:
+        await continuation
 
 
-async def _send_configuration(world, fault, controller):
+async def _send_configuration(world: EmulatedDay, fault: Fault, controller: str) -> Continuation | None:
     version = world.operators.next_version()
     body = world.operators.configuration(version)
     order = ConfigurationOrder.of(version, body)
-    await world.operators.send_once(order, "config.replace", body, controller)
+    await world.operators.send_once(order, CallName.REPLACE_CONFIGURATION, body, controller)
+    return None
 
 
-async def _send_rollout(world, fault, controller):
-    """A rollout of a service of its own, so that it meets no other one."""
+async def _send_rollout(world: EmulatedDay, fault: Fault, controller: str) -> Continuation | None:
+    """Order a rollout of a service of its own, so that it meets no other one."""
     version = world.operators.next_version()
-    world.operators.brought.append(version)
-    if await world.operators.configure(version, for_s=fault.for_s):
-        body = {"svc": f"n{version}", "to_ver": "v1", "over_s": 3.0}
-        order = RolloutOrder(f"n{version}", "v1")
-        await world.operators.send_once(order, "rollouts.start", body, controller)
+    world.operators.service_versions.append(version)
+    if await world.operators.configure(version, timeout_s=fault.duration_s):
+        service = f"n{version}"
+        body = {"svc": service, "to_ver": "v1", "over_s": ROLLOUT_S}
+        order = RolloutOrder(service, "v1")
+        await world.operators.send_once(order, CallName.START_ROLLOUT, body, controller)
+    return None
 
 
-def _begin_draining(world, fault):
-    """The machine that drains from now on, another in its place; None where the chosen one isn't ready."""
-    machine = chosen_machine(world, fault)
-    if machine is None or machine.state != "ready":
+def _begin_draining(world: EmulatedDay, fault: Fault) -> Machine | None:
+    """Return the machine that drains from now on, another in its place; None where it isn't ready."""
+    machine = target_machine(world, fault)
+    if machine is None or machine.state != READY:
         return None
-    world.fleet.start(machine.svc, ver=machine.ver)
-    machine.state = "draining"
+    world.fleet.start(machine.service, version=machine.version)
+    machine.state = DRAINING
     return machine
 
 
-async def _send_draining(world, fault, controller):
-    """A machine that says to one controller that it leaves, and serves on for long; what it does then."""
+async def _send_draining(world: EmulatedDay, fault: Fault, controller: str) -> Continuation | None:
+    """Report to one controller that a machine drains; it serves on for long, and leaves."""
     machine = _begin_draining(world, fault)
     if machine is None:
         return None
-    body = machine.heartbeat(world.loop.time())
-    status, _ = await world.ask(controller, "instances.heartbeat", machine.id, body)
-    if status == 200:
-        world.monitor.requests.left(world.loop.time(), machine.id)
-    return world.fleet.leave(machine, LINGERS_S)
+    body = machine.next_heartbeat(world.loop.time())
+    result = await world.ask(controller, CallName.HEARTBEAT, machine.id, body)
+    if result.status == HTTPStatus.OK:
+        world.monitor.requests.on_draining(world.loop.time(), machine.id)
+    return world.fleet.leave(machine, LONG_GRACE_S)
 
 
-async def _send_leave(world, fault, controller):
-    """A machine that has drained says to one controller that it has ended."""
+async def _send_leave(world: EmulatedDay, fault: Fault, controller: str) -> Continuation | None:
+    """Report to one controller that a machine that has drained has ended."""
     machine = _begin_draining(world, fault)
     if machine is None:
         return None
-    body = machine.heartbeat(world.loop.time())
-    await world.fleet.call("instances.heartbeat", machine.id, body, DRAIN_TURNS)
+    body = machine.next_heartbeat(world.loop.time())
+    await world.fleet.call(CallName.HEARTBEAT, machine.id, body, DRAIN_ATTEMPTS)
     await asyncio.sleep(world.bounds["drain_s"])
-    status, _ = await world.ask(controller, "instances.leave", machine.id, {})
-    machine.crash(LEFT)
-    if status == 200:
-        world.monitor.proxies.left(world.loop.time(), machine.id)
+    result = await world.ask(controller, CallName.LEAVE, machine.id, {})
+    machine.stop(MachineEnd.LEFT)
+    if result.status == HTTPStatus.OK:
+        world.monitor.proxies.on_retired(world.loop.time(), machine.id)
     return None
 
 
-async def disk_refuses(world, fault):
-    """As many disks as may be lost refuse all writes from now on, to the end of the day: the core is settled
-    all the while."""
-    for name in lost_controllers(world, fault):
-        world.monitor.core.disturb(world.loop.time(), name, False)
-        world.disk(name, None)
+async def refuse_writes(world: EmulatedDay, fault: Fault) -> None:
+    """As many disks as may fail refuse all writes to the end of the day; the core is not disturbed."""
+    for name in target_controllers(world, fault):
+        world.monitor.context.disturb(world.loop.time(), name, False)
+        world.set_disk_fault(name, REFUSING_DISK)
 
 
-async def disk(world, fault):
-    """A disk refuses writes, does them and refuses, hangs, or is slow: the core is settled all the while."""
-    name = chosen(world.controllers, fault)
-    world.disk(name, TROUBLES[int(fault.variant * len(TROUBLES))])
-    await lasts(world, fault, [name], False)
-    world.disk(name, 1.0)
+async def disturb_disk(world: EmulatedDay, fault: Fault) -> None:
+    """A disk refuses writes, perhaps after their effect, hangs, or is slow; the core is not disturbed."""
+    name = target_of(world.controllers, fault)
+    world.set_disk_fault(name, DISK_FAULTS[int(fault.variant * len(DISK_FAULTS))])
+    await disturb_while(world, fault, [name], False)
+    world.set_disk_fault(name, HEALTHY_DISK)
--- /dev/null
+++ b/honeywood/lab/emulator/faults/draw.py
@@ -0,0 +1,59 @@
+"""Draws the faults of a day from its seed."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Sequence
+from dataclasses import replace
+
+from honeywood.lab.emulator.day import Day
+from honeywood.lab.emulator.faults.fault import Fault, FaultKind
+
+STRETCH_S = 8.0
+"""Of traffic that gets one fault at least, and the day's max_faults at most."""
+MIN_DURATION_S, MAX_DURATION_S = 0.5, 3.0
+FIRST_FAULT_S, QUIET_END_S = 0.5, 1.0
+
+LARGE_FAULTS = frozenset(
+    {
+        FaultKind.WIPE_AFTER_ACKNOWLEDGEMENT,
+        FaultKind.WIPE_AFTER_ORDER,
+        FaultKind.KILL_ALL,
+        FaultKind.WIPE_CONTROLLERS,
+        FaultKind.KILL_CONTROLLERS,
+        FaultKind.DISK_FAULT,
+        FaultKind.DISK_REFUSES,
+        FaultKind.REMOVE_CONTROLLERS,
+        FaultKind.REPLACE_CONTROLLER,
+    }
+)
+"""One a day, so that what is lost stays tolerable."""
+
+ROLLOUTS = frozenset({FaultKind.GOOD_ROLLOUT, FaultKind.BAD_ROLLOUT, FaultKind.SUPERSEDED_ROLLOUT})
+"""One a day as well."""
+
+
+def draw_day(day: Day) -> Day:
+    """Return a day with the faults of its seed."""
+    return replace(day, faults=_draw_faults(random.Random(day.seed), day))
+
+
+def _draw_faults(random: random.Random, day: Day) -> tuple[Fault, ...]:
+    stretches = max(1, round(day.traffic_s / STRETCH_S))
+    count = sum(random.randrange(1, day.max_faults + 1) for _ in range(stretches))
+    faults: list[Fault] = []
+    for _ in range(count):
+        kind = random.choice(sorted(FaultKind))
+        at_s = random.uniform(FIRST_FAULT_S, day.traffic_s - QUIET_END_S)
+        duration_s = random.uniform(MIN_DURATION_S, MAX_DURATION_S)
+        if _is_excluded(kind, faults):
+            continue
+        fault = Fault(kind, round(at_s, 3), round(duration_s, 3), random.random(), random.random())
+        faults.append(fault)
+    return tuple(sorted(faults, key=lambda fault: fault.at_s))
+
+
+def _is_excluded(kind: FaultKind, faults: Sequence[Fault]) -> bool:
+    """Return whether a fault of a group of which there is one a day is there already."""
+    groups = [group for group in (LARGE_FAULTS, ROLLOUTS) if kind in group]
+    return any(fault.kind in group for group in groups for fault in faults)
--- a/honeywood/lab/emulator/faults/machines.py
+++ b/honeywood/lab/emulator/faults/machines.py
@@ -1,77 +1,126 @@
 """Faults of service machines and of clients."""
 
+from __future__ import annotations
+
 import asyncio
+from typing import TYPE_CHECKING
+
+from honeywood.lab.emulator.faults.fault import Fault
+from honeywood.lab.emulator.machine import READY, Machine, MachineEnd
 
-from honeywood.lab.emulator.machines import DARK, REFUSES
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
-SHARE = 0.3  # of all machines that a fault of answers touches
+    from honeywood.lab.emulator.emulated_day import EmulatedDay
 
+TOUCHED_SHARE = 0.3
+"""Of all machines, by a fault of responses."""
+SPREAD_STEP = 0.37
+"""Spreads the touched machines over all."""
+MIN_MACHINES = 3
+"""Of a service, with fewer of which none is stopped."""
+USUAL_WORK_FACTOR = 1.0
 
-async def crash(world, fault):
+
+async def crash(world: EmulatedDay, fault: Fault) -> None:
     """A machine crashes, and another starts in its place later."""
-    machine = chosen_machine(world, fault)
-    if machine:
-        machine.crash(DARK if fault.variant < 0.5 else REFUSES)
-        await asyncio.sleep(fault.for_s)
-        world.fleet.start(machine.svc, ver=machine.ver)
+    machine = target_machine(world, fault)
+    if machine is not None:
+        machine.stop(MachineEnd.SILENT if fault.variant < 0.5 else MachineEnd.REFUSES)
+        await asyncio.sleep(fault.duration_s)
+        world.fleet.start(machine.service, version=machine.version)
 
 
-async def drain(world, fault):
+async def drain(world: EmulatedDay, fault: Fault) -> None:
     """A machine leaves as planned, and another starts in its place."""
-    machine = chosen_machine(world, fault)
-    if machine and machine.state == "ready":
-        world.fleet.start(machine.svc, ver=machine.ver)
+    machine = target_machine(world, fault)
+    if machine is not None and machine.state == READY:
+        world.fleet.start(machine.service, version=machine.version)
         await world.fleet.drain(machine)
 
 
-def chosen_machine(world, fault):
-    """A machine by the fault's target, of a service by its variant; None where few are left."""
+def target_machine(world: EmulatedDay, fault: Fault) -> Machine | None:
+    """Return a machine by the fault's target, of a service by its variant; None where few are left."""
     service = "s" if fault.variant < 0.6 else "u"
-    alive = sorted(world.machines.alive(service), key=lambda machine: machine.id)
-    return alive[int(fault.target * len(alive))] if len(alive) > 2 else None
-
-
-async def _touch(world, fault, attribute, value, usual=0.0):
-    """Sets an attribute of some machines for a while; it is `usual` before and after."""
-    machines = sorted(world.machines.alive(), key=lambda machine: machine.id)
-    touched = [one for at, one in enumerate(machines) if (at * 0.37 + fault.target) % 1 < SHARE]
+    running = sorted(world.machines.running(service), key=lambda machine: machine.id)
+    return running[int(fault.target * len(running))] if len(running) >= MIN_MACHINES else None
+
+
+async def _change_machines(
+    world: EmulatedDay, fault: Fault, change: Callable[[Machine], None], restore: Callable[[Machine], None]
+) -> None:
+    """Change some machines for the fault's duration."""
+    machines = sorted(world.machines.running(), key=lambda machine: machine.id)
+    touched = [
+        machine
+        for index, machine in enumerate(machines)
+        if (index * SPREAD_STEP + fault.target) % 1 < TOUCHED_SHARE
+    ]
     for machine in touched:
-        setattr(machine, attribute, value)
-    await asyncio.sleep(fault.for_s)
+        change(machine)
+    await asyncio.sleep(fault.duration_s)
     for machine in touched:
-        setattr(machine, attribute, usual)
+        restore(machine)
+
+
+async def lose_responses(world: EmulatedDay, fault: Fault) -> None:
+    """Machines execute requests and their responses are lost."""
+
+    def set_share(machine: Machine, share: float) -> None:
+        machine.lost_share = share
 
+    await _set_share(world, fault, set_share, 0.1 + 0.4 * fault.variant)
 
-async def answers_lost(world, fault):
-    """Machines run requests and their answers are lost."""
-    await _touch(world, fault, "cuts", 0.1 + 0.4 * fault.variant)
 
+async def send_stray_responses(world: EmulatedDay, fault: Fault) -> None:
+    """Machines respond with what belongs to another request."""
 
-async def garble(world, fault):
-    """Machines answer with what belongs to another request."""
-    await _touch(world, fault, "spoils", 0.1 + 0.4 * fault.variant)
+    def set_share(machine: Machine, share: float) -> None:
+        machine.stray_share = share
 
+    await _set_share(world, fault, set_share, 0.1 + 0.4 * fault.variant)
 
-async def ill(world, fault):
+
+async def fail_responses(world: EmulatedDay, fault: Fault) -> None:
     """Machines fail a share of their requests."""
-    await _touch(world, fault, "bad", 0.1 + 0.5 * fault.variant)
 
+    def set_share(machine: Machine, share: float) -> None:
+        machine.failing_share = share
+
+    await _set_share(world, fault, set_share, 0.1 + 0.5 * fault.variant)
+
+
+async def _set_share(
+    world: EmulatedDay, fault: Fault, set_share: Callable[[Machine, float], None], share: float
+) -> None:
+    await _change_machines(
+        world, fault, lambda machine: set_share(machine, share), lambda machine: set_share(machine, 0.0)
+    )
 
-async def sluggish(world, fault):
+
+async def slow_machines(world: EmulatedDay, fault: Fault) -> None:
     """Machines take many times as long as usual."""
-    await _touch(world, fault, "pace", 5.0 + 20.0 * fault.variant, usual=1.0)
+
+    def slow(machine: Machine) -> None:
+        machine.work_factor = 5.0 + 20.0 * fault.variant
+
+    def restore(machine: Machine) -> None:
+        machine.work_factor = USUAL_WORK_FACTOR
+
+    await _change_machines(world, fault, slow, restore)
 
 
-async def leaving(world, fault):
-    """Clients leave, soon or only just before their time is up, and ask nothing again."""
+async def disconnect_clients(world: EmulatedDay, fault: Fault) -> None:
+    """Clients leave, soon or only just before their deadline, and don't retry."""
     clients = world.clients
-    clients.leaving, clients.leaves_within_s = 0.2 + 0.6 * fault.variant, 0.02 + 0.6 * fault.target
-    await asyncio.sleep(fault.for_s)
-    clients.leaving = 0.0
+    clients.disconnecting_share = 0.2 + 0.6 * fault.variant
+    clients.max_stay_s = 0.02 + 0.6 * fault.target
+    await asyncio.sleep(fault.duration_s)
+    clients.disconnecting_share = 0.0
 
 
-async def deaf(world, fault):
-    """Clients don't heed what they are told."""
-    world.clients.deaf = 0.3 + 0.6 * fault.variant
-    await asyncio.sleep(fault.for_s)
-    world.clients.deaf = 0.0
+async def ignore_retry_limits(world: EmulatedDay, fault: Fault) -> None:
+    """Clients ignore Retry-After and retry limits."""
+    world.clients.non_compliant_share = 0.3 + 0.6 * fault.variant
+    await asyncio.sleep(fault.duration_s)
+    world.clients.non_compliant_share = 0.0
--- a/honeywood/lab/emulator/faults/membership.py
+++ b/honeywood/lab/emulator/faults/membership.py
@@ -1,46 +1,65 @@
-"""Controllers that go for good, and new machines in their place."""
+"""Controllers that are removed for good, and new machines in their place."""
+
+from __future__ import annotations
 
 import asyncio
+from typing import TYPE_CHECKING
+
+from honeywood.lab.emulator.faults.disturbance import RESTART_S, restart, target_controllers
+from honeywood.lab.emulator.faults.fault import Fault
+from honeywood.lab.emulator.world import SEEDS
+
+if TYPE_CHECKING:
+    from honeywood.lab.emulator.emulated_day import EmulatedDay
 
-from honeywood.lab.emulator.faults.fault import RESTART_S, lost_controllers, restart
+SYNC_POLL_INTERVAL_S = 0.05
+VARIANTS = 8
+"""By which the fault's variant chooses the next controller that fails."""
 
 
-async def remove(world, fault):
-    """As many controllers as may be lost go for good."""
-    for name in lost_controllers(world, fault):
-        _leave(world, name)
+async def remove_controllers(world: EmulatedDay, fault: Fault) -> None:
+    """As many controllers as may fail are removed for good."""
+    for name in target_controllers(world, fault):
+        _remove(world, name)
 
 
-async def replace(world, fault):
-    """A controller goes for good and a new machine comes in its place, with an empty disk; sync_s after its
-    start as many others as may be lost lose their disks, or are replaced in turn."""
-    await _exchange(world, lost_controllers(world, fault)[0])
+async def replace_controller(world: EmulatedDay, fault: Fault) -> None:
+    """A new machine with an empty disk takes the place of a controller.
+
+    sync_s after its start as many others as may fail lose their disks, or are replaced in turn.
+    """
+    await _replace(world, target_controllers(world, fault)[0])
     others = len(world.controllers) - 1
-    names = [world.controllers[(int(fault.variant * 8) + at) % others] for at in range(world.bear)]
+    first = int(fault.variant * VARIANTS)
+    names = [world.controllers[(first + offset) % others] for offset in range(world.tolerated_failures)]
     if fault.variant < 0.5:
-        return await restart(world, names, RESTART_S, True, names)
+        await restart(world, names, RESTART_S, True, names)
+        return
     for name in names:
-        await _exchange(world, name)
+        await _replace(world, name)
 
 
-def _leave(world, name):
-    world.monitor.core.disturb(world.loop.time(), name, True)
+def _remove(world: EmulatedDay, name: str) -> None:
+    world.monitor.context.disturb(world.loop.time(), name, True)
     world.wipe(name)
-    world.gone.add(name)
+    world.removed.add(name)
     world.controllers = tuple(other for other in world.controllers if other != name)
 
 
-async def _exchange(world, name):
-    """Another machine in place of `name`, until it has had its time to take part: sync_s since its start, and
-    since the last trouble of the core, for a machine that was slowed or cut off is lost as long."""
-    _leave(world, name)
+async def _replace(world: EmulatedDay, name: str) -> None:
+    """Replace a controller, and wait until the new one has had its time to take part.
+
+    That is sync_s since its start and since the core was last disturbed: a machine that was slowed or
+    partitioned counts as lost for as long.
+    """
+    _remove(world, name)
     await asyncio.sleep(RESTART_S)
-    world.spares += 1
-    spare = f"c{world.spares}"
-    world.seeds[spare] = list(world.controllers)[:3]
-    world.controllers += (spare,)
-    world.start(spare)
-    core = world.monitor.core
-    core.disturb(world.loop.time(), spare, True)
-    while world.loop.time() - core.settled_at < world.bounds["sync_s"]:
-        await asyncio.sleep(0.05)
+    world.replacements += 1
+    replacement = f"c{world.replacements}"
+    world.seeds[replacement] = list(world.controllers)[:SEEDS]
+    world.controllers = (*world.controllers, replacement)
+    world.start(replacement)
+    context = world.monitor.context
+    context.disturb(world.loop.time(), replacement, True)
+    while world.loop.time() - context.core_disturbed_at < world.bounds["sync_s"]:
+        await asyncio.sleep(SYNC_POLL_INTERVAL_S)
--- a/honeywood/lab/emulator/faults/orders.py
+++ b/honeywood/lab/emulator/faults/orders.py
@@ -1,14 +1,26 @@
-"""Orders of operators that meet one another: configurations and rollouts, late, twice, or at odds."""
+"""Orders that meet one another: configurations and rollouts, late, duplicated, or in conflict."""
+
+from __future__ import annotations
 
 import asyncio
+from typing import TYPE_CHECKING
+
+from honeywood.lab.emulator.faults.fault import Fault
+from honeywood.lab.emulator.operators import GOOD_VERSION, VersionFaults
 
-COPIES = 8  # of one order at once, to any controllers
-BAD_ANSWERS = {"bad": 0.5}  # what is wrong with the machines of a bad version
-SLOW_ANSWERS = {"slow": 0.6}
+if TYPE_CHECKING:
+    from honeywood.lab.emulator.emulated_day import EmulatedDay
 
+COPIES = 8
+"""Of one order at once, to any controllers."""
+FAILING_VERSION = VersionFaults(failing_share=0.5)
+SLOW_VERSION = VersionFaults(slow_share=0.6)
+ROLLOUT_S, SUPERSEDED_ROLLOUT_S, DUPLICATED_ROLLOUT_S = 6.0, 5.0, 3.0
+LATE_COPY_INTERVAL_S = 0.5
 
-async def configure(world, fault):
-    """Two operators at once, and a late older change."""
+
+async def change_configurations(world: EmulatedDay, fault: Fault) -> None:
+    """Two operators order configurations at once, and then comes a late older one."""
     operators = world.operators
     version = operators.next_version(9)
     operators.next_version()
@@ -16,45 +28,53 @@
     await operators.configure(version - 3)
 
 
-async def race(world, fault):
-    """Two operators send two contents under one number, each until it is answered; answers may be lost."""
+async def send_conflicting_configurations(world: EmulatedDay, fault: Fault) -> None:
+    """Two operators send two contents under one number, each until it is answered; responses may be lost."""
     operators = world.operators
-    version, operators.unheard = operators.next_version(2), fault.variant / 2
-    for_s = 4.0 + fault.for_s
-    await asyncio.gather(*[operators.configure(version, mark, for_s=for_s) for mark in "xy"])
-    operators.unheard = 0.0
+    version = operators.next_version(2)
+    operators.lost_share = fault.variant / 2
+    timeout_s = 4.0 + fault.duration_s
+    await asyncio.gather(*[operators.configure(version, mark, timeout_s=timeout_s) for mark in "xy"])
+    operators.lost_share = 0.0
+
 
+async def duplicate_orders(world: EmulatedDay, fault: Fault) -> None:
+    """Copies of one order are sent to all controllers at once, and responses are lost.
 
-async def orders(world, fault):
-    """Eight copies of one order at once to all controllers, and answers are lost: a configuration that
-    brings a service, then a rollout of that service at any controller."""
+    The order is a configuration that brings a service, then a rollout of that service.
+    """
     operators = world.operators
-    version, operators.unheard = operators.next_version(), 0.2 + fault.variant / 2
-    operators.brought.append(version)
+    version = operators.next_version()
+    operators.lost_share = 0.2 + fault.variant / 2
+    operators.service_versions.append(version)
     if await operators.configure(version, copies=COPIES):
-        await operators.start_rollout(f"n{version}", "v1", 3.0, copies=COPIES)
+        await operators.start_rollout(f"n{version}", "v1", DUPLICATED_ROLLOUT_S, copies=COPIES)
         await operators.configure(version)
-    operators.unheard = 0.0
+    operators.lost_share = 0.0
 
 
-async def rollout_good(world, fault):
-    """A rollout of a version that is well."""
-    await world.operators.rollout("s", "v2", 6.0, {}, COPIES if fault.variant < 0.3 else 1)
+async def roll_out_good_version(world: EmulatedDay, fault: Fault) -> None:
+    """A good version is rolled out."""
+    copies = COPIES if fault.variant < 0.3 else 1
+    await world.operators.roll_out("s", "v2", ROLLOUT_S, GOOD_VERSION, copies)
 
 
-async def rollout_bad(world, fault):
-    """A rollout of a version whose answers fail or are slow."""
-    await world.operators.rollout("s", "v2", 6.0, BAD_ANSWERS if fault.variant < 0.5 else SLOW_ANSWERS)
+async def roll_out_bad_version(world: EmulatedDay, fault: Fault) -> None:
+    """A version whose responses fail or are slow is rolled out."""
+    faults = FAILING_VERSION if fault.variant < 0.5 else SLOW_VERSION
+    await world.operators.roll_out("s", "v2", ROLLOUT_S, faults)
 
 
-async def rollout_after(world, fault):
-    """A version, soon another, and copies of the first order that come late, while they may (ack_s)."""
-    operators, begun = world.operators, world.loop.time()
-    wrong = BAD_ANSWERS if fault.variant < 0.5 else {}
-    first = world.loop.create_task(operators.rollout("s", "v2", 5.0, wrong))
-    await asyncio.sleep(0.2 + fault.for_s / 2)
-    second = world.loop.create_task(operators.rollout("s", "v3", 5.0, {}))
-    while world.loop.time() < begun + world.bounds["ack_s"] - 2.0:
-        await asyncio.sleep(0.5)
-        await operators.start_rollout("s", "v2", 5.0, for_s=0.5)
-    await asyncio.gather(first, second)
+async def supersede_rollout(world: EmulatedDay, fault: Fault) -> None:
+    """A rollout is superseded by another, and copies of the first order arrive late, within ack_s."""
+    operators, began_at = world.operators, world.loop.time()
+    faults = FAILING_VERSION if fault.variant < 0.5 else GOOD_VERSION
+    first = operators.roll_out("s", "v2", SUPERSEDED_ROLLOUT_S, faults)
+    first_rollout = world.loop.create_task(first)
+    await asyncio.sleep(0.2 + fault.duration_s / 2)
+    second = operators.roll_out("s", "v3", SUPERSEDED_ROLLOUT_S, GOOD_VERSION)
+    second_rollout = world.loop.create_task(second)
+    while world.loop.time() < began_at + world.bounds["ack_s"] - 2.0:
+        await asyncio.sleep(LATE_COPY_INTERVAL_S)
+        await operators.start_rollout("s", "v2", SUPERSEDED_ROLLOUT_S, timeout_s=LATE_COPY_INTERVAL_S)
+    await asyncio.gather(first_rollout, second_rollout)
--- a/honeywood/lab/emulator/fleet.py
+++ b/honeywood/lab/emulator/fleet.py
@@ -1,57 +1,89 @@
-"""The lives of service machines: they start, call the controllers of themselves, and leave as planned."""
+"""The life cycle of service machines: they start, send heartbeats to the controllers, drain and leave."""
+
+from __future__ import annotations
 
 import asyncio
+import random
+from http import HTTPStatus
+from typing import TYPE_CHECKING
+
+from honeywood.gateway.controller.call import CallName
+from honeywood.lab.emulator.machine import (
+    DRAINING,
+    GRACE_S,
+    HEARTBEAT_INTERVAL_S,
+    Machine,
+    MachineEnd,
+)
+from honeywood.lab.emulator.network import NO_RESPONSE, CallResult
 
-from honeywood.lab.emulator.machines import HEARTBEAT_S, LEFT, SERVES_ON_S
+if TYPE_CHECKING:
+    from honeywood.lab.emulator.emulated_day import EmulatedDay
 
-PACES = (0.8, 1.0, 1.0, 1.4)  # how many times a machine's work takes
-HEARTBEAT_TURNS, DRAIN_TURNS, LEAVE_TURNS = 3, 8, 4  # controllers that a call is tried at
+WORK_FACTORS = (0.8, 1.0, 1.0, 1.4)
+HEARTBEAT_ATTEMPTS, DRAIN_ATTEMPTS, LEAVE_ATTEMPTS = 3, 8, 4
+RETRY_STEP_S, MAX_RETRY_DELAY_S = 0.05, 0.5
 
 
 class Fleet:
-    """Starts machines in a world's zones and speaks for them to its controllers."""
+    """Starts machines in a world's zones and makes their calls to its controllers."""
 
-    def __init__(self, world, chance):
-        """`chance` draws zones and paces."""
-        self.world, self.chance = world, chance
+    def __init__(self, world: EmulatedDay, random: random.Random) -> None:
+        """`random` draws zones and speeds."""
+        self._world = world
+        self._random = random
 
-    def start(self, service, **more):
-        """A machine that starts now and beats until it ends."""
-        zone = self.chance.choice(self.world.zone_names)
-        machine = self.world.machines.open(service, zone, pace=self.chance.choice(PACES), **more)
-        self.world.loop.create_task(self._heartbeats(machine))
+    def start(
+        self,
+        service: str,
+        *,
+        version: str = "v1",
+        failing_share: float = 0.0,
+        slow_share: float = 0.0,
+    ) -> Machine:
+        """Return a machine that starts now and sends heartbeats until it ends."""
+        zone = self._random.choice(self._world.zone_names)
+        machine = self._world.machines.start(
+            service,
+            zone,
+            version=version,
+            work_factor=self._random.choice(WORK_FACTORS),
+            failing_share=failing_share,
+            slow_share=slow_share,
+        )
+        self._world.loop.create_task(self._send_heartbeats(machine))
         return machine
 
-    async def _heartbeats(self, machine):
-        while not machine.gone:
-            body = machine.heartbeat(self.world.loop.time())
-            await self.call("instances.heartbeat", machine.id, body, HEARTBEAT_TURNS)
-            await asyncio.sleep(HEARTBEAT_S * (0.9 + 0.2 * self.world.chance.random()))
-
-    async def drain(self, machine):
-        """A planned end: draining until acknowledged, then on for a while, then gone."""
-        machine.state = "draining"
-        body = machine.heartbeat(self.world.loop.time())
-        status, _ = await self.call("instances.heartbeat", machine.id, body, DRAIN_TURNS)
-        if status == 200:
-            self.world.monitor.requests.left(self.world.loop.time(), machine.id)
-        await self.leave(machine, SERVES_ON_S)
-
-    async def leave(self, machine, serves_on_s):
-        """The rest of a planned end: the machine serves on for drain_s and `serves_on_s`, and ends."""
-        await asyncio.sleep(self.world.bounds["drain_s"] + serves_on_s)
-        status, _ = await self.call("instances.leave", machine.id, {}, LEAVE_TURNS)
-        machine.crash(LEFT)
-        if status == 200:
-            self.world.monitor.proxies.left(self.world.loop.time(), machine.id)
-
-    async def call(self, call, of, body, turns):
-        """A caller of ctl: one controller after the other until one answers; (status, answer)."""
-        controllers = self.world.controllers
-        names = self.world.chance.sample(controllers, len(controllers))
-        for turn in range(turns):
-            status, found = await self.world.ask(names[turn % len(names)], call, of, body)
-            if status and status < 500:
-                return status, found
-            await asyncio.sleep(min(0.5, 0.05 * (turn + 1)))
-        return 0, None
+    async def _send_heartbeats(self, machine: Machine) -> None:
+        while machine.end is None:
+            body = machine.next_heartbeat(self._world.loop.time())
+            await self.call(CallName.HEARTBEAT, machine.id, body, HEARTBEAT_ATTEMPTS)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S * (0.9 + 0.2 * self._world.chance.random()))
+
+    async def drain(self, machine: Machine) -> None:
+        """End a machine as planned: it drains, serves on for a while, and leaves."""
+        machine.state = DRAINING
+        body = machine.next_heartbeat(self._world.loop.time())
+        result = await self.call(CallName.HEARTBEAT, machine.id, body, DRAIN_ATTEMPTS)
+        if result.status == HTTPStatus.OK:
+            self._world.monitor.requests.on_draining(self._world.loop.time(), machine.id)
+        await self.leave(machine, GRACE_S)
+
+    async def leave(self, machine: Machine, grace_s: float) -> None:
+        """End a draining machine: it serves on for drain_s and `grace_s`."""
+        await asyncio.sleep(self._world.bounds["drain_s"] + grace_s)
+        result = await self.call(CallName.LEAVE, machine.id, {}, LEAVE_ATTEMPTS)
+        machine.stop(MachineEnd.LEFT)
+        if result.status == HTTPStatus.OK:
+            self._world.monitor.proxies.on_retired(self._world.loop.time(), machine.id)
+
+    async def call(self, call: str, subject: str, body: object, max_attempts: int) -> CallResult:
+        """Call one controller after the other until one responds."""
+        controllers = self._world.controllers
+        names = self._world.chance.sample(controllers, len(controllers))
+        for attempt in range(max_attempts):
+            result = await self._world.ask(names[attempt % len(names)], call, subject, body)
+            if result.status != NO_RESPONSE and result.status < HTTPStatus.INTERNAL_SERVER_ERROR:
+                return result
+            await asyncio.sleep(min(MAX_RETRY_DELAY_S, RETRY_STEP_S * (attempt + 1)))
+        return CallResult(NO_RESPONSE, None)
--- a/honeywood/lab/emulator/hunt.py
+++ b/honeywood/lab/emulator/hunt.py
@@ -1,38 +1,43 @@
-"""Many days on many cores, and a day that fails made as small as it still fails by."""
+"""Plays many days on many cores, and minimizes the faults by which a day fails."""
+
+from __future__ import annotations
 
 import os
-from dataclasses import asdict, dataclass, replace
+import warnings
+from collections.abc import Callable
+from dataclasses import dataclass, field, replace
 from multiprocessing import get_context
 from time import monotonic
 
-from honeywood.lab.emulator import day as days
-from honeywood.lab.emulator.faults import Fault
-from honeywood.lab.emulator.rules import Breach
+from honeywood.lab.emulator import emulated_day
+from honeywood.lab.emulator.day import Day, Outcome
+from honeywood.lab.emulator.faults.draw import draw_day
+from honeywood.lab.emulator.rules.rule import Rule, Violation
 
+DAYS_PER_PROCESS = 500
+DAYS_PER_TASK = 4
 
-def played(day):
-    """A day's Outcome; what the world itself raises counts as broken, since no day may."""
-    import warnings
 
+def play(day: Day) -> Outcome:
+    """Return a day's outcome; what the emulator itself raises counts as a violation."""
     warnings.simplefilter("ignore")
     try:
-        return days.play(day)
-    except Exception as wrong:
-        return days.Outcome(breaches=[Breach("world", 0.0, repr(wrong))])
+        return emulated_day.play(day)
+    except Exception as error:  # no day may raise anything
+        return Outcome(violations=[Violation(Rule.EMULATOR, 0.0, repr(error))])
 
 
-def _one(given):
-    seed, shape = given
-    day = days.draw(seed, **shape)
-    return seed, day, played(day)
+def _draw_and_play(shape: Day) -> tuple[Day, Outcome]:
+    day = draw_day(shape)
+    return day, play(day)
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A day on which rules were broken."""
+    """A day on which rules were violated."""
 
-    day: days.Day
-    breaches: list
+    day: Day
+    violations: list[Violation]
 
 
 @dataclass(slots=True)
@@ -41,54 +46,64 @@
 
     days: int = 0
     faults: int = 0
-    owed: int = 0
+    requests: int = 0
     worth: float = 0.0
-    took_s: float = 0.0
+    duration_s: float = 0.0
 
-    def add(self, day, outcome):
-        """One more day."""
+    def add(self, day: Day, outcome: Outcome) -> None:
+        """Add a day."""
         self.days += 1
         self.faults += len(day.faults)
-        self.owed += outcome.owed
+        self.requests += outcome.requests
         self.worth += outcome.worth
 
 
-def hunt(first, count, jobs=None, shape=None, progress=lambda done, broken: None):
-    """Plays days of seeds from `first` on: ({seed: Failure}, Totals)."""
-    found, totals, began = {}, Totals(), monotonic()
-    with get_context("spawn").Pool(jobs or os.cpu_count(), maxtasksperchild=500) as pool:
-        seeds = [(seed, shape or {}) for seed in range(first, first + count)]
-        for seed, day, outcome in pool.imap_unordered(_one, seeds, chunksize=4):
-            totals.add(day, outcome)
-            if outcome.breaches:
-                found[seed] = Failure(day, outcome.breaches)
-            progress(totals.days, len(found))
-    totals.took_s = monotonic() - began
-    return found, totals
-
-
-def shrink(day, rule, play=played):
-    """The smallest set of a day's faults by which `rule` still breaks: halves, quarters, ... and single ones
-    are left out in turn."""
-    kept, step = list(day.faults), max(1, len(day.faults) // 2)
+@dataclass(slots=True)
+class HuntResult:
+    """The days that failed, by their seed, and sums over all."""
+
+    failures: dict[int, Failure] = field(default_factory=dict)
+    totals: Totals = field(default_factory=Totals)
+
+
+def hunt(
+    shape: Day,
+    first_seed: int,
+    count: int,
+    jobs: int | None = None,
+    on_progress: Callable[[int, int], object] = lambda done, failed: None,
+) -> HuntResult:
+    """Play days of the seeds from `first_seed` on, which are otherwise as `shape`.
+
+    `on_progress` is called with the numbers of days that were played and that failed.
+    """
+    result, began_at = HuntResult(), monotonic()
+    days = [replace(shape, seed=seed) for seed in range(first_seed, first_seed + count)]
+    with get_context("spawn").Pool(jobs or os.cpu_count(), maxtasksperchild=DAYS_PER_PROCESS) as pool:
+        for day, outcome in pool.imap_unordered(_draw_and_play, days, chunksize=DAYS_PER_TASK):
+            result.totals.add(day, outcome)
+            if outcome.violations:
+                result.failures[day.seed] = Failure(day, outcome.violations)
+            on_progress(result.totals.days, len(result.failures))
+    result.totals.duration_s = monotonic() - began_at
+    return result
+
+
+def minimize(day: Day, rule: Rule, play: Callable[[Day], Outcome] = play) -> Day:
+    """Return the day with the fewest faults by which `rule` is still violated.
+
+    Halves of the faults, quarters, ... and single ones are left out in turn.
+    """
+    faults = list(day.faults)
+    step = max(1, len(faults) // 2)
     while True:
-        at = 0
-        while at < len(kept):
-            fewer = kept[:at] + kept[at + step :]
-            if play(replace(day, faults=tuple(fewer))).broke(rule):
-                kept = fewer
+        start = 0
+        while start < len(faults):
+            fewer = faults[:start] + faults[start + step :]
+            if play(replace(day, faults=tuple(fewer))).violates(rule):
+                faults = fewer
             else:
-                at += step
+                start += step
         if step == 1:
-            return replace(day, faults=tuple(kept))
+            return replace(day, faults=tuple(faults))
         step //= 2
-
-
-def written(day):
-    """A day as plain values, for a file."""
-    return asdict(day)
-
-
-def read(plain):
-    """A day out of plain values."""
-    return days.Day(**{**plain, "faults": tuple(Fault(**fault) for fault in plain["faults"])})
--- a/honeywood/lab/emulator/loop.py
+++ b/honeywood/lab/emulator/loop.py
@@ -1,155 +1,174 @@
-"""An event loop whose clock jumps to the next event, and on which a day comes out the same each time."""
+"""An event loop whose clock jumps to the next event, and on which a day is repeated exactly by its seed."""
+
+from __future__ import annotations
 
 import asyncio
 import heapq
-from itertools import count
-
+from collections import deque
+from collections.abc import Callable, Sequence
+from concurrent.futures import Executor
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, TypeVar, TypeVarTuple
+
+from honeywood.lab.emulator.handles import Handle, Timer
+from honeywood.lab.emulator.ordered_tasks import Future, Task, restart_numbers
 from honeywood.lab.emulator.process import CURRENT
 
-SPOILT = "spoilt"  # a disk whose writes are done and told as refused
-
-
-class _Held:
-    """A handle that asks the process it belongs to whether it may run."""
-
-    def _run(self):
-        whose = self._context.get(CURRENT)
-        if whose is None or whose.pace == 1.0:
-            self.go()
-        else:
-            whose.park(self)
-
-
-class Handle(_Held, asyncio.Handle):
-    """A callback that is due at once."""
-
-    __slots__ = ()
-
-    def go(self):
-        """Runs it, whatever holds its process back."""
-        if not self._cancelled:
-            asyncio.Handle._run(self)
+if TYPE_CHECKING:
+    from collections.abc import Coroutine, Generator
+    from contextvars import Context
+    from selectors import BaseSelector
+    from typing import Any
 
+T = TypeVar("T")
+Ts = TypeVarTuple("Ts")
 
-class Timer(_Held, asyncio.TimerHandle):
-    """A callback that is due at a time."""
+SYNC_S = 0.002
+"""That a disk's write takes."""
+POWER_LOSS_WRITTEN_PROBABILITY = 0.5
 
-    __slots__ = ()
 
-    def go(self):
-        """Runs it, whatever holds its process back."""
-        if not self._cancelled:
-            asyncio.TimerHandle._run(self)
+@dataclass(frozen=True, slots=True)
+class DiskFault:
+    """How a disk behaves: `slowdown` times slower; refusing writes, though they may have taken effect."""
 
+    slowdown: float = 1.0
+    refused: bool = False
+    takes_effect: bool = True
 
-class _Ranked:
-    """Sets keep what is in them by hash, which is the address: by ranks a day comes out alike each time."""
 
-    ranks = count()
+HEALTHY_DISK = DiskFault()
+REFUSING_DISK = DiskFault(refused=True, takes_effect=False)
+REFUSING_AFTER_EFFECT = DiskFault(refused=True)
 
-    def __new__(cls, *given, **more):
-        made = super().__new__(cls)
-        made.rank = next(_Ranked.ranks)
-        return made
 
-    def __hash__(self):
-        return self.rank
-
-
-class Task(_Ranked, asyncio.Task):
-    """A task that sets keep by the rank of its making."""
-
-
-class Future(_Ranked, asyncio.Future):
-    """A future that sets keep by the rank of its making."""
+def _perform(fault: DiskFault, write: Callable[[], T]) -> T:
+    """Return the result of a write to a disk; raises OSError where it is refused."""
+    if not fault.refused:
+        return write()
+    if fault.takes_effect:
+        write()
+    raise OSError("the disk takes no writes")
 
 
 class JumpingSelector:
-    """A selector that waits for nothing: time passes at once."""
+    """A selector that waits for nothing: the clock passes the time-out at once."""
 
-    def __init__(self, loop, selector):
+    def __init__(self, loop: Loop, selector: BaseSelector) -> None:
         """All but `select` is left to `selector`."""
-        self.loop, self.selector = loop, selector
+        self._loop = loop
+        self._selector = selector
 
-    def select(self, timeout):
-        """No events; the loop's clock has passed `timeout`."""
+    def select(self, timeout: float | None) -> list[Any]:
+        """Return no events once the loop's clock has passed `timeout`."""
         if timeout is None:
-            raise RuntimeError("nothing will ever happen in this world")
-        self.loop.now += max(0.0, timeout)
+            raise RuntimeError("nothing is scheduled in this world")
+        self._loop.now += max(0.0, timeout)
         return []
 
-    def __getattr__(self, name):
-        """What the real selector has."""
-        return getattr(self.selector, name)
+    def __getattr__(self, name: str) -> Any:
+        """Return what the real selector has."""
+        return getattr(self._selector, name)
+
+
+@dataclass(frozen=True, slots=True)
+class _DiskWrite:
+    executor: Executor | None
+    perform: Callable[[], object]
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """An event loop on a clock of its own. Work for threads is a disk's: it takes `sync_s` times what
-    `trouble` says of its executor: None, it is refused; SPOILT, it is done and refused all the same."""
+    """An event loop on a clock of its own, `now`, in seconds.
+
+    Work for an executor is a write of the disk that it stands for: it takes `sync_s`, unless `disk_faults`
+    has a fault of the executor.
+    """
 
-    def __init__(self):
+    if TYPE_CHECKING:
+        _ready: deque[asyncio.Handle]
+        _scheduled: list[asyncio.TimerHandle]
+        _selector: Any
+
+    def __init__(self) -> None:
         """A loop at second 0."""
         super().__init__()
-        self.now, self.sync_s, self._selector = 0.0, 0.002, JumpingSelector(self, self._selector)
-        self.trouble, self.writing, _Ranked.ranks = {}, {}, count()
-
-    def time(self):
-        """Seconds since the loop was made."""
+        self.now = 0.0
+        self.sync_s = SYNC_S
+        self.disk_faults: dict[Executor | None, DiskFault] = {}
+        self._writes: dict[asyncio.Future[Any], _DiskWrite] = {}
+        self._selector = JumpingSelector(self, self._selector)
+        restart_numbers()
+
+    def time(self) -> float:
+        """Return the seconds since the loop was made."""
         return self.now
 
     # asyncio makes all its handles by these two
-    def _call_soon(self, callback, args, context):
+    def _call_soon(
+        self, callback: Callable[..., object], args: Sequence[Any], context: Context | None
+    ) -> asyncio.Handle:
         handle = Handle(callback, args, self, context)
         self._ready.append(handle)
         return handle
 
-    def call_at(self, when, callback, *args, context=None):
-        """As asyncio's, with a handle of ours."""
+    def call_at(
+        self,
+        when: float,
+        callback: Callable[[*Ts], object],
+        *args: *Ts,
+        context: Context | None = None,
+    ) -> asyncio.TimerHandle:
+        """Schedule a callback as asyncio does, by a handle that its process may defer."""
         timer = Timer(when, callback, args, self, context)
         heapq.heappush(self._scheduled, timer)
         timer._scheduled = True
         return timer
 
-    def take(self, handles):
-        """Handles that were held back are due now, in this order."""
+    def run_soon(self, handles: Sequence[asyncio.Handle]) -> None:
+        """Run deferred handles next, in this order."""
         self._ready.extend(handles)
 
-    def create_task(self, work, *, name=None, context=None):
-        """As asyncio's; the task belongs to the process whose context it has."""
-        task = Task(work, loop=self, name=name, context=context)
-        whose = CURRENT.get() if context is None else context.get(CURRENT)
-        if whose is not None:
-            whose.tasks[task] = None
+    def create_task(
+        self,
+        coro: Generator[Any, None, T] | Coroutine[Any, Any, T],
+        *,
+        name: object = None,
+        context: Context | None = None,
+    ) -> asyncio.Task[T]:
+        """Make a task as asyncio does; it belongs to the process of its context."""
+        task: Task[T] = Task(coro, loop=self, name=name, context=context)
+        process = CURRENT.get() if context is None else context.get(CURRENT)
+        if process is not None:
+            process.tasks[task] = None
         return task
 
-    def create_future(self):
-        """As asyncio's, with a rank."""
+    def create_future(self) -> asyncio.Future[Any]:
+        """Make a future with a number."""
         return Future(loop=self)
 
-    def run_in_executor(self, executor, work, *given):
-        """A disk's call: a future of what `work` returns, after the time that its disk takes."""
-        done, times = self.create_future(), self.trouble.get(executor, 1.0)
+    def run_in_executor(
+        self, executor: Executor | None, func: Callable[[*Ts], T], *args: *Ts
+    ) -> asyncio.Future[T]:
+        """Return the result of a disk's write, after the time that its disk takes."""
+        result: asyncio.Future[T] = self.create_future()
+        fault = self.disk_faults.get(executor, HEALTHY_DISK)
 
-        def run():
-            if self.writing.pop(done, None) is None or done.done():
+        def complete() -> None:
+            if self._writes.pop(result, None) is None or result.done():
                 return
             try:
-                if times == SPOILT:
-                    work(*given)
-                if times in (None, SPOILT):
-                    raise OSError("the disk takes no writes")
-                done.set_result(work(*given))
-            except Exception as wrong:
-                done.set_exception(wrong)
-
-        self.writing[done] = executor, work, given
-        self.call_later(self.sync_s * (1.0 if times in (None, SPOILT) else times), run)
-        return done
-
-    def power(self, executor, chance):
-        """What was being written by a process that ends: each there or not."""
-        for done, (whose, work, given) in list(self.writing.items()):
-            if whose is executor:
-                del self.writing[done]
-                if chance() < 0.5:
-                    work(*given)
+                result.set_result(_perform(fault, lambda: func(*args)))
+            except Exception as error:  # whoever awaits the write gets it
+                result.set_exception(error)
+
+        self._writes[result] = _DiskWrite(executor, lambda: func(*args))
+        self.call_later(self.sync_s * fault.slowdown, complete)
+        return result
+
+    def lose_power(self, executor: Executor, random: Callable[[], float]) -> None:
+        """End the writes of a process that ends: each takes effect or doesn't."""
+        for result, write in list(self._writes.items()):
+            if write.executor is executor:
+                del self._writes[result]
+                if random() < POWER_LOSS_WRITTEN_PROBABILITY:
+                    write.perform()
--- a/honeywood/lab/emulator/loopback.py
+++ b/honeywood/lab/emulator/loopback.py
@@ -1,6 +1,10 @@
-"""The system on loopback, as it happens: three controllers and two proxies as processes of their own,
-stand-in machines, a client, a configuration and a rollout. `python -m honeywood.lab.emulator.loopback`, or
-`make emulate`."""
+"""The system on loopback, shown as it happens.
+
+Three controllers and two proxies as processes of their own, stand-in machines, a client, a configuration and
+two rollouts: `python -m honeywood.lab.emulator.loopback`, or `make emulate`.
+"""
+
+from __future__ import annotations
 
 import argparse
 import asyncio
@@ -10,8 +14,13 @@
 import sys
 import tempfile
 import time
+from collections import Counter
+from pathlib import Path
+from typing import TYPE_CHECKING
 
+from honeywood.gateway.controller.call import CallName
 from honeywood.gateway.errors import GatewayError
+from honeywood.gateway.rollout.record import RolloutState
 from honeywood.gateway.rpc.client import Caller
 from honeywood.gateway.rpc.connection import Connection
 from honeywood.gateway.rpc.reply import ExchangeFailure
@@ -19,16 +28,35 @@
 from honeywood.lab.emulator.boot import boot
 from honeywood.standins.sorting import Machine
 
-# Addresses of its own for each run, so that several can run on one machine; 127.1 to 127.200 are the soak's.
-NETWORK = f"127.{220 + os.getpid() % 30}.0"
-CONTROLLERS, PROXIES = [f"{NETWORK}.{n}" for n in (11, 12, 13)], [f"{NETWORK}.{n}" for n in (21, 22)]
-HTTP, READY, CTL, FIRST = 18080, 18081, 18082, 18090
-SERVICE, HOST = "parcels", "sort.example"
-PER_S, ROLLOUT_S = 60, 10.0
+if TYPE_CHECKING:
+    from collections.abc import Mapping
 
+    from honeywood.gateway.rpc.client import JsonObject
 
-def configuration(version):
-    """One route to one service."""
+# Addresses of its own for each run, so that several can run on one machine; 127.1 to 127.200 are the soak's.
+NETWORK = f"127.{220 + os.getpid() % 30}.0"
+CONTROLLERS = [f"{NETWORK}.{number}" for number in (11, 12, 13)]
+PROXIES = [f"{NETWORK}.{number}" for number in (21, 22)]
+HTTP_PORT, READY_PORT, CONTROL_PORT = 18080, 18081, 18082
+FIRST_PORT, LAST_PORT = 18090, 18099
+SERVICE, HOST, PATH = "parcels", "sort.example", b"/parcel/7"
+MACHINES = 3
+REQUESTS_PER_S = 60
+REQUEST_TIMEOUT_S = 1.0
+CALL_TIMEOUT_S = 1.0
+CALL_ROUNDS = 20
+RETRY_INTERVAL_S = 0.1
+HEARTBEAT_INTERVAL_S = 0.5
+REPORT_INTERVAL_S = 1.0
+ROLLOUT_S = 10.0
+ROLLOUT_POLL_INTERVAL_S = 0.25
+ROLLOUT_PAUSE_S = 1.0
+TRAFFIC_BEFORE_ROLLOUTS_S = 3.0
+BAD_SHARE = 0.5
+
+
+def configuration(version: int) -> JsonObject:
+    """Return a configuration with one route to one service."""
     route = {
         "vhost": HOST,
         "pfx": "/parcel/",
@@ -50,143 +78,171 @@
 
 
 class LoopbackSystem:
-    """Everything that the demonstration starts, and what it saw."""
-
-    def __init__(self, folder):
-        """Files and logs go to `folder`."""
-        self.folder, self.caller, self.began, self.processes = folder, Caller(), time.monotonic(), {}
-        self.seen, self.machines, self.random = {}, [], random.Random(1)
-
-    def tell(self, text):
-        """Prints a line with the time since the beginning."""
-        print(f"{time.monotonic() - self.began:6.2f} s  {text}", flush=True)
-
-    async def start(self, role, ip):
-        """A program as its own process, told by a settings file."""
-        path = os.path.join(self.folder, f"{ip}.toml")
-        with open(path, "w") as file:
-            seeds = [f"{controller}:{CTL}" for controller in CONTROLLERS]
-            data = os.path.join(self.folder, ip)
-            file.write(boot(ip, "hall", seeds, data=data, ports=(HTTP, READY, CTL, FIRST, FIRST + 9)))
-        log = open(os.path.join(self.folder, f"{ip}.log"), "ab")
-        self.processes[ip] = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            f"honeywood.gateway.{role}",
-            stdout=log,
-            stderr=log,
-            env={**os.environ, "HONEYWOOD_NODE_FILE": path},
-        )
-
-    async def operate(self, call, of="", body=None):
-        """The answer to an operator's call by whichever controller answers, None where it was refused or
-        none did."""
-        for ip in self.random.sample(CONTROLLERS, len(CONTROLLERS)) * 20:
+    """The processes, machines and client of the demonstration."""
+
+    def __init__(self, folder: Path) -> None:
+        """Files and logs are kept in `folder`."""
+        self._folder = folder
+        self._caller = Caller()
+        self._began_at = time.monotonic()
+        self._processes: dict[str, asyncio.subprocess.Process] = {}
+        self._results: Counter[str] = Counter()
+        self._requests: set[asyncio.Task[str]] = set()
+        self._machines: list[Machine] = []
+        self._random = random.Random(1)
+
+    def _print(self, text: str) -> None:
+        """Print a line with the time since the beginning."""
+        print(f"{time.monotonic() - self._began_at:6.2f} s  {text}", flush=True)
+
+    async def run(self, with_rollouts: bool) -> None:
+        """Run the demonstration."""
+        await self._start_processes()
+        await self._order_configuration()
+        self._machines = await _start_machines("v1", 0.0)
+        background = [
+            asyncio.ensure_future(task)
+            for task in (self._send_heartbeats(), self._send_requests(), self._report_results())
+        ]
+        await asyncio.sleep(TRAFFIC_BEFORE_ROLLOUTS_S)
+        if with_rollouts:
+            await self._show_rollouts()
+        found = await self._call(CallName.READ_CONFIGURATION)
+        self._print(f"operator: config.read says version {found['ver'] if found else 'nothing'}")
+        for task in background:
+            task.cancel()
+        await self._stop_processes()
+
+    async def _start_processes(self) -> None:
+        for role, addresses in (("controller", CONTROLLERS), ("proxy", PROXIES)):
+            for ip in addresses:
+                await self._start_process(role, ip)
+        self._print("three controllers and two proxies start")
+
+    async def _start_process(self, role: str, ip: str) -> None:
+        """Start a program as its own process, with its settings in a file."""
+        settings = self._folder / f"{ip}.toml"
+        seeds = [f"{controller}:{CONTROL_PORT}" for controller in CONTROLLERS]
+        ports = HTTP_PORT, READY_PORT, CONTROL_PORT, FIRST_PORT, LAST_PORT
+        settings.write_text(boot(ip, "hall", seeds, data=str(self._folder / ip), ports=ports))
+        with open(self._folder / f"{ip}.log", "ab") as log:
+            self._processes[ip] = await asyncio.create_subprocess_exec(
+                *(sys.executable, "-m", f"honeywood.gateway.{role}"),
+                stdout=log,
+                stderr=log,
+                env={**os.environ, "HONEYWOOD_NODE_FILE": str(settings)},
+            )
+
+    async def _stop_processes(self) -> None:
+        for ip, process in self._processes.items():
+            if process.returncode is None:
+                process.terminate()
+                self._print(f"{ip} ended with status {await process.wait()}")
+
+    async def _call(
+        self, name: str, subject: str = "", body: Mapping[str, object] | None = None
+    ) -> JsonObject | None:
+        """Return the response of whichever controller responds; None where it rejects, or none responds."""
+        path = f"/v1/rpc?call={name}&of={subject}"
+        for ip in self._random.sample(CONTROLLERS, len(CONTROLLERS)) * CALL_ROUNDS:
             try:
-                return await self.caller.call(ip, CTL, f"/v1/rpc?call={call}&of={of}", body or {}, 1.0)
+                return await self._caller.call(ip, CONTROL_PORT, path, dict(body or {}), CALL_TIMEOUT_S)
             except GatewayError as error:
                 if status_of(error) < INTERNAL_ERROR:
                     return None
-            await asyncio.sleep(0.1)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         return None
 
-    async def heartbeats(self):
-        """What the machines call the controllers for."""
-        while True:
-            for machine in self.machines:
-                await self.operate("instances.heartbeat", machine.id, machine.beat())
-            await asyncio.sleep(0.5)
-
-    async def ask(self, at):
-        """How the request number `at` ended."""
-        ip = PROXIES[at % len(PROXIES)]
-        headers = [(b"host", HOST.encode()), (b"x-try-id", b"%d" % at), (b"x-deadline-ms", b"1000")]
-        try:
-            link = await Connection.open(ip, HTTP, 1.0)
-        except OSError as wrong:
-            return str(wrong)
-        reply = await link.exchange(
-            b"GET", b"/parcel/7", headers, b"", asyncio.get_running_loop().time() + 1.0
-        )
-        link.close()
-        return (
-            "broken off"
-            if isinstance(reply, ExchangeFailure)
-            else f"{reply.status} by {reply.body.decode()[:2]}"
-        )
-
-    async def client(self):
-        """Requests all the time."""
-        at = 0
+    async def _order_configuration(self) -> None:
+        found = await self._call(CallName.REPLACE_CONFIGURATION, "", configuration(1))
+        result = "refused" if found is None else "acknowledged"
+        self._print(f"operator: config.replace 00000001: {result}")
+
+    async def _send_heartbeats(self) -> None:
         while True:
-            at += 1
-            asyncio.ensure_future(self.ask(at)).add_done_callback(
-                lambda task: self.seen.update({task.result(): self.seen.get(task.result(), 0) + 1})
-            )
-            await asyncio.sleep(1 / PER_S)
+            for machine in self._machines:
+                await self._call(CallName.HEARTBEAT, machine.id, machine.beat())
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    async def report(self):
-        """What the client saw, every second."""
+    async def _send_requests(self) -> None:
+        number = 0
+        while True:
+            number += 1
+            request = asyncio.ensure_future(_send_request(number))
+            self._requests.add(request)
+            request.add_done_callback(self._on_result)
+            await asyncio.sleep(1 / REQUESTS_PER_S)
+
+    def _on_result(self, request: asyncio.Task[str]) -> None:
+        self._requests.discard(request)
+        self._results[request.result()] += 1
+
+    async def _report_results(self) -> None:
+        """Print the client's results every second."""
         while True:
-            await asyncio.sleep(1.0)
-            seen, self.seen = self.seen, {}
-            self.tell("the client saw " + ", ".join(f"{n} x {what}" for what, n in sorted(seen.items())))
-
-    async def rollout(self, version, bad):
-        """A rollout of a version whose answers fail with the share `bad`, until it has an end."""
-        new = [await Machine(SERVICE, version, bad).open() for _ in range(3)]
-        self.machines += new
-        self.tell(f"operator: rollouts.start to {version}, of whose answers {bad:.0%} fail")
-        await self.operate("rollouts.start", "", {"svc": SERVICE, "to_ver": version, "over_s": ROLLOUT_S})
-        state = "active"
-        while state == "active":
-            await asyncio.sleep(0.25)
-            found = await self.operate("rollouts.read", SERVICE)
-            state = "active" if found is None else found["state"]
-        self.tell(f"operator: rollouts.read says {state}")
-        for machine in [m for m in self.machines if (m.ver == version) == (state == "reverted")]:
-            self.machines.remove(machine)
-            await self.operate("instances.leave", machine.id)
+            await asyncio.sleep(REPORT_INTERVAL_S)
+            results, self._results = self._results, Counter()
+            counts = ", ".join(f"{count} x {result}" for result, count in sorted(results.items()))
+            self._print("the client saw " + counts)
+
+    async def _show_rollouts(self) -> None:
+        """Roll out a good version, then a bad one while a controller is down."""
+        await self._roll_out("v2", 0.0)
+        await asyncio.sleep(ROLLOUT_PAUSE_S)
+        self._print(f"controller {CONTROLLERS[0]} is killed")
+        self._processes[CONTROLLERS[0]].send_signal(signal.SIGKILL)
+        await self._roll_out("v3", BAD_SHARE)
+
+    async def _roll_out(self, version: str, failing_share: float) -> None:
+        """Roll out a version until it has an outcome, and stop the machines of the version that lost."""
+        self._machines += await _start_machines(version, failing_share)
+        self._print(f"operator: rollouts.start to {version}, of whose answers {failing_share:.0%} fail")
+        order = {"svc": SERVICE, "to_ver": version, "over_s": ROLLOUT_S}
+        await self._call(CallName.START_ROLLOUT, "", order)
+        state = await self._wait_for_outcome()
+        self._print(f"operator: rollouts.read says {state}")
+        is_reverted = state == RolloutState.REVERTED
+        for machine in [one for one in self._machines if (one.ver == version) == is_reverted]:
+            self._machines.remove(machine)
+            await self._call(CallName.LEAVE, machine.id)
             machine.close()
 
-    async def show_rollouts(self):
-        """A good version, then a bad one while a controller is down."""
-        await self.rollout("v2", 0.0)
-        await asyncio.sleep(1)
-        self.tell(f"controller {CONTROLLERS[0]} is killed")
-        self.processes[CONTROLLERS[0]].send_signal(signal.SIGKILL)
-        await self.rollout("v3", 0.5)
-
-    async def run(self, rollouts):
-        """The demonstration, with its two rollouts or without."""
-        for role, places in (("controller", CONTROLLERS), ("proxy", PROXIES)):
-            for ip in places:
-                await self.start(role, ip)
-        self.tell("three controllers and two proxies start")
-        found = await self.operate("config.replace", "", configuration(1))
-        self.tell(f"operator: config.replace 00000001: {'refused' if found is None else 'acknowledged'}")
-        self.machines = [await Machine(SERVICE, "v1", 0.0).open() for _ in range(3)]
-        tasks = [asyncio.ensure_future(work) for work in (self.heartbeats(), self.client(), self.report())]
-        await asyncio.sleep(3)
-        if rollouts:
-            await self.show_rollouts()
-        found = await self.operate("config.read")
-        self.tell(f"operator: config.read says version {found['ver']}")
-        for task in tasks:
-            task.cancel()
-        for ip, process in self.processes.items():
-            if process.returncode is None:
-                process.terminate()
-                self.tell(f"{ip} ended with status {await process.wait()}")
-
-
-def main():
-    """Runs it in a folder of its own."""
+    async def _wait_for_outcome(self) -> str:
+        state: str = RolloutState.ACTIVE
+        while state == RolloutState.ACTIVE:
+            await asyncio.sleep(ROLLOUT_POLL_INTERVAL_S)
+            found = await self._call(CallName.READ_ROLLOUT, SERVICE)
+            state = RolloutState.ACTIVE if found is None else found["state"]
+        return state
+
+
+async def _start_machines(version: str, failing_share: float) -> list[Machine]:
+    return [await Machine(SERVICE, version, failing_share).open() for _ in range(MACHINES)]
+
+
+async def _send_request(number: int) -> str:
+    """Return how a request ended."""
+    ip = PROXIES[number % len(PROXIES)]
+    headers = [(b"host", HOST.encode()), (b"x-try-id", b"%d" % number), (b"x-deadline-ms", b"1000")]
+    try:
+        connection = await Connection.open(ip, HTTP_PORT, REQUEST_TIMEOUT_S)
+    except OSError as error:
+        return str(error)
+    deadline = asyncio.get_running_loop().time() + REQUEST_TIMEOUT_S
+    reply = await connection.exchange(b"GET", PATH, headers, b"", deadline)
+    connection.close()
+    if isinstance(reply, ExchangeFailure):
+        return "broken off"
+    return f"{reply.status} by {reply.body.decode()[:2]}"
+
+
+def main() -> None:
+    """Run the demonstration in a folder of its own."""
     parser = argparse.ArgumentParser(description="The system's processes on loopback, shown as it happens.")
     parser.add_argument("--no-rollouts", action="store_true", help="Only a configuration and requests.")
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
-        asyncio.run(LoopbackSystem(folder).run(rollouts=not options.no_rollouts))
+        asyncio.run(LoopbackSystem(Path(folder)).run(with_rollouts=not options.no_rollouts))
 
 
 if __name__ == "__main__":
--- a/honeywood/lab/emulator/network.py
+++ b/honeywood/lab/emulator/network.py
@@ -1,152 +1,230 @@
-"""The network of a world: calls between programs, and from outside, that are delayed, cut, lost or doubled.
+"""The network of a world: calls between programs, and from outside, delayed, lost, duplicated or cut off.
 
-What is under way in it belongs to no process, and goes on when its sender ends.
+What is in transit belongs to no process, and goes on when its sender ends.
 """
 
+from __future__ import annotations
+
 import asyncio
 import json
 import random
-from collections import Counter
+from collections.abc import Coroutine, Iterable, Sequence
 from contextvars import Context
+from dataclasses import dataclass
+from http import HTTPStatus
+from typing import TYPE_CHECKING, NamedTuple
 
-from honeywood.gateway.controller.call import Call
+from honeywood.gateway.controller.call import Call, CallName
 from honeywood.gateway.errors import CallFailed, GatewayError
 from honeywood.gateway.rpc.statuses import INTERNAL_ERROR, status_of
+from honeywood.lab.emulator.process import FULL_SPEED
 
-OUTSIDE = "outside"  # clients, machines and operators, as one end of a link
-COPY_AFTER_S = 0.2  # seconds after which a copy of a call comes at the earliest
-COPY_WITHIN_S = 6.0  # seconds by which copies may come later than that
-ROLLOUT_COPY_WITHIN_S = 1.6  # of orders of rollouts, which are sent for ack_s at most, copies too
+if TYPE_CHECKING:
+    from typing import Any, TypeAlias
 
+    from honeywood.lab.emulator.loop import Loop
+    from honeywood.lab.emulator.process import Process
 
-class Wire:
-    """The way of one program's calls, as its Caller offers it."""
+    Link: TypeAlias = tuple[str, str]
+    """The names of the sender and the receiver."""
 
-    def __init__(self, network, node):
-        """`node` is the program that calls."""
-        self.network, self.node, self.links, self.bytes_by_path = network, node, {}, Counter()
+OUTSIDE = "outside"
+"""Clients, machines and operators, as one end of a link."""
+OPERATOR = "op"
+"""The peer of calls from outside, as programs see it."""
+NO_RESPONSE = 0
+"""The status of a call without a response."""
+MIN_DUPLICATE_DELAY_S = 0.2
+MAX_DUPLICATE_DELAY_S = 6.0
+"""Beyond the least."""
+MAX_ROLLOUT_DUPLICATE_DELAY_S = 1.6
+"""Of orders of rollouts, which are sent for ack_s at the most, duplicates too."""
 
-    async def call(self, ip, port, path, body, within, idempotent=False):
-        """A call to a program at `ip`: its answer; raises CallFailed when `within` seconds have passed."""
-        answer = self.network.carry(self.node, ip, path, json.dumps(body), idempotent)
-        try:
-            async with asyncio.timeout(within):
-                return await answer
-        except TimeoutError:
-            raise CallFailed(path, "silence", ip) from None
+
+class CallResult(NamedTuple):
+    """The status of a call and its response, or the error; NO_RESPONSE without either."""
+
+    status: int
+    response: object
+
+
+@dataclass(frozen=True, slots=True)
+class Message:
+    """A call between two programs in transit."""
+
+    source: str
+    target: str
+    path: str
+    body: str
+    idempotent: bool = True
 
 
 class Network:
-    """Links between programs. `cuts` are directed links, pairs (from, to), that carry nothing; an end may be
-    OUTSIDE. `nodes`, `processes` and `lives` are the programs that run now, by name."""
-
-    def __init__(self, loop, seed):
-        """All chance of the network and of programs' starts is drawn from `seed`."""
-        self.loop, self.random = loop, random.Random(seed)
-        self.nodes, self.processes, self.lives = {}, {}, {}
-        self.controllers = ()  # names; all others are proxies
-        self.cuts, self.delay, self.loss = set(), 0.001, 0.0
-        self.copies = 0.0  # share of calls that come twice
-        self.rates, self.sent_at = {}, {}  # bytes a second that a node's link takes; when it is free again
-        self.raised = []  # what handlers raised that nobody should
-
-    def cut(self, name, others):
-        """Cuts the links of a program with others, both ways."""
-        self.cuts |= {(name, other) for other in others} | {(other, name) for other in others}
-
-    def join(self):
-        """Mends all cuts."""
-        self.cuts.clear()
-
-    def lost(self, source, target):
-        """Whether what is sent now from one end to another is lost."""
-        return (source, target) in self.cuts or (self.loss and self.random.random() < self.loss)
-
-    def _queued_s(self, name, size):
-        """Seconds until `size` bytes have left by a node's link."""
-        if name not in self.rates:
+    """Links between programs.
+
+    `partitions` are the directed links that carry nothing; an end may be OUTSIDE. `nodes`, `processes` and
+    `incarnations` are the programs that run now, by name. `latency_s`, `loss_share` and `duplicate_share` are
+    those of every link; `bytes_per_s` are the rates of some programs' own. `unexpected_errors` are what
+    handlers raised that none should.
+    """
+
+    def __init__(self, loop: Loop, seed: int) -> None:
+        """All random numbers of the network and of programs' starts are drawn from `seed`."""
+        self.loop = loop
+        self.random = random.Random(seed)
+        self.nodes: dict[str, Any] = {}  # Controller or Proxy, by whether the name is in `controllers`
+        self.processes: dict[str, Process] = {}
+        self.incarnations: dict[str, int] = {}
+        self.controllers: Sequence[str] = ()
+        self.partitions: set[Link] = set()
+        self.latency_s = 0.001
+        self.loss_share = 0.0
+        self.duplicate_share = 0.0
+        self.bytes_per_s: dict[str, float] = {}
+        self.unexpected_errors: list[BaseException] = []
+        self._link_free_at: dict[str, float] = {}
+
+    def partition(self, name: str, others: Iterable[str]) -> None:
+        """Cut the links of a program with others, both ways."""
+        others = list(others)
+        self.partitions |= {(name, other) for other in others} | {(other, name) for other in others}
+
+    def heal(self) -> None:
+        """End all partitions."""
+        self.partitions.clear()
+
+    def _loses(self, source: str, target: str) -> bool:
+        """Return whether what is sent now on a link is lost."""
+        if (source, target) in self.partitions:
+            return True
+        return self.loss_share > 0 and self.random.random() < self.loss_share
+
+    def _duplicates(self) -> bool:
+        return self.duplicate_share > 0 and self.random.random() < self.duplicate_share
+
+    def _queueing_s(self, name: str, size_bytes: int) -> float:
+        """Return after how many seconds the bytes have left by a program's link."""
+        if name not in self.bytes_per_s:
             return 0.0
         now = self.loop.time()
-        self.sent_at[name] = max(now, self.sent_at.get(name, 0.0)) + size / self.rates[name]
-        return self.sent_at[name] - now
-
-    def _doubled(self):
-        return self.copies and self.random.random() < self.copies
-
-    def carry(self, source, target, path, raw, again=True):
-        """One call over the net: a future of its answer; the answer may be lost though the call was not.
-        `again` says that it may come a second time."""
-        answer = self.loop.create_future()
-        self.loop.create_task(self._carry(answer, source, target, path, raw, again), context=Context())
-        return answer
-
-    async def _carry(self, answer, source, target, path, raw, again=True):
-        delay, life = self.delay * (1 + self.random.random()), self.lives.get(target)
-        await asyncio.sleep(delay + self._queued_s(source, len(raw)))
-        if self.lost(source, target):
+        free_at = max(now, self._link_free_at.get(name, 0.0)) + size_bytes / self.bytes_per_s[name]
+        self._link_free_at[name] = free_at
+        return free_at - now
+
+    def _draw_latency_s(self) -> float:
+        return self.latency_s * (1 + self.random.random())
+
+    def send(self, message: Message) -> asyncio.Future[Any]:
+        """Send a call; return the future of its response, which may be lost though the call was not."""
+        response: asyncio.Future[Any] = self.loop.create_future()
+        self.loop.create_task(self._carry(message, response), context=Context())
+        return response
+
+    async def _carry(self, message: Message, response: asyncio.Future[Any] | None) -> None:
+        """Carry a call to its target and the response back; a duplicate's response is not awaited."""
+        source, target = message.source, message.target
+        latency_s = self._draw_latency_s()
+        incarnation = self.incarnations.get(target)
+        await asyncio.sleep(latency_s + self._queueing_s(source, len(message.body)))
+        if self._loses(source, target):
             return
-        if again and self._doubled():
-            self.loop.create_task(self._copy(source, target, path, raw))
-        process, node = self.processes.get(target), self.nodes.get(target)
+        if message.idempotent and response is not None and self._duplicates():
+            self.loop.create_task(self._send_duplicate(message))
+        node = self.nodes.get(target)
         if node is None:
-            if answer and not answer.done() and (process is None or process.pace == 1.0):
-                answer.set_exception(CallFailed(path, "refused", target))
+            self._refuse(message, response)
             return
+        text = ""
+        error: GatewayError | None = None
         try:
-            found, wrong = json.dumps(await process.run(self._handler(node, target, path, raw, source))), None
+            text = json.dumps(await self.processes[target].run(self._handle(message, node)))
         except asyncio.CancelledError:
             return  # the process has ended
-        except Exception as raised:
-            found, wrong = "", raised
-            if not isinstance(raised, GatewayError):
-                self.raised.append(raised)
-                wrong = CallFailed(path, repr(raised), target)
-        await asyncio.sleep(self.delay * (1 + self.random.random()) + self._queued_s(target, len(found)))
-        if answer is None or answer.done() or self.lost(target, source) or life != self.lives.get(target):
+        except Exception as raised:  # any is the handler's, and is recorded unless it is expected
+            error = self._as_gateway_error(raised, message)
+        await asyncio.sleep(self._draw_latency_s() + self._queueing_s(target, len(text)))
+        if response is None or response.done() or self._loses(target, source):
+            return
+        if incarnation != self.incarnations.get(target):
             return
-        if wrong is None:
-            answer.set_result(json.loads(found))
+        if error is None:
+            response.set_result(json.loads(text))
         else:
-            answer.set_exception(wrong)
-
-    def _handler(self, node, target, path, raw, source):
-        """What a program does with a call of another one."""
-        if target in self.controllers:
-            return node.app.internal_handlers[path](Call("", raw.encode(), source))
-        return node.app.peers.answer_poll(raw.encode(), source)
-
-    async def _copy(self, source, target, path, raw):
-        """A call that comes a second time, seconds later; nobody waits for its answer."""
-        await asyncio.sleep(COPY_AFTER_S + COPY_WITHIN_S * self.random.random())
-        await self._carry(None, source, target, path, raw, False)
+            response.set_exception(error)
+
+    def _handle(self, message: Message, node: Any) -> Coroutine[Any, Any, object]:
+        """Return the handling of a call of another program."""
+        body = message.body.encode()
+        handling: Coroutine[Any, Any, object]
+        if message.target in self.controllers:
+            handling = node.app.internal_handlers[message.path](Call("", body, message.source))
+        else:
+            handling = node.app.peers.answer_poll(body, message.source)
+        return handling
 
-    async def ask(self, name, call, of="", body=None, within=1.0, again=True):
-        """An operator's or machine's call to one controller: (status, answer), status 0 without an answer."""
+    def _refuse(self, message: Message, response: asyncio.Future[Any] | None) -> None:
+        """Refuse a call to a program that isn't there; a frozen process doesn't even refuse."""
+        process = self.processes.get(message.target)
+        if response is None or response.done():
+            return
+        if process is None or process.slowdown == FULL_SPEED:
+            response.set_exception(CallFailed(message.path, "refused", message.target))
+
+    def _as_gateway_error(self, error: Exception, message: Message) -> GatewayError:
+        if isinstance(error, GatewayError):
+            return error
+        self.unexpected_errors.append(error)
+        return CallFailed(message.path, repr(error), message.target)
+
+    async def _send_duplicate(self, message: Message) -> None:
+        """Send a call a second time, seconds later; its response is not awaited."""
+        await asyncio.sleep(MIN_DUPLICATE_DELAY_S + MAX_DUPLICATE_DELAY_S * self.random.random())
+        await self._carry(message, None)
+
+    async def ask(
+        self,
+        name: str,
+        call: str,
+        of: str = "",
+        body: object = None,
+        within: float = 1.0,
+        again: bool = True,
+    ) -> CallResult:
+        """Make an operator's or machine's call to one controller.
+
+        `of` is its subject, `within` the time-out in seconds; with `again` it may be duplicated.
+        """
         raw = body if isinstance(body, bytes) else json.dumps(body or {}).encode()
-        life, node = self.lives.get(name), self.nodes.get(name)
+        incarnation, node = self.incarnations.get(name), self.nodes.get(name)
         if node is None:
-            return 0, None
-        if self.lost(OUTSIDE, name):
+            return CallResult(NO_RESPONSE, None)
+        if self._loses(OUTSIDE, name):
             await asyncio.sleep(within)
-            return 0, None
-        if again and self._doubled():
+            return CallResult(NO_RESPONSE, None)
+        if again and self._duplicates():
             self.loop.create_task(self._ask_again(name, call, of, raw))
-        work = self.processes[name].run(node.app.operations.handlers[call](Call(of, raw, "op")))
-        work.add_done_callback(self._note_raised)
-        await asyncio.wait((work,), timeout=within)  # what is given up goes on at the program
-        if not work.done() or work.cancelled() or self.lost(name, OUTSIDE) or life != self.lives.get(name):
-            return 0, None
-        wrong = work.exception()
-        if wrong is not None:
-            return (status_of(wrong), wrong) if isinstance(wrong, GatewayError) else (INTERNAL_ERROR, None)
-        return 200, work.result()
-
-    def _note_raised(self, work):
-        wrong = None if work.cancelled() else work.exception()
-        if wrong is not None and not isinstance(wrong, GatewayError):
-            self.raised.append(wrong)
-
-    async def _ask_again(self, name, call, of, raw):
-        within_s = ROLLOUT_COPY_WITHIN_S if call == "rollouts.start" else COPY_WITHIN_S
-        await asyncio.sleep(COPY_AFTER_S + within_s * self.random.random())
+        handler = node.app.operations.handlers[call]
+        handling = self.processes[name].run(handler(Call(of, raw, OPERATOR)))
+        handling.add_done_callback(self._record_unexpected_error)
+        await asyncio.wait((handling,), timeout=within)  # the program goes on with what is given up
+        if not handling.done() or handling.cancelled() or self._loses(name, OUTSIDE):
+            return CallResult(NO_RESPONSE, None)
+        if incarnation != self.incarnations.get(name):
+            return CallResult(NO_RESPONSE, None)
+        error = handling.exception()
+        if error is None:
+            return CallResult(HTTPStatus.OK, handling.result())
+        if isinstance(error, GatewayError):
+            return CallResult(status_of(error), error)
+        return CallResult(INTERNAL_ERROR, None)
+
+    def _record_unexpected_error(self, handling: asyncio.Future[Any]) -> None:
+        error = None if handling.cancelled() else handling.exception()
+        if error is not None and not isinstance(error, GatewayError):
+            self.unexpected_errors.append(error)
+
+    async def _ask_again(self, name: str, call: str, of: str, raw: bytes) -> None:
+        is_rollout = call == CallName.START_ROLLOUT
+        max_delay_s = MAX_ROLLOUT_DUPLICATE_DELAY_S if is_rollout else MAX_DUPLICATE_DELAY_S
+        await asyncio.sleep(MIN_DUPLICATE_DELAY_S + max_delay_s * self.random.random())
         await self.ask(name, call, of, raw, again=False)
--- a/honeywood/lab/emulator/operators.py
+++ b/honeywood/lab/emulator/operators.py
@@ -1,165 +1,247 @@
 """Operators: orders that are sent until they are answered, and reads all day at any controller."""
 
+from __future__ import annotations
+
 import asyncio
 import json
+import random
+from dataclasses import dataclass
+from http import HTTPStatus
+from typing import TYPE_CHECKING
+
+from honeywood.gateway.controller.call import CallName
+from honeywood.gateway.rollout.record import RolloutState
+from honeywood.lab.emulator.boot import DEADLINE_S, LATENCY_TARGET_S
+from honeywood.lab.emulator.machine import Machine, MachineEnd
+from honeywood.lab.emulator.network import NO_RESPONSE
+from honeywood.lab.emulator.rules.orders import ConfigurationOrder, Order, RolloutOrder
+
+if TYPE_CHECKING:
+    from honeywood.lab.emulator.emulated_day import EmulatedDay
+
+MAX_ADDED_ROUTES = 20
+"""That versions add one by one; a higher version has all routes of the lower ones."""
+MEAN_READ_INTERVAL_S = 0.3
+CONFIGURATION_TIMEOUT_S = 60.0
+"""For which a configuration is sent, until it is answered."""
+MAX_RETRY_DELAY_S, RETRY_STEP_S = 0.5, 0.05
+ROLLOUT_POLL_INTERVAL_S = 0.25
+ACKNOWLEDGEMENT_SLACK_S = 0.1
 
-from honeywood.lab.emulator.boot import AIM_S, DEADLINE_S
-from honeywood.lab.emulator.machines import LEFT
-from honeywood.lab.emulator.rules import ConfigurationOrder, RolloutOrder
 
-LATER_ROUTES = 20  # that versions add one by one; a higher version has all routes of the lower ones
-READ_S = 0.3  # seconds between an operator's reads, about
-ORDER_S = 60.0  # that a configuration is sent for, until it is answered
-LONGEST_PAUSE_S, PAUSE_S = 0.5, 0.05  # between two tries of an order; the pause grows by one PAUSE_S each
-POLL_S = 0.25  # seconds between two looks at a rollout
-NOT_FOUND = 404
+@dataclass(frozen=True, slots=True)
+class VersionFaults:
+    """What is wrong with the machines of a version: shares of responses that fail, or are slow."""
+
+    failing_share: float = 0.0
+    slow_share: float = 0.0
+
+
+GOOD_VERSION = VersionFaults()
 
 
 class Operators:
-    """All that operators do in a day."""
-
-    def __init__(self, world, chance):
-        """`chance` draws controllers, pauses and lost answers."""
-        self.world, self.chance = world, chance
-        self.orders, self.now = world.monitor.orders, world.loop.time
-        self.version, self.unheard = 1, 0.0  # the highest number sent; the share of answers that are lost
-        self.brought = []  # numbers of configurations that bring a service
-
-    def any_controller(self):
-        """A controller by chance."""
-        return self.chance.choice(self.world.controllers)
-
-    def configuration(self, version, mark=""):
-        """Routes of both kinds, one more with each version up to LATER_ROUTES, and the services that this
-        version and earlier ones brought; `mark` makes another content."""
+    """All that operators do in a day.
+
+    `lost_share` is the share of responses to orders that are lost; `service_versions` are the numbers of
+    configurations that bring a service of their own.
+    """
+
+    def __init__(self, world: EmulatedDay, random: random.Random) -> None:
+        """`random` draws controllers, delays and lost responses."""
+        self.lost_share = 0.0
+        self.service_versions: list[int] = []
+        self._world = world
+        self._random = random
+        self._rules = world.monitor.orders
+        self._now = world.loop.time
+        self._highest_version = 1
+
+    def _any_controller(self) -> str:
+        return self._random.choice(self._world.controllers)
+
+    def configuration(self, version: int, mark: str = "") -> dict[str, object]:
+        """Return a configuration; `mark` makes its content differ from another one of the same version.
+
+        It has routes of both kinds, one more with each version up to MAX_ADDED_ROUTES, and the services that
+        this version and earlier ones brought.
+        """
         routes = [("r", "s", "safe"), ("w", "u", "unsafe")]
-        routes += [(f"t{number}", "s", "safe") for number in range(min(version, LATER_ROUTES))]
-        routes += [(f"n{number}{mark}", f"n{number}", "safe") for number in self.brought if number <= version]
+        routes += [(f"t{number}", "s", "safe") for number in range(min(version, MAX_ADDED_ROUTES))]
+        brought = [number for number in self.service_versions if number <= version]
+        routes += [(f"n{number}{mark}", f"n{number}", "safe") for number in brought]
         routes += [(f"m{mark}", "s", "safe")] if mark else []
         resources = [_route(name, service, kind) for name, service, kind in routes]
         resources += [_service(name) for name in sorted({service for _, service, _ in routes})]
         return {"ver": f"{version:08x}", "res": resources}
 
-    def next_version(self, step=1):
-        """A number above all that were sent."""
-        self.version += step
-        return self.version
-
-    async def order(self, order, call, body, for_s, copies=1):
-        """Sends an order until it is answered for good, or for `for_s` seconds, `copies` of it at once to any
-        controllers; of answers the share `unheard` is lost. Whether it was confirmed."""
-        begun = self.now()
-        self.orders.sent(begun, order)
-        sent = [self._send(order, call, body, begun + for_s) for _ in range(copies)]
-        confirmed = any(await asyncio.gather(*sent))
-        if not confirmed:
-            await asyncio.sleep(max(0.0, begun + self.world.bounds["ack_s"] + 0.1 - self.now()))
-            self.orders.dropped(order)
-        return confirmed
-
-    async def _send(self, order, call, body, until):
-        turn = 0
-        while self.now() < until:
-            status, _ = await self.world.ask(self.any_controller(), call, "", body)
-            if status and self.chance.random() < self.unheard:
-                status = 0
-            if status == 200:
-                self.orders.acknowledged(self.now(), order)
+    def next_version(self, step: int = 1) -> int:
+        """Return a number above all that were sent."""
+        self._highest_version += step
+        return self._highest_version
+
+    async def order(self, order: Order, call: str, body: object, timeout_s: float, copies: int = 1) -> bool:
+        """Send an order until it is answered, `copies` of it at once; return whether it was acknowledged."""
+        began_at = self._now()
+        self._rules.on_sent(began_at, order)
+        sent = [self._send(order, call, body, began_at + timeout_s) for _ in range(copies)]
+        acknowledged = any(await asyncio.gather(*sent))
+        if not acknowledged:
+            due_at = began_at + self._world.bounds["ack_s"] + ACKNOWLEDGEMENT_SLACK_S
+            await asyncio.sleep(max(0.0, due_at - self._now()))
+            self._rules.on_abandoned(order)
+        return acknowledged
+
+    async def _send(self, order: Order, call: str, body: object, deadline: float) -> bool:
+        attempts = 0
+        while self._now() < deadline:
+            status = (await self._world.ask(self._any_controller(), call, "", body)).status
+            if status != NO_RESPONSE and self._random.random() < self.lost_share:
+                status = NO_RESPONSE
+            if status == HTTPStatus.OK:
+                self._rules.on_acknowledged(self._now(), order)
                 return True
-            if 400 <= status < 500:
-                self.orders.refused(self.now(), order, status)
+            if _is_rejection(status):
+                self._rules.on_rejected(self._now(), order, status)
                 return False
-            turn += 1
-            await asyncio.sleep(min(LONGEST_PAUSE_S, PAUSE_S * turn) * (0.5 + self.chance.random()))
+            attempts += 1
+            delay_s = min(MAX_RETRY_DELAY_S, RETRY_STEP_S * attempts)
+            await asyncio.sleep(delay_s * (0.5 + self._random.random()))
         return False
 
-    async def send_once(self, order, call, body, controller):
-        """Sends an order once, to one controller."""
-        self.orders.sent(self.now(), order)
-        status, _ = await self.world.ask(controller, call, "", body)
-        if status == 200:
-            self.orders.acknowledged(self.now(), order)
-        elif 400 <= status < 500:
-            self.orders.refused(self.now(), order, status)
+    async def send_once(self, order: Order, call: str, body: object, controller: str) -> None:
+        """Send an order once, to one controller."""
+        self._rules.on_sent(self._now(), order)
+        status = (await self._world.ask(controller, call, "", body)).status
+        if status == HTTPStatus.OK:
+            self._rules.on_acknowledged(self._now(), order)
+        elif _is_rejection(status):
+            self._rules.on_rejected(self._now(), order, status)
         else:
-            self.orders.dropped(order)
-
-    async def configure(self, version, mark="", copies=1, for_s=ORDER_S):
-        """Orders a configuration; whether it was confirmed."""
+            self._rules.on_abandoned(order)
+
+    async def configure(
+        self,
+        version: int,
+        mark: str = "",
+        copies: int = 1,
+        timeout_s: float = CONFIGURATION_TIMEOUT_S,
+    ) -> bool:
+        """Order a configuration; return whether it was acknowledged."""
         body = self.configuration(version, mark)
         order = ConfigurationOrder.of(version, body)
-        return await self.order(order, "config.replace", body, for_s, copies)
-
-    async def start_rollout(self, service, version, over_s, copies=1, for_s=None):
-        """Orders a rollout; whether it was confirmed."""
-        body = {"svc": service, "to_ver": version, "over_s": over_s}
-        for_s = self.world.bounds["ack_s"] - 1.0 if for_s is None else for_s
-        return await self.order(RolloutOrder(service, version), "rollouts.start", body, for_s, copies)
-
-    async def changing(self, until):
-        """One change after the other, in uneven steps, all day."""
-        day = self.world.day
-        every_s = (day.seconds - 1.0) / day.changes
-        for _ in range(day.changes):
-            await asyncio.sleep(every_s * (0.5 + self.chance.random()))
-            if self.now() > until:
+        return await self.order(order, CallName.REPLACE_CONFIGURATION, body, timeout_s, copies)
+
+    async def start_rollout(
+        self,
+        service: str,
+        version: str,
+        duration_s: float,
+        copies: int = 1,
+        timeout_s: float | None = None,
+    ) -> bool:
+        """Order a rollout; return whether it was acknowledged."""
+        body = {"svc": service, "to_ver": version, "over_s": duration_s}
+        if timeout_s is None:
+            timeout_s = self._world.bounds["ack_s"] - 1.0
+        order = RolloutOrder(service, version)
+        return await self.order(order, CallName.START_ROLLOUT, body, timeout_s, copies)
+
+    async def change_configurations(self, end: float) -> None:
+        """Order one configuration after the other, in uneven steps, all day."""
+        day = self._world.day
+        interval_s = (day.traffic_s - 1.0) / day.configuration_changes
+        for _ in range(day.configuration_changes):
+            await asyncio.sleep(interval_s * (0.5 + self._random.random()))
+            if self._now() > end:
                 return
-            await self.configure(self.next_version(self.chance.randrange(1, 4)))
+            await self.configure(self.next_version(self._random.randrange(1, 4)))
 
-    async def reading(self):
-        """Reads at any controller, all day."""
+    async def read_continuously(self) -> None:
+        """Read at any controller, all day."""
+        create_task = self._world.loop.create_task
         while True:
-            await asyncio.sleep(READ_S * 2 * self.chance.random())
-            self.world.loop.create_task(self.read(self.any_controller()))
-            service = self.chance.choice(sorted(self.orders.services() | {"s"}))
-            self.world.loop.create_task(self.read_state(self.any_controller(), service))
-
-    async def read(self, name):
-        """The status, once a controller was asked what configuration holds."""
-        floor = self.orders.highest_shown
-        status, text = await self.world.ask(name, "config.read")
-        if status in (200, NOT_FOUND):
-            number = int(json.loads(text)["ver"], 16) if status == 200 else None
-            content = text.decode() if status == 200 else None
-            self.orders.read(self.now(), floor, number, content, name)
-        return status
-
-    async def read_state(self, name, service):
-        """(version, state) of a rollout as one controller tells it, or None."""
-        floor = self.orders.rollout_floor(service)
-        status, found = await self.world.ask(name, "rollouts.read", service)
-        if status not in (200, NOT_FOUND):
+            await asyncio.sleep(MEAN_READ_INTERVAL_S * 2 * self._random.random())
+            create_task(self._read_configuration(self._any_controller()))
+            service = self._random.choice(sorted(self._rules.services() | {"s"}))
+            create_task(self._read_rollout(self._any_controller(), service))
+
+    async def _read_configuration(self, controller: str) -> None:
+        highest_before = self._rules.highest_seen
+        result = await self._world.ask(controller, CallName.READ_CONFIGURATION)
+        if result.status == HTTPStatus.OK:
+            assert isinstance(result.response, bytes)
+            content = result.response.decode()
+            number = int(json.loads(content)["ver"], 16)
+            self._rules.on_read(self._now(), highest_before, number, content, controller)
+        elif result.status == HTTPStatus.NOT_FOUND:
+            self._rules.on_read(self._now(), highest_before, None, None, controller)
+
+    async def _read_rollout(self, controller: str, service: str) -> RolloutReading | None:
+        """Return a rollout as one controller reports it; None where it reports none."""
+        known_before = self._rules.known_rollout_states(service)
+        result = await self._world.ask(controller, CallName.READ_ROLLOUT, service)
+        if result.status == HTTPStatus.NOT_FOUND:
+            self._rules.on_no_rollout_read(self._now(), known_before, service, controller)
+        if result.status != HTTPStatus.OK:
             return None
-        version, state = (found["to_ver"], found["state"]) if status == 200 else (None, None)
-        self.orders.read_rollout(self.now(), floor, service, version, state, name)
-        return version, state
-
-    async def rollout(self, service, version, over_s, wrong, copies=1):
-        """Machines of a version beside the old ones, the order, and what follows from what is told; `wrong`
-        is what is wrong with its machines."""
-        old = self.world.machines.alive(service)
-        new = [self.world.fleet.start(service, ver=version, **wrong) for _ in old]
-        self.world.monitor.trials.ordered(self.now(), service, version, bool(wrong))
-        await self.start_rollout(service, version, over_s, copies)
-        state = "active"
-        while state == "active":
-            await asyncio.sleep(POLL_S)
-            told = await self.read_state(self.any_controller(), service)
-            if told is not None and told[0] == version:
-                state = told[1]
-        for machine in old if state == "done" else ():
-            machine.crash(LEFT)
-        for machine in new if state == "reverted" else ():
-            self.world.loop.create_task(self.world.fleet.drain(machine))
-
-
-def _route(name, service, kind):
+        assert isinstance(result.response, dict)
+        reading = RolloutReading(result.response["to_ver"], result.response["state"])
+        order = RolloutOrder(service, reading.version)
+        self._rules.on_rollout_read(self._now(), known_before, order, reading.state, controller)
+        return reading
+
+    async def roll_out(
+        self, service: str, version: str, duration_s: float, faults: VersionFaults, copies: int = 1
+    ) -> None:
+        """Start machines of a version beside the old ones, order it, and act on the reported outcome."""
+        old = self._world.machines.running(service)
+        new = [self._start_machine(service, version, faults) for _ in old]
+        is_bad = faults != GOOD_VERSION
+        self._world.monitor.trials.on_ordered(self._now(), service, version, is_bad)
+        await self.start_rollout(service, version, duration_s, copies)
+        state = await self._wait_for_outcome(service, version)
+        if state == RolloutState.DONE:
+            for machine in old:
+                machine.stop(MachineEnd.LEFT)
+        elif state == RolloutState.REVERTED:
+            for machine in new:
+                self._world.loop.create_task(self._world.fleet.drain(machine))
+
+    def _start_machine(self, service: str, version: str, faults: VersionFaults) -> Machine:
+        return self._world.fleet.start(
+            service, version=version, failing_share=faults.failing_share, slow_share=faults.slow_share
+        )
+
+    async def _wait_for_outcome(self, service: str, version: str) -> str:
+        state: str = RolloutState.ACTIVE
+        while state == RolloutState.ACTIVE:
+            await asyncio.sleep(ROLLOUT_POLL_INTERVAL_S)
+            reading = await self._read_rollout(self._any_controller(), service)
+            if reading is not None and reading.version == version:
+                state = reading.state
+        return state
+
+
+@dataclass(frozen=True, slots=True)
+class RolloutReading:
+    """The version and state of a rollout that was read."""
+
+    version: str
+    state: str
+
+
+def _is_rejection(status: int) -> bool:
+    return HTTPStatus.BAD_REQUEST <= status < HTTPStatus.INTERNAL_SERVER_ERROR
+
+
+def _route(name: str, service: str, kind: str) -> dict[str, object]:
     spec = {
         "vhost": "h",
         "pfx": f"/{name}/",
         "kind": kind,
         "timeout_s": DEADLINE_S,
-        "target_s": AIM_S,
+        "target_s": LATENCY_TARGET_S,
         "prio": 0,
         "svc": service,
         "tries": 2,
@@ -167,6 +249,6 @@
     return {"type": "routes", "hdr": {"name": name}, "spec": spec}
 
 
-def _service(name):
+def _service(name: str) -> dict[str, object]:
     spec = {"hc_path": "/h", "max_conns": 40, "proto": "h1", "tls": False}
     return {"type": "svcs", "hdr": {"name": name}, "spec": spec}
--- a/honeywood/lab/emulator/report.py
+++ b/honeywood/lab/emulator/report.py
@@ -1,98 +1,142 @@
-"""What days came to, as tables and a chart."""
+"""Outcomes of days as text, tables and a chart."""
 
-from collections import Counter
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import replace
+from typing import TYPE_CHECKING, NamedTuple
+
+from honeywood.lab.emulator.day import Day, Outcome
+from honeywood.lab.emulator.emulated_day import WARM_UP_S
+from honeywood.lab.emulator.faults.draw import draw_day
+
+if TYPE_CHECKING:
+    from pathlib import Path
+
+MAX_SHOWN_VIOLATIONS = 8
+ALL_DAYS = "all"
+
 
-from honeywood.lab.emulator import day as days
+class PlayedDay(NamedTuple):
+    """A day and its outcome."""
 
-SHOWN = 8  # breaches of a day that are shown at most
+    day: Day
+    outcome: Outcome
 
 
-def table(head, rows):
-    """Rows under a head, in columns, as text that is also a table in Markdown."""
+def table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
+    """Return rows under a head, in columns, as text that is also a table in Markdown."""
     cells = [[str(cell) for cell in row] for row in (head, *rows)]
-    wide = [max(len(row[at]) for row in cells) for at in range(len(head))]
-    lines = ["| " + " | ".join(cell.ljust(size) for cell, size in zip(row, wide)) + " |" for row in cells]
-    return "\n".join([lines[0], "| " + " | ".join("-" * size for size in wide) + " |", *lines[1:]])
+    widths = [max(len(row[column]) for row in cells) for column in range(len(head))]
+    lines = [
+        "| " + " | ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)) + " |"
+        for row in cells
+    ]
+    rule = "| " + " | ".join("-" * width for width in widths) + " |"
+    return "\n".join([lines[0], rule, *lines[1:]])
 
 
-def told(day, outcome):
-    """A day's outcome in a few lines."""
-    ends = ", ".join(f"{end}: {count}" for end, count in outcome.answers.most_common())
+def describe(day: Day, outcome: Outcome) -> str:
+    """Return a day's outcome in a few lines."""
+    results = ", ".join(f"{result}: {count}" for result, count in outcome.results.most_common())
     faults = ", ".join(f"{fault.kind} at {fault.at_s:g} s" for fault in day.faults) or "none"
-    lines = [f"  {breach}" for breach in outcome.breaches[:SHOWN]]
-    broken = "\n".join(lines) or "  none"
+    lines = [f"  {violation}" for violation in outcome.violations[:MAX_SHOWN_VIOLATIONS]]
+    violations = "\n".join(lines) or "  none"
     return (
-        f"seed {day.seed}: worth {outcome.worth / max(1, outcome.owed):.3f} of {outcome.owed} requests\n"
-        f"faults: {faults}\nanswers: {ends}\n"
-        f"further arrivals {outcome.further}, connections reset {outcome.resets}\n"
-        f"broken rules:\n{broken}"
+        f"seed {day.seed}: worth {outcome.mean_worth:.3f} of {outcome.requests} requests\n"
+        f"faults: {faults}\nanswers: {results}\n"
+        f"further arrivals {outcome.retries}, connections reset {outcome.resets}\n"
+        f"broken rules:\n{violations}"
     )
 
 
-def bound(seeds, play, **shape):
-    """Per kind of fault: worth, that of a router with sight of all machines, and the share reached; and
-    the days with what came of them, that of the least worth first."""
-    ours, best, owed, played = Counter(), Counter(), Counter(), []
+class _Shares:
+    """The mean worth of days with one kind of fault, and that of an omniscient router."""
+
+    def __init__(self) -> None:
+        self.days = 0
+        self._worth = 0.0
+        self._best_worth = 0.0
+
+    def add(self, outcome: Outcome, best: Outcome) -> None:
+        """Add a day."""
+        self.days += 1
+        self._worth += outcome.mean_worth
+        self._best_worth += best.mean_worth
+
+    @property
+    def share(self) -> float:
+        """The share of the omniscient router's worth that was reached."""
+        return self._worth / self._best_worth
+
+    def row(self, kind: str) -> tuple[object, ...]:
+        """Return the row of a table."""
+        worth, best_worth = self._worth / self.days, self._best_worth / self.days
+        return kind, self.days, f"{worth:.3f}", f"{best_worth:.3f}", f"{self.share:.3f}"
+
+
+class Comparison(NamedTuple):
+    """A table of worth by kind of fault, and the played days, that of the least worth first."""
+
+    text: str
+    played: list[PlayedDay]
+
+
+def compare_with_omniscient_router(
+    shape: Day, seeds: Iterable[int], play: Callable[[Day], Outcome]
+) -> Comparison:
+    """Play days with our router and with an omniscient one."""
+    by_kind: dict[str, _Shares] = {}
+    played = []
     for seed in seeds:
-        day = days.draw(seed, **shape)
-        found, seen = play(day), play(replace(day, seeing=True))
-        played.append((day, found))
-        for kind in {fault.kind for fault in day.faults} | {"all"}:
-            ours[kind] += found.worth / max(1, found.owed)
-            best[kind] += seen.worth / max(1, seen.owed)
-            owed[kind] += 1
-    rows = [
-        (
-            kind,
-            owed[kind],
-            f"{ours[kind] / owed[kind]:.3f}",
-            f"{best[kind] / owed[kind]:.3f}",
-            f"{ours[kind] / best[kind]:.3f}",
-        )
-        for kind in sorted(owed, key=lambda kind: ours[kind] / best[kind])
-    ]
-    played.sort(key=lambda one: one[1].worth / max(1, one[1].owed))
-    return table(("days with", "days", "ours", "sight of all", "share"), rows), played
+        day = draw_day(replace(shape, seed=seed))
+        outcome, best = play(day), play(replace(day, omniscient_routing=True))
+        played.append(PlayedDay(day, outcome))
+        for kind in {str(fault.kind) for fault in day.faults} | {ALL_DAYS}:
+            by_kind.setdefault(kind, _Shares()).add(outcome, best)
+    kinds = sorted(by_kind, key=lambda kind: by_kind[kind].share)
+    rows = [by_kind[kind].row(kind) for kind in kinds]
+    played.sort(key=lambda one: one.outcome.mean_worth)
+    return Comparison(table(("days with", "days", "ours", "sight of all", "share"), rows), played)
 
 
-def sweep(sizes, play, seeds, **shape):
-    """How the system does with several numbers of fronts."""
+def sweep(sizes: Iterable[int], play: Callable[[Day], Outcome], seeds: Sequence[int]) -> str:
+    """Return how the system does with several numbers of proxies."""
     rows = []
-    for fronts in sizes:
-        found = [play(days.draw(seed, fronts=fronts, **shape)) for seed in seeds]
-        owed = sum(one.owed for one in found)
+    for proxies in sizes:
+        outcomes = [play(draw_day(Day(seed, proxies=proxies))) for seed in seeds]
+        requests = sum(outcome.requests for outcome in outcomes)
         rows.append(
             (
-                fronts,
-                len(found),
-                f"{sum(one.worth for one in found) / owed:.3f}",
-                f"{sum(one.further for one in found) / owed:.3f}",
-                sum(one.resets for one in found),
-                sum(bool(one.breaches) for one in found),
+                proxies,
+                len(outcomes),
+                f"{sum(outcome.worth for outcome in outcomes) / requests:.3f}",
+                f"{sum(outcome.retries for outcome in outcomes) / requests:.3f}",
+                sum(outcome.resets for outcome in outcomes),
+                sum(bool(outcome.violations) for outcome in outcomes),
             )
         )
     return table(("fronts", "days", "worth", "further arrivals a request", "resets", "broken days"), rows)
 
 
-def chart(path, shown):
-    """Worth a second of each of {name: (day, Outcome)}, with the day's faults."""
+def chart(path: str | Path, days: Mapping[str, PlayedDay]) -> None:
+    """Draw the worth a second of each named day, with its faults."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    figure, places = pyplot.subplots(len(shown), 1, figsize=(9, 2.2 * len(shown)), squeeze=False, sharex=True)
-    for place, (name, (day, found)) in zip(places[:, 0], shown.items()):
-        at = sorted(found.seconds)
-        place.step(
-            at, [found.seconds[one].worth / max(1, found.seconds[one].owed) for one in at], where="post"
-        )
+    height = 2.2 * len(days)
+    figure, rows = pyplot.subplots(len(days), 1, figsize=(9, height), squeeze=False, sharex=True)
+    for axes, (name, (day, outcome)) in zip(rows[:, 0], days.items(), strict=True):
+        times = sorted(outcome.seconds)
+        seconds = [outcome.seconds[time] for time in times]
+        axes.step(times, [second.worth / max(1, second.requests) for second in seconds], where="post")
         for fault in day.faults:
-            begun = days.CALM_S + fault.at_s
-            place.axvspan(begun, begun + fault.for_s, alpha=0.15)
-            place.text(begun, 0.05, fault.kind, rotation=90, fontsize=7)
-        place.set(title=name, ylim=(0, 1.05), ylabel="worth of owed")
-    places[-1, 0].set_xlabel("seconds")
+            began_at = WARM_UP_S + fault.at_s
+            axes.axvspan(began_at, began_at + fault.duration_s, alpha=0.15)
+            axes.text(began_at, 0.05, fault.kind, rotation=90, fontsize=7)
+        axes.set(title=name, ylim=(0, 1.05), ylabel="worth of owed")
+    rows[-1, 0].set_xlabel("seconds")
     figure.tight_layout()
     figure.savefig(path, dpi=90)
--- a/honeywood/lab/emulator/rules/monitor.py
+++ b/honeywood/lab/emulator/rules/monitor.py
@@ -1,31 +1,30 @@
 """All rules of a day in one place."""
 
-from honeywood.lab.emulator.rules.core import Core
-from honeywood.lab.emulator.rules.orders import OrderRules
-from honeywood.lab.emulator.rules.proxies import ProxyRules
-from honeywood.lab.emulator.rules.requests import RequestRules
-from honeywood.lab.emulator.rules.trials import TrialRules
+from __future__ import annotations
 
+from collections.abc import Mapping
+
+from honeywood.lab.emulator.rules.context import RuleContext
+from honeywood.lab.emulator.rules.order_rules import OrderRules
+from honeywood.lab.emulator.rules.proxy_rules import ProxyRules
+from honeywood.lab.emulator.rules.request_rules import RequestRules
+from honeywood.lab.emulator.rules.trial_rules import TrialRules
 
-class Monitor:
-    """The rules by concern; each is told of what it watches."""
 
-    def __init__(self, bounds):
-        """`bounds` are the figures of the settings file."""
-        self.core = Core(bounds)
-        self.trials = TrialRules(self.core)
-        self.requests = RequestRules(self.core, self.trials)
-        self.orders = OrderRules(self.core)
-        self.proxies = ProxyRules(self.core, self.orders)
+class Monitor:
+    """The rules by what they observe."""
 
-    @property
-    def breaches(self):
-        """The breaches found so far, in their order."""
-        return self.core.breaches
+    def __init__(self, bounds: Mapping[str, float]) -> None:
+        """`bounds` are those of the settings file."""
+        self.context = RuleContext(bounds)
+        self.trials = TrialRules(self.context)
+        self.requests = RequestRules(self.context, self.trials)
+        self.orders = OrderRules(self.context)
+        self.proxies = ProxyRules(self.context, self.orders)
 
-    def close(self, now, version):
-        """Looks that need the whole day; `version` was read back from a majority, or None."""
-        self.orders.close(now, version)
+    def close(self, now: float, read_back_version: int | None) -> None:
+        """Check what needs the complete day; the version was read from a majority, None where that failed."""
+        self.orders.close(now, read_back_version)
         self.proxies.close(now)
         self.requests.close()
-        self.trials.close(now, self.requests.arrivals)
+        self.trials.close(now, self.requests.sent_times)
--- /dev/null
+++ b/honeywood/lab/emulator/rules/order_rules.py
@@ -0,0 +1,166 @@
+"""Rules of operators' orders and reads: acknowledged in time, durable, and never contradicted."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Mapping
+from http import HTTPStatus
+
+from honeywood.lab.emulator.rules.context import RuleContext
+from honeywood.lab.emulator.rules.orders import ConfigurationOrder, Order, RolloutOrder
+from honeywood.lab.emulator.rules.rule import Rule
+
+ACTIVE = "active"
+"""A rollout's state until it has an outcome."""
+NO_VERSION = -1
+
+
+class OrderRules:
+    """Observes what operators send, what is acknowledged to them and what they read.
+
+    `pending` are the orders whose acknowledgement is due, with the time at which they were sent;
+    `highest_seen` is the highest number of a configuration that was acknowledged or read.
+    """
+
+    def __init__(self, context: RuleContext) -> None:
+        """`context` knows since when acknowledgements are due."""
+        self.pending: dict[Order, float] = {}
+        self.highest_seen = NO_VERSION
+        self._context = context
+        self._newest_sent = NO_VERSION
+        self._acknowledged_contents: dict[int, dict[str, bool]] = {}
+        self._previous_versions: dict[RolloutOrder, set[str]] = {}
+        self._acknowledgements: list[tuple[float, int]] = []
+        self._rollout_states: defaultdict[str, dict[str, str]] = defaultdict(dict)
+        self._outcomes: dict[RolloutOrder, str] = {}
+
+    def services(self) -> set[str]:
+        """Return the services of which rollouts were ordered."""
+        return {order.service for order in self._previous_versions}
+
+    def on_sent(self, now: float, order: Order) -> None:
+        """Record an order that is sent, the first time or again.
+
+        A rollout follows those of its service that were acknowledged before it was first sent.
+        """
+        if isinstance(order, ConfigurationOrder):
+            self._newest_sent = max(self._newest_sent, order.number)
+            contents = self._acknowledged_contents.setdefault(order.number, {})
+            if order.content not in contents:
+                contents[order.content] = False
+                self.pending[order] = now
+        elif order not in self._previous_versions:
+            self.pending[order] = now
+            known = self._rollout_states[order.service]
+            self._previous_versions[order] = {version for version, state in known.items() if state}
+
+    def on_abandoned(self, order: Order) -> None:
+        """Record that an order is sent no more."""
+        self.pending.pop(order, None)
+
+    def on_rejected(self, now: float, order: Order, status: int) -> None:
+        """Record that an order is rejected for good."""
+        self.pending.pop(order, None)
+        if isinstance(order, ConfigurationOrder) and status == HTTPStatus.PRECONDITION_FAILED:
+            contents = self._acknowledged_contents[order.number]
+            if len(contents) > 1 and not contents[order.content]:
+                return
+        self._context.report(Rule.ACCEPTANCE, now, f"{order} is answered {status}")
+
+    def on_acknowledged(self, now: float, order: Order) -> None:
+        """Record that an order is acknowledged, the first time or again."""
+        self.pending.pop(order, None)
+        if isinstance(order, RolloutOrder):
+            self._rollout_states[order.service].setdefault(order.version, ACTIVE)
+        else:
+            self._on_configuration_acknowledged(now, order)
+
+    def _on_configuration_acknowledged(self, now: float, order: ConfigurationOrder) -> None:
+        self._acknowledgements.append((now, order.number))
+        self.highest_seen = max(self.highest_seen, order.number)
+        contents = self._acknowledged_contents[order.number]
+        contents[order.content] = True
+        for other in contents:  # the content that lost is owed no acknowledgement
+            self.pending.pop(ConfigurationOrder(order.number, other), None)
+        if order.number >= self._newest_sent and sum(contents.values()) > 1:
+            details = f"two contents are acknowledged under {order.number}"
+            self._context.report(Rule.UNIQUE_VERSION, now, details)
+
+    def newest_acknowledged(self, before: float) -> int | None:
+        """Return the highest number acknowledged before a time; None where there is none."""
+        return max((number for at, number in self._acknowledgements if at < before), default=None)
+
+    def check_pending(self, now: float) -> None:
+        """Check for orders that should have been acknowledged."""
+        undisturbed = self._context.undisturbed_since()
+        for order, sent_at in list(self.pending.items()):
+            if now - max(sent_at, undisturbed) > self._context.bounds["ack_s"]:
+                details = f"{order}, sent at {sent_at:.2f}, undisturbed since {undisturbed:.2f}"
+                self._context.report(Rule.ACKNOWLEDGEMENT, now, details)
+                del self.pending[order]
+
+    def known_rollout_states(self, service: str) -> dict[str, str]:
+        """Return the states by version that a read of a rollout that begins now must include."""
+        return dict(self._rollout_states[service])
+
+    def on_read(
+        self, now: float, highest_before: int, number: int | None, content: str | None, controller: str
+    ) -> None:
+        """Check a configuration that was read, None where there was said to be none.
+
+        `highest_before` is `highest_seen` as it was when the read began.
+        """
+        number = NO_VERSION if number is None else number
+        if number < highest_before:
+            details = f"{controller} returns {number} after {highest_before}"
+            self._context.report(Rule.MONOTONIC_READS, now, details)
+        contents = self._acknowledged_contents.get(number, {})
+        acknowledged = [one for one, is_acknowledged in contents.items() if is_acknowledged]
+        if len(acknowledged) == 1 and content != acknowledged[0] and number == self._newest_sent:
+            details = f"{controller} returns another content under {number}"
+            self._context.report(Rule.MONOTONIC_READS, now, details)
+        self.highest_seen = max(self.highest_seen, number)
+
+    def on_rollout_read(
+        self,
+        now: float,
+        known_before: Mapping[str, str],
+        read: RolloutOrder,
+        state: str,
+        controller: str,
+    ) -> None:
+        """Check a rollout that was read; `known_before` is known_rollout_states when the read began."""
+        superseded = any(
+            read.version in self._previous_versions[RolloutOrder(read.service, later)]
+            for later in known_before
+        )
+        reopened = state == ACTIVE and known_before.get(read.version, ACTIVE) != ACTIVE
+        if superseded or reopened:
+            details = f"{controller} returns {read.service} {read.version} {state} after {known_before}"
+            self._context.report(Rule.MONOTONIC_READS, now, details)
+        states = self._rollout_states[read.service]
+        known = states.get(read.version, ACTIVE)
+        states[read.version] = state if known == ACTIVE else known
+        if state != ACTIVE:
+            self._check_outcome(now, read, state)
+
+    def on_no_rollout_read(
+        self, now: float, known_before: Mapping[str, str], service: str, controller: str
+    ) -> None:
+        """Check a read that returned that there is no rollout."""
+        if known_before:
+            details = f"{controller} returns {service} None None after {known_before}"
+            self._context.report(Rule.MONOTONIC_READS, now, details)
+
+    def _check_outcome(self, now: float, order: RolloutOrder, outcome: str) -> None:
+        first = self._outcomes.setdefault(order, outcome)
+        if first != outcome:
+            details = f"{order.service} {order.version}: {first}, then {outcome}"
+            self._context.report(Rule.SINGLE_OUTCOME, now, details)
+
+    def close(self, now: float, read_back_version: int | None) -> None:
+        """Check the version that was read at the end; None where none was."""
+        newest = max([number for _, number in self._acknowledgements], default=None)
+        if newest is not None and (read_back_version is None or read_back_version < newest):
+            details = f"read back {read_back_version}, acknowledged {newest}"
+            self._context.report(Rule.DURABILITY, now, details)
--- a/honeywood/lab/emulator/world.py
+++ b/honeywood/lab/emulator/world.py
@@ -1,174 +1,208 @@
-"""Controllers and proxies, the real programs, on one clock that jumps from event to event. Calls between them
-cross a network that delays, cuts and loses (network.py); disks sync after a while, and what was being written
-when power went is there or not."""
+"""Controllers and proxies, the real programs, on one clock that jumps from event to event.
+
+Calls between them cross a network that delays, cuts and loses (network.py). Disks sync after a while, and
+what was being written when power was lost is there or not.
+"""
+
+from __future__ import annotations
 
 import asyncio
-import json
 import random
+from collections.abc import Callable, Mapping, Sequence
+from concurrent.futures import Executor
+from typing import TYPE_CHECKING
 
 from honeywood.gateway.controller.program import Controller
 from honeywood.gateway.proxy.program import Proxy
 from honeywood.lab.emulator.boot import BOUNDS, settings
-from honeywood.lab.emulator.loop import Loop
-from honeywood.lab.emulator.network import OUTSIDE, Network, Wire
-from honeywood.lab.emulator.process import Process
+from honeywood.lab.emulator.disk import MemoryStore
+from honeywood.lab.emulator.loop import HEALTHY_DISK, DiskFault, Loop
+from honeywood.lab.emulator.network import OUTSIDE, Network
+from honeywood.lab.emulator.network_caller import NetworkCaller
+from honeywood.lab.emulator.process import FULL_SPEED, Process
 from honeywood.lab.emulator.silent_log import SilentLog
 
-__all__ = ["OUTSIDE", "Loop", "MemoryDisk", "World"]
-
-EPOCH_S = 1e9  # the time of day at which a world begins
-LOOK_S = 0.05  # seconds between two looks while time passes
-CLOSING_ROUNDS = 4  # in each the tasks end that waited for those of the one before
-
-
-class MemoryDisk:
-    """A disk of the world: what was put stays, unless it is wiped."""
-
-    kept = None  # {folder: rows}, set by the world
+if TYPE_CHECKING:
+    from honeywood.gateway.proxy.connection_pool import Connect
+    from honeywood.gateway.register.persistent_state import Store
+    from honeywood.lab.emulator.disk import Disks
 
-    def __init__(self, folder):
-        """`folder` names the disk."""
-        self.mine = self.kept.setdefault(folder, {})
+__all__ = ["OUTSIDE", "Loop", "World"]
 
-    def rows(self):
-        """All rows by key."""
-        return dict(self.mine)
-
-    def put(self, rows):
-        """Writes rows, or removes those that are None."""
-        self.mine.update(json.loads(json.dumps(rows)))
-        for key in [key for key, row in rows.items() if row is None]:
-            del self.mine[key]
+START_TIME_OF_DAY_S = 1e9
+"""The time of day at which a world begins."""
+CHECK_INTERVAL_S = 0.05
+CLOSING_ROUNDS = 4
+"""In each the tasks end that waited for those of the one before."""
+CLOSING_ROUND_S = 0.01
+SEEDS = 3
+"""Controllers that every program's settings name."""
+DEFAULT_ZONE = "z"
 
 
 class FailureLog(SilentLog):
-    """Records only loops that failed for a reason that nobody foresaw, in `raised`."""
+    """Records only periodic tasks that failed for a reason that nobody foresaw."""
 
-    def __init__(self, raised: list) -> None:
-        """Append to `raised`."""
-        self.raised = raised
+    def __init__(self, unexpected_errors: list[BaseException]) -> None:
+        """Append to a list."""
+        self._unexpected_errors = unexpected_errors
 
     def info(self, event: str, min_interval_s: float = 0.0, **fields: object) -> None:
         """Take an event of a program."""
         if event == "periodic task failed" and not fields["foreseen"]:
-            self.raised.append(RuntimeError(f"{fields['step']}: {fields['why']}"))
+            self._unexpected_errors.append(RuntimeError(f"{fields['step']}: {fields['why']}"))
 
 
 class World(Network):
-    """Programs by name: `controllers` a b c ..., `fronts` (proxies) f g h ...; a name in no `zones` is in
-    "z". What calls the system from outside is OUTSIDE in `cuts`, which are pairs (from, to)."""
-
-    def __init__(self, controllers="abc", fronts="", seed=0, bear=1, zones=None, bounds=BOUNDS):
-        """`bear` disks may be lost at once; `bounds` are the figures of the settings file."""
+    """Programs by name: `controllers` a b c ..., `proxies` f g h ...
+
+    A name that has no zone in `zones` is in DEFAULT_ZONE. `fresh` tells programs that the whole system starts
+    for the first time; `clock_offsets_s` and `slowdowns` are those of some programs, `seeds` the controllers
+    that some are told of instead of the first ones. `removed` are machines that were removed for good.
+    """
+
+    def __init__(
+        self,
+        controllers: Sequence[str] = "abc",
+        proxies: Sequence[str] = "",
+        seed: int = 0,
+        tolerated_failures: int = 1,
+        zones: Mapping[str, str] | None = None,
+        bounds: Mapping[str, float] = BOUNDS,
+    ) -> None:
+        """`tolerated_failures` disks may be lost at once; `bounds` are those of the settings file."""
         super().__init__(Loop(), seed)
-        self.controllers, self.fronts, self.bear = controllers, fronts, bear
-        self.disks, self.executors = {}, {}  # by name
-        self.zones, self.bounds = zones or {}, bounds
-        self.fresh, self.skew = True, {}  # seconds by which a node's time of day is off
-        self.seeds, self.held = {}, {}  # a node's own seeds; its pace
-        self.gone = set()  # machines that were removed for good
-        self.log = FailureLog(self.raised)  # of all programs
-
-    def start(self, name):
-        """Starts a program, unless its machine was removed for good."""
-        if name in self.gone:
+        self.controllers = controllers
+        self.proxies = proxies
+        self.tolerated_failures = tolerated_failures
+        self.zones = zones or {}
+        self.bounds = bounds
+        self.disks: Disks = {}
+        self.fresh = True
+        self.clock_offsets_s: dict[str, float] = {}
+        self.seeds: dict[str, Sequence[str]] = {}
+        self.slowdowns: dict[str, float] = {}
+        self.removed: set[str] = set()
+        self._executors: dict[str, Executor] = {}
+        self._log = FailureLog(self.unexpected_errors)
+
+    def start(self, name: str) -> None:
+        """Start a program, unless its machine was removed for good."""
+        if name in self.removed:
             return
-        program = self._program(name)
-        self.lives[name] = self.lives.get(name, 0) + 1
-        if name in self.controllers:
-            self.loop.trouble[program.register.state.executor] = self.loop.trouble.pop(
-                self.executors.get(name), 1.0
-            )
-            self.executors[name] = program.register.state.executor
-        process = self.processes[name] = Process(self.loop, name)
-        process.hold(self.held.get(name, 1.0))
-        process.run(self._begin(name, program, self.lives[name]))
-
-    def _program(self, name):
-        """The real program of a name, made from its settings file, that writes no log."""
-        seeds, zone = self.seeds.get(name, self.controllers[:3]), self.zones.get(name, "z")
-        found = settings(name, seeds, zone=zone, fresh=self.fresh, bear=self.bear, bounds=self.bounds)
+        program = self._make_program(name)
+        incarnation = self.incarnations.get(name, 0) + 1
+        self.incarnations[name] = incarnation
+        if isinstance(program, Controller):
+            self._attach_disk(name, program.register.state.executor)
+        process = Process(self.loop, name)
+        self.processes[name] = process
+        process.set_slowdown(self.slowdowns.get(name, FULL_SPEED))
+        process.run(self._begin(name, program, incarnation))
+
+    def _attach_disk(self, name: str, executor: Executor) -> None:
+        """Give the disk's fault, if it has one, to the executor that stands for it from now on."""
+        previous = self._executors.get(name)
+        fault = self.loop.disk_faults.pop(previous, HEALTHY_DISK)
+        self.loop.disk_faults[executor] = fault
+        self._executors[name] = executor
+
+    def _make_program(self, name: str) -> Controller | Proxy:
+        """Return the real program of a name, which writes no log."""
+        seeds = self.seeds.get(name, self.controllers[:SEEDS])
+        made_settings = settings(
+            name,
+            seeds,
+            zone=self.zones.get(name, DEFAULT_ZONE),
+            fresh=self.fresh,
+            tolerated_failures=self.tolerated_failures,
+            bounds=self.bounds,
+        )
+        caller = NetworkCaller(self, name)
         clock = self.loop.time
 
-        def time_of_day():
-            return EPOCH_S + clock() + self.skew.get(name, 0.0)
+        def wall_clock() -> float:
+            return START_TIME_OF_DAY_S + clock() + self.clock_offsets_s.get(name, 0.0)
 
-        if name in self.controllers:
-            kind, more = Controller, {"disk": self._disk()}
-        else:
-            kind, more = Proxy, self.more(name)
+        common = made_settings, caller, clock, wall_clock
+        connect = None if name in self.controllers else self.connect_of(name)
         chance = random.Random(self.random.random())
-        return kind(found, Wire(self, name), clock, time_of_day, random=chance, log=self.log, **more)
+        if name in self.controllers:
+            return Controller(*common, random=chance, log=self._log, disk=self.open_disk)
+        if connect is None:
+            return Proxy(*common, random=chance, log=self._log)
+        return Proxy(*common, random=chance, log=self._log, connect=connect)
 
-    def _disk(self):
-        return type("Disk", (MemoryDisk,), {"kept": self.disks})
+    def open_disk(self, folder: str) -> Store:
+        """Return the row store of a controller's disk."""
+        return MemoryStore(self.disks, folder)
 
-    def more(self, name):
-        """What a proxy is handed besides."""
-        return {}
+    def connect_of(self, name: str) -> Connect | None:
+        """Return what opens a proxy's connections to machines; None for real ones."""
+        return None
 
-    async def _begin(self, name, program, life):
-        if name in self.controllers:
+    async def _begin(self, name: str, program: Controller | Proxy, incarnation: int) -> None:
+        if isinstance(program, Controller):
             await program.register.manager.open()
-        if self.lives[name] == life:  # not killed meanwhile
+        if self.incarnations[name] == incarnation:  # not killed meanwhile
             self.nodes[name] = program
             program.begin()
 
-    def kill(self, name):
-        """Ends a program at once; what it was writing is there or not."""
-        self.lives[name] = self.lives.get(name, 0) + 1
+    def kill(self, name: str) -> None:
+        """Terminate a program; what it was writing is there or not."""
+        self.incarnations[name] = self.incarnations.get(name, 0) + 1
         self.nodes.pop(name, None)
-        if name in self.executors:
-            self.loop.power(self.executors[name], self.random.random)
+        if name in self._executors:
+            self.loop.lose_power(self._executors[name], self.random.random)
         if name in self.processes:
-            self.processes.pop(name).end()
+            self.processes.pop(name).terminate()
 
-    def wipe(self, name):
-        """Ends a program at once, and its disk is lost."""
+    def wipe(self, name: str) -> None:
+        """Terminate a program and lose its disk."""
         self.kill(name)
         self.disks.pop(name, None)
 
-    def hold(self, name, pace):
-        """Freezes a program's process (FROZEN), slows it so many times, or lets it run (1.0); a start
-        doesn't change that."""
-        self.held[name] = pace
+    def set_slowdown(self, name: str, slowdown: float) -> None:
+        """Freeze a program's process (FROZEN), slow it, or let it run at FULL_SPEED, after restarts too."""
+        self.slowdowns[name] = slowdown
         if name in self.processes:
-            self.processes[name].hold(pace)
+            self.processes[name].set_slowdown(slowdown)
 
-    def disk(self, name, times):
-        """A disk that is `times` as slow, refuses writes (None), or does them and refuses (SPOILT)."""
-        self.loop.trouble[self.executors[name]] = times
+    def set_disk_fault(self, name: str, fault: DiskFault) -> None:
+        """Set how a controller's disk behaves."""
+        self.loop.disk_faults[self._executors[name]] = fault
 
-    def version(self, name):
-        """The version a program holds; None where it holds none or is down."""
+    def version(self, name: str) -> int | None:
+        """Return the version of the configuration that a program stores; None without one."""
         program = self.nodes.get(name)
         if program is None:
             return None
         stamp = program.publisher.store.stamp("config")
         return stamp[0] if stamp else None
 
-    def state(self, name, id):
-        """A machine's state as a program knows it."""
-        held = self.nodes[name].publisher.store.get(f"machine/{id}")
-        return held["state"] if held else "unknown"
+    def state(self, name: str, machine_id: str) -> str:
+        """Return a machine's state as a program knows it."""
+        record = self.nodes[name].publisher.store.get(f"machine/{machine_id}")
+        state: str = record["state"] if record else "unknown"
+        return state
 
-    def run(self, until, after=lambda: None):
-        """Lets time pass up to `until`; `after` is called every LOOK_S."""
+    def run(self, until: float, on_check: Callable[[], object] = lambda: None) -> None:
+        """Let time pass up to `until`; `on_check` is called every CHECK_INTERVAL_S."""
 
-        async def pass_time():
+        async def pass_time() -> None:
             while self.loop.time() < until:
-                await asyncio.sleep(min(LOOK_S, max(0.0, until - self.loop.time())))
-                after()
+                await asyncio.sleep(min(CHECK_INTERVAL_S, max(0.0, until - self.loop.time())))
+                on_check()
 
         asyncio.set_event_loop(self.loop)
         self.loop.run_until_complete(pass_time())
 
-    def close(self):
-        """Ends all programs and the loop."""
+    def close(self) -> None:
+        """Terminate all programs and close the loop."""
         for name in list(self.nodes):
             self.kill(name)
         for _ in range(CLOSING_ROUNDS):
             for task in asyncio.all_tasks(self.loop):
                 task.cancel()
-            self.run(self.loop.time() + 0.01)
+            self.run(self.loop.time() + CLOSING_ROUND_S)
         self.loop.close()
--- a/honeywood/lab/soak/rules.py
+++ b/honeywood/lab/soak/rules.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 from http import HTTPStatus
 
-from honeywood.lab.emulator.rules.requests import GONE_WITHIN_S, PROMISES
+from honeywood.lab.emulator.rules.request_rules import CANCELLATION_TIMEOUT_S, NOT_EXECUTED_STATUSES
 from honeywood.lab.soak.record import ClientRequest, Execution, Record
 
 UNDISTURBED_S = 1.0
@@ -22,7 +22,7 @@
     """What must hold."""
 
     CANCELLATION = "cancellation"
-    """Machines stop an idempotent request within GONE_WITHIN_S of its client's disconnect."""
+    """Machines stop an idempotent request within CANCELLATION_TIMEOUT_S of its client's disconnect."""
     AT_MOST_ONCE = "at most once"
     """A request that is not idempotent is executed once at the most."""
     NOT_EXECUTED = "not executed"
@@ -81,7 +81,7 @@
     name = request.id.decode()
     if count > 1:
         yield Violation(Rule.AT_MOST_ONCE, f"{name} was executed {count} times")
-    if request.status in PROMISES and count:
+    if request.status in NOT_EXECUTED_STATUSES and count:
         yield Violation(Rule.NOT_EXECUTED, f"{name} was answered {request.status} and executed")
 
 
@@ -103,7 +103,7 @@
     for execution in executions:
         ended_at = float("inf") if execution.ended_at is None else execution.ended_at
         after_s = ended_at - request.disconnected_at
-        if after_s > GONE_WITHIN_S + observer_lag_s:
+        if after_s > CANCELLATION_TIMEOUT_S + observer_lag_s:
             details = (
                 f"{request.id.decode()} via {request.proxy}: {after_s:.2f} s, lag {observer_lag_s:.2f} s"
             )
--- a/honeywood/standins/sorting.py
+++ b/honeywood/standins/sorting.py
@@ -12,18 +12,21 @@
 class Machine:
     """One life of a machine."""
 
-    def __init__(self, svc, ver, bad):
+    def __init__(self, svc: str, ver: str, bad: float) -> None:
         self.svc, self.ver, self.bad, self.random = svc, ver, bad, random.Random()
-        self.id, self.seq, self.running, self.server = f"i-{self.random.randrange(1 << 32):08x}", 0, 0, None
+        self.id, self.seq, self.running = f"i-{self.random.randrange(1 << 32):08x}", 0, 0
+        self.server: asyncio.Server | None = None
 
-    async def open(self):
+    async def open(self) -> "Machine":
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         return self
 
-    def close(self):
+    def close(self) -> None:
+        assert self.server is not None, "the machine is not open"
         self.server.close()
 
-    def beat(self):
+    def beat(self) -> dict[str, object]:
+        assert self.server is not None, "the machine is not open"
         self.seq += 1
         address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
         return {
@@ -37,7 +40,7 @@
             "seq": self.seq,
         }
 
-    async def serve(self, reader, writer):
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
                 _, fields, _ = await read_request(reader)
@@ -45,7 +48,7 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    async def answer(self, fields):
+    async def answer(self, fields: dict[bytes, bytes]) -> bytes:
         if fields.get(b"x-want-instance") != self.id.encode():
             return (
                 b"HTTP/1.1 421 Misdirected Request\r\nX-Try-Id: %s\r\nX-Instance: %s\r\n"
--- a/tests/gateway/call_scenario.py
+++ b/tests/gateway/call_scenario.py
@@ -42,7 +42,7 @@
         self.method = b"POST"
         self.served = False  # whether nothing keeps a request from being served
         asyncio.set_event_loop(self.loop)
-        given = settings("f", bear=0), None, self.loop.time, self.loop.time
+        given = settings("f", tolerated_failures=0), None, self.loop.time, self.loop.time
         self.proxy, self.ran, self.answers = Proxy(*given, random=Random(1), log=SilentLog()), Counter(), {}
         self.proxy.records.apply("config", json.dumps(config(5, kind=kind)))
         for id in "mn":
--- a/tests/gateway/controller/test_contacts.py
+++ b/tests/gateway/controller/test_contacts.py
@@ -27,7 +27,7 @@
 @test("of two sides of a cut one at most is in quorum, however many controllers there are besides members")
 def _():
     # Any one other controller was enough: each side took the machines that beat at the other one for lost.
-    world = World("abcd", fronts="f")
+    world = World("abcd", proxies="f")
 
     async def beats():
         for seq in range(9):
@@ -43,7 +43,7 @@
         world.loop.create_task(beats())
         world.run(4.0)
         for name in "ad":
-            world.cut(name, "bc")
+            world.partition(name, "bc")
         world.run(12.0)
         assert [world.nodes[name].in_quorum for name in "abcd"] == [False, True, True, False]
         assert [world.state("f", f"m{name}") for name in "bc"] == ["ready", "ready"]
--- a/tests/gateway/controller/test_machine_table.py
+++ b/tests/gateway/controller/test_machine_table.py
@@ -6,7 +6,7 @@
 
 def started_world():
     """Return a world of three controllers and a proxy that know each other."""
-    world = World(fronts="f")
+    world = World(proxies="f")
     for name in "abcf":
         world.start(name)
     world.run(1.0)
@@ -60,7 +60,7 @@
         world.say("a", "beat m ready")
         world.run(2.0)
         world.kill("a")
-        world.fresh, world.skew["a"] = False, -3600.0
+        world.fresh, world.clock_offsets_s["a"] = False, -3600.0
         world.start("a")
         world.run(4.0)
         world.say("a", "beat m draining")
--- a/tests/gateway/controller/test_operator_calls.py
+++ b/tests/gateway/controller/test_operator_calls.py
@@ -41,7 +41,7 @@
         elif word == "state":
             self.call(name, "state", "rollouts.read", "s")
         elif word == "deaf":  # nothing reaches the controller, what it says does
-            self.cuts |= {(other, name) for other in self.controllers if other != name}
+            self.partitions |= {(other, name) for other in self.controllers if other != name}
         elif word == "says":
             status, told = self.answers.get((name, more[0]), (None, None))
             found = " ".join([str(status), *self.shown(told)][: len(more) - 1])
@@ -126,12 +126,12 @@
           1    | send 5x |       |
         """)
         world.run(1.5)
-        world.cut("a", "bc")
+        world.partition("a", "bc")
         body = config(6)
         body["res"].append({**body["res"][-1], "hdr": {"name": "t"}})
         world.call("b", "6", "config.replace", body=body)
         world.run(2.5)
-        world.join()
+        world.heal()
         order = {"svc": "t", "to_ver": "v2", "over_s": 9.0}
         world.call("a", "known", "rollouts.start", body=order)
         world.call("a", "unknown", "rollouts.start", body={**order, "svc": "nobody"})
@@ -196,20 +196,20 @@
           1    | send 5x |       |
         """)
         world.run(3.0)
-        world.delay = 0.05
+        world.latency_s = 0.05
         world.say("a", "send 7x")
         world.run(3.0 + 0.075 * share)
-        world.cut("a", "bc")
+        world.partition("a", "bc")
         world.say("b", "send 7y")
         world.run(5.0)
-        world.delay = 0.001
+        world.latency_s = 0.001
         world.say("c", "send 7x")
         world.say("b", "send 7y")
         world.run(6.0)
         first = world.answers["a", "7x"][0]
         told = world.answers["c", "7x"][0], world.answers["b", "7y"][0]
         assert told in ((200, 412), (412, 200)) and first in (0, 503, told[0]) and first != 412, (first, told)
-        world.join()
+        world.heal()
         world.run(9.0)
         world.say("a", "send 7x")
         world.run(10.0)
@@ -229,13 +229,13 @@
               1    | send 5x |       |
             """)
             world.run(2.0)
-            world.loss, statuses = 0.1, []
+            world.loss_share, statuses = 0.1, []
             for _turn in range(3):
                 for name in "abcabcab":
                     world.say(name, order)
                 world.run(world.loop.time() + 1.2)
                 statuses += [world.answers[name, word][0] for name in "abc"]
-            world.loss = 0.0
+            world.loss_share = 0.0
             world.run(world.loop.time() + 2.0)
             world.say("b", order)
             world.run(world.loop.time() + 1.0)
@@ -345,7 +345,7 @@
 def _():
     # It went on trial: the service's only machines were then given a tenth of its requests, the rest had
     # nowhere to go.
-    world = OperatorWorld(fronts="f")
+    world = OperatorWorld(proxies="f")
     try:
         world.play("""
           at   | a           | b     | c     | f
@@ -384,12 +384,12 @@
         if what != "no machines":
             send_heartbeat(world, "a", "m", "v1")
         world.run(3.0)
-        world.cut("a", "bc")
+        world.partition("a", "bc")
         if what == "a version known to others alone":
             send_heartbeat(world, "b", "n", "v2")
             world.run(5.0)
         if what != "too few others to ask":
-            world.join()
+            world.heal()
         known = {value["ver"] for _, value in world.nodes["a"].store.items_of(RecordKind.MACHINE)}
         assert known == (set() if what == "no machines" else {"v1"})
         world.say("a", "order v1 14")
@@ -411,10 +411,10 @@
               1   | send 5x |       |
             """)
             world.run(2.0)
-            world.delay = 0.25  # 0.25 to 0.5 s a way: read and prepare take a second or more
+            world.latency_s = 0.25  # 0.25 to 0.5 s a way: read and prepare take a second or more
             world.loop.create_task(world.nodes["a"].rollout_orders.start(RolloutOrder("s", "v2", 14.0), "op"))
             world.run(5.0)
-            world.delay = 0.001
+            world.latency_s = 0.001
             world.run(8.0)
             assert not world.nodes["b"].store.get("rollout/s")
         finally:
@@ -470,7 +470,7 @@
 @test("an answer left unread shows no contact: thawed, neither controller nor front takes itself for joined")
 def _():
     # What was asked before a freeze of twenty seconds was answered then; read now, it made a lease of 1.6 s.
-    world = OperatorWorld(fronts="f")
+    world = OperatorWorld(proxies="f")
     try:
         for name in "abcf":
             world.start(name)
@@ -496,7 +496,7 @@
 @test("a front started beside a cut-off controller serves its configuration and is ready after contact_s")
 def _():
     # It took the old configuration of a controller cut off from the others and called itself ready by it.
-    world = OperatorWorld(fronts="fg", bounds={**BOUNDS, "contact_s": 3.0})
+    world = OperatorWorld(proxies="fg", bounds={**BOUNDS, "contact_s": 3.0})
     try:
         for name in "abcf":
             world.start(name)
@@ -506,8 +506,8 @@
         world.say("a", "beat m ready")
         world.run(3.0)
         assert world.nodes["f"].ready  # with a majority: as soon as it has heard
-        world.cut("a", "bc")
-        world.cut("g", "bc")
+        world.partition("a", "bc")
+        world.partition("g", "bc")
         world.say("b", "send 6x")
         world.run(6.0)
         world.start("g")
@@ -515,7 +515,7 @@
         assert world.version("g") == 5 and not world.nodes["g"].ready
         world.run(10.0)
         assert world.nodes["g"].ready
-        world.join()
+        world.heal()
         world.run(12.0)
         assert world.version("g") == 6 and world.nodes["g"].readiness.met_quorum
     finally:
--- a/tests/gateway/dissemination/test_convergence.py
+++ b/tests/gateway/dissemination/test_convergence.py
@@ -8,7 +8,7 @@
 
 def met(fronts="fghijk"):
     """A world whose fronts have found one another."""
-    world = World(fronts=fronts)
+    world = World(proxies=fronts)
     for name in world.controllers + fronts:
         world.start(name)
     world.run(3.0)
@@ -19,16 +19,16 @@
     """The front of the zone that others hear from."""
     from honeywood.gateway.dissemination.rendezvous import rank
 
-    return rank(world.fronts, "z")[0]
+    return rank(world.proxies, "z")[0]
 
 
 @test("proxies poll relays, and one relay polls a controller")
 def _():
     world = met()
     try:
-        subscribers = {name: world.nodes[name].subscription.subscriber for name in world.fronts}
+        subscribers = {name: world.nodes[name].subscription.subscriber for name in world.proxies}
         asked = {name: {port for _, port in one.positions} for name, one in subscribers.items()}
-        assert [name for name in world.fronts if 7000 not in asked[name]] == [top(world)], asked
+        assert [name for name in world.proxies if 7000 not in asked[name]] == [top(world)], asked
     finally:
         world.close()
 
@@ -50,8 +50,8 @@
 def _():
     world = met()
     try:
-        for name in world.fronts.replace(top(world), ""):
-            world.cut(name, top(world))
+        for name in world.proxies.replace(top(world), ""):
+            world.partition(name, top(world))
         world.say("a", "put 5")
         world.run(3.0 + APPLY)
         assert {world.version(name) for name in world.nodes} == {5}
@@ -66,9 +66,9 @@
     world = met()
     try:
         for other in "bc":
-            world.cuts.add((other, "a"))
-            world.cuts.add(("a", other))
-            world.cuts.discard((other, "a"))
+            world.partitions.add((other, "a"))
+            world.partitions.add(("a", other))
+            world.partitions.discard((other, "a"))
         world.run(5.0)
         world.play("""
           at  | a              | b
@@ -76,7 +76,7 @@
           5.5 | beat m ready   |
           7   | acked 4 not, acked m/ready not | acked 5
         """)
-        assert {world.version(name) for name in world.fronts} == {5}
+        assert {world.version(name) for name in world.proxies} == {5}
     finally:
         world.close()
 
@@ -161,7 +161,7 @@
           4.2  | acked m/draining, kill | |
           5.5  |                | sees m draining | sees m draining
         """)
-        assert {world.state(name, "m") for name in world.fronts} == {"draining"}
+        assert {world.state(name, "m") for name in world.proxies} == {"draining"}
     finally:
         world.close()
 
@@ -248,15 +248,15 @@
         world.run(6.0)
         stores = [world.nodes[name].publisher for name in world.controllers]
         before = [store.sent_bytes["config"] + store.sent_bytes["machine"] for store in stores]
-        world.fronts = "fghijklm"
-        for name in world.fronts:
+        world.proxies = "fghijklm"
+        for name in world.proxies:
             world.start(name)
         world.run(6.5)
         assert {world.version(name) for name in world.nodes} == {5}
         told = [store.sent_bytes["config"] + store.sent_bytes["machine"] for store in stores]
         size = stores[0].feed.encoded_size
         once = size("config") + sum(size(f"machine/m{n}") for n in range(40))
-        times = (sum(told) - sum(before)) / once / len(world.fronts)
+        times = (sum(told) - sum(before)) / once / len(world.proxies)
         assert times < 1.5, f"told {times:.2f} times"
     finally:
         world.close()
--- a/tests/gateway/dissemination/test_epochs.py
+++ b/tests/gateway/dissemination/test_epochs.py
@@ -251,7 +251,7 @@
 def _():
     before, epochs.EPOCH_S = epochs.EPOCH_S, 8.0
     names = "ghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
-    world, sizes = World(fronts="f" + names), []
+    world, sizes = World(proxies="f" + names), []
 
     def count(name):
         told = ProxyReport((OutcomeCounts("s", "r", "v1", 0, 9, ()),), {})
@@ -267,7 +267,7 @@
             world.start(name)
             if turn % 30 == 7:
                 world.kill("b")
-                world.skew["b"], world.fresh = -3600.0 * turn, False
+                world.clock_offsets_s["b"], world.fresh = -3600.0 * turn, False
                 world.start("b")
             world.run(world.loop.time() + 0.1)
             count(name)
@@ -295,7 +295,7 @@
 @test("programs: controllers that all start again, clocks set back, get the epoch from proxies")
 def _():
     before, epochs.EPOCH_S = epochs.EPOCH_S, 8.0
-    world = World(fronts="fg")
+    world = World(proxies="fg")
     try:
         for name in "abcfg":
             world.start(name)
@@ -305,7 +305,7 @@
         assert epoch >= 4
         for name in "abc":
             world.kill(name)
-            world.skew[name] = -9999.0
+            world.clock_offsets_s[name] = -9999.0
         world.fresh = False
         for name in "abc":
             world.start(name)
@@ -326,7 +326,7 @@
 def _():
     # Each was called once a second by every proxy and controller for ever.
     before, epochs.EPOCH_S = epochs.EPOCH_S, 8.0
-    world = World("abcd", fronts="f")
+    world = World("abcd", proxies="f")
 
     def known(name):
         program = world.nodes[name]
--- a/tests/gateway/dissemination/test_programs.py
+++ b/tests/gateway/dissemination/test_programs.py
@@ -11,7 +11,7 @@
 
 
 def met(fronts="fghijk", until=4.0, **more):
-    world = World(fronts=fronts, **more)
+    world = World(proxies=fronts, **more)
     for name in world.controllers + fronts:
         world.start(name)
     world.run(until)
@@ -30,7 +30,7 @@
 
         def cut_off(piece):
             if not taken:
-                world.cut("f", "abc")
+                world.partition("f", "abc")
             taken.append(piece.content.offset)
             return add(piece)
 
@@ -41,7 +41,7 @@
         world.loop.create_task(world.ask("a", "config.replace", "", text))
         world.run(6.0)
         assert world.version("f") is None and pieces.progress()
-        world.join()
+        world.heal()
         world.run(9.0)
         assert world.version("f") == 5
         assert len(taken) > 3 and taken.count(0) == 1 and len(set(taken)) >= len(taken) - 2, taken
@@ -136,7 +136,7 @@
         assert all(set(world.nodes[name].fleet.proxies) == {"f", "g"} for name in "abc")
         world.kill("a")
         world.kill("g")
-        world.skew["a"], world.fresh = -1000.0, False
+        world.clock_offsets_s["a"], world.fresh = -1000.0, False
         world.start("a")
         world.run(9.0)
         assert all(set(world.nodes[name].fleet.proxies) == {"f"} for name in "abc")
--- a/tests/gateway/dissemination/test_retired_machines.py
+++ b/tests/gateway/dissemination/test_retired_machines.py
@@ -15,7 +15,7 @@
 
 
 def begun(fronts="f"):
-    world = World(fronts=fronts)
+    world = World(proxies=fronts)
     for name in "abc" + fronts:
         world.start(name)
     world.run(1.0)
@@ -81,10 +81,10 @@
     # It was acknowledged, and nobody was told: fronts went on sending there.
     world = begun()
     try:
-        world.cut("a", "bc")
+        world.partition("a", "bc")
         world.nodes["b"].publisher.store.put("machine/m", Stamp.of(1, 0), BEAT)
         world.run(1.5)
-        world.join()
+        world.heal()
         leave(world, "a", "m")
         world.run(4.0)
         assert all(world.state(name, "m") == "gone" for name in "abcf")
@@ -100,13 +100,13 @@
         world.say("a", "beat m ready")
         world.say("a", "beat n ready")
         world.run(1.5)
-        world.cut("f", "abc")
+        world.partition("f", "abc")
         leave(world, "a", "m")
         for second in range(2, int(RETENTION_S) + 30):
             world.run(float(second))
             world.say("a", "beat n ready")
         assert world.state("f", "m") == "ready" and not told(world, "a", "m")
-        world.join()
+        world.heal()
         for second in range(int(RETENTION_S) + 30, int(RETENTION_S) + 45):
             world.run(float(second))
             world.say("a", "beat n ready")
--- a/tests/gateway/dissemination/test_tombstones.py
+++ b/tests/gateway/dissemination/test_tombstones.py
@@ -58,7 +58,7 @@
 @test("a tombstone outlives {what}: a late copy of a heartbeat brings no machine back")
 def _(what=each("a restart of a controller", "the loss of its disk", "a restart of all")):
     # Kept in memory alone: a controller that had begun anew took such a copy, and told it to all.
-    world = World(fronts="f")
+    world = World(proxies="f")
     try:
         for name in "abcf":
             world.start(name)
@@ -86,7 +86,7 @@
 
 @test("a copy taken before a controller had the machine's tombstone is withdrawn everywhere")
 def _():
-    world = World(fronts="f")
+    world = World(proxies="f")
     try:
         for name in "abcf":
             world.start(name)
--- a/tests/gateway/register/test_acceptor_service.py
+++ b/tests/gateway/register/test_acceptor_service.py
@@ -5,6 +5,8 @@
 from timeline import World
 from ward import test
 
+from honeywood.lab.emulator.loop import HEALTHY_DISK, DiskFault
+
 
 @test("behind a disk that hangs steps are refused at once, the loop goes on, and all is well after it")
 def _():
@@ -17,14 +19,14 @@
           1    | put 5 |       |
         """)
         world.run(2.0)
-        world.disk("c", 10_000.0)  # a sync takes 20 s
+        world.set_disk_fault("c", DiskFault(slowdown=10_000.0))  # a sync takes 20 s
         for version in range(6, 70):
             world.say("ab"[version % 2], f"put {version}")
             world.run(world.loop.time() + 0.2)
         register = world.nodes["c"].register
         assert len(world.acked) > 50 and 0 < len(register.acceptor.waiting_since) < 10
         assert sum("serve" in repr(task) for task in asyncio.all_tasks(world.loop)) < 20
-        world.disk("c", 1.0)
+        world.set_disk_fault("c", HEALTHY_DISK)
         world.run(45.0)
         world.say("a", "put 99")
         world.run(47.0)
--- a/tests/gateway/register/test_membership_manager.py
+++ b/tests/gateway/register/test_membership_manager.py
@@ -6,19 +6,20 @@
 
 from honeywood.gateway.register.membership_configuration import MembershipConfiguration
 from honeywood.gateway.register.membership_manager import MembershipManager
+from honeywood.lab.emulator.loop import HEALTHY_DISK, REFUSING_DISK, DiskFault
 
 
 def bootstrap_partitioned(seed=0):
     """Seven controllers of which five are to count, cut into two from the start, with a majority of the
     seeds on one side; joined later. The members by controller."""
-    world = World("abcdefg", bear=2, seed=seed)
+    world = World("abcdefg", tolerated_failures=2, seed=seed)
     try:
         for one in "ade":
-            world.cut(one, "bcfg")
+            world.partition(one, "bcfg")
         for name in world.controllers:
             world.start(name)
         world.run(4.0)
-        world.join()
+        world.heal()
         world.run(8.0)
         return configurations(world)
     finally:
@@ -122,7 +123,7 @@
         world.wipe("a")
         world.run(4.5)
         world.start("a")
-        world.disk("a", disk)
+        world.set_disk_fault("a", DiskFault(slowdown=disk))
         began = world.loop.time()
 
         def look():
@@ -206,7 +207,7 @@
               at | a     | b     | c
               0  | start | start | start
             """)
-            world.fresh, world.copies = False, 0.9
+            world.fresh, world.duplicate_share = False, 0.9
             world.play("""
               at  | c    | d
               6   | kill |
@@ -220,7 +221,7 @@
 
 def run_with_refusing_disk(world, name, until):
     """Plays on with a disk that takes no writes."""
-    world.disk(name, None)
+    world.set_disk_fault(name, REFUSING_DISK)
     world.run(until)
 
 
@@ -247,7 +248,7 @@
           26.2 |      | put 3 |
           27.2 |      | acked 3 | = 3
         """)
-        world.disk("c", 1.0)
+        world.set_disk_fault("c", HEALTHY_DISK)
         world.start("a")
         world.run(30.0)
         assert configurations(world) == [after] * 4 and not world.nodes["c"].register.membership.is_voter
@@ -266,7 +267,7 @@
         world.run(3.0)
         world.fresh = False
         run_with_refusing_disk(world, "c", 20.0)
-        world.disk("c", 1.0)
+        world.set_disk_fault("c", HEALTHY_DISK)
         world.run(40.0)
         assert [one.epoch for one in configurations(world)] == [1] * 4
     finally:
--- a/tests/gateway/register/test_persistent_state.py
+++ b/tests/gateway/register/test_persistent_state.py
@@ -3,6 +3,8 @@
 from timeline import World
 from ward import test
 
+from honeywood.lab.emulator.loop import HEALTHY_DISK
+
 
 @test("a controller that starts while its disk refuses opens it later, and has lost nothing")
 def _():
@@ -18,7 +20,7 @@
         world.start("a")
         world.run(3.0)
         assert "a" not in world.nodes
-        world.disk("a", 1.0)
+        world.set_disk_fault("a", HEALTHY_DISK)
         world.run(5.0)
         assert world.version("a") == 5 and world.nodes["a"].register.state.incarnation == 1
     finally:
--- a/tests/gateway/register/test_proposer.py
+++ b/tests/gateway/register/test_proposer.py
@@ -22,7 +22,7 @@
         world.run(2.0)
         world.loop.create_task(world.ask("c", "config.replace", body=CONFIG))
         world.run(3.0)
-        world.cut("a", "bc")
+        world.partition("a", "bc")
         world.loop.create_task(change())
         world.run(6.0)
         assert took and took[0][0] and took[0][1] < 0.5, took
--- a/tests/gateway/register/test_state_transfer.py
+++ b/tests/gateway/register/test_state_transfer.py
@@ -16,9 +16,9 @@
 
     rate = 3e5
 
-    async def carry(self, source, target, path, raw, *more):
-        await asyncio.sleep(len(raw) / self.rate)
-        found = await super().carry(source, target, path, raw, *more)
+    async def send(self, message):
+        await asyncio.sleep(len(message.body) / self.rate)
+        found = await super().send(message)
         await asyncio.sleep(len(json.dumps(found)) / self.rate)
         return found
 
--- a/tests/gateway/register/test_value_transfer.py
+++ b/tests/gateway/register/test_value_transfer.py
@@ -109,11 +109,11 @@
 def _():
     world, outcomes, value = start_world(100_000), [], large_value(100_000)
     try:
-        world.cut("c", "ab")
+        world.partition("c", "ab")
         change_key(world, "a", LARGE, value, outcomes)
         world.run(world.loop.time() + 3.0)
         assert outcomes[0][1] and stored_value(world, "c", LARGE) is None
-        world.join()
+        world.heal()
 
         async def read():
             outcomes.append(await world.nodes["c"].register.read(LARGE))
