--- a/tests/gateway/register_histories.py
+++ b/tests/gateway/register_histories.py
@@ -31,12 +31,12 @@
     goes
     back, what was acknowledged is held in the end. A disk is lost only when the last one is sound again."""
     world = World(controllers, seed=seed)
-    world.delay = delay
+    world.latency_s = delay
     seen, lost, version = {}, None, 0
 
     def look():
         for name in world.nodes:
-            held, life = world.version(name) or 0, world.lives.get(name)
+            held, life = world.version(name) or 0, world.incarnations.get(name)
             assert held >= seen.get((name, life), 0), f"{name} goes back"
             seen[name, life] = held
 
@@ -44,7 +44,7 @@
         for name in first or controllers:
             world.start(name)
         world.run(1.0, look)
-        world.fresh, world.loss = False, loss
+        world.fresh, world.loss_share = False, loss
         for wait, what, name in schedule:
             world.run(world.loop.time() + wait, look)
             if what == "put":
@@ -53,9 +53,9 @@
             elif what == "start" and name not in world.nodes:
                 world.start(name)
             elif what == "cut":
-                world.cut(name, world.controllers.replace(name, ""))
+                world.partition(name, world.controllers.replace(name, ""))
             elif what == "join":
-                world.join()
+                world.heal()
             elif what == "kill":
                 world.kill(name)
             elif what == "wipe" and (
@@ -63,8 +63,8 @@
             ):
                 world.wipe(name)
                 lost = name
-        world.join()
-        world.loss = 0.0
+        world.heal()
+        world.loss_share = 0.0
         for name in world.controllers if again else ():
             world.kill(name)  # what only news remembered is gone with it
         for name in world.controllers:
--- a/tests/gateway/rollout/test_rollout_days.py
+++ b/tests/gateway/rollout/test_rollout_days.py
@@ -18,7 +18,7 @@
 def _():
     # Lives are told apart by the time of day: the earlier one's word stood for the front, and a version was
     # never done.
-    world = World(fronts="fg")
+    world = World(proxies="fg")
     try:
         for name in "abcfg":
             world.start(name)
@@ -30,7 +30,7 @@
         """)
         world.run(3.6)
         world.kill("f")
-        world.skew["f"] = -3600.0
+        world.clock_offsets_s["f"] = -3600.0
         world.start("f")
         world.run(9.0)
         assert world.nodes["a"].store.get("rollout/s")["state"] == DONE
@@ -70,7 +70,7 @@
 @test("the time of day of all controllers steps by {skew} s after an order: its trial lasts as ever")
 def _(skew=each(3600.0, -3600.0)):
     # Time was told by `wall() - began`: an hour ahead, a trial was over at once; an hour behind, never.
-    world = World(fronts="fg")
+    world = World(proxies="fg")
     try:
         for name in "abcfg":
             world.start(name)
@@ -82,7 +82,7 @@
         """)
         world.run(3.5)
         for name in "abc":
-            world.skew[name] = skew
+            world.clock_offsets_s[name] = skew
         world.run(6.0)
         held = world.nodes["a"].store.get("rollout/s")
         assert (held["state"], held["stage"]) == (ACTIVE, TRIAL), held
@@ -94,7 +94,7 @@
 
 @test("all controllers begin anew during a trial: proxies' steady clocks tell for how long it has lasted")
 def _():
-    world = World(fronts="fg")
+    world = World(proxies="fg")
     try:
         for name in "abcfg":
             world.start(name)
--- a/tests/gateway/slow_link.py
+++ b/tests/gateway/slow_link.py
@@ -30,16 +30,17 @@
         self.free_at[way] = max(now, self.free_at.get(way, 0.0)) + size / self.rate
         return self.free_at[way] - now
 
-    async def _carry(self, answer, source, target, path, raw, again=True):
+    async def _carry(self, message, answer):
+        source, target, size = message.source, message.target, len(message.body)
         ends = [name for name in (source, target) if name in self.slow]
-        if path != "/register" or not ends:
-            return await super()._carry(answer, source, target, path, raw, again)
-        self.longest = max(self.longest, len(raw))
-        await asyncio.sleep(max(self.queue((end, end == source), len(raw)) for end in ends))
+        if message.path != "/register" or not ends:
+            return await super()._carry(message, answer)
+        self.longest = max(self.longest, size)
+        await asyncio.sleep(max(self.queue((end, end == source), size) for end in ends))
         if answer is not None and answer.done():
             return  # whoever asked gave up and ended the connection: what had not come through never does
         found = asyncio.get_running_loop().create_future()
-        await super()._carry(found, source, target, path, raw, again)
+        await super()._carry(message, found)
         if not found.done():
             return
         if found.exception() is not None:
--- a/tests/gateway/socket_scene.py
+++ b/tests/gateway/socket_scene.py
@@ -128,7 +128,9 @@
         self.scripts, self.kind, self.timeout = scripts, kind, timeout
 
     async def __aenter__(self):
-        text = boot("127.0.0.1", bear=0, ports=(free_port(), free_port(), free_port(), 7000, 7010))
+        text = boot(
+            "127.0.0.1", tolerated_failures=0, ports=(free_port(), free_port(), free_port(), 7000, 7010)
+        )
         self.proxy = Proxy(read_settings(text), log=SilentLog())
         self.configure(self.configuration())
         self.machines = []
--- a/tests/gateway/test_pinned_controller.py
+++ b/tests/gateway/test_pinned_controller.py
@@ -18,6 +18,7 @@
 from honeywood.gateway.register.row_store import RowStore
 from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
 from honeywood.gateway.rpc.request_context import CONTEXT, RequestContext
+from honeywood.lab.emulator.loop import REFUSING_DISK
 from honeywood.lab.emulator.world import World
 
 RECORDED = Path(__file__).parent / "recorded"
@@ -51,7 +52,7 @@
 
 def refuse_writes(world, name):
     """Has a controller's disk refuse all writes."""
-    world.disk(name, None)
+    world.set_disk_fault(name, REFUSING_DISK)
 
 
 def published_records(world, name):
@@ -77,8 +78,8 @@
         super().__init__(*given, **more)
         self.folder = folder
 
-    def _disk(self):
-        return lambda name: RowStore(f"{self.folder}/{name}")
+    def open_disk(self, folder):
+        return RowStore(f"{self.folder}/{folder}")
 
 
 # Playing what was recorded.
@@ -129,7 +130,7 @@
     answers = []
     for step in scene["steps"]:
         if "cut" in step:
-            world.cut(step["cut"], [other for other in world.controllers if other != step["cut"]])
+            world.partition(step["cut"], [other for other in world.controllers if other != step["cut"]])
         world.loop.now += step.get("stalled_s", 0.0)
         if step.get("disk_refuses"):
             refuse_writes(world, "a")
@@ -153,7 +154,7 @@
 
 def world_of(scene):
     """The world in which a scene was recorded."""
-    world = World(scene["controllers"], bear=scene["tolerated"])
+    world = World(scene["controllers"], tolerated_failures=scene["tolerated"])
     world.fresh = scene["fresh"]
     return world
 
@@ -188,7 +189,7 @@
         data.mkdir()
         for name, packed in scene["files"].items():
             (data / name).write_bytes(zlib.decompress(b64decode(packed)))
-        world = DiskWorld(folder, scene["controllers"], bear=scene["tolerated"])
+        world = DiskWorld(folder, scene["controllers"], tolerated_failures=scene["tolerated"])
         world.fresh = scene["fresh"]
         try:
             answers = play(world, scene)
--- a/tests/gateway/test_pinned_proxy.py
+++ b/tests/gateway/test_pinned_proxy.py
@@ -264,7 +264,7 @@
     first = controller - 1 if controller else free_port()
     ports = free_port(), free_port(), free_port(), first, 65535
     seeds = (f"127.0.0.1:{ports[2]}",) if controller else ()
-    text = boot("f", ip="127.0.0.1", bear=0, seeds=seeds, ports=ports)
+    text = boot("f", ip="127.0.0.1", tolerated_failures=0, seeds=seeds, ports=ports)
     for name, value in case.bounds:
         text = text.replace(f"{name} = {BOUNDS[name]}\n", f"{name} = {value}\n")
     proxy = make_proxy(text, frozen)
--- a/tests/gateway/timeline.py
+++ b/tests/gateway/timeline.py
@@ -5,7 +5,8 @@
 """
 
 from honeywood.lab.emulator import world
-from honeywood.lab.emulator.process import FROZEN
+from honeywood.lab.emulator.loop import REFUSING_DISK
+from honeywood.lab.emulator.process import FROZEN, FULL_SPEED
 
 
 class World(world.World):
@@ -22,19 +23,19 @@
         if word in ("start", "kill", "wipe"):
             getattr(self, word)(name)
         elif word == "cut":
-            self.cut(name, more[0])
+            self.partition(name, more[0])
         elif word == "mute":  # what it sends to these doesn't arrive
-            self.cuts |= {(name, other) for other in more[0]}
+            self.partitions |= {(name, other) for other in more[0]}
         elif word == "outside":  # no client, machine or operator reaches it
-            self.cut(name, [world.OUTSIDE])
+            self.partition(name, [world.OUTSIDE])
         elif word in ("freeze", "thaw", "slow"):
-            self.hold(name, {"freeze": FROZEN, "thaw": 1.0, "slow": 30.0}[word])
+            self.set_slowdown(name, {"freeze": FROZEN, "thaw": FULL_SPEED, "slow": 30.0}[word])
         elif word == "clock":  # its time of day steps by so many seconds
-            self.skew[name] = self.skew.get(name, 0.0) + float(more[0])
+            self.clock_offsets_s[name] = self.clock_offsets_s.get(name, 0.0) + float(more[0])
         elif word == "refuse":
-            self.disk(name, None)
+            self.set_disk_fault(name, REFUSING_DISK)
         elif word == "join":
-            self.join()
+            self.heal()
         elif word == "put":
             self.loop.create_task(self._put(name, int(more[0])))
         elif word == "order":
