--- a/tests/gateway/dissemination/test_programs.py
+++ b/tests/gateway/dissemination/test_programs.py
@@ -117,7 +117,7 @@
         told = ProxyReport((OutcomeCounts("s", "r", "v1", 0, 9, ()),), {"s": RolloutStatus(1, 0, None, 2.0)})
         front.stage.report = lambda now: told
         world.run(6.0)
-        held = {name: world.nodes[name].store.get(f"count/f/{front.life}") for name in "abc"}
+        held = {name: world.nodes[name].store.get(f"count/f/{front.incarnation}") for name in "abc"}
         assert all(note and note["rows"][0][4] == 9 for note in held.values()), held
         own, asked = front.poller.subscriber.records_for, []
         front.poller.subscriber.records_for = lambda ip: asked.append(own(ip)) or asked[-1]
