--- a/honeywood/cli/__init__.py
+++ b/honeywood/cli/__init__.py
@@ -1,1 +1,4 @@
-"""The command line: words in, words out. main.py has the groups; each imports its subsystem when it runs."""
+"""The command line: each command reads its arguments, calls a subsystem and prints the result.
+
+Start reading at entry.py, then main.py, which has the groups. A command imports its subsystem when it runs.
+"""
--- a/honeywood/cli/check.py
+++ b/honeywood/cli/check.py
@@ -13,11 +13,11 @@
     "--compile",
     "out",
     type=click.Path(),
-    help="Write the operator file in the form that a front " "reads without an HCL library.",
+    help="Write the operator file in a form that a balancer reads without an HCL library.",
 )
 @click.option("--json", "plain", is_flag=True, help="Print the operator file's values as JSON.")
 def command(config, operator, out, plain):
-    """Says what is wrong with a configuration and an operator file; ends with 2 where anything is."""
+    """Check a balancer's configuration and operator file; status 2 if either is invalid."""
     from honeywood.balancer import configuration
     from honeywood.balancer.sections import InvalidConfiguration
     from honeywood.operator.operator_file import BLOCKS_KEY, InvalidOperatorFile, compiled
--- a/honeywood/cli/emulator.py
+++ b/honeywood/cli/emulator.py
@@ -1,4 +1,4 @@
-"""`honeywood lab emulator ...`: the whole system in a world of its own, with faults drawn by seed."""
+"""`honeywood lab emulator ...`: the whole system on a simulated clock, with faults drawn by seed."""
 
 import json
 import sys
@@ -8,7 +8,7 @@
 
 @click.group("emulator")
 def command():
-    """Plays days of the system on one simulated clock; its worlds, machines and clients are simulated."""
+    """Run days of the system on one simulated clock, with simulated machines, network and clients."""
 
 
 def shape(function):
@@ -31,8 +31,8 @@
             show_default=True,
             help="In each eight seconds.",
         ),
-        click.option("--changes", type=click.IntRange(0), default=0, help="Of the configuration, besides."),
-        click.option("--link", type=float, default=0.0, help="Bytes a second that a front's link takes."),
+        click.option("--changes", type=click.IntRange(0), default=0, help="Changes of the configuration."),
+        click.option("--link", type=float, default=0.0, help="Bytes a second of a proxy's link."),
     ):
         function = option(function)
     return function
@@ -40,10 +40,10 @@
 
 @command.command()
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--chart", type=click.Path(), help="A PNG of the worth a second.")
+@click.option("--chart", type=click.Path(), help="A PNG of the score a second.")
 @shape
 def run(seed, chart, **given):
-    """One day of a seed, and what came of it."""
+    """Run one day of a seed and print its outcome."""
     from honeywood.lab.emulator import hunt, report
     from honeywood.lab.emulator.day import draw
 
@@ -58,11 +58,11 @@
 @command.command()
 @click.option("--days", type=click.IntRange(1), default=1000, show_default=True)
 @click.option("--first", type=int, default=0, show_default=True, help="The first seed.")
-@click.option("--jobs", type=click.IntRange(1), help="Cores to use; all of them otherwise.")
-@click.option("--out", type=click.Path(), help="Where failing days go, shrunk, for replay.")
+@click.option("--jobs", type=click.IntRange(1), help="Cores to use; all of them by default.")
+@click.option("--out", type=click.Path(), help="File for failing days, minimised, for replay.")
 @shape
 def hunt(days, first, jobs, out, **given):
-    """Many days with drawn faults, to find a broken rule; failing days are shrunk."""
+    """Run many days with random faults to find a broken rule; failing days are minimised."""
     from rich.progress import Progress
 
     from honeywood.lab.emulator import hunt as hunts
@@ -94,7 +94,7 @@
 @command.command()
 @click.argument("file", type=click.Path(exists=True))
 def replay(file):
-    """The days of a FILE that a hunt wrote."""
+    """Run the days of a FILE that a hunt wrote."""
     from honeywood.lab.emulator import hunt as hunts
     from honeywood.lab.emulator import report
 
@@ -107,10 +107,10 @@
 
 
 @command.command()
-@click.option("--sizes", default="2,4,8,16", show_default=True, help="Numbers of fronts.")
+@click.option("--sizes", default="2,4,8,16", show_default=True, help="Numbers of proxies.")
 @click.option("--days", type=click.IntRange(1), default=8, show_default=True)
 def sweep(sizes, days):
-    """The same days at several numbers of fronts, the load a front alike."""
+    """Run the same days with several numbers of proxies, at the same load per proxy."""
     from honeywood.lab.emulator import hunt as hunts
     from honeywood.lab.emulator import report
 
@@ -121,10 +121,10 @@
 @command.command("report")
 @click.option("--days", type=click.IntRange(1), default=100, show_default=True)
 @click.option("--first", type=int, default=0, show_default=True)
-@click.option("--chart", type=click.Path(), help="A PNG of the four days of least worth.")
+@click.option("--chart", type=click.Path(), help="A PNG of the four days with the lowest scores.")
 @shape
 def report_(days, first, chart, **given):
-    """By kind of fault: worth beside that of a router with sight of all machines."""
+    """Print by kind of fault the score beside that of a router that knows the state of all machines."""
     from honeywood.lab.emulator import hunt as hunts
     from honeywood.lab.emulator import report
 
@@ -140,10 +140,10 @@
 @click.option("--depth", type=click.IntRange(1), default=10, show_default=True)
 @click.option("--most", type=click.IntRange(1), default=1_000_000, show_default=True, help="States.")
 @click.option(
-    "--walks", type=click.IntRange(0), default=0, show_default=True, help="Long ways by chance besides."
+    "--walks", type=click.IntRange(0), default=0, show_default=True, help="Number of long random walks."
 )
 def model(what, writers, depth, most, walks):
-    """All orders of messages and losses of the register's rules, up to a depth; then long ways by chance."""
+    """Check all orders of messages and losses of the register up to a depth; then long random walks."""
     from random import Random
 
     from honeywood.lab.model import register
--- a/honeywood/cli/lab.py
+++ b/honeywood/cli/lab.py
@@ -1,4 +1,4 @@
-"""`honeywood lab ...`: experiments with real fronts and stand-ins on loopback."""
+"""`honeywood lab ...`: experiments with real programs and scripted peers on loopback, and the emulator."""
 
 import json
 import tempfile
@@ -10,17 +10,17 @@
 
 @click.group("lab")
 def command():
-    """Runs the programs among stand-ins on loopback, and the emulator."""
+    """Experiments: real programs among scripted peers on loopback, and the emulator."""
 
 
 @command.command()
-@click.option("--folder", type=click.Path(), help="Where trace and log go; otherwise a new folder.")
+@click.option("--folder", type=click.Path(), help="Folder for trace and log; a new one by default.")
 @click.option("--seconds", type=float, default=14, show_default=True)
 @click.option(
     "--failing", type=float, default=0.0, show_default=True, help="Share of RPCs that the new build fails."
 )
 def demo(folder, seconds, failing):
-    """One front through a release, recorded; then what its trace tells."""
+    """Run one balancer through a release, recorded; then show what its trace contains."""
     import sys
 
     require("operator", "trace-tools")
@@ -66,7 +66,7 @@
 @click.option("--pairs", "count", type=int, default=5, show_default=True)
 @click.option("--json", "plain", is_flag=True)
 def recorder(rate, seconds, count, plain):
-    """What the recorder costs: a front without it and with it, in turn."""
+    """Measure the cost of the recorder: a balancer without it and with it, in turn."""
     require("operator", "trace-tools")
     from honeywood.lab.recording import pairs, told
 
@@ -80,10 +80,10 @@
 @click.option("--slow", "counts", type=int, multiple=True, default=(0, 50, 200, 500), show_default=True)
 @click.option("--seconds", type=float, default=12, show_default=True)
 @click.option("--turns", type=int, default=1, show_default=True)
-@click.option("--record", is_flag=True, help="Record a trace, and tell why RPCs were given up.")
+@click.option("--record", is_flag=True, help="Record a trace, and print why RPCs were given up.")
 @click.option("--json", "plain", is_flag=True)
 def slow(rates, counts, seconds, turns, record, plain):
-    """Healthy clients beside slow ones and beside answers that trickle."""
+    """Measure healthy clients beside slow ones and beside answers that trickle."""
     require("operator", "trace-tools")
     from honeywood.lab.slow import rows, told
 
@@ -96,7 +96,7 @@
 @click.argument("logs", type=click.Path(exists=True, file_okay=False))
 @click.option("--seconds", type=click.FloatRange(min=1), default=5, show_default=True)
 def fleet_count(logs, seconds):
-    """Adds up what the fronts of a fleet counted, from the folder of their LOGS."""
+    """Add up the counts of many balancers, from the folder of their LOGS."""
     from honeywood.lab.fleet_count import spans, table
 
     click.echo(table(spans(logs, seconds)))
@@ -105,7 +105,7 @@
 @command.command("emulator", context_settings={"ignore_unknown_options": True, "help_option_names": []})
 @click.argument("words", nargs=-1, type=click.UNPROCESSED)
 def emulator(words):
-    """The whole system in a world of its own: run, hunt, replay, sweep, report, model."""
+    """The whole system on a simulated clock: run, hunt, replay, sweep, report, model."""
     require("system")
     from honeywood.cli.emulator import command as group
 
@@ -115,7 +115,7 @@
 @command.command("soak", context_settings={"ignore_unknown_options": True, "help_option_names": []})
 @click.argument("words", nargs=-1, type=click.UNPROCESSED)
 def soak(words):
-    """The system's own processes on this machine, under troubles that overlap."""
+    """Real proxies and controllers on this machine, under faults that overlap."""
     require("system")
     from honeywood.cli.soak import command as played
 
--- a/honeywood/cli/main.py
+++ b/honeywood/cli/main.py
@@ -44,7 +44,7 @@
     cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110}
 )
 def main():
-    """A gateway with a release guard.
+    """An API gateway with guarded releases, and the older balancer.
 
-    Without a command, `python -m honeywood` starts a front, as `serve` does.
+    Without a command, `python -m honeywood` starts a balancer, as `serve` does.
     """
--- a/honeywood/cli/soak.py
+++ b/honeywood/cli/soak.py
@@ -7,14 +7,18 @@
 
 
 @click.command("soak")
-@click.option("--seeds", type=click.IntRange(1), default=20, show_default=True, help="How many.")
+@click.option("--seeds", type=click.IntRange(1), default=20, show_default=True, help="Number of seeds.")
 @click.option("--first", type=int, default=1, show_default=True, help="The first seed.")
-@click.option("--seconds", type=click.FloatRange(3), default=12.0, show_default=True, help="Of traffic each.")
-@click.option("--jobs", type=click.IntRange(1), default=2, show_default=True, help="Soaks at once.")
-@click.option("--keep", type=click.Path(path_type=Path), help="Where logs and disks stay.")
+@click.option(
+    "--seconds", type=click.FloatRange(3), default=12.0, show_default=True, help="Seconds of traffic of each."
+)
+@click.option("--jobs", type=click.IntRange(1), default=2, show_default=True, help="Soaks that run at once.")
+@click.option("--keep", type=click.Path(path_type=Path), help="Folder in which logs and disks are kept.")
 def command(seeds, first, seconds, jobs, keep):
-    """Real processes and sockets on loopback, killed, stopped, paused and cut off at random, with clients
-    that leave and keys that move; ends with 1 where a rule was broken."""
+    """Run real proxies and controllers on loopback, killed, stopped, paused and partitioned at random.
+
+    Clients leave before their answers, and tenants' keys move. The status is 1 if a rule was broken.
+    """
     from honeywood.lab.soak.series import line, series
 
     found = series(first, seeds, seconds, jobs, keep, lambda outcome: click.echo(line(outcome)))
--- a/honeywood/cli/version.py
+++ b/honeywood/cli/version.py
@@ -5,7 +5,7 @@
 
 @click.command("version")
 def command():
-    """The versions of the program and of the trace files that it writes."""
+    """Print the versions of the package and of the trace files that it writes."""
     from importlib.metadata import PackageNotFoundError, version
 
     from honeywood.trace.schema import MAJOR, MINOR
