--- a/honeywood/gateway/routing/endpoint_record.py
+++ b/honeywood/gateway/routing/endpoint_record.py
@@ -40,9 +40,9 @@
     def decode(cls, value: Mapping[str, Any]) -> EndpointRecord:
         """A record out of its wire form, which the controllers have checked.
 
-        KeyError where a field is missing, ValueError for an unknown state.
+        KeyError where a field is missing.
         """
-        state = EndpointState(value["state"])
+        state = _state_of(value["state"])
         if state in ENDED:
             return cls(state)
         return cls(
@@ -55,3 +55,11 @@
             max(1, value["slots"]),
             value["cold"],
         )
+
+
+def _state_of(text: object) -> EndpointState:
+    """A state by its wire form; a machine in a state that a later version added takes nothing new."""
+    try:
+        return EndpointState(text)
+    except ValueError:
+        return EndpointState.DRAINING
