--- a/honeywood/gateway/routing/endpoint_record.py
+++ b/honeywood/gateway/routing/endpoint_record.py
@@ -57,7 +57,7 @@
         )
 
 
-def _state_of(text: object) -> EndpointState:
+def _state_of(text: Any) -> EndpointState:
     """A state by its wire form; a machine in a state that a later version added takes nothing new."""
     try:
         return EndpointState(text)
