--- a/tests/cli/test_installed.py
+++ b/tests/cli/test_installed.py
@@ -65,13 +65,12 @@
     def install_requirements(self, *requirements):
         """Installs what isn't there yet of these requirements."""
         pip = (sys.executable, "-m", "pip", "--python", str(self.path / "bin" / "python"), "install")
-        run_checked(*pip, *PIP_OPTIONS, "--no-compile", *requirements)
+        run_checked(*pip, *PIP_OPTIONS, "--no-compile", *requirements, cwd=self.folder)
 
     def run(self, program, *arguments):
         """A finished run of a program of this environment in its folder, without the checkout on the path."""
         command = [str(self.path / "bin" / program), *arguments]
-        environment = {name: value for name, value in os.environ.items() if name != "PYTHONPATH"}
-        return run(*command, cwd=self.folder, env=environment)
+        return run(*command, cwd=self.folder)
 
     def run_named(self, names):
         """{name: finished run} of commands by their names in README, all at once."""
@@ -80,9 +79,19 @@
 
 
 def run(*command, **options):
-    """A finished run of a command without input."""
+    """A finished run of a command without input and without the checkout on Python's path.
+
+    An editable install leaves its metadata in the checkout: pip would find the package installed there.
+    """
+    environment = {name: value for name, value in os.environ.items() if name != "PYTHONPATH"}
     return subprocess.run(
-        command, stdin=subprocess.DEVNULL, capture_output=True, text=True, timeout=TIMEOUT_S, **options
+        command,
+        env=environment,
+        stdin=subprocess.DEVNULL,
+        capture_output=True,
+        text=True,
+        timeout=TIMEOUT_S,
+        **options,
     )
 
 
