--- a/honeywood/lab/emulator/loopback.py
+++ b/honeywood/lab/emulator/loopback.py
@@ -18,6 +18,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
+import httpcore
+
 from honeywood.gateway.controller.call import CallName
 from honeywood.gateway.errors import GatewayError
 from honeywood.gateway.rollout.record import RolloutState
@@ -226,8 +228,8 @@
     headers = [(b"host", HOST.encode()), (b"x-try-id", b"%d" % number), (b"x-deadline-ms", b"1000")]
     try:
         connection = await Connection.open(ip, HTTP_PORT, REQUEST_TIMEOUT_S)
-    except OSError as error:
-        return str(error)
+    except (httpcore.ConnectError, httpcore.ConnectTimeout):
+        return "no connection"
     deadline = asyncio.get_running_loop().time() + REQUEST_TIMEOUT_S
     reply = await connection.exchange(b"GET", PATH, headers, b"", deadline)
     connection.close()
