--- a/honeywood/balancer/decisions/release_samples.py
+++ b/honeywood/balancer/decisions/release_samples.py
@@ -147,7 +147,7 @@
             expected = earlier.failed / (earlier.ended or 1)
             samples.failures[index] = samples.failures[index].plus(failed, expected)
         if timed and len(self._servers.newest) < len(self._servers.ready):
-            slow_bin, share = earlier.slow_from()
+            slow_bin, share = earlier.slow_threshold()
             samples.slow[index] = samples.slow[index].plus(latency_bin >= slow_bin, share)
 
     def add_incorrect_answer(self, server: Server, method: Method) -> None:
--- a/honeywood/gateway/rollout/comparison.py
+++ b/honeywood/gateway/rollout/comparison.py
@@ -89,7 +89,7 @@
 
 def _slowness_p_value(new: OutcomeStatistics, established: OutcomeStatistics) -> float:
     """Test the slow answers: those in bins that few of the established versions' answers reach."""
-    first_slow_bin, slow_share = established.slow_from()
+    first_slow_bin, slow_share = established.slow_threshold()
     slow, timed = sum(new.bins[first_slow_bin:]), sum(new.bins)
     established_timed = sum(established.bins)
     return inferiority_p_value(
--- a/honeywood/release_analysis/outcome_statistics.py
+++ b/honeywood/release_analysis/outcome_statistics.py
@@ -50,7 +50,7 @@
             self.failed, self.ended = self.failed / 2, self.ended / 2
             self.bins = [count / 2 for count in self.bins]
 
-    def slow_from(self) -> tuple[int, float]:
+    def slow_threshold(self) -> tuple[int, float]:
         """The first bin that counts as slow, and the share of answers from it on, SLOW_SHARE at most.
 
         Shares are smoothed by one answer on each side, so that none is 0 or 1.
--- a/tests/release_analysis/test_outcome_statistics.py
+++ b/tests/release_analysis/test_outcome_statistics.py
@@ -25,10 +25,10 @@
 
 
 def test_the_slowest_quarter_at_most_counts_as_slow():
-    edge, share = statistics(0, *[0] * 6, *[2] * 6, *[5] * 4).slow_from()
+    edge, share = statistics(0, *[0] * 6, *[2] * 6, *[5] * 4).slow_threshold()
     assert edge == 6 and share == 1 / 18
 
 
 def test_without_answers_only_the_last_bin_counts_as_slow():
-    edge, share = OutcomeStatistics().slow_from()
+    edge, share = OutcomeStatistics().slow_threshold()
     assert edge == len(LATENCY_BIN_EDGES) and share == 0.5
