--- a/honeywood/gateway/routing/admission.py
+++ b/honeywood/gateway/routing/admission.py
@@ -1,4 +1,4 @@
-"""The result of checking a client's API key, and what it changes in the forwarded headers."""
+"""The result of checking a client's API key, and its effect on the forwarded headers."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-KEY_HEADER = b"x-api-key"  # removed before forwarding where the configuration has tenants
-TENANT_HEADER = b"x-tenant"  # replaced by the proxy's own where the configuration has tenants
+KEY_HEADER = b"x-api-key"  # removed before forwarding if the configuration has tenants
+TENANT_HEADER = b"x-tenant"  # replaced before forwarding if the configuration has tenants
 
 
 @dataclass(frozen=True, slots=True)
 class TenantMatch:
-    """The tenant that a key belongs to; `priority` is None where the route's applies."""
+    """The tenant that a key belongs to; `priority` is None if the route's priority applies."""
 
     name: bytes
     priority: int | None
@@ -22,30 +22,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """A request may be forwarded, for `tenant` where it showed a known key.
+    """Permission to forward a request.
 
-    `has_tenants` says whether the configuration had tenants when the request came. A configuration that
-    takes effect while the body is read doesn't change that.
+    `tenant` is the owner of the request's API key, or None if it has no known key. `has_tenants` says whether
+    the configuration had tenants when the request arrived; a configuration that takes effect while the body
+    is read doesn't change it.
     """
 
     tenant: TenantMatch | None = None
     has_tenants: bool = False
 
     def priority(self, default: int) -> int:
-        """The tenant's priority, or `default` where there is none."""
+        """The tenant's priority, or `default` if it has none."""
         if self.tenant is None or self.tenant.priority is None:
             return default
         return self.tenant.priority
 
     def forwarded_headers(self, headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-        """The client's headers as endpoints get them.
+        """The headers to send to an endpoint, made from the client's headers.
 
-        Where the configuration has tenants they are without the key and without the client's own X-Tenant,
-        with the name of the key's tenant.
+        If the configuration has tenants, the key and any X-Tenant set by the client are removed, and the name
+        of the key's tenant is added.
         """
         if not self.has_tenants:
             return headers
-        kept = [one for one in headers if one[0] not in (KEY_HEADER, TENANT_HEADER)]
+        kept = [header for header in headers if header[0] not in (KEY_HEADER, TENANT_HEADER)]
         return kept if self.tenant is None else [*kept, (TENANT_HEADER, self.tenant.name)]
 
 
@@ -53,5 +54,5 @@
 
 
 def api_keys(headers: Iterable[tuple[bytes, bytes]]) -> list[bytes]:
-    """All API keys that a request shows; header names are in lower case."""
+    """All API keys among a request's headers, whose names must be in lower case."""
     return [value for name, value in headers if name == KEY_HEADER]
--- a/honeywood/gateway/routing/attempt_policy.py
+++ b/honeywood/gateway/routing/attempt_policy.py
@@ -1,4 +1,4 @@
-"""The rules that every attempt passes: deadline, idempotence, retry budget, connections, rollout."""
+"""The checks that every attempt must pass: deadline, idempotence, retry budget, connections, rollout."""
 
 from __future__ import annotations
 
@@ -16,24 +16,25 @@
     from honeywood.gateway.routing.retry_budget import RetryBudget
 
     class RolloutRules(Protocol):
-        """What a rollout permits at this proxy."""
+        """What rollouts permit at this proxy."""
 
         def allows(self, now: float, request: PendingRequest, endpoint: Endpoint) -> bool:
-            """Whether the endpoint's version may get the request."""
+            """Whether the request may be sent to the endpoint's version."""
 
         def record_attempt(self, request: PendingRequest, endpoint: Endpoint) -> None:
-            """The request is sent to the endpoint."""
+            """Records that the request is sent to the endpoint."""
 
 
-DEFAULT_MAX_CONNECTIONS = 8  # per endpoint, while no configuration says more
-MAX_UNREACHABLE_ENDPOINTS = 4  # per request
-MIN_REMAINING_S = 0.004  # before the deadline; with less no attempt starts
-MIN_REMAINING_TARGET = 0.1  # of the route's latency target: an attempt with less left can't succeed
-ATTEMPTS_PER_TRY = 2  # attempts at most for each endpoint that the route allows
+DEFAULT_MAX_CONNECTIONS = 8  # per endpoint of a service without a configured limit
+MAX_UNREACHABLE_ENDPOINTS = 4  # per request, which is then rejected
+MIN_REMAINING_S = 0.004  # seconds before the deadline; no attempt starts with less
+# Fraction of the route's latency target; an attempt with less time left before the deadline can't succeed.
+MIN_REMAINING_TARGET_FRACTION = 0.1
+ATTEMPTS_PER_ENDPOINT = 2  # a request's attempts are limited to this multiple of its route's max_attempts
 
 
 class AttemptPolicy:
-    """Decides whether a request may be sent to an endpoint, and records each attempt."""
+    """Decides whether a request may be sent to an endpoint, and records its attempts."""
 
     def __init__(
         self,
@@ -42,10 +43,11 @@
         rollout: RolloutRules,
         max_connections: Mapping[str, int],
     ) -> None:
-        """Rules of one proxy.
+        """Creates the policy of one proxy.
 
-        `retry_budget_of` gives a service's budget; `proxy_count` how many proxies share the budgets and each
-        endpoint's connections; `max_connections` how many an endpoint of a service accepts in all.
+        `retry_budget_of` returns a service's budget. `proxy_count` returns how many proxies share the budgets
+        and each endpoint's connections. `max_connections` is how many connections one endpoint of a service
+        accepts from all proxies together.
         """
         self.retry_budget_of = retry_budget_of
         self.proxy_count = proxy_count
@@ -55,7 +57,7 @@
     def rejection(
         self, now: float, request: PendingRequest, endpoint: Endpoint, connected: bool = False
     ) -> RejectionReason | None:
-        """Why an attempt may not start now, or None; `connected`: its connection is established."""
+        """Why an attempt may not start now, or None; `connected` if its connection is already established."""
         reason = self.request_rejection(now, request)
         reason = reason or self.endpoint_rejection(now, request, endpoint, connected)
         if reason is None and not self.rollout.allows(now, request, endpoint):
@@ -63,42 +65,44 @@
         return reason
 
     def eligible(self, now: float, request: PendingRequest, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
-        """Those of `endpoints` that the request may be sent to."""
+        """The members of `endpoints` that the request may be sent to."""
         if self.request_rejection(now, request) is not None:
             return []
-        fit = [one for one in endpoints if self.endpoint_rejection(now, request, one) is None]
-        first_of_version = {one.version: one for one in reversed(fit)}
+        accepted = [
+            candidate for candidate in endpoints if self.endpoint_rejection(now, request, candidate) is None
+        ]
+        first_of_version = {candidate.version: candidate for candidate in reversed(accepted)}
         allowed_versions = {
             version
             for version, endpoint in first_of_version.items()
             if self.rollout.allows(now, request, endpoint)
         }
-        return [one for one in fit if one.version in allowed_versions]
+        return [candidate for candidate in accepted if candidate.version in allowed_versions]
 
     def request_rejection(self, now: float, request: PendingRequest) -> RejectionReason | None:
-        """What keeps a request from all endpoints, or None."""
+        """Why a request may not be sent to any endpoint, or None."""
         if request.finished or request.succeeded:
             return RejectionReason.FINISHED
         if request.disconnect.happened:
             return RejectionReason.CLIENT_GONE
         if self._is_unreachable(now, request):
             return RejectionReason.UNREACHABLE
-        min_remaining_s = max(MIN_REMAINING_S, MIN_REMAINING_TARGET * request.route.latency_target_s)
+        min_remaining_s = max(MIN_REMAINING_S, MIN_REMAINING_TARGET_FRACTION * request.route.latency_target_s)
         if now > request.deadline - min_remaining_s:
             return RejectionReason.DEADLINE
         return self._retry_rejection(now, request) if request.attempts else None
 
     def _retry_rejection(self, now: float, request: PendingRequest) -> RejectionReason | None:
-        """What keeps a request that has been attempted from all endpoints."""
+        """Why a request that was attempted before may not be sent to any endpoint, or None."""
         if not request.route.idempotent and request.may_have_run:
             return RejectionReason.MAY_HAVE_RUN
-        if len(request.attempts) >= ATTEMPTS_PER_TRY * request.route.max_attempts:
+        if len(request.attempts) >= ATTEMPTS_PER_ENDPOINT * request.route.max_attempts:
             return RejectionReason.MAX_ATTEMPTS
         budget = self.retry_budget_of(request.service)
         return None if budget.allows(now, self.proxy_count()) else RejectionReason.RETRY_BUDGET
 
     def _is_unreachable(self, now: float, request: PendingRequest) -> bool:
-        """Whether so many connections have failed that further ones would only delay the rejection."""
+        """Whether enough connections have failed that trying more would only delay the rejection."""
         if not request.unreachable:
             return False
         late = not request.attempts and now >= request.reject_at
@@ -107,7 +111,7 @@
     def endpoint_rejection(
         self, now: float, request: PendingRequest, endpoint: Endpoint, connected: bool = False
     ) -> RejectionReason | None:
-        """What keeps a request from this endpoint, whatever its version; or None."""
+        """Why a request may not be sent to this endpoint, regardless of its version; or None."""
         if endpoint.state != EndpointState.READY or endpoint.service != request.service:
             return RejectionReason.ENDPOINT_STATE
         if endpoint in request.unreachable:
@@ -119,7 +123,11 @@
         return None
 
     def _repeat_rejection(self, request: PendingRequest, endpoint: Endpoint) -> RejectionReason | None:
-        """What fails at an endpoint mostly fails again; and a route limits how many endpoints are asked."""
+        """Why a request that was attempted before may not be sent to this endpoint, or None.
+
+        A request that failed at an endpoint would mostly fail there again, and its route limits the number of
+        endpoints that it may be sent to.
+        """
         for attempt in request.attempts:
             if attempt.endpoint is endpoint and attempt.outcome is AttemptOutcome.FAILURE:
                 return RejectionReason.FAILED_THERE
@@ -130,12 +138,12 @@
         return endpoint.connection_count < self.connection_share(endpoint.service)
 
     def connection_share(self, service: str) -> int:
-        """How many connections to one endpoint of `service` this proxy may have."""
+        """How many connections to one endpoint of `service` this proxy may have, at least one."""
         limit = self.max_connections.get(service, DEFAULT_MAX_CONNECTIONS)
         return max(1, limit // max(1, self.proxy_count()))
 
     def record_attempt(self, now: float, request: PendingRequest, endpoint: Endpoint) -> Attempt:
-        """Records that an attempt starts, which `rejection` permitted."""
+        """Records the start of an attempt that `rejection` has permitted."""
         if request.attempts:
             self.retry_budget_of(request.service).record_retry(now)
         self.rollout.record_attempt(request, endpoint)
@@ -144,5 +152,5 @@
         return attempt
 
     def withdraw_attempt(self, request: PendingRequest, attempt: Attempt) -> None:
-        """Nothing of the attempt was sent: its connection had ended."""
+        """Removes an attempt of which nothing was sent because its connection had already closed."""
         request.attempts.remove(attempt)
--- a/honeywood/gateway/routing/endpoint_record.py
+++ b/honeywood/gateway/routing/endpoint_record.py
@@ -1,4 +1,4 @@
-"""Machine records as controllers publish them, in a typed form."""
+"""Typed form of the machine records that controllers publish."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """What the record `machine/ID` says of a machine.
+    """The content of a machine's record, whose key is `machine/ID`.
 
-    `slots` is how many requests it serves at once, `warm_up_s` for how long it is still in slow start. Where
-    the machine has left or is lost, only `state` is meaningful.
+    `slots` is how many requests the machine serves at once, `warm_up_s` the remaining seconds of its slow
+    start. If the machine has left or is lost, only `state` is meaningful.
     """
 
     state: EndpointState
@@ -38,9 +38,10 @@
 
     @classmethod
     def decode(cls, value: Mapping[str, Any]) -> EndpointRecord:
-        """A record out of its wire form, which the controllers have checked.
+        """The record of a wire form, which the controllers have validated.
 
-        KeyError where a field is missing.
+        Raises:
+            KeyError: A field is missing.
         """
         state = _state_of(value["state"])
         if state in ENDED:
@@ -58,7 +59,7 @@
 
 
 def _state_of(text: Any) -> EndpointState:
-    """A state by its wire form; a machine in a state that a later version added takes nothing new."""
+    """The state of a wire form; DRAINING for a state that only later versions know: no new requests."""
     try:
         return EndpointState(text)
     except ValueError:
--- a/honeywood/gateway/routing/endpoint_table.py
+++ b/honeywood/gateway/routing/endpoint_table.py
@@ -1,4 +1,4 @@
-"""All endpoints that a proxy knows, kept up to date from machine records."""
+"""All endpoints known to a proxy, kept up to date from machine records."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
     from honeywood.gateway.routing.endpoint_record import EndpointRecord
 
-TYPICAL_LATENCY_STEP = 0.02  # weight of one response in a service's moving average
+TYPICAL_LATENCY_STEP = 0.02  # weight of one response in a service's exponential moving average
 
 
 class EndpointTable:
-    """Endpoints by id and by service, with what is typical for each service."""
+    """Endpoints by id and by service, with the typical latency and connection limit of each service."""
 
     def __init__(self) -> None:
         """A table without endpoints."""
@@ -29,11 +29,11 @@
         return self.by_service.get(service, ())
 
     def typical_latency(self, service: str, default: float = 1.0) -> float:
-        """The usual seconds to a complete response of a service."""
+        """The typical seconds until a complete response of a service, or `default` before the first one."""
         return self.typical_latencies_s.get(service, default)
 
     def update(self, now: float, id: str, record: EndpointRecord) -> Endpoint | None:
-        """Takes the newest record of a machine; the endpoint that is out of service by it, if any."""
+        """Applies a machine's newest record; returns the endpoint if the record takes it out of service."""
         if record.has_ended:
             return self._remove(id, record.state)
         endpoint = self.by_id.get(id) or self._add(now, id, record.service)
@@ -54,17 +54,18 @@
         return endpoint
 
     def record_abandoned(self, now: float, endpoint: Endpoint, waited_s: float) -> None:
-        """An attempt was abandoned after `waited_s` without a response.
+        """Records that an attempt was abandoned after `waited_s` seconds without a response.
 
-        Its latency would have been higher still. So an endpoint that is slower than its average is noticed
-        even where no client waits for its responses.
+        Its latency would have been longer than that, so `waited_s` counts as a latency if it exceeds the
+        endpoint's average. Otherwise an endpoint that becomes slower would not be detected while all its
+        clients leave before its responses.
         """
         typical_s = self.typical_latencies_s.get(endpoint.service)
         if typical_s is not None and waited_s > typical_s * endpoint.relative_latency:
             endpoint.record_latency(now, waited_s, typical_s)
 
     def record_latency(self, now: float, endpoint: Endpoint, latency_s: float) -> None:
-        """A complete response came after `latency_s`: updates the service's and the endpoint's average."""
+        """Adds the latency of a complete response to the averages of the service and the endpoint."""
         typical_s = self.typical_latencies_s.get(endpoint.service, latency_s)
         step_s = (latency_s - typical_s) * TYPICAL_LATENCY_STEP
         self.typical_latencies_s[endpoint.service] = typical_s + step_s
--- a/honeywood/gateway/routing/outcomes.py
+++ b/honeywood/gateway/routing/outcomes.py
@@ -1,4 +1,4 @@
-"""What a response, or its absence, says of an attempt."""
+"""Classification of an attempt by its response or the lack of one."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-NOT_RUN_STATUSES = (408, 421, 429, 503)  # promise a client that its request has not run and never will
-MISDIRECTED_REQUEST = 421  # RFC 9110, 15.5.20: another instance listens where this one was expected
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # guarantee to the client that its request did not and will not run
+MISDIRECTED_REQUEST = 421  # RFC 9110, 15.5.20: another instance listens at the address
 FIRST_SUCCESS = 200
-FIRST_FAILURE = 300  # of final statuses
-LAST_STATUS = 599  # RFC 9110, 15: beyond are no statuses
+FIRST_FAILURE = 300  # lowest final status that is not a success
+LAST_STATUS = 599  # RFC 9110, 15: higher numbers are invalid
 
 
 class AttemptOutcome(StrEnum):
-    """How an attempt ended. The values stand in tests' descriptions and in logs.
+    """How an attempt ended. The values appear in test descriptions and in logs.
 
-    INVALID is a response to another request, or one that must not reach the client; so the request may have
-    run, as with NO_ANSWER. ABANDONED was ended by the proxy after its client had left: it may have run, and
-    says nothing of its endpoint.
+    INVALID is a response to another request, or one that must not be sent to the client; as with NO_ANSWER,
+    the request may have run. ABANDONED is an attempt that the proxy ended because its client had left: the
+    request may have run, and the outcome gives no information about the endpoint.
     """
 
     SUCCESS = "success"
@@ -32,10 +32,11 @@
 
 
 def classify_response(status: int, fields: Mapping[bytes, bytes], try_id: bytes) -> AttemptOutcome:
-    """The outcome by a complete response to the request `try_id`; `fields` has lower-case names.
+    """The outcome of an attempt that got a complete response.
 
-    A late "not run" that belongs to another request says nothing of this one, which may be running. The
-    response to a request without an id has none.
+    `fields` are the response's header fields, with names in lower case. A response must carry the request's
+    `try_id`, and none if the request has none. A late "not run" with another id belongs to another request,
+    so this one may still be running.
     """
     if fields.get(b"x-try-id") != (try_id or None):
         return AttemptOutcome.INVALID
@@ -43,13 +44,14 @@
         return AttemptOutcome.NOT_RUN
     if not FIRST_SUCCESS <= status < FIRST_FAILURE:
         return AttemptOutcome.FAILURE
-    plain = fields.get(b"content-encoding", b"identity") == b"identity"
-    return AttemptOutcome.SUCCESS if try_id and b"x-seal" in fields and plain else AttemptOutcome.INVALID
+    unencoded = fields.get(b"content-encoding", b"identity") == b"identity"
+    return AttemptOutcome.SUCCESS if try_id and b"x-seal" in fields and unencoded else AttemptOutcome.INVALID
 
 
 def may_relay(status: int) -> bool:
-    """Whether an endpoint's failure may be passed to the client with its status.
+    """Whether the status of an endpoint's failure may be forwarded to the client.
 
-    A status that promises "not run" may not: the endpoint made no such promise, so it would be the proxy's.
+    A status in NOT_RUN_STATUSES may not: it would guarantee that the request did not run, which the endpoint
+    has not stated by its X-Not-Run header.
     """
     return status not in NOT_RUN_STATUSES and FIRST_FAILURE <= status <= LAST_STATUS
--- a/honeywood/gateway/routing/pending_request.py
+++ b/honeywood/gateway/routing/pending_request.py
@@ -1,4 +1,4 @@
-"""A client's request on its way through the proxy, with the attempts made so far."""
+"""A client's request while the proxy handles it, with the attempts made so far."""
 
 from __future__ import annotations
 
@@ -14,8 +14,10 @@
     from honeywood.gateway.configuration.model import Route
     from honeywood.gateway.routing.endpoint import Endpoint
 
-REJECT_AFTER = 0.25  # of the route's latency target, in which a request without any endpoint is rejected
-MIN_CONNECT_TIMEOUT_S = 0.05  # many round trips; given to a first connection however late its request is
+# Fraction of the route's latency target after which a request that no endpoint could take is rejected.
+REJECT_AFTER_FRACTION = 0.25
+# Given to a request's first connection, however close to `reject_at`; enough for many round trips.
+MIN_CONNECT_TIMEOUT_S = 0.05
 
 
 @dataclass(slots=True, eq=False)
@@ -28,11 +30,12 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A client's request until it is answered and no attempt is in flight.
+    """A client's request, kept until it is answered and no attempt is in flight.
 
     Times are seconds on the caller's clock. `try_id` is the client's X-Try-Id. `deadline` is when the client
-    or the route gives up. `priority`, 0 the highest, is the tenant's or else the route's. `unreachable` are
-    endpoints to which no connection could be established. `on_disconnect` is what `disconnect` calls.
+    or the route gives up. `priority` is the tenant's, or else the route's; 0 is the highest. `unreachable`
+    lists the endpoints to which no connection could be established. `on_disconnect` is the callback that is
+    subscribed to `disconnect`.
     """
 
     route: Route
@@ -54,7 +57,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any attempt has not ended with the endpoint's statement that it did not run."""
+        """Whether any attempt is in flight or has ended with an outcome other than NOT_RUN."""
         return any(attempt.outcome is not AttemptOutcome.NOT_RUN for attempt in self.attempts)
 
     @property
@@ -64,12 +67,12 @@
 
     @property
     def reject_at(self) -> float:
-        """When it is rejected if no endpoint could take it: early enough for its client to go elsewhere."""
-        return self.received_at + REJECT_AFTER * self.route.latency_target_s
+        """When to reject it if no endpoint could take it: early enough for its client to retry elsewhere."""
+        return self.received_at + REJECT_AFTER_FRACTION * self.route.latency_target_s
 
 
 def connect_deadline(now: float, request: PendingRequest) -> float:
-    """By when a connection for `request` must be established."""
+    """The time by which a connection for `request` must be established."""
     if request.attempts:
         return request.deadline
     return min(request.deadline, max(now + MIN_CONNECT_TIMEOUT_S, request.reject_at))
--- a/honeywood/gateway/routing/rejection.py
+++ b/honeywood/gateway/routing/rejection.py
@@ -4,7 +4,7 @@
 
 
 class RejectionReason(StrEnum):
-    """What keeps a request from an endpoint. The values stand in X-Gateway, in logs and in counters."""
+    """What prevents the attempt. The values appear in X-Gateway, in logs and in counters."""
 
     FINISHED = "done"
     CLIENT_GONE = "left"
--- a/honeywood/gateway/routing/route_table.py
+++ b/honeywood/gateway/routing/route_table.py
@@ -1,4 +1,4 @@
-"""Host and path to a route: of a host's routes the one with the longest matching prefix."""
+"""Finds the route of a host and path: the host's route with the longest matching prefix."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RouteTable:
-    """The routes of one configuration version, and its tenants by key (None where it has no tenants)."""
+    """The routes of one configuration version, and its tenants by key (None if it has no tenants)."""
 
     def __init__(self, configuration: Configuration) -> None:
         """Indexes a configuration's routes, services and tenants."""
@@ -25,7 +25,7 @@
         self.services = {service for route in configuration.routes for service, _ in route.split}
 
     def find(self, host: bytes, path: bytes) -> Route | None:
-        """The route for a Host field value and a raw path."""
+        """The route for a Host field value and a raw path, or None."""
         routes = self._routes_of(host.lower())
         if routes is None:
             return None
@@ -38,7 +38,7 @@
         return None
 
     def _routes_of(self, host: bytes) -> Mapping[bytes, Route] | None:
-        """The routes of a host, with or without a port."""
+        """The routes of a host by prefix, or None; a port is ignored if there are none for host and port."""
         routes = self.routes_by_host.get(host)
         if routes is None and b":" in host:
             routes = self.routes_by_host.get(host.rpartition(b":")[0])
@@ -46,7 +46,7 @@
 
 
 def choose_service(split: Sequence[tuple[str, float]], draw: float) -> str:
-    """One of the services by weight; `draw` is a random number within [0, 1)."""
+    """Picks one of the services in proportion to their weights; `draw` is a random number in [0, 1)."""
     if len(split) == 1:
         return split[0][0]
     remaining = draw * sum(weight for _, weight in split)
--- a/honeywood/gateway/routing/tenant_table.py
+++ b/honeywood/gateway/routing/tenant_table.py
@@ -1,7 +1,7 @@
-"""Tenants by API key, looked up in constant time in a compact table.
+"""Tenant lookup by API key, in constant time, in a compact table.
 
-The table is one array of records, each a key's hash and its tenant's number. Records are grouped into buckets
-by the first bits of the hash, a few records a bucket. Only hashes of keys are kept.
+The table is one array of records. A record is a key's hash and the number of its tenant. Records are grouped
+into buckets by the first bits of the hash, with a few records per bucket. Keys are stored as hashes only.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
     from honeywood.gateway.configuration.tenants import Tenant
 
-NUMBER_BYTES = 4  # of a tenant's number in a record
-RECORD_BYTES = HASH_BYTES + NUMBER_BYTES
+TENANT_NUMBER_BYTES = 4  # size of a tenant's number in a record
+RECORD_BYTES = HASH_BYTES + TENANT_NUMBER_BYTES
 RECORDS_PER_BUCKET = 4  # on average
-PREFIX_BYTES = 4  # of a hash, from which a bucket's bits are taken
-NO_PRIORITY = -1
+PREFIX_BYTES = 4  # start of a hash, whose first bits are the number of its bucket
+NO_PRIORITY = -1  # stands for None in the array of priorities
 
 
 class TenantTable:
-    """The tenants of one configuration version by key."""
+    """The tenants of one configuration version, by key."""
 
     def __init__(self, tenants: Iterable[Tenant]) -> None:
         """Builds the table in place."""
@@ -42,9 +42,9 @@
         self._index_keys(tenants)
 
     def _index_keys(self, tenants: tuple[Tenant, ...]) -> None:
-        """Counts each bucket's records, then puts every record into its bucket.
+        """Counts the records of each bucket, then writes every record into its bucket.
 
-        Two passes, so that no list of all records exists beside the table.
+        It takes two passes so that no list of all records is held beside the table.
         """
         key_count = sum(len(tenant.key_hashes) for tenant in tenants)
         bits = max(0, (key_count // RECORDS_PER_BUCKET).bit_length())
@@ -53,7 +53,7 @@
         self._records = bytearray(key_count * RECORD_BYTES)
         free = array("I", self._bucket_starts)
         for number, tenant in enumerate(tenants):
-            number_bytes = number.to_bytes(NUMBER_BYTES, "big")
+            number_bytes = number.to_bytes(TENANT_NUMBER_BYTES, "big")
             for key_hash in tenant.key_hashes:
                 bucket = self._bucket_of(key_hash)
                 offset = free[bucket] * RECORD_BYTES
@@ -61,7 +61,7 @@
                 free[bucket] += 1
 
     def _count_buckets(self, tenants: tuple[Tenant, ...], buckets: int) -> array[int]:
-        """The index of each bucket's first record, and the end of the last."""
+        """The index of each bucket's first record, followed by the end of the last bucket."""
         counts = array("I", bytes(array("I").itemsize * (buckets + 1)))
         for tenant in tenants:
             for key_hash in tenant.key_hashes:
@@ -93,9 +93,9 @@
         return TenantMatch(name, None if priority == NO_PRIORITY else priority)
 
     def admit(self, headers: Iterable[tuple[bytes, bytes]], public: bool) -> Admission | None:
-        """The Admission of a request by its headers, whose names are in lower case.
+        """The Admission of a request by its headers, whose names must be in lower case.
 
-        None where the request shows no key, an unknown one or several, and its route isn't `public`.
+        Returns None if the route isn't `public` and the request has no key, an unknown one or several.
         """
         keys = api_keys(headers)
         tenant = self.find(keys[0]) if len(keys) == 1 else None
--- a/tests/gateway/routing/test_attempt_policy.py
+++ b/tests/gateway/routing/test_attempt_policy.py
@@ -1,4 +1,4 @@
-"""Which attempts are permitted."""
+"""Which attempts the policy permits."""
 
 from routing_fixtures import LATENCY_TARGET_S, TIMEOUT_S, Router, make_request, router
 from ward import each, test
@@ -11,12 +11,12 @@
     outcome=each("not run", "no answer", "invalid", "failure", None, "no answer", "failure", "success"),
     permitted=each(True, False, False, False, False, True, True, False),
 ):
-    # Whatever may have run is not sent again if unsafe: cut off, invalid, failed or still in flight.
+    # An unsafe request that may have run is not sent again: no answer, invalid, failed or still in flight.
     request = make_request(kind, (router["m"], outcome))
     assert (router.rejection(request, "n") is None) == permitted
 
 
-@test("a machine that drains or has left gets nothing, nor what waited for its connection")
+@test("a draining or gone endpoint gets no request, not even one that waited for its connection")
 def _(router=router):
     request, endpoint = make_request(), router["m"]
     assert router.policy.rejection(0.1, request, endpoint) is None
@@ -25,30 +25,30 @@
         assert router.policy.rejection(0.1, request, endpoint) == "state"
 
 
-@test("an endpoint that failed a request is not asked again, one that was busy may be")
+@test("a request is not retried at an endpoint that failed it, but may be at one that did not run it")
 def _(router=router):
-    # Without this rule two endpoints that answered 500 were each asked twice, to the same end.
+    # Without this rule a request was sent twice to each of two endpoints that both answered 500 each time.
     request = make_request("safe", (router["m"], "failure"), (router["n"], "not run"))
     assert [router.rejection(request, id) for id in "mno"] == ["failed there", None, "tries"]
 
 
-@test("a proxy opens its share of an endpoint's connections; an established one may always be used")
+@test("a proxy opens only its share of an endpoint's connections; established ones may always be used")
 def _(router=router):
     endpoint = router["m"]  # four proxies share nine connections
     endpoint.opening_connections = 1
-    found = [router.rejection(make_request(), "m")]
+    reasons = [router.rejection(make_request(), "m")]
     endpoint.connection_changed(1)
-    found.append(router.rejection(make_request(), "m"))
-    found.append(router.policy.rejection(0.1, make_request(), endpoint, connected=True))
+    reasons.append(router.rejection(make_request(), "m"))
+    reasons.append(router.policy.rejection(0.1, make_request(), endpoint, connected=True))
     endpoint.idle_connections.append("idle")
-    found.append(router.rejection(make_request(), "m"))
+    reasons.append(router.rejection(make_request(), "m"))
     endpoint.idle_connections.clear()
     endpoint.connection_changed(-1)
-    found.append(router.rejection(make_request(), "m"))
-    assert found == [None, "connections", None, None, None]
+    reasons.append(router.rejection(make_request(), "m"))
+    assert reasons == [None, "connections", None, None, None]
 
 
-@test("maximum attempts, deadline and retry budget each reject by their own name")
+@test("maximum attempts, deadline and retry budget are distinct rejection reasons")
 def _(router=router):
     request = make_request("safe", (router["m"], "no answer"), (router["n"], "no answer"))
     assert router.rejection(request, "o") == "tries"
@@ -60,7 +60,7 @@
 
 @test("with {left_s} s to the deadline, a tenth of the latency target being 0.025 s: {reason}")
 def _(router=router, left_s=each(0.026, 0.024), reason=each(None, "deadline")):
-    # An attempt with less left can't succeed, and its 504 costs more than an immediate rejection.
+    # An attempt with less time left can't succeed, and its 504 costs more than an immediate rejection.
     assert router.rejection(make_request(deadline=TIMEOUT_S), "m", now=TIMEOUT_S - left_s) == reason
 
 
--- a/tests/gateway/routing/test_load_balancer.py
+++ b/tests/gateway/routing/test_load_balancer.py
@@ -1,4 +1,4 @@
-"""Which endpoint gets a request."""
+"""Which endpoint is chosen for a request."""
 
 import random
 
@@ -10,20 +10,20 @@
 DRAWS = 50
 
 
-@test("endpoints of the own zone come first while they have capacity, others' when they are busy")
+@test("endpoints of the local zone are preferred while they have capacity, others when they are busy")
 def _(router=router):
-    far = router["o"]
-    far.zone = "far"
+    remote = router["o"]
+    remote.zone = "far"
     endpoints, draw = list(router.endpoints.by_id.values()), random.Random(1)
     chosen = {choose_endpoint(1.0, endpoints, "z", [], 1.0, draw).id for _ in range(DRAWS)}
     assert chosen == {"m", "n"}
     for id in "mn":
         for _ in range(3):
             router[id].attempt_started(1.0)
-    assert choose_endpoint(1.0, endpoints, "z", [], 1.0, draw) is far
+    assert choose_endpoint(1.0, endpoints, "z", [], 1.0, draw) is remote
 
 
-@test("an endpoint that answers nothing gets no further request while others answer")
+@test("an unresponsive endpoint gets no further request while others are responsive")
 def _(router=router):
     endpoints, draw = list(router.endpoints.by_id.values()), random.Random(1)
     router["m"].attempt_started(1.0)
--- a/tests/gateway/routing/test_outcomes.py
+++ b/tests/gateway/routing/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What a response means, and which failures may be relayed."""
+"""Classification of responses, and which failures may be relayed."""
 
 from ward import each, test
 
@@ -36,12 +36,12 @@
         *["invalid"] * 3,
     ),
 ):
-    # A late response carries another id; a success without seal is none. "Not run" with another id, or
-    # without any, says nothing of this request, which may be running.
+    # A late response carries another id. A success without X-Seal is invalid. "Not run" with another id, or
+    # without any, doesn't refer to this request, which may be running.
     assert classify_response(status, fields, b"id") == outcome
 
 
-@test("a request without an id takes a refusal without one as its own, and no other response")
+@test("a request without an id accepts a refusal without an id, and no other response")
 def _():
     refused = classify_response(400, {b"x-not-run": b"1"}, b"")
     answered = classify_response(200, {b"x-seal": b"s"}, b"")
@@ -49,7 +49,7 @@
     assert classify_response(421, ID, b"") == "invalid"
 
 
-@test("a failure is relayed unless its status promises that the request has not run, or is no status")
+@test("a failure is relayed unless its status is invalid or guarantees that the request did not run")
 def _():
     relayed = [may_relay(status) for status in (500, 504, 404, 503, 429, 421, 408, 600, 999)]
     assert relayed == [True] * 3 + [False] * 6
--- a/tests/gateway/routing/test_pending_request.py
+++ b/tests/gateway/routing/test_pending_request.py
@@ -1,4 +1,4 @@
-"""How long a request may wait for a connection."""
+"""How long a request may wait for a connection to be established."""
 
 from routing_fixtures import TIMEOUT_S, make_request
 from ward import each, test
@@ -6,7 +6,7 @@
 from honeywood.gateway.routing.pending_request import connect_deadline
 
 
-@test("a connection for a request that came {elapsed_s} s ago, {attempts} attempts, may take {within_s} s")
+@test("{elapsed_s} s after its arrival and {attempts} attempts, a request waits {within_s} s to connect")
 def _(
     elapsed_s=each(0.0, 0.03, 1.0, 0.0),
     attempts=each(0, 0, 0, 1),
--- a/tests/gateway/routing/test_retry_budget.py
+++ b/tests/gateway/routing/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budgets of many proxies together."""
+"""The retry budgets of many proxies taken together."""
 
 import random
 
@@ -10,7 +10,7 @@
 REQUESTS, REQUESTS_PER_S = 6000, 600
 
 
-@test("the retries of twelve proxies stay within the common budget, however unevenly they get requests")
+@test("the retries of twelve proxies stay within the shared budget with unevenly distributed requests")
 def _():
     draw, requests, retries = random.Random(1), 0, 0
     budgets = [RetryBudget(RATIO, SLACK, window_s=10.0) for _ in range(PROXIES)]
--- a/tests/gateway/routing/test_route_table.py
+++ b/tests/gateway/routing/test_route_table.py
@@ -1,4 +1,4 @@
-"""Routes by host and path, and services by weight."""
+"""Finding routes by host and path, and choosing services by weight."""
 
 from routing_fixtures import make_route
 from ward import test
@@ -7,13 +7,13 @@
 from honeywood.gateway.routing.route_table import RouteTable, choose_service
 
 
-@test("the longest prefix of a host matches, at segment ends only, whatever the host's case and port")
+@test("the longest prefix of a host matches, at segment ends only; the host's case and port are ignored")
 def _():
     routes = tuple(make_route(prefix=prefix) for prefix in ("/a/", "/a/b/", "/"))
     table = RouteTable(Configuration(1, routes, {}, Limits()))
     paths = (b"/a/b/c", b"/a/bc", b"/a", b"/a/%2F/..", b"")
-    found = [table.find(b"H.example:80", path) for path in paths]
-    assert [one and one.prefix for one in found] == ["/a/b/", "/a/", "/", "/a/", None]
+    routes_found = [table.find(b"H.example:80", path) for path in paths]
+    assert [route and route.prefix for route in routes_found] == ["/a/b/", "/a/", "/", "/a/", None]
     assert table.find(b"other.example", b"/a/") is None
 
 
--- a/tests/gateway/routing_fixtures.py
+++ b/tests/gateway/routing_fixtures.py
@@ -1,4 +1,4 @@
-"""Routes, requests and endpoints for tests of routing."""
+"""Routes, requests and endpoints for routing tests."""
 
 from timeline import machine
 from ward import fixture
@@ -14,8 +14,8 @@
 from honeywood.gateway.routing.rejection import RejectionReason
 from honeywood.gateway.routing.retry_budget import RetryBudget
 
-PROXIES = 4  # that share the budget and each endpoint's connections
-MAX_CONNECTIONS = 9  # of one endpoint from all proxies
+PROXIES = 4  # sharing the retry budget and each endpoint's connections
+MAX_CONNECTIONS = 9  # to one endpoint, from all proxies together
 TIMEOUT_S, LATENCY_TARGET_S = 0.6, 0.25  # of each route
 
 
@@ -32,9 +32,9 @@
     max_attempts: int = 2,
     deadline: float = TIMEOUT_S,
 ) -> PendingRequest:
-    """A request received at 0, with attempts given as endpoint and outcome (None: in flight)."""
-    made = [Attempt(endpoint, outcome and AttemptOutcome(outcome)) for endpoint, outcome in attempts]
-    return PendingRequest(make_route(kind, max_attempts), "s", b"id", 0.0, deadline, made)
+    """A request received at time 0; `attempts` are pairs of endpoint and outcome (None: in flight)."""
+    made_attempts = [Attempt(endpoint, outcome and AttemptOutcome(outcome)) for endpoint, outcome in attempts]
+    return PendingRequest(make_route(kind, max_attempts), "s", b"id", 0.0, deadline, made_attempts)
 
 
 class Router:
@@ -42,10 +42,10 @@
 
     def __init__(self, slack: float = 64.0) -> None:
         self.endpoints = EndpointTable()
-        self.stage = RolloutTrafficPolicy(self.endpoints, 0.1, 50, lambda: 1)
+        self.rollout_policy = RolloutTrafficPolicy(self.endpoints, 0.1, 50, lambda: 1)
         self.budget = RetryBudget(0.2, slack, 10.0)
         self.policy = AttemptPolicy(
-            lambda service: self.budget, lambda: PROXIES, self.stage, {"s": MAX_CONNECTIONS}
+            lambda service: self.budget, lambda: PROXIES, self.rollout_policy, {"s": MAX_CONNECTIONS}
         )
         for id in "mno":
             self.update(id, "ready")
@@ -55,15 +55,15 @@
         return self.endpoints.by_id[id]
 
     def update(self, id: str, state: str) -> Endpoint | None:
-        """A record says that a machine is in `state`."""
+        """Applies a record of a machine in `state`; returns what `EndpointTable.update` returns."""
         return self.endpoints.update(0.0, id, EndpointRecord.decode(machine(id, state=state)))
 
     def rejection(self, request: PendingRequest, id: str, now: float = 0.1) -> RejectionReason | None:
-        """Why the request may not be sent to the endpoint `id`."""
+        """Why the request may not be sent to the endpoint `id`, or None."""
         return self.policy.rejection(now, request, self[id])
 
 
 @fixture
 def router() -> Router:
-    """A Router with an ample retry budget."""
+    """A Router with a large retry budget."""
     return Router()
