--- a/honeywood/gateway/rollout/allowance.py
+++ b/honeywood/gateway/rollout/allowance.py
@@ -1,28 +1,29 @@
-"""The bound on the exposure of a version that is being rolled out, kept by each proxy on its own.
+"""The bound on a new version's exposure, which each proxy enforces without communicating.
 
-The sum over all proxies stays within a share of all requests and a slack, whatever news reaches whom:
-docs/design/system.md.
+Summed over all proxies, the attempts at the version stay within a share of all requests plus a slack,
+regardless of which proxies have received which updates: docs/design/system.md.
 """
 
 from __future__ import annotations
 
-# A proxy that has just started believes in too few others, and would take too large a part of the slack.
+# Seconds after the order until the number of proxies is taken as final. A proxy that has just started knows
+# too few of the others, and would keep too large a part of the slack.
 PROXY_COUNT_DISCOVERY_S = 3.0
 
 
 class ExposureAllowance:
     """One proxy's allowance for attempts at the version of one order.
 
-    It is its share of the requests that the proxy has taken since the order, and its part of the slack.
+    It is a share of the requests that the proxy has received since the order, plus its part of the slack.
     """
 
     __slots__ = ("share", "slack", "started_at", "proxy_count", "proxy_count_final", "requests", "attempts")
 
     def __init__(self, share: float, slack: float, started_at: float) -> None:
-        """Begin an allowance at `started_at` (seconds).
+        """Create an allowance that starts at `started_at` (seconds).
 
-        `share` is a part of requests; `slack` is a number of attempts that all proxies have together, 0 for a
-        proxy that has no part in it.
+        `share` is a fraction of requests. `slack` is a number of attempts that all proxies share; it is 0 for
+        a proxy that gets none of it.
         """
         self.share = share
         self.slack = slack
@@ -33,10 +34,11 @@
         self.attempts = 0
 
     def record_request(self, now: float, proxy_count: int) -> None:
-        """Count a request, taken while `proxy_count` proxies are known.
+        """Count a request that arrives while `proxy_count` proxies are known.
 
-        The number of proxies at the order divides the slack. It is known PROXY_COUNT_DISCOVERY_S later: a
-        proxy that ends afterwards has used its part.
+        The slack is divided by the number of proxies at the time of the order, which is known
+        PROXY_COUNT_DISCOVERY_S later. Later changes of the number are ignored: a proxy that has ended since
+        may have used its part of the slack.
         """
         self.requests += 1
         if not self.proxy_count_final:
--- a/honeywood/gateway/rollout/comparison.py
+++ b/honeywood/gateway/rollout/comparison.py
@@ -1,10 +1,10 @@
-"""Statistical tests of a new version against the established ones, route by route.
+"""Statistical tests of a new version against the established versions, for each route.
 
 Each test is one-sided, of the null hypothesis that the new version's share of failures (or of slow answers)
 exceeds the established one's by no more than a margin: a two-proportion z-test with unpooled variance, or
 the exact binomial tail where few failures are expected (release_analysis/multiple_testing.py).
 
-Many routes are tested at a time, so the p-values go through the procedure of Benjamini and Hochberg,
+Many routes are tested at once, so the p-values are corrected by the procedure of Benjamini and Hochberg,
 "Controlling the False Discovery Rate: a Practical and Powerful Approach to Multiple Testing", Journal of the
 Royal Statistical Society B 57 (1995), 289-300, procedure (1): sorted as p(1) <= ... <= p(m), the first k are
 rejected, k being the largest i with p(i) <= i / m * q. The expected share of false rejections among all
@@ -29,14 +29,14 @@
 
     from honeywood.gateway.rollout.report import OutcomeCounts
 
-SLOW_SHARE_MARGIN = 0.10  # by which the share of slow answers may exceed the established one
-MIN_NEW_OUTCOMES = 5  # of the new version on a route before it is tested
-MIN_ESTABLISHED_OUTCOMES = MIN_OUTCOMES  # of the established versions
+SLOW_SHARE_MARGIN = 0.10  # by which the share of slow answers may exceed that of the established versions
+MIN_NEW_OUTCOMES = 5  # of the new version on a route, before the route is tested
+MIN_ESTABLISHED_OUTCOMES = MIN_OUTCOMES  # of the established versions on a route
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class TestResult:
-    """The p-value of one test of one route; results are ordered by it."""
+    """The p-value of one test on one route; results are ordered by it."""
 
     p_value: float
     kind: str  # "failures" or "slow answers"
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PooledCounts:
-    """OutcomeStatistics by route over all proxies, of the new version and of all others together."""
+    """OutcomeStatistics by route, over all proxies, of the new version and of all other versions together."""
 
     new: dict[str, OutcomeStatistics]
     established: dict[str, OutcomeStatistics]
 
 
 def pool(outcome_counts: Iterable[OutcomeCounts], service: str, version: str) -> PooledCounts:
-    """Return the counts of a service, summed over proxies; `version` is the new one."""
+    """Return the counts of a service, summed over proxies; `version` is the new version."""
     pooled = PooledCounts({}, {})
     for one in outcome_counts:
         if one.service != service:
@@ -70,7 +70,7 @@
 
 
 def compare(pooled: PooledCounts) -> list[TestResult]:
-    """Return a test of failures and one of slow answers for each route that has enough outcomes."""
+    """Return a test of failures and a test of slow answers for each route that has enough outcomes."""
     results = []
     for route, new in pooled.new.items():
         established = pooled.established.get(route)
@@ -88,7 +88,7 @@
 
 
 def _slowness_p_value(new: OutcomeStatistics, established: OutcomeStatistics) -> float:
-    """Test the slow answers: those in bins that few of the established versions' answers reach."""
+    """Test slow answers: those in the latency bins that few answers of the established versions reach."""
     first_slow_bin, slow_share = established.slow_threshold()
     slow, timed = sum(new.bins[first_slow_bin:]), sum(new.bins)
     established_timed = sum(established.bins)
@@ -98,6 +98,6 @@
 
 
 def rejections(results: list[TestResult], level: float) -> list[TestResult]:
-    """Return the results that are rejected together at the false discovery rate `level`."""
+    """Return the results that the procedure rejects at the false discovery rate `level`."""
     rejected = benjamini_hochberg([result.p_value for result in results], level)
     return [results[index] for index in rejected]
--- a/honeywood/gateway/rollout/condition_timer.py
+++ b/honeywood/gateway/rollout/condition_timer.py
@@ -1,21 +1,22 @@
-"""For how long a condition has held, as seen by periodic checks."""
+"""Measures how long a condition has held, by periodic checks."""
 
 from __future__ import annotations
 
-# Longer gaps between checks mean that the process was stopped or cut off: nothing is known of that time.
+# After a longer gap between checks the time starts again: the process was suspended or cut off from the
+# network, and whether the condition held in the meantime is unknown.
 MAX_CHECK_GAP_S = 1.5
-NEVER_S = -1.0
+NOT_HOLDING_S = -1.0  # result of a check at which the condition does not hold
 
 
 class ConditionTimer:
-    """Times how long a condition has held at every check; it begins anew after a gap between checks."""
+    """Measures for how long a condition has held at every check, without a long gap between checks."""
 
     __slots__ = ("true_since", "checked_at")
 
     def __init__(self) -> None:
-        """Start without a check."""
+        """Create a timer that has made no check."""
         self.true_since: float | None = None
-        self.checked_at = 0.0  # says nothing before the first check
+        self.checked_at = 0.0  # not used before the first check
 
     @property
     def holds(self) -> bool:
@@ -23,13 +24,13 @@
         return self.true_since is not None
 
     def check(self, now: float, holds: bool) -> float:
-        """Note whether the condition holds, and return the seconds for which it has.
+        """Record whether the condition holds, and return for how many seconds it has held.
 
-        Where it doesn't hold the result is NEVER_S.
+        Returns NOT_HOLDING_S if it doesn't hold.
         """
         if not holds:
             self.true_since = None
         elif self.true_since is None or now - self.checked_at > MAX_CHECK_GAP_S:
             self.true_since = now
         self.checked_at = now
-        return NEVER_S if self.true_since is None else now - self.true_since
+        return NOT_HOLDING_S if self.true_since is None else now - self.true_since
--- a/honeywood/gateway/rollout/evaluator.py
+++ b/honeywood/gateway/rollout/evaluator.py
@@ -1,4 +1,4 @@
-"""A controller's decision on the next step of a rollout, from all proxies' counts and votes."""
+"""A controller's decision on the next step of a rollout, by the counts and votes of all proxies."""
 
 from __future__ import annotations
 
@@ -18,20 +18,21 @@
     from honeywood.gateway.rollout.record import Rollout
     from honeywood.gateway.rollout.report import OutcomeCounts
 
-# Fractions are parts of the time that the order gives the rollout.
-MIN_TRIAL_FRACTION = 0.55  # a version stays on trial for as long: it may turn bad late
-MAX_TRIAL_FRACTION = 0.7  # after it missing votes and outcomes are waited for no more
-MIN_FULL_OUTCOMES = 25  # none of them rejected, before all traffic goes to the version without a bound
-MIN_WIDE_S = 0.6  # seconds of the wide stage before that: slow answers end last, so the first ones flatter
-MAX_WIDE_FRACTION = 0.85  # after it few outcomes mean few requests, and no want of allowance
-MIN_DONE_OUTCOMES = MIN_OUTCOMES  # before the established endpoints are given up
-MIN_DONE_FRACTION = 0.9  # after it a version with fewer outcomes is done as well
-MIN_DRAINED_S = 0.4  # seconds for which all proxies must have left the established endpoints
+# Fractions are of the duration that the order allows for the rollout.
+MIN_TRIAL_FRACTION = 0.55  # minimum length of the trial stage: a version may begin to fail late
+MAX_TRIAL_FRACTION = 0.7  # afterwards the full stage doesn't wait for missing votes and outcomes
+MIN_FULL_OUTCOMES = 25  # without a rejection, before the version gets all traffic without a bound
+# Minimum length of the wide stage. Slow answers end last, so the first outcomes look better than the rest.
+MIN_WIDE_S = 0.6
+MAX_WIDE_FRACTION = 0.85  # afterwards few outcomes are due to few requests, not to a small allowance
+MIN_DONE_OUTCOMES = MIN_OUTCOMES  # before the rollout is done and the established endpoints are given up
+MIN_DONE_FRACTION = 0.9  # afterwards a rollout with fewer outcomes is done as well
+MIN_DRAINED_S = 0.4  # for which all proxies must have left the established endpoints, before that
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutChange:
-    """A change to make to a rollout's state or stage; `reason` is for the log."""
+    """A change of a rollout's state or stage; `reason` is for the log."""
 
     state: RolloutState | None = None
     stage: RolloutStage | None = None
@@ -39,12 +40,12 @@
 
 
 class RolloutEvaluator:
-    """One controller's evaluation of one revision of a rollout, look by look."""
+    """One controller's repeated evaluation of one revision of a rollout."""
 
     __slots__ = ("revision", "_rejection", "_drained", "_wide")
 
     def __init__(self, revision: int) -> None:
-        """Nothing is known of the revision yet."""
+        """Create an evaluator that has not evaluated the revision yet."""
         self.revision = revision
         self._rejection = RejectionMonitor()
         self._drained = ConditionTimer()
@@ -59,16 +60,16 @@
         votes: Sequence[Vote | None],
         drained: bool,
     ) -> RolloutChange | None:
-        """Return the change to make to an active rollout now, `elapsed_s` after its order, or None.
+        """Return the change to make to an active rollout now, `elapsed_s` seconds after its order, or None.
 
-        `votes` are those of the proxies that share in the traffic; `drained` says that none of them has
-        attempts in flight at the established endpoints, or needs these.
+        `votes` has an element for each proxy that serves traffic. `drained` says that none of these proxies
+        has attempts in flight at the established endpoints or still needs these endpoints.
         """
-        confirmed = self._rejection.confirms(now, rollout, outcome_counts)
+        confirmed = self._rejection.update(now, rollout, outcome_counts)
         if confirmed or Vote.REVERT in votes:
             reason = self._rejection.reason if self._rejection.rejects else "a proxy's vote"
             return RolloutChange(state=RolloutState.REVERTED, reason=reason)
-        if self._rejection.rejects:  # until it is confirmed or gone, no more than the trial's traffic
+        if self._rejection.rejects:  # at most the trial stage until it is confirmed or no longer holds
             if rollout.stage is not RolloutStage.FULL:
                 return None
             return RolloutChange(stage=RolloutStage.TRIAL, reason=self._rejection.reason)
--- a/honeywood/gateway/rollout/outcome_counters.py
+++ b/honeywood/gateway/rollout/outcome_counters.py
@@ -1,4 +1,4 @@
-"""How attempts of one proxy ended, counted while rollouts are active."""
+"""Counters of how one proxy's attempts ended while rollouts are active."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
     from honeywood.gateway.routing.endpoint import Endpoint
     from honeywood.gateway.routing.pending_request import PendingRequest
 
-# Latency of a service's slowest machines as a multiple of the usual one, whatever their version.
+# Latency of a service's slowest machines as a multiple of the typical latency, regardless of their version.
 MACHINE_LATENCY_SPREAD = 1.5
-IGNORED_OUTCOMES = (AttemptOutcome.NOT_RUN, AttemptOutcome.ABANDONED)  # these say nothing of a version
+IGNORED_OUTCOMES = (AttemptOutcome.NOT_RUN, AttemptOutcome.ABANDONED)  # not caused by the version
 
 
 class OutcomeCounters:
-    """Counters by service, route and version."""
+    """Outcome counters by service, route and version."""
 
     __slots__ = ("_counters",)
 
     def __init__(self) -> None:
-        """Nothing is counted."""
+        """Create empty counters."""
         self._counters: dict[tuple[str, str, str], OutcomeStatistics] = {}
 
     def record(
@@ -38,10 +38,11 @@
         outcome: AttemptOutcome,
         latency_s: float,
     ) -> None:
-        """Count an attempt of an active rollout's service that has ended after `latency_s` seconds."""
+        """Count an attempt at the service of an active rollout that has ended after `latency_s` seconds."""
         if outcome in IGNORED_OUTCOMES or now < endpoint.warm_at:
             return
-        # The few endpoints on trial may be the slow machines of the service; later all get requests.
+        # The few endpoints on trial may be the service's slowest machines, so their latency is reduced. In
+        # later stages all endpoints get requests.
         if endpoint.version == rollout.version and rollout.stage is RolloutStage.TRIAL:
             latency_s /= MACHINE_LATENCY_SPREAD
         key = request.service, request.route.name, endpoint.version
@@ -50,11 +51,11 @@
         counter.add(1, outcome is not AttemptOutcome.SUCCESS, 1, latency_bin)
 
     def reset(self, service: str) -> None:
-        """Drop the counters of a service: what was counted before an order says nothing of it."""
+        """Drop the counters of a service; outcomes from before an order must not count for it."""
         self._counters = {key: counter for key, counter in self._counters.items() if key[0] != service}
 
     def snapshot(self) -> tuple[OutcomeCounts, ...]:
-        """All counts as they are reported."""
+        """Return all counts in the form that is reported."""
         return tuple(
             OutcomeCounts(*key, counter.failed, counter.ended, tuple(counter.bins))
             for key, counter in self._counters.items()
--- a/honeywood/gateway/rollout/record.py
+++ b/honeywood/gateway/rollout/record.py
@@ -1,9 +1,9 @@
 """The durable record of a service's rollout, and the codec of its stored form.
 
-The register keeps one record a service, as {"svc", "to_ver", "over_s", "state", "stage", "lasted", "n",
-"order", "past", "back"}. No wall clock is stored: `elapsed_s` is the time since the order at the last change,
-and a reader adds for how long it has known that revision by its own steady clock. A reader that came later
-therefore sees less elapsed time, never more.
+The register stores one record per service, as {"svc", "to_ver", "over_s", "state", "stage", "lasted", "n",
+"order", "past", "back"}. No wall-clock time is stored: `elapsed_s` is the time from the order to the last
+change, and a reader adds the time for which it has known that revision, by its own monotonic clock. A reader
+that received the revision later therefore computes a shorter elapsed time, never a longer one.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 if TYPE_CHECKING:
     from typing import Any
 
-OPERATION = "rollout"  # named in errors
-PREVIOUS_ORDER_ITEMS = 3  # of the stored form of a previous order
+OPERATION = "rollout"  # in errors
+PREVIOUS_ORDER_ITEMS = 3  # in the stored form of a previous order
 
 
 class RolloutState(StrEnum):
-    """Whether a rollout is under way, or how it ended; the values are stored and shown to operators."""
+    """Whether a rollout is in progress, or how it ended; the values are stored and shown to operators."""
 
     ACTIVE = "active"
     DONE = "done"
@@ -31,10 +31,10 @@
 
 
 class RolloutStage(StrEnum):
-    """How much traffic an active rollout gives its version; the values are stored.
+    """How much traffic the version of an active rollout gets; the values are stored.
 
-    TRIAL gives it idempotent requests within a cap for each route, WIDE all traffic within the allowance on
-    exposure, FULL all traffic.
+    TRIAL: idempotent requests, within a cap for each route. WIDE: all traffic, within the exposure allowance.
+    FULL: all traffic.
     """
 
     TRIAL = "trial"
@@ -42,13 +42,13 @@
     FULL = "full"
 
 
-# Python 3.11 looks members up slowly, and `Rollout.active` is read for each attempt of a request.
+# Python 3.11 looks up enum members slowly, and `Rollout.active` is read for each attempt of a request.
 _ACTIVE = RolloutState.ACTIVE
 
 
 @dataclass(frozen=True, slots=True)
 class PreviousOrder:
-    """An order that a later one has replaced; `age_s` is its age in seconds at the record's last change."""
+    """An order that was replaced by a later one; `age_s` is its age at the record's last change."""
 
     version: str
     duration_s: float
@@ -59,8 +59,8 @@
 class Rollout:
     """The current order for a service and its progress.
 
-    `revision` rises by one with each change, so that copies of the record are ordered by it. `order_revision`
-    is the revision of the order: outcomes reported for earlier revisions say nothing of it.
+    `revision` increases by one with each change and orders the copies of the record. `order_revision` is the
+    revision at which the order was made: outcomes reported for earlier revisions must not count for it.
     `reverted_versions` were reverted and have not been ordered since.
     """
 
@@ -98,9 +98,10 @@
 
 
 def decode(value: object, peer: str = "") -> Rollout:
-    """Return the rollout of a stored form that came from `peer`.
+    """Return the rollout of a stored form that was received from `peer`.
 
-    Raises InvalidMessage, which names the field, where it can't be used.
+    Raises:
+        InvalidMessage: A field is missing or invalid; the error names it.
     """
     if not isinstance(value, dict):
         raise InvalidMessage(OPERATION, f"must be a table, not {type(value).__name__}", peer)
--- a/honeywood/gateway/rollout/rejection.py
+++ b/honeywood/gateway/rollout/rejection.py
@@ -1,4 +1,4 @@
-"""When a version is rejected by statistical tests for long enough to act on it."""
+"""Decides when statistical tests have rejected a version for long enough to act on it."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
     from honeywood.gateway.rollout.record import Rollout
     from honeywood.gateway.rollout.report import OutcomeCounts
 
-CONFIRMATION_S = 1.0  # seconds for which a rejection must stand before it is confirmed
+CONFIRMATION_S = 1.0  # seconds for which a rejection must persist to be confirmed
 
 
 class RejectionMonitor:
-    """Tests the version of a rollout at each look, and confirms a rejection that stands."""
+    """Tests the version of a rollout at each update, and confirms a rejection that persists."""
 
     __slots__ = ("level", "reason", "_timer")
 
     def __init__(self, level: float = FALSE_DISCOVERY_RATE) -> None:
-        """Nothing is rejected; `level` is the false discovery rate of each look."""
+        """Create a monitor without a rejection; `level` is the false discovery rate of each update."""
         self.level = level
         self.reason = ""  # of the last rejection, for the log
         self._timer = ConditionTimer()
 
     @property
     def rejects(self) -> bool:
-        """Whether the last look rejected the version."""
+        """Whether the last update rejected the version."""
         return self._timer.holds
 
-    def confirms(self, now: float, rollout: Rollout, outcome_counts: Sequence[OutcomeCounts]) -> bool:
-        """Test the version, and return whether it is rejected and has been for CONFIRMATION_S seconds."""
+    def update(self, now: float, rollout: Rollout, outcome_counts: Sequence[OutcomeCounts]) -> bool:
+        """Test the version, and return whether it has been rejected for at least CONFIRMATION_S seconds."""
         results = compare(pool(outcome_counts, rollout.service, rollout.version))
         rejected = rejections(results, self.level)
         if rejected:
-            first = min(results)
-            self.reason = f"{first.kind} of {first.route}, p {first.p_value:.2g}"
+            strongest = min(results)
+            self.reason = f"{strongest.kind} of {strongest.route}, p {strongest.p_value:.2g}"
         return self._timer.check(now, bool(rejected)) >= CONFIRMATION_S
--- a/honeywood/gateway/rollout/report.py
+++ b/honeywood/gateway/rollout/report.py
@@ -1,8 +1,8 @@
-"""What a proxy reports of rollouts to controllers, and the codec of its message.
+"""A proxy's report on rollouts to controllers, and the codec of its message.
 
 A report is {"rows": [[service, route, version, failed, ended, latency bins]], "votes": {service: [revision,
-vote]}, "left": {service: [revision, pending]}, "known": {service: [revision, seconds]}}. Votes and times are
-those of active rollouts only.
+vote]}, "left": {service: [revision, pending]}, "known": {service: [revision, seconds]}}. "votes" and "known"
+contain active rollouts only.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 if TYPE_CHECKING:
     from typing import Any
 
-OPERATION = "count"  # named in errors
+OPERATION = "count"  # in errors
 ROW_ITEMS = 6
 
 
 class Vote(StrEnum):
-    """A proxy's vote on a version, by its own counts; the values are those of the message."""
+    """A proxy's vote on a version, based on its own counts; the values are used in the message."""
 
     PROMOTE = "on"
     REVERT = "back"
@@ -30,9 +30,9 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeCounts:
-    """How attempts of one route ended at one version.
+    """How the attempts of one route's requests at one version ended.
 
-    `latency_bins` counts the attempts by latency, in the bins of release_analysis/outcome_statistics.py.
+    `latency_bins` has the number of attempts in each latency bin of release_analysis/outcome_statistics.py.
     """
 
     service: str
@@ -47,9 +47,9 @@
 class RolloutStatus:
     """A proxy's status in one revision of a service's rollout.
 
-    `pending` counts attempts in flight at endpoints whose version gets no more traffic, and one more while
-    the proxy still needs those endpoints. `revision_age_s` is the time since it got the revision, None once
-    the rollout has ended. `vote` is None while there is too little to say.
+    `pending` is the number of attempts in flight at endpoints whose version gets no more traffic, plus one
+    while the proxy may still need those endpoints. `revision_age_s` is the time since the proxy received the
+    revision, or None once the rollout has ended. `vote` is None while the proxy is undecided.
     """
 
     revision: int
@@ -60,13 +60,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyReport:
-    """All outcome counts of a proxy, and its status in rollouts by service."""
+    """All outcome counts of a proxy, and its status in each rollout, by service."""
 
     outcome_counts: tuple[OutcomeCounts, ...] = ()
     statuses: dict[str, RolloutStatus] | None = None
 
     def status(self, service: str) -> RolloutStatus | None:
-        """Return the status in the rollout of a service, if the proxy knows of one."""
+        """Return the status in the rollout of a service, or None if the proxy knows no such rollout."""
         return (self.statuses or {}).get(service)
 
 
@@ -94,9 +94,10 @@
 
 
 def decode(value: dict[str, Any], peer: str = "") -> ProxyReport:
-    """Return the report of a message that came from `peer`.
+    """Return the report of a message that was received from `peer`.
 
-    Raises InvalidMessage, which names the field, where it can't be used.
+    Raises:
+        InvalidMessage: A field is missing or invalid; the error names it.
     """
     rows = need(value, "rows", list, OPERATION, peer=peer)
     votes, pending, ages = (
@@ -117,7 +118,7 @@
 
 
 def _decode_status(vote: list[Any] | None, pending: list[Any] | None, age: list[Any] | None) -> RolloutStatus:
-    """Return the status out of its parts, of which `pending` or `age` is there."""
+    """Return the status made of its parts, of which `pending` or `age` must not be None."""
     age_revision, revision_age_s = age if age is not None else (0, None)
     revision, count = pending or (age_revision, 0)
     _, choice = vote if vote is not None else (revision, None)
@@ -125,5 +126,5 @@
 
 
 def _decode_vote(text: object) -> Vote | None:
-    """Return the vote of a message; an unknown one is None, and neither promotes nor reverts."""
+    """Return the vote of a message; an unknown vote becomes None and neither promotes nor reverts."""
     return next((vote for vote in Vote if vote == text), None)
--- a/honeywood/gateway/rollout/traffic_policy.py
+++ b/honeywood/gateway/rollout/traffic_policy.py
@@ -1,4 +1,4 @@
-"""The traffic that versions under rollout get at one proxy, and what the proxy reports of them."""
+"""Limits the traffic to versions under rollout at one proxy, and reports the outcomes."""
 
 from __future__ import annotations
 
@@ -23,28 +23,31 @@
     from honeywood.gateway.routing.outcomes import AttemptOutcome
     from honeywood.gateway.routing.pending_request import PendingRequest
 
-SAFETY_FACTOR = 0.8  # of the share and slack in the settings: requests end up elsewhere than they began
-MIN_ENDPOINT_AGE_S = 3.0  # seconds: younger endpoints say nothing of their version, and get no trial traffic
-# Seconds for which a stage holds at a proxy that is out of contact; then the established versions alone.
+# Fraction of the configured share and slack that is used: a request may end elsewhere than it began.
+SAFETY_FACTOR = 0.8
+# Outcomes of younger endpoints are not representative of their version, so these get no trial traffic.
+MIN_ENDPOINT_AGE_S = 3.0
+# Time for which a stage stays in force at a proxy that is out of contact with the controllers. Afterwards
+# only the established versions get its traffic.
 CONTACT_LEASE_S = 3.0
 
 
 class RolloutTrafficPolicy:
-    """One proxy's view of all services' versions."""
+    """One proxy's traffic limits, outcome counts and votes for the versions of all services."""
 
     def __init__(
         self, endpoints: EndpointTable, share: float, slack: float, proxy_count: Callable[[], int]
     ) -> None:
-        """No rollout is known.
+        """Create a policy without a rollout.
 
-        `share` (of requests) and `slack` (attempts) bound what a new version gets from all proxies together,
-        of which `proxy_count` gives the number.
+        A new version gets at most the fraction `share` of requests plus `slack` attempts from all proxies
+        together. `proxy_count` returns the number of proxies.
         """
         self.endpoints = endpoints
         self.share = share * SAFETY_FACTOR
         self.slack = slack * SAFETY_FACTOR
         self.proxy_count = proxy_count
-        self.controller_contact_at = 0.0  # when a controller in a quorum was polled that has answered
+        self.controller_contact_at = 0.0  # when the last poll answered by a controller in a quorum was sent
         self._allowances: dict[str, ExposureAllowance] = {}  # by service
         self._credit = TrialCredit(self.share)
         self._trial_endpoints = TrialEndpointSelector(self.share)
@@ -52,21 +55,21 @@
         self._voters = ProxyVoters()
         self._statuses = VersionStatuses(endpoints, self._voters)
 
-    # what is known
+    # Known rollouts
 
     def update(self, now: float, rollout: Rollout) -> None:
-        """Take a rollout's record; an older revision than the known one changes nothing."""
+        """Apply a rollout's record, unless its revision is already known or older."""
         current = self._statuses.rollouts.get(rollout.service)
         if current is not None and rollout.revision <= current.revision:
             return
         if current is None or current.order_revision != rollout.order_revision:
-            self._begin(now, rollout.service)
+            self._begin_trial(now, rollout.service)
         self._statuses.rollouts[rollout.service] = rollout
 
-    def _begin(self, now: float, service: str) -> None:
-        """Begin the trial of a new order: nothing from before it is counted, nor was earned for it.
+    def _begin_trial(self, now: float, service: str) -> None:
+        """Begin the trial of a new order, without the counts and credits from before it.
 
-        A proxy that comes later, or back from a partition, has no part in the slack, which the others share.
+        A proxy that starts later or was partitioned has no part of the slack, which the others share already.
         """
         self._counters.reset(service)
         self._credit.reset(service)
@@ -82,13 +85,13 @@
         return any(rollout.active for rollout in self._statuses.rollouts.values())
 
     def version_status(self, service: str, version: str) -> VersionStatus:
-        """Return what a version of a service gets just now."""
+        """Return the current status of a service's version."""
         return self._statuses.status(service, version)
 
-    # requests and attempts
+    # Requests and attempts
 
     def record_request(self, request: PendingRequest) -> None:
-        """Return a request has come: it earns its route's credit, and counts for the allowance."""
+        """Record an arriving request: it earns credit for its route, and counts for the allowance."""
         self._credit.earn(request.service, request.route.name)
         allowance = self._allowances.get(request.service)
         if allowance is not None:
@@ -97,8 +100,8 @@
     def trial_permits(self, now: float, request: PendingRequest) -> bool:
         """Return whether a request may be sent to the version on trial.
 
-        It may within the allowance of the order, and outside the wide stage within its route's credit, where
-        only idempotent requests are tried.
+        It may within the exposure allowance of the order. Outside the wide stage it must also be idempotent
+        and covered by its route's credit.
         """
         if not self._in_contact(now):
             return False
@@ -121,7 +124,7 @@
     ) -> list[list[Endpoint]]:
         """Return the endpoints that a request may be sent to, in groups of which the first is preferred.
 
-        Endpoints on trial come first while there is room for them.
+        Endpoints on trial are preferred for a first attempt while the limits permit it.
         """
         established, on_trial = self._by_status(now, request.service, endpoints)
         if not on_trial or request.attempts or not self.trial_permits(now, request):
@@ -133,7 +136,7 @@
     def _by_status(
         self, now: float, service: str, endpoints: Sequence[Endpoint]
     ) -> tuple[list[Endpoint], list[Endpoint]]:
-        """Return the endpoints of established versions, and those on trial that are counted."""
+        """Return the endpoints of established versions, and those on trial whose outcomes are counted."""
         versions = {endpoint.version for endpoint in endpoints}
         statuses = {version: self.version_status(service, version) for version in versions}
         established: list[Endpoint] = []
@@ -142,16 +145,16 @@
             status = statuses[endpoint.version]
             if status is ESTABLISHED:
                 established.append(endpoint)
-            elif status is ON_TRIAL and _is_evidence(now, endpoint):
+            elif status is ON_TRIAL and _outcomes_are_counted(now, endpoint):
                 on_trial.append(endpoint)
         return established, on_trial
 
     def trial_endpoints(self, service: str, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
-        """Return those of a service's endpoints on trial that get requests in the trial stage."""
+        """Return those of a service's endpoints on trial that get requests during the trial stage."""
         return self._trial_endpoints.select(service, endpoints)
 
     def record_attempt(self, request: PendingRequest, endpoint: Endpoint) -> None:
-        """Return an attempt of a request at an endpoint begins."""
+        """Record the start of an attempt of a request at an endpoint."""
         rollout = self._statuses.rollouts.get(request.service)
         if rollout is not None and endpoint.version == rollout.version:
             self._allowances[request.service].record_attempt()
@@ -168,15 +171,15 @@
         outcome: AttemptOutcome,
         latency_s: float,
     ) -> None:
-        """Return an attempt has ended; it is counted while its service has an active rollout."""
+        """Record the end of an attempt; it is counted while its service has an active rollout."""
         rollout = self._statuses.rollouts.get(request.service)
         if rollout is not None and rollout.active:
             self._counters.record(now, rollout, request, endpoint, outcome, latency_s)
 
-    # reports
+    # Reports
 
     def report(self, now: float) -> ProxyReport:
-        """Return the report to controllers."""
+        """Return the current report to controllers."""
         outcome_counts = self._counters.snapshot()
         rollouts = self._statuses.rollouts.values()
         return ProxyReport(
@@ -195,16 +198,16 @@
         return RolloutStatus(rollout.revision, self._pending(rollout), vote, revision_age_s)
 
     def _pending(self, rollout: Rollout) -> int:
-        """Return the attempts in flight at closed versions, and one more while others are needed."""
+        """Return the number of attempts in flight at closed versions, plus one while others are needed."""
         in_flight = sum(
             endpoint.in_flight
             for endpoint in self.endpoints.of(rollout.service)
             if self.version_status(rollout.service, endpoint.version) is CLOSED
         )
         needs_established = rollout.active and rollout.stage is not RolloutStage.FULL
-        return in_flight + (needs_established or self._voters.suspect(rollout))
+        return in_flight + (needs_established or self._voters.rejects_version_of(rollout))
 
 
-def _is_evidence(now: float, endpoint: Endpoint) -> bool:
-    """Return whether an endpoint's outcomes are counted; others would only use up the trial's traffic."""
+def _outcomes_are_counted(now: float, endpoint: Endpoint) -> bool:
+    """Return whether an endpoint's outcomes are counted; other endpoints would waste the trial's traffic."""
     return now - endpoint.discovered_at >= MIN_ENDPOINT_AGE_S and now >= endpoint.warm_at
--- a/honeywood/gateway/rollout/transitions.py
+++ b/honeywood/gateway/rollout/transitions.py
@@ -1,7 +1,8 @@
-"""Changes of a rollout's record: orders by operators, and steps by controllers. Pure functions.
+"""Changes of a rollout's record: orders by operators and steps by controllers, as pure functions.
 
-A rollout changes only from active to done or to reverted; another order begins it anew. An order may arrive
-several times, and steps may come from controllers that know an old revision: both change nothing.
+A rollout's state changes only from active to done or reverted; a new order starts a new rollout. An order
+may arrive several times, and a step may come from a controller that knows only an old revision. Copies of an
+order and outdated steps change nothing.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
     from collections.abc import Callable
     from typing import Any
 
-MAX_REMEMBERED = 16  # previous orders, and reverted versions, that a record keeps
-DUPLICATE_WINDOW_S = 6.0  # seconds in which copies of an order may arrive
+MAX_RETAINED = 16  # previous orders, and as many reverted versions, that a record keeps
+DUPLICATE_WINDOW_S = 6.0  # seconds after an order in which copies of it may arrive
 
 
 def update_stored(
     stored: dict[str, Any] | None, update: Callable[[Rollout | None], Rollout | None]
 ) -> dict[str, Any] | None:
-    """Return the stored form after `update`; the same object where `update` changes nothing."""
+    """Return the stored form after `update`, or the same object if `update` changes nothing."""
     before = None if stored is None else decode(stored)
     after = update(before)
     return stored if after is before or after is None else encode(after)
@@ -53,11 +54,11 @@
     duplicate_window_s: float = DUPLICATE_WINDOW_S,
     only_version: bool = False,
 ) -> Rollout:
-    """Return the rollout after an order for `version` to replace the others within `duration_s` seconds.
+    """Return the rollout after an order that `version` replace all others within `duration_s` seconds.
 
-    It is `current` where the order is a copy of one that was taken before. `since_change_s` is the time since
-    the last change of `current`. With `only_version` no other version is in service: there is nothing to
-    compare with or to revert to, and the order is done at once.
+    Returns `current` if the order is a copy of an accepted one. `since_change_s` is the time since the last
+    change of `current`. `only_version` says that no other version is in service: there is nothing to compare
+    with or to revert to, so the rollout is done immediately.
     """
     state = RolloutState.DONE if only_version else RolloutState.ACTIVE
     stage = RolloutStage.FULL if only_version else RolloutStage.TRIAL
@@ -74,15 +75,15 @@
         stage,
         revision=revision,
         order_revision=revision,
-        previous_orders=_remembered_orders(current, since_change_s, duplicate_window_s),
-        reverted_versions=_remembered_reverts(current, version),
+        previous_orders=_retained_orders(current, since_change_s, duplicate_window_s),
+        reverted_versions=_retained_reverts(current, version),
     )
 
 
 def _is_duplicate(
     current: Rollout, version: str, duration_s: float, since_change_s: float, duplicate_window_s: float
 ) -> bool:
-    """Return whether an order is the current one, or a late copy of a previous one."""
+    """Return whether an order is a copy of the current order or of a recent previous one."""
     if version == current.version:
         if current.state is not RolloutState.REVERTED:
             return True
@@ -95,22 +96,22 @@
     )
 
 
-def _remembered_orders(
+def _retained_orders(
     current: Rollout, since_change_s: float, duplicate_window_s: float
 ) -> tuple[PreviousOrder, ...]:
     """Return the orders whose copies may still arrive once `current` has been replaced."""
     replaced = PreviousOrder(current.version, current.duration_s, current.elapsed_s + since_change_s)
     aged = _aged(current.previous_orders, since_change_s)
     recent = (one for one in aged if one.age_s <= duplicate_window_s)
-    return (*recent, replaced)[-MAX_REMEMBERED:]
+    return (*recent, replaced)[-MAX_RETAINED:]
 
 
-def _remembered_reverts(current: Rollout, version: str) -> tuple[str, ...]:
+def _retained_reverts(current: Rollout, version: str) -> tuple[str, ...]:
     """Return the reverted versions once `version` has been ordered."""
     reverted = current.reverted_versions
     if current.state is RolloutState.REVERTED:
         reverted = (*reverted, current.version)
-    return tuple(one for one in reverted if one != version)[-MAX_REMEMBERED:]
+    return tuple(one for one in reverted if one != version)[-MAX_RETAINED:]
 
 
 def advance(
@@ -123,7 +124,7 @@
 ) -> Rollout | None:
     """Return the rollout after a step that was decided on `revision`, known for `since_change_s` seconds.
 
-    It is `current` where that is another revision, another version's or has ended.
+    Returns `current` if it is another revision, is of another version or has ended.
     """
     if current is None or (current.version, current.revision) != (version, revision) or not current.active:
         return current
--- a/honeywood/gateway/rollout/trial_endpoints.py
+++ b/honeywood/gateway/rollout/trial_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that get requests while their version is on trial."""
+"""Selects the endpoints that get requests while their version is on trial."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 
 
 class TrialEndpointSelector:
-    """Selects a share of the endpoints on trial, the same at each proxy.
+    """Selects a share of the endpoints on trial, the same endpoints at each proxy.
 
-    Each selected endpoint gets what it would if all traffic went to all of them. Spread over all endpoints, a
-    version that fails only under load would show nothing. The selection is kept until the endpoints change.
+    Each selected endpoint gets as many requests as if all endpoints of the version got all traffic. If the
+    trial's requests were spread over all endpoints, a version that fails only under load would not fail. The
+    selection is cached until the endpoints change.
     """
 
     __slots__ = ("share", "_selections")
 
     def __init__(self, share: float) -> None:
-        """Will select `share` of the endpoints of a version, at least one."""
+        """Create a selector of the fraction `share` of a version's endpoints, but at least one."""
         self.share = share
         self._selections: dict[str, tuple[list[str], list[Endpoint]]] = {}
 
     def select(self, service: str, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
-        """Return the selected ones of a service's endpoints on trial."""
+        """Return the selected endpoints among a service's `endpoints` on trial."""
         ids = [endpoint.id for endpoint in endpoints]
         cached = self._selections.get(service)
         if cached is not None and cached[0] == ids:
--- a/honeywood/gateway/rollout/version_status.py
+++ b/honeywood/gateway/rollout/version_status.py
@@ -1,4 +1,4 @@
-"""Which of a service's versions get traffic at one proxy."""
+"""Which versions of a service get traffic at one proxy."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 
 
 class VersionStatus(StrEnum):
-    """How much traffic a version gets: ESTABLISHED all, ON_TRIAL within bounds, CLOSED none."""
+    """How much traffic a version gets: ESTABLISHED without limit, ON_TRIAL within limits, CLOSED none."""
 
     ESTABLISHED = "established"
     ON_TRIAL = "trial"
     CLOSED = "closed"
 
 
-# Python 3.11 looks members of an enum up slowly, and these are compared for each attempt of a request.
+# Python 3.11 looks up enum members slowly, and these are compared for each attempt of a request.
 ESTABLISHED, ON_TRIAL, CLOSED = VersionStatus.ESTABLISHED, VersionStatus.ON_TRIAL, VersionStatus.CLOSED
 _REVERTED, _DONE = RolloutState.REVERTED, RolloutState.DONE
 _WIDE, _FULL = RolloutStage.WIDE, RolloutStage.FULL
 
 
 class VersionStatuses:
-    """The rollouts that a proxy knows of, and what they make of each version."""
+    """The rollouts known to a proxy, and the resulting status of each version."""
 
     __slots__ = ("rollouts", "_endpoints", "_voters")
 
     def __init__(self, endpoints: EndpointTable, voters: ProxyVoters) -> None:
-        """No rollout is known; `endpoints` and `voters` are the proxy's."""
+        """Start without a rollout; `endpoints` and `voters` are those of the proxy."""
         self.rollouts: dict[str, Rollout] = {}  # by service
         self._endpoints = endpoints
         self._voters = voters
 
     def status(self, service: str, version: str) -> VersionStatus:
-        """Return what a version of a service gets just now."""
+        """Return the current status of a service's version."""
         rollout = self.rollouts.get(service)
         if rollout is None:
             if version == self._most_common_version(service, version):
@@ -61,20 +61,20 @@
         return rollout is not None and rollout.active and rollout.stage is _WIDE
 
     def _gets_all_traffic(self, rollout: Rollout) -> bool:
-        """Return whether the version is in the full stage and this proxy's own counts don't speak against it.
+        """Return whether the rollout is in the full stage and this proxy's counts don't reject the version.
 
-        A rejection at this proxy, not yet confirmed, takes the version back to the trial's traffic at once,
-        without waiting for what other proxies see.
+        A rejection at this proxy, even unconfirmed, immediately limits the version to the traffic of the
+        trial stage, without waiting for the counts of other proxies.
         """
-        return rollout.stage is _FULL and not self._voters.suspect(rollout)
+        return rollout.stage is _FULL and not self._voters.rejects_version_of(rollout)
 
     def _has_other_versions(self, rollout: Rollout) -> bool:
-        """Return whether the service has a version besides the new one and those that were reverted."""
+        """Return whether the service has a version other than the new and the reverted ones."""
         versions = {endpoint.version for endpoint in self._endpoints.of(rollout.service)}
         return bool(versions - {rollout.version, *rollout.reverted_versions})
 
     def _most_common_version(self, service: str, default: str) -> str:
-        """Return the version of most endpoints of a service, the lowest among equals."""
+        """Return the version that most endpoints of a service have; of several, the lowest."""
         counts = Counter(endpoint.version for endpoint in self._endpoints.of(service))
         most = max(counts.values(), default=0)
         return min((version for version, count in counts.items() if count == most), default=default)
--- a/tests/gateway/rollout/test_proxy_voter.py
+++ b/tests/gateway/rollout/test_proxy_voter.py
@@ -31,7 +31,7 @@
 def _():
     voter = ProxyVoter(1, 0.0, 1)
     bad = [counts("v1", 0, 1000), counts("v2", 60, 60)]
-    assert voter.vote(0.0, ROLLOUT, bad) is None and voter.suspects
+    assert voter.vote(0.0, ROLLOUT, bad) is None and voter.rejects_version
     assert voter.vote(CONFIRMATION_S, ROLLOUT, bad) is Vote.REVERT
     assert voter.vote(CONFIRMATION_S + 0.1, ROLLOUT, [counts("v1", 0, 1000)]) is Vote.REVERT
 
--- a/tests/gateway/rollout/test_transitions.py
+++ b/tests/gateway/rollout/test_transitions.py
@@ -61,6 +61,6 @@
     held = None
     for n in range(100):
         held = transitions.start_rollout(held, "s", f"v{n}", 14.0, 0.1)
-        assert len(held.previous_orders) <= transitions.MAX_REMEMBERED
+        assert len(held.previous_orders) <= transitions.MAX_RETAINED
         if n:
             assert transitions.start_rollout(held, "s", f"v{n - 1}", 14.0, 0.1) is held
