--- a/honeywood/release_analysis/__init__.py
+++ b/honeywood/release_analysis/__init__.py
@@ -1,4 +1,4 @@
-"""Statistics that compare a release with the one before it, shared by the balancer and the gateway.
+"""Statistics that compare a release with the previous one, shared by the balancer and the gateway.
 
-Start with multiple_testing.py, the tests; outcome_statistics.py holds the counts that they are run on.
+Start with multiple_testing.py, which has the statistical tests; outcome_statistics.py has their samples.
 """
--- a/tests/release_analysis/test_multiple_testing.py
+++ b/tests/release_analysis/test_multiple_testing.py
@@ -1,10 +1,10 @@
-"""The tests against worked examples."""
+"""The statistical tests, checked against worked examples."""
 
 from honeywood.release_analysis.multiple_testing import benjamini_hochberg, inferiority_p_value
 
 
 def test_benjamini_hochberg():
-    # The paper's section 3.2: 15 endpoints at 0.05, the four smallest are rejected.
+    # The example of the paper's section 3.2: at 0.05 the four smallest of 15 p-values are rejected.
     paper = [
         0.0001,
         0.0004,
@@ -27,7 +27,7 @@
     assert benjamini_hochberg([0.05], 0.05) == [0] and benjamini_hochberg([0.051], 0.05) == []  # m = 1
     assert benjamini_hochberg([0.03, 0.03, 0.9], 0.05) == [0, 1]  # ties
     assert benjamini_hochberg([0.2, 0.9], 0.05) == [] and benjamini_hochberg([], 0.05) == []  # none
-    # The largest i decides: 0.03 fails its own 1/3 of q, and is rejected all the same.
+    # The largest k decides: 0.03 exceeds 1/3 * 0.05, but is rejected because 0.033 is below 2/3 * 0.05.
     assert benjamini_hochberg([0.03, 0.033, 0.9], 0.05) == [0, 1]
 
 
@@ -36,5 +36,6 @@
     assert abs(inferiority_p_value(25, 50, 10, 100, 0.1) - 4.7e-5) < 2e-6
     assert inferiority_p_value(0, 20, 0, 20, 0.02) > 0.999
     assert inferiority_p_value(20, 20, 0, 20, 0.02) < 1e-30
-    # Few allowed: the exact tail. P(X >= 11 of 119 at 0.0225) is 9.9e-5 where the z-test says 0.004.
+    # Few failures are allowed, so the exact tail is used: P(X >= 11 of 119 at 0.0225) is 9.9e-5, while the
+    # z-test would give 0.004.
     assert 5e-5 < inferiority_p_value(11, 119, 1, 400, 0.02) < 2e-4
--- a/tests/release_analysis/test_outcome_statistics.py
+++ b/tests/release_analysis/test_outcome_statistics.py
@@ -1,13 +1,13 @@
-"""Counts, their decay, and the bin from which answers count as slow."""
+"""Outcome counts, their decay, and the first latency bin that counts as slow."""
 
 from honeywood.release_analysis.outcome_statistics import LATENCY_BIN_EDGES, OutcomeStatistics
 
 
 def statistics(failed, *latency_bins):
-    made = OutcomeStatistics()
+    result = OutcomeStatistics()
     for number, latency_bin in enumerate(latency_bins):
-        made.add(1, number < failed, 1, latency_bin)
-    return made
+        result.add(1, number < failed, 1, latency_bin)
+    return result
 
 
 def test_the_sum_of_parts_has_all_their_counts():
@@ -25,10 +25,10 @@
 
 
 def test_the_slowest_quarter_at_most_counts_as_slow():
-    edge, share = statistics(0, *[0] * 6, *[2] * 6, *[5] * 4).slow_threshold()
-    assert edge == 6 and share == 1 / 18
+    first_slow_bin, share = statistics(0, *[0] * 6, *[2] * 6, *[5] * 4).slow_threshold()
+    assert first_slow_bin == 6 and share == 1 / 18
 
 
 def test_without_answers_only_the_last_bin_counts_as_slow():
-    edge, share = OutcomeStatistics().slow_threshold()
-    assert edge == len(LATENCY_BIN_EDGES) and share == 0.5
+    first_slow_bin, share = OutcomeStatistics().slow_threshold()
+    assert first_slow_bin == len(LATENCY_BIN_EDGES) and share == 0.5
