--- a/honeywood/gateway/rollout/comparison.py
+++ b/honeywood/gateway/rollout/comparison.py
@@ -1,8 +1,8 @@
 """Statistical tests of a new version against the established versions, for each route.
 
 Each test is one-sided, of the null hypothesis that the new version's share of failures (or of slow answers)
-exceeds the established one's by no more than a margin: a two-proportion z-test with unpooled variance, or
-the exact binomial tail where few failures are expected (release_analysis/multiple_testing.py).
+exceeds that of the established versions by no more than a margin. It is a two-proportion z-test with unpooled
+variance, or the exact binomial tail if few failures are expected (release_analysis/multiple_testing.py).
 
 Many routes are tested at once, so the p-values are corrected by the procedure of Benjamini and Hochberg,
 "Controlling the False Discovery Rate: a Practical and Powerful Approach to Multiple Testing", Journal of the
@@ -30,8 +30,8 @@
     from honeywood.gateway.rollout.report import OutcomeCounts
 
 SLOW_SHARE_MARGIN = 0.10  # by which the share of slow answers may exceed that of the established versions
-MIN_NEW_OUTCOMES = 5  # of the new version on a route, before the route is tested
-MIN_ESTABLISHED_OUTCOMES = MIN_OUTCOMES  # of the established versions on a route
+MIN_NEW_OUTCOMES = 5  # required of the new version on a route before the route is tested
+MIN_ESTABLISHED_OUTCOMES = MIN_OUTCOMES  # required of the established versions on a route
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -54,19 +54,23 @@
 def pool(outcome_counts: Iterable[OutcomeCounts], service: str, version: str) -> PooledCounts:
     """Return the counts of a service, summed over proxies; `version` is the new version."""
     pooled = PooledCounts({}, {})
-    for one in outcome_counts:
-        if one.service != service:
+    for reported in outcome_counts:
+        if reported.service != service:
             continue
-        by_route = pooled.new if one.version == version else pooled.established
-        counts = by_route.setdefault(one.route, OutcomeStatistics())
-        counts.add(one.ended, one.failed, 0, 0)
-        counts.bins = column_sums((counts.bins, one.latency_bins))
+        by_route = pooled.new if reported.version == version else pooled.established
+        counts = by_route.setdefault(reported.route, OutcomeStatistics())
+        counts.add(reported.ended, reported.failed, 0, 0)
+        counts.bins = column_sums((counts.bins, reported.latency_bins))
     return pooled
 
 
 def count_ended(outcome_counts: Iterable[OutcomeCounts], service: str, version: str) -> float:
     """Return how many attempts at a version have ended."""
-    return sum(one.ended for one in outcome_counts if one.service == service and one.version == version)
+    return sum(
+        reported.ended
+        for reported in outcome_counts
+        if reported.service == service and reported.version == version
+    )
 
 
 def compare(pooled: PooledCounts) -> list[TestResult]:
--- a/honeywood/gateway/rollout/evaluator.py
+++ b/honeywood/gateway/rollout/evaluator.py
@@ -20,14 +20,14 @@
 
 # Fractions are of the duration that the order allows for the rollout.
 MIN_TRIAL_FRACTION = 0.55  # minimum length of the trial stage: a version may begin to fail late
-MAX_TRIAL_FRACTION = 0.7  # afterwards the full stage doesn't wait for missing votes and outcomes
-MIN_FULL_OUTCOMES = 25  # without a rejection, before the version gets all traffic without a bound
+MAX_TRIAL_FRACTION = 0.7  # afterwards the full stage no longer waits for missing votes and outcomes
+MIN_FULL_OUTCOMES = 25  # required, without a rejection, before the version gets all traffic without a bound
 # Minimum length of the wide stage. Slow answers end last, so the first outcomes look better than the rest.
 MIN_WIDE_S = 0.6
 MAX_WIDE_FRACTION = 0.85  # afterwards few outcomes are due to few requests, not to a small allowance
-MIN_DONE_OUTCOMES = MIN_OUTCOMES  # before the rollout is done and the established endpoints are given up
+MIN_DONE_OUTCOMES = MIN_OUTCOMES  # required before the established endpoints are given up
 MIN_DONE_FRACTION = 0.9  # afterwards a rollout with fewer outcomes is done as well
-MIN_DRAINED_S = 0.4  # for which all proxies must have left the established endpoints, before that
+MIN_DRAINED_S = 0.4  # for which all proxies must have left the established endpoints before that
 
 
 @dataclass(frozen=True, slots=True)
--- a/honeywood/gateway/rollout/record.py
+++ b/honeywood/gateway/rollout/record.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from typing import Any
 
-OPERATION = "rollout"  # in errors
+OPERATION = "rollout"  # names the operation in errors
 PREVIOUS_ORDER_ITEMS = 3  # in the stored form of a previous order
 
 
@@ -92,7 +92,7 @@
         "lasted": rollout.elapsed_s,
         "n": rollout.revision,
         "order": rollout.order_revision,
-        "past": [[one.version, one.duration_s, one.age_s] for one in rollout.previous_orders],
+        "past": [[order.version, order.duration_s, order.age_s] for order in rollout.previous_orders],
         "back": list(rollout.reverted_versions),
     }
 
@@ -117,7 +117,7 @@
         elapsed_s=need(value, "lasted", float, OPERATION, peer=peer),
         revision=need(value, "n", int, OPERATION, least=1, peer=peer),
         order_revision=need(value, "order", int, OPERATION, least=1, peer=peer),
-        previous_orders=tuple(_decode_previous_order(one, peer) for one in previous_orders),
+        previous_orders=tuple(_decode_previous_order(order, peer) for order in previous_orders),
         reverted_versions=tuple(reverted_versions),
     )
 
--- a/honeywood/gateway/rollout/report.py
+++ b/honeywood/gateway/rollout/report.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from typing import Any
 
-OPERATION = "count"  # in errors
+OPERATION = "count"  # names the operation in errors
 ROW_ITEMS = 6
 
 
--- a/honeywood/gateway/rollout/transitions.py
+++ b/honeywood/gateway/rollout/transitions.py
@@ -90,9 +90,9 @@
         age_s = current.elapsed_s + since_change_s
         return duration_s == current.duration_s and age_s <= duplicate_window_s
     return any(
-        one.age_s + since_change_s <= duplicate_window_s
-        and (version, duration_s) == (one.version, one.duration_s)
-        for one in current.previous_orders
+        order.age_s + since_change_s <= duplicate_window_s
+        and (version, duration_s) == (order.version, order.duration_s)
+        for order in current.previous_orders
     )
 
 
@@ -102,7 +102,7 @@
     """Return the orders whose copies may still arrive once `current` has been replaced."""
     replaced = PreviousOrder(current.version, current.duration_s, current.elapsed_s + since_change_s)
     aged = _aged(current.previous_orders, since_change_s)
-    recent = (one for one in aged if one.age_s <= duplicate_window_s)
+    recent = (order for order in aged if order.age_s <= duplicate_window_s)
     return (*recent, replaced)[-MAX_RETAINED:]
 
 
@@ -111,7 +111,7 @@
     reverted = current.reverted_versions
     if current.state is RolloutState.REVERTED:
         reverted = (*reverted, current.version)
-    return tuple(one for one in reverted if one != version)[-MAX_RETAINED:]
+    return tuple(candidate for candidate in reverted if candidate != version)[-MAX_RETAINED:]
 
 
 def advance(
@@ -139,4 +139,4 @@
 
 
 def _aged(orders: tuple[PreviousOrder, ...], seconds: float) -> tuple[PreviousOrder, ...]:
-    return tuple(replace(one, age_s=one.age_s + seconds) for one in orders)
+    return tuple(replace(order, age_s=order.age_s + seconds) for order in orders)
--- a/honeywood/gateway/routing/attempt_policy.py
+++ b/honeywood/gateway/routing/attempt_policy.py
@@ -105,8 +105,8 @@
         """Whether enough connections have failed that trying more would only delay the rejection."""
         if not request.unreachable:
             return False
-        late = not request.attempts and now >= request.reject_at
-        return late or len(request.unreachable) >= MAX_UNREACHABLE_ENDPOINTS
+        overdue = not request.attempts and now >= request.reject_at
+        return overdue or len(request.unreachable) >= MAX_UNREACHABLE_ENDPOINTS
 
     def endpoint_rejection(
         self, now: float, request: PendingRequest, endpoint: Endpoint, connected: bool = False
--- a/honeywood/gateway/routing/pending_request.py
+++ b/honeywood/gateway/routing/pending_request.py
@@ -16,7 +16,7 @@
 
 # Fraction of the route's latency target after which a request that no endpoint could take is rejected.
 REJECT_AFTER_FRACTION = 0.25
-# Given to a request's first connection, however close to `reject_at`; enough for many round trips.
+# A request's first connection gets at least this time, even after `reject_at`; enough for many round trips.
 MIN_CONNECT_TIMEOUT_S = 0.05
 
 
--- a/honeywood/release_analysis/multiple_testing.py
+++ b/honeywood/release_analysis/multiple_testing.py
@@ -14,7 +14,7 @@
 
 FALSE_DISCOVERY_RATE = 0.05  # level at which releases are tested (docs/design.md)
 FAILURE_MARGIN = 0.02  # by which a release's share of failures may exceed that of the earlier release
-MIN_OUTCOMES = 20  # of a method, before it is tested
+MIN_OUTCOMES = 20  # required of a method before it is tested
 MIN_EXPECTED_FAILURES = 5  # allowed failures below which the normal approximation is poor
 
 
