--- a/honeywood/gateway/rollout/evaluator.py
+++ b/honeywood/gateway/rollout/evaluator.py
@@ -27,7 +27,7 @@
 MAX_WIDE_FRACTION = 0.85  # afterwards few outcomes are due to few requests, not to a small allowance
 MIN_DONE_OUTCOMES = MIN_OUTCOMES  # required before the established endpoints are given up
 MIN_DONE_FRACTION = 0.9  # afterwards a rollout with fewer outcomes is done as well
-MIN_DRAINED_S = 0.4  # for which all proxies must have left the established endpoints before that
+MIN_DRAINED_S = 0.4  # for which all proxies must have left the established endpoints
 
 
 @dataclass(frozen=True, slots=True)
--- a/honeywood/gateway/rollout/transitions.py
+++ b/honeywood/gateway/rollout/transitions.py
@@ -54,7 +54,7 @@
     duplicate_window_s: float = DUPLICATE_WINDOW_S,
     only_version: bool = False,
 ) -> Rollout:
-    """Return the rollout after an order that `version` replace all others within `duration_s` seconds.
+    """Return the rollout after an order to replace all other versions by `version` in `duration_s` seconds.
 
     Returns `current` if the order is a copy of an accepted one. `since_change_s` is the time since the last
     change of `current`. `only_version` says that no other version is in service: there is nothing to compare
