--- a/honeywood/balancer/decisions/send_policy.py
+++ b/honeywood/balancer/decisions/send_policy.py
@@ -36,7 +36,7 @@
         self._resolution, self._window = settings.clock_resolution, settings.exposure_window
         self._allowance, self._per_method = settings.exposure_allowance, settings.exposure_per_method
         self._max_attempts, self._may_duplicate = settings.max_attempts, settings.may_duplicate
-        self._guarded_steps, self._no_downgrade = settings.guarded_steps, settings.no_downgrade
+        self._guarded_steps, self._no_downgrade = settings.idempotent_only_steps, settings.no_downgrade
         self._arrivals: list[deque[Time]] = [deque() for _ in settings.methods]  # by exposure class
         self._sends: dict[tuple[int, int], deque[Time]] = {}  # by build and exposure class
         self._answered_builds: dict[int, int] = {}  # the latest build that answered a key
--- a/honeywood/balancer/settings.py
+++ b/honeywood/balancer/settings.py
@@ -58,7 +58,7 @@
     exposure_allowance: float = 0.0  # attempts beyond the cap
     exposure_window: Duration = 0
     exposure_per_method: bool = False
-    guarded_steps: int = 0  # first steps in which only idempotent methods go to it
+    idempotent_only_steps: int = 0  # first steps in which only idempotent methods go to it
     no_downgrade: bool = False  # whether a key that it answered must not go back to an older build
     vote_rule: VoteRule = VoteRule.ANY
     rollback_votes: int = 1
--- a/honeywood/balancer/settings_codec.py
+++ b/honeywood/balancer/settings_codec.py
@@ -55,7 +55,7 @@
         exposure_allowance=rollout.number("allowance", 0.0),
         exposure_window=rollout.duration("exposure_window_us"),
         exposure_per_method=rollout.string("per", "all") == "per_lane",
-        guarded_steps=rollout.integer("safe_only_stages", 0),
+        idempotent_only_steps=rollout.integer("safe_only_stages", 0),
         no_downgrade=rollout.boolean("one_way"),
         vote_rule=VOTE_RULES.get(rollout.string("vote_mode", "single"), VoteRule.ANY),
         rollback_votes=rollout.integer("back_votes", 1),
--- a/tests/balancer/decision_player.py
+++ b/tests/balancer/decision_player.py
@@ -81,7 +81,7 @@
             exposure_allowance=2,
             exposure_window=30000,
             exposure_per_method=False,
-            guarded_steps=0,
+            idempotent_only_steps=0,
             no_downgrade=False,
             vote_rule="any",
             rollback_votes=1,
--- a/tests/balancer/decisions/test_send_policy.py
+++ b/tests/balancer/decisions/test_send_policy.py
@@ -82,7 +82,7 @@
 
 
 def test_guarded_steps_take_only_what_is_idempotent():
-    made = policy(NoRelease(build_2=Trial(cap=1.0, step=0)), guarded_steps=1, exposure_allowance=9)
+    made = policy(NoRelease(build_2=Trial(cap=1.0, step=0)), idempotent_only_steps=1, exposure_allowance=9)
     keyed = rpc(method(idempotency=Idempotency.KEYED))
     assert made.exclusion(0, keyed, server(build=2)) == Exclusion.EXPOSURE
     assert made.exclusion(0, rpc(), server(build=2)) == Exclusion.NONE
--- a/tests/balancer/test_recorded_outsides.py
+++ b/tests/balancer/test_recorded_outsides.py
@@ -58,7 +58,7 @@
     "free_picks": "exposure_allowance",
     "exposure_window": "exposure_window",
     "per_method": "exposure_per_method",
-    "guarded_steps": "guarded_steps",
+    "guarded_steps": "idempotent_only_steps",
     "one_way": "no_downgrade",
     "vote_rule": "vote_rule",
     "back_votes": "rollback_votes",
