--- a/honeywood/balancer/decisions/__init__.py
+++ b/honeywood/balancer/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions of a balancer, without I/O, clock or threads. Start with balancer.py."""
+"""All decisions of a balancer, without I/O, clocks or threads. Start with balancer.py."""
--- a/honeywood/balancer/decisions/admission.py
+++ b/honeywood/balancer/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admits RPCs, retries and hedges them, and gives each its one final answer."""
+"""Admits RPCs, retries and hedges them, and gives each RPC exactly one final answer."""
 
 from __future__ import annotations
 
@@ -22,14 +22,17 @@
     from honeywood.balancer.model import Attempt, Duration, Rpc, Time
     from honeywood.balancer.settings import Settings
 
-MAX_WAIT_SHARE = 0.25  # of its latency target that an RPC may have waited for this balancer
-TAIL_FACTOR = 3  # times the mean latency after which an attempt is overdue beyond chance (1 in 20)
-RETRY_AFTER_SHARE = 0.25  # of the latency target, after which a rejected client may retry
-POOR_SHARE = 0.5  # of the latency target, after which an answer counts as a poor one
+# Share of its latency target that an RPC may have been queued in this balancer before on_request.
+MAX_WAIT_SHARE = 0.25
+# Multiple of the method's mean latency that an attempt must exceed before it is hedged. About 1 in 20
+# attempts exceeds it by chance.
+TAIL_FACTOR = 3
+RETRY_AFTER_SHARE = 0.25  # share of the latency target after which a rejected client may retry
+DEGRADED_SHARE = 0.5  # share of the latency target after which an answer counts as degraded
 
 
 class Admission:
-    """Every RPC is open from on_request until its final answer."""
+    """Keeps track of open RPCs: an RPC is open from on_request until its final answer."""
 
     def __init__(
         self,
@@ -42,17 +45,17 @@
         builds: BuildSelection,
         release: ReleaseVerdict,
     ) -> None:
-        """No RPC is open."""
+        """Starts without open RPCs."""
         self._host, self._arrivals, self._limit, self._policy = host, arrivals, limit, policy
         self._selection, self._builds, self._release = selection, builds, release
         self._max_retry_after, self._may_cancel = settings.max_retry_after, settings.may_cancel
         self._budget = RetryBudget()
         self._open: list[Rpc] = []
-        self._responding = 0  # open RPCs whose answers have begun
+        self._responding = 0  # open RPCs whose answers have started
         self.reject_connections_until = -inf
 
     def on_request(self, now: Time, rpc: Rpc) -> None:
-        """Send an RPC, or give it up where it came late, too many are open or no server may be sent to."""
+        """Send an RPC, or give it up: queued too long, too many open RPCs, or no server may be used."""
         method = rpc.method
         self._arrivals.on_request(now)
         target_at = rpc.arrived_at + method.latency_target + int(method.target_per_work * rpc.expected_work)
@@ -61,7 +64,8 @@
         self._budget.on_request()
         self._open.append(rpc)
         if now - rpc.arrived_at > MAX_WAIT_SHARE * method.latency_target:
-            self.reject_connections_until = now + TIMER_PERIOD  # those that wait behind it come late as well
+            # RPCs that are queued behind this one will be late as well.
+            self.reject_connections_until = now + TIMER_PERIOD
             self._give_up(now, rpc, GiveUpReason.QUEUED_TOO_LONG)
         elif self._limit.exceeded(now, rpc, len(self._open), self._responding):
             self._give_up(now, rpc, GiveUpReason.OVERLOADED)
@@ -69,7 +73,7 @@
             self._give_up(now, rpc, GiveUpReason.NO_SERVER)
 
     def on_result(self, now: Time, attempt: Attempt, load: Sequence[float], final: bool) -> None:
-        """End the RPC with its client's answer, or retry it, or give it up once nothing is in flight."""
+        """Close the RPC if its client has the answer; else, if no attempt is in flight, retry or give up."""
         rpc = attempt.rpc
         self._builds.on_result(now, attempt, load)
         self._limit.on_result(now, attempt)
@@ -81,18 +85,18 @@
             self._retry(now, rpc, attempt)
 
     def on_stream_established(self, rpc: Rpc) -> None:
-        """No answer is owed from here on."""
+        """Close an RPC that became a stream: the balancer owes its client no final answer any more."""
         rpc.done = True
         self._open = [other for other in self._open if other is not rpc]
 
     def on_client_disconnected(self, now: Time, rpc: Rpc) -> None:
-        """An RPC whose client left before its answer counts as one that fared poorly."""
+        """Close an RPC whose client left before its answer, and count its outcome as degraded."""
         if not rpc.done:
             self._close(now, rpc, True)
 
     def on_timer(self, now: Time) -> None:
-        """Look for overdue attempts: count them as slow, and hedge."""
-        # An answer that began just now tells nothing: its server may still be at work on the rest.
+        """Find overdue attempts, count them as slow and hedge them."""
+        # Answers that started less than a timer period ago are left out: the server may still be computing.
         self._responding = sum(
             rpc.response_began_at is not None and now - rpc.response_began_at >= TIMER_PERIOD
             for rpc in self._open
@@ -103,35 +107,37 @@
             overdue = [attempt for attempt in in_flight if now - attempt.sent_at >= overdue_after]
             if not rpc.is_overdue:
                 self._count_overdue(now, rpc, overdue)
-            alone = len(overdue) == len(in_flight) == 1
-            if alone and self._may_hedge(now, overdue[0]) and self._builds.send(now, rpc):
+            is_only_attempt = len(overdue) == len(in_flight) == 1
+            if is_only_attempt and self._may_hedge(now, overdue[0]) and self._builds.send(now, rpc):
                 self._budget.spend()
 
     def _count_overdue(self, now: Time, rpc: Rpc, overdue: Sequence[Attempt]) -> None:
         for attempt in overdue:
             attempt.latency, rpc.is_overdue = now - attempt.sent_at, True
-            self._release.on_rpc_outcome(now, poorly=True)
+            self._release.on_rpc_outcome(now, degraded=True)
             self._release.on_result(attempt)
 
     def _may_hedge(self, now: Time, attempt: Attempt) -> bool:
-        """Whether a second attempt beside one that is overdue is earned and can be in time.
+        """Whether a hedged request beside an overdue attempt fits the retry budget and can still be in time.
 
-        It is for servers that fall silent. A small balancer has one attempt at a server: its silence tells
-        first that the work is long.
+        Hedging is meant for unresponsive servers. A balancer with little traffic has only one attempt at a
+        server at a time, so a missing answer more likely means that the work takes long. The attempt must
+        therefore also exceed TAIL_FACTOR times the mean latency of its method.
         """
         rpc = attempt.rpc
-        tail = TAIL_FACTOR * (self._selection.mean_latencies[rpc.method.index] or 0)
+        tail_latency = TAIL_FACTOR * (self._selection.mean_latencies[rpc.method.index] or 0)
         return (
             self._budget.available
             and now < rpc.target_at
-            and now - attempt.sent_at > tail
+            and now - attempt.sent_at > tail_latency
             and now - attempt.server.answered_at > UNRESPONSIVE_AFTER // 2
         )
 
     def _retry(self, now: Time, rpc: Rpc, attempt: Attempt) -> None:
-        """Send again after a failed attempt, or give up.
+        """Retry after a failed attempt, or give up.
 
-        Attempts that cost no server anything need no budget, but a full server's do: overload feeds itself.
+        Retries of attempts that reached no server, or that expired before a server processed them, need no
+        retry budget. Retries of attempts at a full server do: they would otherwise amplify the overload.
         """
         free = attempt.result in (AttemptResult.CONNECT_FAILED, AttemptResult.EXPIRED)
         if now >= rpc.target_at:
@@ -144,7 +150,7 @@
             self._budget.spend()
 
     def _give_up(self, now: Time, rpc: Rpc, reason: GiveUpReason) -> None:
-        """Reject the RPC while its client may still gain by a retry, else abort it."""
+        """Reject the RPC if it may be retried and a retry can still be in time, else abort it."""
         rpc.give_up_reason = reason
         self._close(now, rpc, True)
         if self._policy.may_reject(rpc) and now < rpc.target_at:
@@ -158,10 +164,10 @@
         return min(self._max_retry_after, int(rpc.method.latency_target * RETRY_AFTER_SHARE))
 
     def _close(self, now: Time, rpc: Rpc, failed: bool) -> None:
-        """The RPC is over; what is in flight for it is called back."""
+        """Close the RPC, record its outcome and cancel its attempts in flight."""
         if not rpc.is_overdue:
-            poorly_from = rpc.arrived_at + int(rpc.method.latency_target * POOR_SHARE)
-            self._release.on_rpc_outcome(now, poorly=failed or now > poorly_from)
+            degraded_from = rpc.arrived_at + int(rpc.method.latency_target * DEGRADED_SHARE)
+            self._release.on_rpc_outcome(now, degraded=failed or now > degraded_from)
         rpc.done = True
         self._open = [other for other in self._open if other is not rpc]
         if self._may_cancel:
--- a/honeywood/balancer/decisions/arrivals.py
+++ b/honeywood/balancer/decisions/arrivals.py
@@ -1,4 +1,4 @@
-"""How often a balancer is asked."""
+"""Measures the mean time between the RPCs of this balancer."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 if TYPE_CHECKING:
     from honeywood.balancer.model import Time
 
-WEIGHT = 16  # the mean goes back over so many gaps
+MEAN_GAPS = 16  # the last gap has a weight of 1 / MEAN_GAPS in the moving average
 
 
 class Arrivals:
-    """The mean time between RPCs, an exponentially weighted one; gaps count RETURN_TIME at most."""
+    """An exponentially weighted moving average of the time between RPCs; gaps are capped at RETURN_TIME."""
 
     def __init__(self) -> None:
-        """The first gap counts as one of a second."""
+        """Starts with a mean gap of one second."""
         self.mean_gap: float = SECOND
         self._last = -inf
 
     def on_request(self, now: Time) -> None:
-        """An RPC has come."""
-        self.mean_gap += (min(RETURN_TIME, now - self._last) - self.mean_gap) / WEIGHT
+        """Add the gap before an RPC to the mean."""
+        self.mean_gap += (min(RETURN_TIME, now - self._last) - self.mean_gap) / MEAN_GAPS
         self._last = now
--- a/honeywood/balancer/decisions/balancer.py
+++ b/honeywood/balancer/decisions/balancer.py
@@ -1,7 +1,8 @@
 """All decisions of one balancer: which server an RPC goes to, when it is retried or given up, how it votes.
 
-An RPC runs down a chain: Admission, BuildSelection, ServerSelection, SendPolicy; what comes of it runs up.
-ReleaseVerdict looks at that and votes. Times are tenths of a millisecond.
+An RPC passes through Admission, BuildSelection, ServerSelection and SendPolicy, in this order; its results
+are passed back in the reverse order. ReleaseVerdict tests the results of the newest release and votes on it.
+Times are in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -44,7 +45,7 @@
     """The decisions of one balancer (interface.Decisions), wired together."""
 
     def __init__(self, settings: Settings, host: Host) -> None:
-        """Nothing is decided before on_start."""
+        """Creates the parts and connects them; makes no decision before on_start."""
         random = Random(settings.seed)
         arrivals = Arrivals()
         self._host = host
@@ -62,52 +63,52 @@
 
     @property
     def reject_connections_until(self) -> float:
-        """Until then no new client connection is to be taken: RPCs wait too long for this balancer."""
+        """Time until which the host accepts no new client connections: RPCs are queued too long here."""
         return self._admission.reject_connections_until
 
     def on_start(self, now: Time) -> None:
-        """Begin to look around."""
+        """Run the first timer; further ones follow every TIMER_PERIOD."""
         self.on_timer(now)
 
     def on_timer(self, now: Time) -> None:
-        """Look for what is due."""
+        """Run everything that is due, and request the next timer."""
         self._host.wake_after(TIMER_PERIOD)
         self.list_watch.on_timer(now)
         self._admission.on_timer(now)
         self.release.on_timer(now)
 
     def on_server_list(self, now: Time, entries: Sequence[ServerEntry], complete: bool) -> None:
-        """Take over changes of the server list, or all of it."""
+        """Apply changes of the server list, or the complete list."""
         self.servers.update(now, entries, complete)
         self.list_watch.on_server_list()
         self.servers.regroup(self.release)
 
     def on_server_list_failed(self, now: Time) -> None:
-        """Ask for the list again, later."""
+        """Schedule another request for the server list."""
         self.list_watch.on_failure(now)
 
     def on_release_update(self, now: Time, update: ReleaseUpdate) -> None:
-        """Take over the state of the newest release."""
+        """Apply the state of the newest release."""
         self.release.on_update(now, update)
 
     def on_vote_answered(self, now: Time, update: ReleaseUpdate | None) -> None:
-        """Take note of whether the last vote counts."""
+        """Record whether the platform accepted the last vote; `update` is None if it did not."""
         self.release.on_vote_answered(now, update)
 
     def on_request(self, now: Time, rpc: Rpc) -> None:
-        """Send an RPC or give it up."""
+        """Send an RPC to a server or give it up."""
         self._admission.on_request(now, rpc)
 
     def on_client_disconnected(self, now: Time, rpc: Rpc) -> None:
-        """Call back what is in flight for an RPC whose client has left."""
+        """Cancel the attempts in flight for an RPC whose client has left."""
         self._admission.on_client_disconnected(now, rpc)
 
     def on_response_started(self, now: Time, attempt: Attempt) -> None:
-        """Take note that the first of an answer has come, and not yet the last."""
+        """Record when the first bytes of an answer arrived; the rest is still to come."""
         attempt.rpc.response_began_at = attempt.rpc.response_began_at or now
 
     def on_stream_established(self, now: Time, attempt: Attempt) -> None:
-        """Leave a stream to its client."""
+        """Close an RPC whose answer is a stream; it needs no final answer."""
         self._admission.on_stream_established(attempt.rpc)
 
     def on_result(
@@ -119,20 +120,20 @@
         load: Sequence[float],
         final: bool,
     ) -> None:
-        """End an attempt, and its RPC or send it again."""
+        """End an attempt, then end its RPC or retry it."""
         attempt.result, attempt.latency = result, latency
         self._admission.on_result(now, attempt, load, final)
 
     def on_probe_result(
         self, now: Time, server: Server, result: AttemptResult, latency: Duration, load: Sequence[float]
     ) -> None:
-        """Take over a server's load report."""
+        """Apply a server's load report."""
         self._selection.on_load_report(now, server, load)
 
     def on_incorrect_answer(self, now: Time, server: Server, method: Method) -> None:
-        """Count an answer that the platform found wrong."""
+        """Count an answer that the platform reported as incorrect."""
         self.release.on_incorrect_answer(server, method)
 
     def on_platform_counts(self, now: Time, counts: PlatformCounts) -> None:
-        """Count what the platform told."""
+        """Add the platform's counts to the samples of the release."""
         self.release.on_platform_counts(now, counts)
--- a/honeywood/balancer/decisions/build_selection.py
+++ b/honeywood/balancer/decisions/build_selection.py
@@ -1,4 +1,4 @@
-"""Which build an RPC goes to first: that of the release on trial, or the established one."""
+"""Selects the build that an RPC is sent to first: the one on trial or the established one."""
 
 from __future__ import annotations
 
@@ -15,11 +15,16 @@
     from honeywood.balancer.decisions.warm_up import WarmUpBudget
     from honeywood.balancer.model import Attempt, Rpc, Server, Time
 
-REPLACED_SHARE = 0.9  # of the servers before a release, from which on its own servers bear all
+# Share of the number of servers before a release; with at least as many servers of its own, a released build
+# takes all traffic.
+REPLACED_SHARE = 0.9
 
 
 class BuildSelection:
-    """Sends to a build on trial as far as its servers bear it, by chance; the cap is the send policy's."""
+    """Splits traffic at random between builds, in proportion to the capacity of their servers.
+
+    The cap of a build on trial is enforced by the send policy.
+    """
 
     def __init__(
         self,
@@ -29,37 +34,38 @@
         warm_up: WarmUpBudget,
         selection: ServerSelection,
     ) -> None:
-        """The release decides which servers are on trial."""
+        """`release` determines which servers are on trial."""
         self._random, self._servers, self._release = random, servers, release
         self._warm_up, self._selection = warm_up, selection
 
     def send(self, now: Time, rpc: Rpc) -> bool:
-        """Send an attempt; whether it was sent."""
+        """Send an attempt and return whether it was sent."""
         first, second = self._groups(now)
         return self._selection.send(now, rpc, first, second)
 
     def on_result(self, now: Time, attempt: Attempt, load: Sequence[float]) -> None:
-        """An attempt has ended."""
+        """Pass on the result of an attempt that has ended."""
         self._selection.on_result(now, attempt, load)
         self._release.on_result(attempt)
 
     def _groups(self, now: Time) -> tuple[Sequence[Server], Sequence[Server]]:
-        """The servers to try first, and those to try where none of them may be chosen."""
+        """The servers to try first, and the servers to try if none of those may be chosen."""
         servers, release = self._servers, self._release
         on_trial, established = servers.on_trial, servers.established
         if release.build in release.rejected_builds:
             return established, on_trial
         replaced = len(servers.newest_by_start) >= REPLACED_SHARE * release.servers_before
         if not on_trial and release.state == ReleaseState.RELEASED and replaced:
-            return servers.newest, established  # the others drain before the list tells it
-        if on_trial and established and not self._draws_trial(now):
+            # Servers of earlier builds start to drain before the server list says so.
+            return servers.newest, established
+        if on_trial and established and not self._selects_trial(now):
             return established, on_trial
         return on_trial, established
 
-    def _draws_trial(self, now: Time) -> bool:
-        """Whether chance takes the servers on trial, by their part of the capacity."""
-        on_trial, rest = (
+    def _selects_trial(self, now: Time) -> bool:
+        """Whether a random choice, weighted by capacity, selects the servers on trial."""
+        on_trial, established = (
             sum(self._warm_up.capacity_share(now, server) for server in group)
             for group in (self._servers.on_trial, self._servers.established)
         )
-        return self._random.random() * (on_trial + rest) < on_trial
+        return self._random.random() * (on_trial + established) < on_trial
--- a/honeywood/balancer/decisions/concurrency_limit.py
+++ b/honeywood/balancer/decisions/concurrency_limit.py
@@ -1,7 +1,7 @@
-"""How many RPCs may be open at once: against queues in which all become late.
+"""Limits how many RPCs may be open at once, so that no queue builds up in which all of them become late.
 
-Little's law (J. D. C. Little, "A proof for the queuing formula L = λW", Operations Research 9, 1961): so many
-can be answered in time as the rate of answers times the time that they may take.
+By Little's law (J. D. C. Little, "A proof for the queuing formula L = λW", Operations Research 9, 1961), the
+number of RPCs that can be answered in time is the rate of answers times the time that an RPC may take.
 """
 
 from __future__ import annotations
@@ -19,43 +19,52 @@
     from honeywood.balancer.model import Attempt, Rpc, Time
     from honeywood.balancer.settings import Settings
 
-LATENCY_HEADROOM = 0.8  # an answer within this part of its target shows that there is room for more
-HEADROOM_WEIGHT = 4  # the share of answers with headroom goes back over so many
-HEADROOM_RPCS = 9  # RPCs more that may be open while all answers have headroom
-RPCS_PER_SERVER = 3  # that all balancers together may have open at each server in any case
-MAX_RESPONDING = 4  # times the bound, RPCs whose answers have begun do not count: these hold no core
-LEAST_PRIORITY = 0.75  # the part of the bound that a method of no utility has
+# An answer within this share of its latency target has headroom: the servers can take more RPCs.
+LATENCY_HEADROOM = 0.8
+HEADROOM_ANSWERS = 4  # the last answer has a weight of 1 / HEADROOM_ANSWERS in the share with headroom
+HEADROOM_RPCS = 9  # further RPCs that may be open while all answers have headroom
+RPCS_PER_SERVER = 3  # RPCs that all balancers together may always have open for each server
+# RPCs whose answers have started do not count, up to this multiple of the bound: they occupy no core.
+MAX_RESPONDING = 4
+MIN_PRIORITY = 0.75  # share of the bound that is available to a method without utility
 
 
 class ConcurrencyLimit:
-    """The bound on open RPCs, lower for methods of less utility."""
+    """The bound on open RPCs; it is lower for methods of lower utility."""
 
     def __init__(self, settings: Settings, servers: ServerGroups) -> None:
-        """No answer has come yet, and the last few count as ones with headroom."""
+        """Starts without answers, as if all earlier ones had had headroom."""
         self._servers, self._balancers = servers, max(1, settings.balancers)
-        most = max(method.utility for method in settings.methods) or 1
-        rest = 1 - LEAST_PRIORITY
-        self._priorities = [LEAST_PRIORITY + rest * method.utility / most for method in settings.methods]
+        max_utility = max(method.utility for method in settings.methods) or 1
+        rest = 1 - MIN_PRIORITY
+        self._priorities = [MIN_PRIORITY + rest * method.utility / max_utility for method in settings.methods]
         self._answers: deque[Time] = deque()
         self._headroom = 1.0
 
     def on_result(self, now: Time, attempt: Attempt) -> None:
-        """An attempt has ended."""
+        """Update the rate of answers and the share with headroom after an attempt has ended."""
         if attempt.result in (AttemptResult.OK, AttemptResult.ERROR):
             self._answers.append(now)
         if attempt.result != AttemptResult.CANCELLED:
             target = attempt.rpc.method.latency_target
-            quick = attempt.result == AttemptResult.OK and attempt.latency < LATENCY_HEADROOM * target
-            self._headroom += quick / HEADROOM_WEIGHT - self._headroom / HEADROOM_WEIGHT
+            has_headroom = attempt.result == AttemptResult.OK and attempt.latency < LATENCY_HEADROOM * target
+            self._headroom += has_headroom / HEADROOM_ANSWERS - self._headroom / HEADROOM_ANSWERS
 
     def exceeded(self, now: Time, rpc: Rpc, open_rpcs: int, responding: int) -> bool:
-        """Whether so many open RPCs, this one among them, are too many; `responding` have begun to answer."""
+        """Whether `open_rpcs`, which includes this RPC, exceeds the limit for its method.
+
+        `responding` is the number of open RPCs whose answers have started.
+        """
         bound = self._bound(now, rpc)
         counted = open_rpcs - min(responding, MAX_RESPONDING * bound)
         return counted > bound * self._priorities[rpc.method.index]
 
     def _bound(self, now: Time, rpc: Rpc) -> float:
-        """By the rate of answers; small balancers have none to go by, but each has its last answers."""
+        """The largest of three bounds: by recent headroom, by number of servers and by rate of answers.
+
+        A balancer with little traffic has no meaningful rate, but its last answers show whether there is
+        headroom.
+        """
         answers = len(trimmed(self._answers, now - RATE_WINDOW))
         in_time = answers * rpc.method.latency_target * OVERDUE_SHARE / RATE_WINDOW
         by_headroom = 1 + HEADROOM_RPCS * self._headroom
--- a/honeywood/balancer/decisions/list_watch.py
+++ b/honeywood/balancer/decisions/list_watch.py
@@ -1,4 +1,4 @@
-"""When the server list is asked for, where discovery does not push it."""
+"""Decides when to request the server list, if discovery does not push it."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class ListWatch:
-    """Asks again only while the watch is not known to stand, so that discovery is not flooded."""
+    """Repeats the request only while no watch is established, so that discovery is not flooded."""
 
     def __init__(self, settings: Settings, host: Host, random: Random) -> None:
-        """The list is asked for at the first on_timer."""
+        """The first request is sent at the first on_timer."""
         self._host, self._random = host, random
         self._on_request = settings.list_on_request
         self._request_interval = min(
@@ -32,23 +32,24 @@
 
     @property
     def is_stale(self) -> bool:
-        """Whether the list is one that must be asked for, and does not come."""
+        """Whether the list has to be requested and no watch is established."""
         return self._on_request and not self.established
 
     def on_server_list(self) -> None:
-        """What came answers a request, if there was one."""
+        """Consider the watch established if the list was requested before."""
         self.established = self.requested
 
     def on_failure(self, now: Time) -> None:
-        """Ask again after a random wait.
+        """Schedule the next request after a random delay.
 
-        Balancers that were refused together must not come together again: the same few would be served.
+        Balancers that were refused at the same time must not retry at the same time: discovery would again
+        serve only a few of them.
         """
         self.established = False
         self._request_at = now + int(self._request_interval * self._random.random())
 
     def on_timer(self, now: Time) -> None:
-        """Ask where it is due."""
+        """Request the list if a request is due."""
         if self._on_request and not self.established and now >= self._request_at:
             self.requested, self._request_at = True, now + self._request_interval
             self._host.watch_servers()
--- a/honeywood/balancer/decisions/release_samples.py
+++ b/honeywood/balancer/decisions/release_samples.py
@@ -1,4 +1,4 @@
-"""What was seen of the newest release and of the one before it: the samples that are tested."""
+"""Collects the outcomes of the newest release and of the one before it, as samples for statistical tests."""
 
 from __future__ import annotations
 
@@ -19,34 +19,36 @@
     from honeywood.balancer.settings import Settings
 
 HALVING_INTERVAL = SECOND
-MAX_SAMPLE = 512  # outcomes of a sample from which on it is halved; the earlier release's counts as so many
+# Number of outcomes from which on a sample is halved. Also the largest weight of the earlier release's
+# outcomes in a test.
+MAX_SAMPLE = 512
 MAX_SLOW_SAMPLE = MAX_SAMPLE / 8
-OUTCOMES = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.TIMEOUT)
+OUTCOMES = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.TIMEOUT)  # results that count as outcomes
 
 
 class Sample(NamedTuple):
-    """What was observed of how many outcomes, and how many the earlier release lets expect."""
+    """How many of some outcomes were failures, or slow, and how many to expect from the earlier release."""
 
     observed: float
     outcomes: float
     expected: float
 
     def plus(self, observed: float, expected: float) -> Sample:
-        """With one more outcome."""
+        """This sample with one more outcome."""
         return Sample(self.observed + observed, self.outcomes + 1, self.expected + expected)
 
     def minus(self, other: Sample) -> Sample:
-        """Without a part of it."""
+        """This sample without `other`, which is a part of it."""
         return Sample(
             self.observed - other.observed, self.outcomes - other.outcomes, self.expected - other.expected
         )
 
     def halved(self) -> Sample:
-        """Half of it."""
+        """This sample with half the weight."""
         return Sample(self.observed / 2, self.outcomes / 2, self.expected / 2)
 
 
-NO_SAMPLE = Sample(0.0, 0.0, 0.0)
+EMPTY_SAMPLE = Sample(0.0, 0.0, 0.0)
 
 
 def total(samples: Sequence[Sample]) -> Sample:
@@ -60,12 +62,12 @@
     __slots__ = ("failures", "slow")
 
     def __init__(self, methods: int) -> None:
-        """Nothing was seen yet."""
-        self.failures = [NO_SAMPLE] * methods
-        self.slow = [NO_SAMPLE] * methods
+        """Starts with empty samples for this number of methods."""
+        self.failures = [EMPTY_SAMPLE] * methods
+        self.slow = [EMPTY_SAMPLE] * methods
 
     def halve(self) -> None:
-        """Halve samples that have grown large: old outcomes count less than late ones."""
+        """Halve large samples, so that recent outcomes weigh more than old ones."""
         self.failures = [
             sample.halved() if sample.outcomes >= MAX_SAMPLE else sample for sample in self.failures
         ]
@@ -75,19 +77,19 @@
 
 
 class PlatformSample(NamedTuple):
-    """Sums of what the platform counted of the newest release, against the release before it."""
+    """Sums of the platform's counts for the newest release, and for the release before it."""
 
     failed: float
     ended: float
     expected_failures: float
     earlier_ended: float
-    time: float  # sum of latencies of answers
-    expected_time: float
+    time: float  # sum of latencies of answers, in tenths of a millisecond
+    expected_time: float  # the same sum at the mean latency of the earlier release
     answers: float
 
 
 class ReportedCounts(NamedTuple):
-    """What the platform told last of a build and method."""
+    """The last counts that the platform reported for a build and method."""
 
     counted_at: float
     failed: int
@@ -96,10 +98,13 @@
 
 
 class ReleaseSamples:
-    """The samples of the newest release, `build`; `changed` says whether one did since tests ran."""
+    """The samples of the newest release and of the one before it.
+
+    `changed` is True if a sample has changed since the tests last ran; the caller resets it.
+    """
 
     def __init__(self, settings: Settings, servers: ServerGroups) -> None:
-        """Nothing was seen yet."""
+        """Starts with empty samples."""
         self._servers, self._methods = servers, len(settings.methods)
         self._counts_period = settings.platform_counts_period
         self.earlier = [OutcomeStatistics() for _ in settings.methods]
@@ -111,21 +116,22 @@
         self._halved_at: Time = 0
 
     def begin_release(self, earlier_was_good: bool) -> None:
-        """A new release has come; what was seen of the one before it is what it is compared with, if good."""
+        """Start new samples. The previous release becomes the one to compare with, unless it was rejected."""
         if earlier_was_good:
             self.earlier = self._current
         self._current = [OutcomeStatistics() for _ in range(self._methods)]
         self.by_server, self.platform = {}, {}
 
     def earlier_of(self, method: int) -> OutcomeStatistics:
-        """The earlier release's statistics; of all methods for one too rare to be compared by itself."""
+        """The earlier release's statistics of a method, or of all methods if it has too few outcomes."""
         statistics = self.earlier[method]
         return statistics if statistics.total >= MIN_OUTCOMES else OutcomeStatistics(self.earlier)
 
     def add(self, attempt: Attempt, build: int | None, rejected_builds: Collection[int]) -> None:
         """Count an attempt that has ended or is overdue.
 
-        What is overdue, or was called back late, tells of latencies: hedging does not hide a slow build.
+        Overdue attempts contribute their latency even if they are cancelled later, so that hedging does not
+        hide a slow build.
         """
         method, index = attempt.rpc.method, attempt.rpc.method.index
         failed, ended = attempt.result == AttemptResult.ERROR, attempt.result in OUTCOMES
@@ -139,7 +145,7 @@
             self.earlier[index].add(ended, failed, timed, latency_bin)
             return
         self.changed = True
-        # What the earlier release did just now is what was to be expected here: faults of both cancel out.
+        # The recent outcomes of the earlier release are the expectation: faults of both builds cancel out.
         earlier = self.earlier_of(index)
         self._current[index].add(ended, failed, timed, latency_bin)
         samples = self.by_server.setdefault(attempt.server, ServerSamples(self._methods))
@@ -151,7 +157,7 @@
             samples.slow[index] = samples.slow[index].plus(latency_bin >= slow_bin, share)
 
     def add_incorrect_answer(self, server: Server, method: Method) -> None:
-        """An answer that was counted as a good one was wrong."""
+        """Count an answer as a failure that was counted as a success before."""
         if server in self.by_server:
             failures = self.by_server[server].failures
             sample = failures[method.index]
@@ -161,7 +167,11 @@
     def add_platform_counts(
         self, now: Time, counts: PlatformCounts, build: int | None, rejected_builds: Collection[int]
     ) -> None:
-        """Count what the platform told: late and sampled, but of all balancers and the same for each."""
+        """Add counts of the platform.
+
+        They are delayed and sampled, but they cover all balancers, and each balancer receives the same
+        counts.
+        """
         counted_at, index = now - counts.age, counts.method.index
         reported = self.reported.setdefault(index, {})
         reported[counts.build] = ReportedCounts(counted_at, counts.failed, counts.ended, counts.mean_latency)
@@ -169,8 +179,8 @@
             return
         same_period = [
             other
-            for other, line in reported.items()
-            if abs(line.counted_at - counted_at) < self._counts_period // 2 and line.ended
+            for other, other_counts in reported.items()
+            if abs(other_counts.counted_at - counted_at) < self._counts_period // 2 and other_counts.ended
         ]
         earlier = max(
             (other for other in same_period if other < build and other not in rejected_builds), default=None
@@ -180,21 +190,22 @@
         if not self._half_is_mature(counted_at - self._counts_period):
             return
         self.changed = True
-        self.platform[index] = self._compared(self.platform.get(index), reported[build], reported[earlier])
+        self.platform[index] = self._add_period(self.platform.get(index), reported[build], reported[earlier])
 
     def _half_is_mature(self, since: float) -> bool:
-        """Whether half of the release's servers were no longer young then, and others stand beside them."""
+        """Whether half of the release's servers were mature at `since` and other builds have servers."""
         newest = self._servers.newest
         mature = sum(server.started_at + MIN_SERVER_AGE <= since for server in newest)
         return len(self._servers.ready) > len(newest) <= 2 * mature
 
     @staticmethod
-    def _compared(
+    def _add_period(
         sample: PlatformSample | None, new: ReportedCounts, earlier: ReportedCounts
     ) -> PlatformSample:
-        """The sample with one more period."""
+        """The sample with one more period: counts are summed up, latencies are those of this period only."""
         sample = sample or PlatformSample(0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
-        # Where all of the earlier release's failed there is no latency to compare with; their mean is 0.
+        # If all RPCs of the earlier release failed, its mean latency is 0 and there is nothing to compare
+        # with.
         comparable = earlier.ended > earlier.failed and earlier.mean_latency > 0
         answers = (new.ended - new.failed) * comparable
         return PlatformSample(
@@ -208,7 +219,7 @@
         )
 
     def on_timer(self, now: Time) -> None:
-        """Halve what is old."""
+        """Halve the statistics and large samples once per HALVING_INTERVAL."""
         if now - self._halved_at < HALVING_INTERVAL:
             return
         self._halved_at, self.changed = now, True
--- a/honeywood/balancer/decisions/release_tests.py
+++ b/honeywood/balancer/decisions/release_tests.py
@@ -1,4 +1,4 @@
-"""The tests of a release: one a method and kind of fault, and one of all methods together."""
+"""The tests of a release: one for each method and kind of fault, and one for all methods together."""
 
 from __future__ import annotations
 
@@ -16,17 +16,19 @@
     from honeywood.balancer.decisions.release_samples import ReleaseSamples
     from honeywood.balancer.decisions.vote_levels import VoteLevels
 
-UNCOMPARED_FAILURE_MARGIN = 0.10  # failure share allowed where there is no earlier release to compare with
-SLOW_MARGIN = 0.20  # share of slow answers; the design starts at 0.10, see docs/design.md
-TIME_MARGIN = 1.0  # mean latencies that the platform tells may be longer by so much of the earlier ones
-MIN_METHOD_FAILURE_OUTCOMES = 3  # outcomes before failures of one method are tested, and of all methods
-MIN_ALL_FAILURE_OUTCOMES = 1
+UNCOMPARED_FAILURE_MARGIN = 0.10  # failure share that is allowed without an earlier release to compare with
+# By how much the share of slow answers may exceed the earlier release's; docs/design.md starts at 0.10.
+SLOW_MARGIN = 0.20
+TIME_MARGIN = 1.0  # by how much of the earlier mean latency the platform's mean latency may exceed it
+MIN_METHOD_FAILURE_OUTCOMES = 3  # outcomes of a method from which on its failures are tested
+MIN_ALL_FAILURE_OUTCOMES = 1  # the same for all methods together
 
 
 def release_tests(samples: ReleaseSamples, levels: VoteLevels) -> list[ReleaseTestResult]:
-    """All tests that have a sample: of this balancer's attempts, and of what the platform counted."""
+    """The results of all tests that have a sample, of this balancer's attempts and the platform's counts."""
     results: list[ReleaseTestResult] = []
-    # Where one of many balancers' votes alone decides, it is left to the counts of all, if they are told.
+    # If a single vote of many balancers decides, only the platform's counts of all balancers are tested, once
+    # there are any.
     if not (samples.reported and levels.single_vote_decides):
         results += _failure_tests(samples, levels)
         results += _slowness_tests(samples, levels)
@@ -44,16 +46,19 @@
     rows = [server.failures for server in samples.by_server.values()]
     for method, servers in enumerate(_by_method(rows, len(samples.earlier))):
         sample = total(servers)
-        single = method < len(samples.earlier)
-        least = MIN_METHOD_FAILURE_OUTCOMES if single else MIN_ALL_FAILURE_OUTCOMES
-        if sample.outcomes >= least:
+        is_single_method = method < len(samples.earlier)
+        min_outcomes = MIN_METHOD_FAILURE_OUTCOMES if is_single_method else MIN_ALL_FAILURE_OUTCOMES
+        if sample.outcomes >= min_outcomes:
             p_value = _p_value(sample, _earlier_outcomes(samples, method), margin)
             results.append(_result(f"failures of method {method}", sample, p_value, levels))
     return results
 
 
 def _slowness_tests(samples: ReleaseSamples, levels: VoteLevels) -> list[ReleaseTestResult]:
-    """One slow server is not a slow build: the test must hold whichever server on trial is left out."""
+    """Test for slow answers, leaving out each server on trial in turn.
+
+    One slow server is not a slow build, so the test must reject the release without any one of them.
+    """
     results = []
     rows = [server.slow for server in samples.by_server.values()]
     for method, servers in enumerate(_by_method(rows, len(samples.earlier))):
@@ -67,15 +72,15 @@
 
 
 def _by_method(rows: Sequence[Sequence[Sample]], methods: int) -> list[list[Sample]]:
-    """Each method's samples by server, and behind them those of all methods: it has its sample sooner."""
+    """Samples by server, for each method and then for all methods, which have enough outcomes sooner."""
     columns = [[row[method] for row in rows] for method in range(methods)]
     return [*columns, [total(row) for row in rows]]
 
 
 def _earlier_outcomes(samples: ReleaseSamples, method: int) -> float:
-    """The weight of the earlier release's outcomes in a test."""
-    single = method < len(samples.earlier)
-    earlier = samples.earlier_of(method) if single else OutcomeStatistics(samples.earlier)
+    """The weight of the earlier release's outcomes in a test, as a number of outcomes."""
+    is_single_method = method < len(samples.earlier)
+    earlier = samples.earlier_of(method) if is_single_method else OutcomeStatistics(samples.earlier)
     return min(MAX_SAMPLE, max(MIN_OUTCOMES, earlier.total))
 
 
@@ -89,7 +94,7 @@
 
 
 def _platform_tests(row: PlatformSample) -> list[ReleaseTestResult]:
-    """The tests of what the platform counted; latencies are taken as if exponentially distributed."""
+    """The tests of the platform's counts; latencies are assumed to be exponentially distributed."""
     expected = row.expected_failures / row.ended * row.earlier_ended
     p_value = inferiority_p_value(row.failed, row.ended, expected, row.earlier_ended, FAILURE_MARGIN)
     results = [ReleaseTestResult(p_value, "tallied failures", row.failed, row.ended, row.expected_failures)]
--- a/honeywood/balancer/decisions/server_groups.py
+++ b/honeywood/balancer/decisions/server_groups.py
@@ -1,4 +1,4 @@
-"""The servers of the list, in the groups that decisions choose from."""
+"""The listed servers, in the groups from which decisions select."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
     from honeywood.balancer.model import Server, ServerEntry, Time
 
     class Release(Protocol):
-        """What the groups need to know of the newest release."""
+        """The part of the newest release's state that determines the groups."""
 
         build: int | None
         rejected_builds: list[int]
 
         def trial_of(self, build: int) -> object | None:
-            """None for a build that is not on trial."""
+            """The limits of a build on trial, None for any other build."""
 
 
 class ServerGroups:
-    """Groups are made anew where the list or the release changes, not for each RPC: fleets are large."""
+    """Groups of servers; rebuilt if the list or the release changes, not for each RPC: fleets are large."""
 
     def __init__(self) -> None:
-        """No server is known."""
+        """Starts without servers."""
         self.listed: list[Server] = []
-        self.ready: list[Server] = []  # in the order of their digests, which all balancers share
-        self.on_trial: list[Server] = []  # ready ones whose build is on trial or rejected
-        self.established: list[Server] = []  # all other ready ones
-        self.newest: list[Server] = []  # ready ones of the newest release
+        self.ready: list[Server] = []  # sorted by digest, the same order in all balancers
+        self.on_trial: list[Server] = []  # ready servers whose build is on trial or rejected
+        self.established: list[Server] = []  # all other ready servers
+        self.newest: list[Server] = []  # ready servers of the newest release
         self.newest_by_start: list[Server] = []
 
     def update(self, now: Time, entries: Sequence[ServerEntry], complete: bool) -> None:
-        """Take over changes of the list; servers that a complete list does not name are gone."""
+        """Apply changes of the list. Servers that a complete list does not contain are removed."""
         for entry in entries:
             self._update_server(now, entry)
         if complete:
@@ -52,12 +52,12 @@
         if was_removed:
             self.listed.append(server)
         if was_removed or started_at != server.started_at or build != server.build:
-            forget_process(server, now)
+            reset_process_state(server, now)
         server.build, server.zone, server.cell, server.scale = build, zone, cell, scale
         server.status, server.started_at = status, started_at
 
     def regroup(self, release: Release) -> None:
-        """Make the groups anew."""
+        """Rebuild the groups."""
         ready = (server for server in self.listed if server.status == ServerStatus.READY)
         self.ready = sorted(ready, key=lambda server: server.digest)
         builds = dict.fromkeys(server.build for server in self.ready)
@@ -72,8 +72,8 @@
         self.newest_by_start = sorted(self.newest, key=lambda server: server.started_at)
 
 
-def forget_process(server: Server, now: Time) -> None:
-    """Forget what was seen of an earlier process under the same identifier: it says nothing of this one.
+def reset_process_state(server: Server, now: Time) -> None:
+    """Reset what was observed of an earlier process under the same identifier: it does not apply to this one.
 
     Attempts that are still in flight stay counted.
     """
--- a/honeywood/balancer/decisions/time_window.py
+++ b/honeywood/balancer/decisions/time_window.py
@@ -1,4 +1,4 @@
-"""Counting events in a sliding window of time."""
+"""Counts events in a sliding time window."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def trimmed(times: deque[Time], since: float) -> deque[Time]:
-    """The same deque without the times before `since`; times are in ascending order."""
+    """Remove the times before `since` from a deque in ascending order, and return the same deque."""
     while times and times[0] < since:
         times.popleft()
     return times
--- a/honeywood/balancer/decisions/vote_levels.py
+++ b/honeywood/balancer/decisions/vote_levels.py
@@ -1,4 +1,4 @@
-"""The levels at which each of many balancers tests: together they err no more often than one would."""
+"""Significance levels for each of many balancers, which limit how often they err together."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 
 
 def level_per_balancer(balancers: int, votes: int) -> float:
-    """The level of each, so that `votes` of them err together no more often than FALSE_DISCOVERY_RATE.
+    """The level of each balancer at which `votes` of them err together at most at FALSE_DISCOVERY_RATE.
 
-    The balancers' hypotheses are some of one family's; the count of errors is Poisson's, whose quantile
-    Wilson and Hilferty's cube root approximates ("The distribution of chi-square", PNAS 17, 1931).
+    The balancers' hypotheses belong to one family. The number of errors has a Poisson distribution, whose
+    quantile is approximated by the cube root of Wilson and Hilferty ("The distribution of chi-square", PNAS
+    17, 1931).
     """
     quantile = NormalDist().inv_cdf(1 - FALSE_DISCOVERY_RATE)
     mean = votes * (1 - 1 / (9 * votes) - quantile / (3 * sqrt(votes))) ** 3
@@ -28,22 +29,24 @@
 
 
 class VoteLevels:
-    """What the settings' counts of balancers and votes make of the level and of samples."""
+    """Levels and sample sizes that follow from the numbers of balancers and votes in the settings."""
 
     def __init__(self, settings: Settings) -> None:
-        """Counts of 0 are taken for 1."""
+        """Derives them from the settings; numbers of 0 count as 1."""
         balancers, rollback_votes = max(1, settings.balancers), max(1, settings.rollback_votes)
         level = level_per_balancer(balancers, rollback_votes)
-        self.p_value_factor = max(1.0, FALSE_DISCOVERY_RATE / level)  # each own p-value is multiplied by it
-        # So many that hold stop a step; but a balancer whose vote alone rolls back must be surer.
+        # Factor for the p-values of this balancer's own tests.
+        self.p_value_factor = max(1.0, FALSE_DISCOVERY_RATE / level)
+        # This many holding balancers stop a step. A balancer whose vote alone rolls a release back needs
+        # stronger evidence to hold, so the level is also limited by the number of votes that roll back.
         holding_votes = max(1, balancers - settings.proceed_votes + 1)
         self.hold_level = min(
             rollback_votes * FALSE_DISCOVERY_RATE, level_per_balancer(balancers, holding_votes)
         )
-        # Balancers whose votes are needed together share the sample.
+        # Balancers whose votes are only effective together may each have a smaller sample.
         self.min_slow_outcomes = max(MIN_EXPECTED_FAILURES, MIN_OUTCOMES // rollback_votes)
 
     @property
     def single_vote_decides(self) -> bool:
-        """Whether one of very many balancers rolls a release back by its vote alone."""
+        """Whether the vote of one of very many balancers is enough to roll a release back."""
         return self.p_value_factor > MIN_OUTCOMES
--- a/honeywood/balancer/decisions/vote_sender.py
+++ b/honeywood/balancer/decisions/vote_sender.py
@@ -1,4 +1,4 @@
-"""Sends a balancer's votes, and again where they may not count or would lapse."""
+"""Sends a balancer's votes, and repeats those that were not accepted or are about to expire."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from honeywood.balancer.model import ReleaseTestResult, Time, Vote
     from honeywood.balancer.settings import Settings
 
-MIN_INTERVAL = SECOND // 2
+MIN_INTERVAL = SECOND // 2  # between two votes
 
 
 class Ballot(NamedTuple):
@@ -29,36 +29,39 @@
 
 
 class VoteSender:
-    """One vote is asked for at a time; the platform answers each."""
+    """Sends one vote at a time; the platform answers each."""
 
     def __init__(self, settings: Settings, host: Host, random: Random) -> None:
-        """No vote counts yet."""
+        """Starts without an accepted vote."""
         self._host, self._random = host, random
         self._renew_after = settings.vote_ttl // 2
         self._answer_timeout = settings.vote_timeout + 2 * TIMER_PERIOD
-        self.counted: Ballot | None = None  # the last vote that the platform counts
-        self._counted_at: Time = 0
-        self._asked: Ballot | None = None
-        self._asked_at = -inf
-        self._spread = 1.0
+        self.accepted: Ballot | None = None  # the last vote that the platform accepted
+        self._accepted_at: Time = 0
+        self._pending: Ballot | None = None  # the vote without an answer
+        self._sent_at = -inf
+        self._jitter = 1.0
 
-    def on_answer(self, now: Time, counts: bool) -> None:
-        """The platform answered the last vote."""
-        if self._asked:
-            if counts:
-                self.counted, self._counted_at = self._asked, now
-            self._asked = None
+    def on_answer(self, now: Time, accepted: bool) -> None:
+        """Record the platform's answer to the pending vote."""
+        if self._pending:
+            if accepted:
+                self.accepted, self._accepted_at = self._pending, now
+            self._pending = None
 
     def cast(self, now: Time, ballot: Ballot, reasons: Sequence[ReleaseTestResult]) -> None:
-        """Vote, unless the same vote counts and does not lapse soon, or the last one has no answer yet."""
-        if self.counted == ballot and now - self._counted_at < self._renew_after * self._spread:
+        """Send a vote, unless it is accepted and does not expire soon, or an earlier vote is still pending.
+
+        A pending vote is given up after the answer timeout. `reasons` are handed to the observer.
+        """
+        if self.accepted == ballot and now - self._accepted_at < self._renew_after * self._jitter:
             return
-        wait = self._answer_timeout if self._asked else MIN_INTERVAL
-        if now - self._asked_at < wait * self._spread:
+        wait = self._answer_timeout if self._pending else MIN_INTERVAL
+        if now - self._sent_at < wait * self._jitter:
             return
-        self._asked, self._asked_at = ballot, now
-        # Chance spreads the votes of many balancers: they share what the platform takes in a second.
-        self._spread = 0.8 + 0.4 * self._random.random()
+        self._pending, self._sent_at = ballot, now
+        # Jitter spreads the votes of many balancers over time: the platform's rate limit is shared by all.
+        self._jitter = 0.8 + 0.4 * self._random.random()
         if self._host.observer:
             self._host.observer.tested(now, reasons)
         self._host.vote(*ballot)
--- a/honeywood/balancer/decisions/warm_up.py
+++ b/honeywood/balancer/decisions/warm_up.py
@@ -1,4 +1,4 @@
-"""How much may be sent to servers that have just started: one sent too much while cold falls over."""
+"""Limits the attempts at servers that are warming up: a server that is overloaded meanwhile fails."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
     from honeywood.balancer.model import Attempt, Duration, Server, Time
     from honeywood.balancer.settings import Settings
 
-SAFE_SHARE = 0.7  # used part of the overload threshold
+SAFE_SHARE = 0.7  # share of the overload threshold that is used
 
 
 class Rounding(NamedTuple):
-    """The fraction of an attempt by which a build's allowance is rounded up, until a time."""
+    """The fraction of an attempt that is added to a build's allowance until a time, to round it at random."""
 
     fraction: float
     until: Time
 
 
 class Allowance(NamedTuple):
-    """The attempts that a build's cold servers may get within the overload window, worked out at `now`."""
+    """The attempts that a build's warming-up servers may get in the overload window, computed at `now`."""
 
     now: Time
     build: int
@@ -35,14 +35,15 @@
 
 
 class WarmUpBudget:
-    """Each cold server gets its part of what this balancer's servers bear.
+    """Limits each server that is warming up to its share of what this balancer's servers handle on average.
 
-    So all balancers together keep its overload threshold. Small ones have less than an attempt for all cold
-    servers of a build, and chance rounds it.
+    If every balancer does so, all of them together stay below the server's overload threshold. A balancer
+    with little traffic has less than one attempt for all warming-up servers of a build; this allowance is
+    rounded up or down at random.
     """
 
     def __init__(self, settings: Settings, servers: ServerGroups, random: Random) -> None:
-        """Nothing was sent yet."""
+        """Starts without attempts."""
         self._servers, self._random = servers, random
         self._balancers = max(1, settings.balancers)
         self._initial_share, self._warm_up_time = settings.initial_capacity_share, settings.warm_up_time
@@ -50,26 +51,26 @@
         self._multiple = settings.overload_multiple * SAFE_SHARE
         self._successes: deque[Time] = deque()
         self._in_flight = 0  # attempts at all servers
-        self._sends: defaultdict[int, deque[Time]] = defaultdict(deque)  # to cold servers, by build
+        self._sends: defaultdict[int, deque[Time]] = defaultdict(deque)  # to warming-up servers, by build
         self._rounding: dict[int, Rounding] = {}  # by build
         self._allowance = Allowance(0, 0, 0.0)
 
     def capacity_share(self, now: Time, server: Server) -> float:
-        """The part of its capacity that a server has at least, so long after its start."""
+        """The least share of its capacity that a server has, by the time since its start."""
         age, warm_up_time = max(0, now - server.started_at), self._warm_up_time
         if age >= warm_up_time:
             return 1.0
         return self._initial_share + (1 - self._initial_share) * age / warm_up_time
 
     def may_send(self, now: Time, server: Server) -> bool:
-        """Whether a server, if it is cold, bears one more attempt."""
+        """Whether one more attempt may be sent to a server; always True if it is not warming up."""
         if not self._is_warming_up(now, server):
             return True
         since: Duration = now - self._window - self._resolution
         ready = len(self._servers.ready)
         per_server = self._multiple * len(trimmed(self._successes, since)) / ready
         share = self.capacity_share(now, server)
-        if self._allowance[:2] != (now, server.build):  # once for all servers that an RPC looks at
+        if self._allowance[:2] != (now, server.build):  # computed once for all servers an RPC considers
             attempts = self._build_allowance(now, server.build, per_server)
             self._allowance = Allowance(now, server.build, attempts)
         to_server = len(trimmed(server.warm_up_sends, since)) + 1
@@ -82,14 +83,14 @@
         )
 
     def on_send(self, now: Time, server: Server) -> None:
-        """An attempt goes to a server."""
+        """Count an attempt that is sent to a server."""
         self._in_flight += 1
         if self._is_warming_up(now, server):
             server.warm_up_sends.append(now)
             self._sends[server.build].append(now)
 
     def on_result(self, now: Time, attempt: Attempt) -> None:
-        """An attempt has ended."""
+        """Count an attempt that has ended."""
         self._in_flight -= 1
         if attempt.result == AttemptResult.OK:
             trimmed(self._successes, now - self._window).append(now)
@@ -98,7 +99,7 @@
         return now - server.started_at < self._warm_up_time + self._window
 
     def _build_allowance(self, now: Time, build: int, per_server: float) -> float:
-        """What the cold servers of a build may get together."""
+        """The number of attempts that all warming-up servers of a build together may get."""
         random = self._random.random
         if build not in self._rounding or now >= self._rounding[build].until:
             fraction = random()
--- a/tests/balancer/decisions/decision_builders.py
+++ b/tests/balancer/decisions/decision_builders.py
@@ -1,4 +1,4 @@
-"""What the tests of single decisions are built from."""
+"""Builders and stand-ins for the tests of single decision modules."""
 
 from honeywood.balancer.decisions.server_groups import ServerGroups
 from honeywood.balancer.model import (
@@ -14,7 +14,7 @@
 
 
 class RecordingHost:
-    """Keeps what the decisions ask."""
+    """A host that records the calls of the decisions."""
 
     observer = None
 
@@ -55,9 +55,9 @@
 
 
 def server(**given):
-    made = Server(**{"status": ServerStatus.READY, "build": 1, **given})
-    made.host = made
-    return made
+    built = Server(**{"status": ServerStatus.READY, "build": 1, **given})
+    built.host = built
+    return built
 
 
 def rpc(of=None, **given):
@@ -66,17 +66,17 @@
 
 def attempt(of=None, at=None, result=None, latency=100, sent_at=0):
     of, at = of or rpc(), at or server()
-    made = Attempt(rpc=of, server=at, number=len(of.attempts), build=at.build, sent_at=sent_at)
-    made.result, made.latency = result, latency
-    of.attempts.append(made)
-    return made
+    built = Attempt(rpc=of, server=at, number=len(of.attempts), build=at.build, sent_at=sent_at)
+    built.result, built.latency = result, latency
+    of.attempts.append(built)
+    return built
 
 
 def groups(*servers, release=None):
-    made = ServerGroups()
-    made.listed = list(servers)
-    made.regroup(release or NoRelease())
-    return made
+    built = ServerGroups()
+    built.listed = list(servers)
+    built.regroup(release or NoRelease())
+    return built
 
 
 def entry(of, build=1, status=ServerStatus.READY, started_at=UNKNOWN_START):
--- a/tests/balancer/decisions/test_arrivals.py
+++ b/tests/balancer/decisions/test_arrivals.py
@@ -1,18 +1,18 @@
-"""The mean time between RPCs."""
+"""Tests the mean time between RPCs."""
 
 from honeywood.balancer.decisions.arrivals import Arrivals
 from honeywood.balancer.decisions.limits import RETURN_TIME
 from honeywood.balancer.model import SECOND
 
 
-def test_the_mean_nears_the_gaps():
+def test_the_mean_converges_to_the_gaps():
     arrivals = Arrivals()
     for number in range(200):
         arrivals.on_request(number * 100)
     assert 99 < arrivals.mean_gap < 110
 
 
-def test_a_long_silence_counts_as_the_return_time():
+def test_a_long_gap_counts_as_the_return_time():
     arrivals = Arrivals()
     arrivals.on_request(0)
     first = arrivals.mean_gap
--- a/tests/balancer/decisions/test_retry_budget.py
+++ b/tests/balancer/decisions/test_retry_budget.py
@@ -1,9 +1,9 @@
-"""The token bucket of further attempts."""
+"""Tests the token bucket for retries and hedged requests."""
 
 from honeywood.balancer.decisions.retry_budget import MAX_BUDGET, RetryBudget
 
 
-def test_ten_rpcs_earn_one_further_attempt():
+def test_ten_rpcs_earn_one_retry():
     budget = RetryBudget()
     budget.spend()
     for _ in range(9):
--- a/tests/balancer/decisions/test_scenarios.py
+++ b/tests/balancer/decisions/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario of the decisions."""
+"""Plays every scenario file of the decisions."""
 
 import pathlib
 
--- a/tests/balancer/decisions/test_vote_sender.py
+++ b/tests/balancer/decisions/test_vote_sender.py
@@ -1,4 +1,4 @@
-"""Votes are sent once, and again where they may not count or would lapse."""
+"""Tests that a vote is sent once, and again if it was not accepted or is about to expire."""
 
 from random import Random
 
@@ -16,28 +16,28 @@
 
 
 def test_a_vote_without_an_answer_is_sent_again_after_the_timeout():
-    made, host = sender()
+    vote_sender, host = sender()
     for tenth in range(14):
-        made.cast(tenth * SECOND // 10, BALLOT, ())
-    assert host.votes == [BALLOT] * 2  # the spread of this seed makes the wait 0.98 s at most
+        vote_sender.cast(tenth * SECOND // 10, BALLOT, ())
+    assert host.votes == [BALLOT] * 2  # the jitter of this seed makes the wait 0.98 s at most
 
 
-def test_a_vote_that_counts_is_renewed_before_it_lapses():
-    made, host = sender()
-    made.cast(0, BALLOT, ())
-    made.on_answer(100, counts=True)
-    assert made.counted == BALLOT
-    made.cast(3 * SECOND, BALLOT, ())
+def test_an_accepted_vote_is_renewed_before_it_expires():
+    vote_sender, host = sender()
+    vote_sender.cast(0, BALLOT, ())
+    vote_sender.on_answer(100, accepted=True)
+    assert vote_sender.accepted == BALLOT
+    vote_sender.cast(3 * SECOND, BALLOT, ())
     assert len(host.votes) == 1
-    made.cast(7 * SECOND, BALLOT, ())
+    vote_sender.cast(7 * SECOND, BALLOT, ())
     assert len(host.votes) == 2
 
 
-def test_one_that_does_not_count_is_sent_again_after_the_shortest_interval():
-    made, host = sender()
-    made.cast(0, BALLOT, ())
-    made.on_answer(100, counts=False)
-    made.cast(200, BALLOT, ())
-    assert len(host.votes) == 1 and made.counted is None
-    made.cast(SECOND, BALLOT, ())
+def test_a_vote_that_is_not_accepted_is_sent_again_after_the_minimum_interval():
+    vote_sender, host = sender()
+    vote_sender.cast(0, BALLOT, ())
+    vote_sender.on_answer(100, accepted=False)
+    vote_sender.cast(200, BALLOT, ())
+    assert len(host.votes) == 1 and vote_sender.accepted is None
+    vote_sender.cast(SECOND, BALLOT, ())
     assert len(host.votes) == 2
--- a/tests/balancer/decisions/test_warm_up.py
+++ b/tests/balancer/decisions/test_warm_up.py
@@ -1,4 +1,4 @@
-"""What servers that warm up may be sent."""
+"""Tests how many attempts may be sent to servers that are warming up."""
 
 from random import Random
 
@@ -21,26 +21,31 @@
 
 
 def test_capacity_grows_from_its_initial_share():
-    made, one = budget(), server(started_at=0)
-    assert [made.capacity_share(now, one) for now in (0, 20_000, 40_000, 10**9)] == [0.4, 0.7, 1.0, 1.0]
+    warm_up_budget, one = budget(), server(started_at=0)
+    assert [warm_up_budget.capacity_share(now, one) for now in (0, 20_000, 40_000, 10**9)] == [
+        0.4,
+        0.7,
+        1.0,
+        1.0,
+    ]
 
 
-def test_a_warm_server_is_not_bounded():
+def test_a_warmed_up_server_is_not_limited():
     one = server()
-    made = budget(one)
+    warm_up_budget = budget(one)
     one.in_flight = 10_000
-    assert made.may_send(0, one)
+    assert warm_up_budget.may_send(0, one)
 
 
-def test_a_cold_server_gets_its_part_of_what_the_others_bear():
-    warm, cold = server(), server(started_at=0)
-    made = budget(warm, cold)
+def test_a_warming_up_server_gets_its_share_of_what_the_others_handle():
+    warmed_up, warming_up = server(), server(started_at=0)
+    warm_up_budget = budget(warmed_up, warming_up)
     for now in range(100):
-        made.on_send(now, warm)
-        made.on_result(now, attempt(at=warm, result=AttemptResult.OK))
+        warm_up_budget.on_send(now, warmed_up)
+        warm_up_budget.on_result(now, attempt(at=warmed_up, result=AttemptResult.OK))
     sent = 0
-    while made.may_send(100, cold):
-        made.on_send(100, cold)
+    while warm_up_budget.may_send(100, warming_up):
+        warm_up_budget.on_send(100, warming_up)
         sent += 1
-    # 100 answers of two servers, times 2.5 and 0.7 of it, at 0.4 of its capacity.
+    # 100 answers by two servers, times the multiple of 2.5, its safe share of 0.7 and 0.4 of the capacity.
     assert 30 <= sent <= 36
