--- a/honeywood/balancer/decisions/release_verdict.py
+++ b/honeywood/balancer/decisions/release_verdict.py
@@ -109,7 +109,7 @@
             self._step_began_at, self._samples.changed = now - age, True
         self.build, self.step, self._cap, self.state = build, step, cap, state
         if state in (ReleaseState.ROLLING_BACK, ReleaseState.WITHDRAWN):
-            self._reject("rolled back by other balancers")
+            self._reject("others sent it back")
         self._servers.regroup(self)
 
     def on_vote_answered(self, now: Time, update: ReleaseUpdate | None) -> None:
@@ -182,15 +182,15 @@
         if self.suspect_since is not None and now - self.suspect_since >= CONFIRMATION:
             worst = min(self._results)
             self._reject(
-                f"{worst.name}, {worst.observed:.0f} of {worst.outcomes:.0f} where the earlier build's rate "
-                f"predicts {worst.expected:.1f}, p {worst.p_value:.4f} in {len(self._results)} tests"
+                f"{worst.name}, {worst.observed:.0f} of {worst.outcomes:.0f} where the earlier build lets "
+                f"expect {worst.expected:.1f}, p {worst.p_value:.4f} in {len(self._results)} tests"
             )
 
     def _reject(self, reason: str) -> None:
         if self.build is not None and self.build not in self.rejected_builds:
             self.rejected_builds.append(self.build)
             self._servers.regroup(self)
-            self._host.log(f"build {self.build} rejected at step {self.step}: {reason}")
+            self._host.log(f"build {self.build} found bad at step {self.step}: {reason}")
 
     def _vote(self, now: Time) -> Vote | None:
         """The vote on the current step, None if there is none to cast."""
--- a/honeywood/balancer/decisions/service_trend.py
+++ b/honeywood/balancer/decisions/service_trend.py
@@ -78,7 +78,7 @@
         persists = now - (self.worse_since or now) >= CONFIRMATION
         if persists and rollback_p_value * self._levels.p_value_factor <= FALSE_DISCOVERY_RATE:
             return (
-                f"{degraded:.0f} of {rpcs:.0f} RPCs persistently degraded, "
-                f"{earlier_degraded:.0f} of {earlier_rpcs:.0f} before the release"
+                f"{degraded:.0f} of {rpcs:.0f} RPCs fare badly, "
+                f"{earlier_degraded:.0f} of {earlier_rpcs:.0f} before it; it stays"
             )
         return None
--- a/tests/balancer/decisions/test_service_trend.py
+++ b/tests/balancer/decisions/test_service_trend.py
@@ -20,7 +20,7 @@
     service_trend = trend([False] * 100, [True] * 100)
     assert service_trend.check(10, comparable=True) is None and service_trend.worse_since == 10
     assert service_trend.check(10 + CONFIRMATION - 1, comparable=True) is None
-    assert "persistently degraded" in service_trend.check(10 + CONFIRMATION, comparable=True)
+    assert "fare badly" in service_trend.check(10 + CONFIRMATION, comparable=True)
 
 
 def test_a_trend_that_is_not_comparable_or_unchanged_is_no_reason_to_hold():
