--- a/honeywood/balancer/__init__.py
+++ b/honeywood/balancer/__init__.py
@@ -1,5 +1,5 @@
-"""The balancer: routes RPCs to servers and guards releases, one process of threads on blocking sockets.
+"""The balancer: routes RPCs to servers and guards releases, in one process with threads and blocking sockets.
 
-Start with interface.py, what passes between the decisions (decisions/) and their hosts: actors/ over sockets,
-benchlink/ over the bench's wire. docs/architecture.md has the layers.
+Start with interface.py, the calls between the decisions (decisions/) and their hosts: actors/ uses sockets,
+benchlink/ uses the bench's protocol. docs/architecture.md describes the layers.
 """
--- a/honeywood/balancer/configuration.py
+++ b/honeywood/balancer/configuration.py
@@ -1,7 +1,7 @@
-"""The configuration: the one place where it is read, checked and given defaults.
+"""Reads and checks the configuration and fills in its defaults; nothing else does.
 
-It is the JSON object in the file that ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY
-stand in for `name`, `listen` and `discovery` where the object lacks them.
+The configuration is a JSON object in the file named by ROUTER_CONFIG. ROUTER_NAME, ROUTER_LISTEN and
+ROUTER_DISCOVERY are the defaults of `name`, `listen` and `discovery`.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 MIN_SOCKETS, MIN_MEMORY_MB = 64, 32
 DEFAULT_SOCKETS, DEFAULT_MEMORY_MB = 1024, 192
-FIXED_KEYS = "name", "listen", "limits", "settings"  # are taken at start only
+FIXED_KEYS = "name", "listen", "limits", "settings"  # read at start only; a reload does not change them
 NO_LIST = {"revision": 0, "complete": True, "members": []}
 
 
@@ -36,18 +36,18 @@
     listen: Address
     discovery: Address
     platform: Address
-    sockets: int  # descriptors that the process may have
+    sockets: int  # number of descriptors that the process may use
     memory_mb: int
-    known: ServerList
+    known: ServerList  # the server list to start with
     seed: int
     settings: Settings
-    settings_text: str  # as a trace keeps them
-    release: ReleaseUpdate
-    fixed: str  # the text of FIXED_KEYS
+    settings_text: str  # the settings as they are stored in a trace
+    release: ReleaseUpdate  # the state of the release to start with
+    fixed: str  # the values of FIXED_KEYS as text, to detect changes in a reload
 
 
 def read(environ: Mapping[str, str]) -> Configuration:
-    """The configuration that the environment names. Raises InvalidConfiguration."""
+    """Read the configuration named by the environment. Raises InvalidConfiguration."""
     path = environ.get("ROUTER_CONFIG")
     if not path:
         raise InvalidConfiguration("ROUTER_CONFIG: missing")
@@ -60,7 +60,7 @@
 
 
 def parse(raw: Any, environ: Mapping[str, str]) -> Configuration:
-    """The configuration out of JSON. Raises InvalidConfiguration, for the first key that cannot be used."""
+    """Read the configuration from JSON. Raises InvalidConfiguration for the first invalid key."""
     top = Section(raw, "")
     name = top.string("name", environ.get("ROUTER_NAME", "front"))
     listen = _address(top, "listen", environ.get("ROUTER_LISTEN"))
@@ -98,7 +98,7 @@
 
 
 def _known(top: Section) -> ServerList:
-    """The server list as it was known last."""
+    """The last known server list."""
     try:
         return discovery.parse_list(top.raw.get("known", NO_LIST))
     except discovery.InvalidList as error:
--- a/honeywood/balancer/interface.py
+++ b/honeywood/balancer/interface.py
@@ -1,4 +1,4 @@
-"""The calls between the decisions and whatever hosts them. Nothing is decided here."""
+"""The interfaces between the decisions and their host."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 
 
 class Observer(Protocol):
-    """Is told the reasons of decisions. Nothing is asked of it, and nothing is decided by it."""
+    """Receives the reasons for decisions, without any influence on them."""
 
     def considered(self, rpc: Rpc, server: Server, exclusion: int) -> None:
-        """A server was drawn for an attempt; `exclusion` is an Exclusion, NONE where it may be chosen."""
+        """A server was drawn for an attempt; `exclusion` is an Exclusion, NONE if it may be chosen."""
 
     def considered_all(self, rpc: Rpc, servers: Sequence[Server], exclusions: Sequence[int]) -> None:
-        """None of those drawn could be chosen, so all servers of the group were looked at."""
+        """None of the drawn servers could be chosen, so all servers of the group were considered."""
 
     def tested(self, now: Time, results: Sequence[ReleaseTestResult]) -> None:
-        """The tests behind the vote that follows."""
+        """The results of the tests on which the next vote is based."""
 
 
 class Host(Protocol):
-    """What the decisions ask of whoever hosts them; `observer` is None where nobody wants their reasons."""
+    """The calls that the decisions make to their host; `observer` is None if their reasons are not needed."""
 
     observer: Observer | None
 
     def send(self, attempt: Attempt, until: Time) -> None:
-        """Send the attempt; it ends as TIMEOUT at `until` at the latest."""
+        """Send the attempt; it ends with TIMEOUT at `until` at the latest."""
 
     def reject(self, rpc: Rpc, retry_after: Duration) -> None:
         """Answer the client that its RPC did not run and that it may retry."""
@@ -52,60 +52,60 @@
         """Answer the client that its RPC failed; it may have run."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give up an attempt in flight; it ends as CANCELLED."""
+        """Give up an attempt in flight; it ends with CANCELLED."""
 
     def probe(self, server: Server) -> None:
-        """Ask a server for its load."""
+        """Request a load report from a server."""
 
     def wake_after(self, delay: Duration) -> None:
         """Call on_timer after this delay."""
 
     def vote(self, build: int, step: int, vote: Vote) -> None:
-        """Vote on a step of a release; the platform's answer comes by on_vote_answered."""
+        """Vote on a step of a release; the platform's answer is passed to on_vote_answered."""
 
     def watch_servers(self) -> None:
-        """Ask discovery for the server list and its changes."""
+        """Request the server list and its changes from discovery."""
 
     def log(self, text: str) -> None:
         """Write a line to the log."""
 
 
 class Decisions(Protocol):
-    """What the host calls, with the time of each call first."""
+    """The calls that the host makes to the decisions; the first argument is the time of the call."""
 
     @property
     def reject_connections_until(self) -> float:
-        """Until then no new client connection is to be taken."""
+        """Time until which the host must not accept new client connections."""
 
     def on_start(self, now: Time) -> None:
-        """The first call."""
+        """The host starts; this is the first call."""
 
     def on_timer(self, now: Time) -> None:
-        """The time asked for by wake_after has come."""
+        """The delay of wake_after has passed."""
 
     def on_server_list(self, now: Time, entries: Sequence[ServerEntry], complete: bool) -> None:
-        """Changes of the server list, or all of it."""
+        """The server list has changed; `entries` are the changes, or the complete list."""
 
     def on_server_list_failed(self, now: Time) -> None:
         """Discovery refused the list or ended the watch."""
 
     def on_release_update(self, now: Time, update: ReleaseUpdate) -> None:
-        """The platform told the state of its newest release."""
+        """The platform reported the state of its newest release."""
 
     def on_vote_answered(self, now: Time, update: ReleaseUpdate | None) -> None:
-        """The last vote counts, with the state of the release; or it does not, with None."""
+        """The platform accepted the last vote and reported the release's state, or did not: then None."""
 
     def on_request(self, now: Time, rpc: Rpc) -> None:
-        """A client's RPC has come."""
+        """A client's RPC has arrived."""
 
     def on_client_disconnected(self, now: Time, rpc: Rpc) -> None:
-        """The client has left before its answer."""
+        """The client has disconnected before its answer."""
 
     def on_response_started(self, now: Time, attempt: Attempt) -> None:
-        """The first of an answer has come, and not yet the last."""
+        """The first part of an answer has arrived; the rest is still to come."""
 
     def on_stream_established(self, now: Time, attempt: Attempt) -> None:
-        """The answer is a stream that now is its client's; the RPC needs no final answer."""
+        """The answer is a stream that has been handed over to the client; the RPC needs no final answer."""
 
     def on_result(
         self,
@@ -116,7 +116,10 @@
         load: Sequence[float],
         final: bool,
     ) -> None:
-        """An attempt has ended; `load` is the server's report, `final` whether the client has its answer."""
+        """An attempt has ended.
+
+        `load` is the server's load report; `final` is True if the client has its answer.
+        """
 
     def on_probe_result(
         self, now: Time, server: Server, result: AttemptResult, latency: Duration, load: Sequence[float]
@@ -124,7 +127,7 @@
         """A probe has ended."""
 
     def on_incorrect_answer(self, now: Time, server: Server, method: Method) -> None:
-        """The platform found an answer of this server wrong."""
+        """The platform reported an answer of this server as incorrect."""
 
     def on_platform_counts(self, now: Time, counts: PlatformCounts) -> None:
-        """The platform told what it counted."""
+        """The platform reported its counts."""
--- a/honeywood/balancer/model.py
+++ b/honeywood/balancer/model.py
@@ -1,7 +1,7 @@
-"""What the decisions and their hosts talk about: methods, servers, RPCs, attempts, releases.
+"""The types that decisions and their hosts exchange: methods, servers, RPCs, attempts, releases.
 
-Times are whole tenths of a millisecond on the host's clock. Objects point to each other; identifiers stay
-with the host, which keeps what it needs of a server, an RPC or an attempt in `host`.
+Times are integers, in tenths of a millisecond on the host's clock. Objects refer to each other directly.
+Identifiers are known to the host only; it keeps its own data about a server, an RPC or an attempt in `host`.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 Time = int  # a point on the host's clock, in tenths of a millisecond
 Duration = int  # tenths of a millisecond
 SECOND: Duration = 10_000
-UNKNOWN_START: Time = -(10**12)  # of a server whose start nobody remembers
+UNKNOWN_START: Time = -(10**12)  # start of a server whose start time is unknown: long ago
 
 
 class AttemptResult(IntEnum):
-    """How an attempt ended. The figures stand in traces and on the bench's wire."""
+    """How an attempt ended. The values are part of the trace format and of the bench's protocol."""
 
     ERROR = 0
     OK = 1
@@ -32,11 +32,12 @@
     EXPIRED = 7
 
 
+# Results after which it is certain that no server has run the attempt.
 NEVER_RAN = (AttemptResult.FULL, AttemptResult.CONNECT_FAILED, AttemptResult.EXPIRED)
 
 
 class Idempotency(StrEnum):
-    """What repeating a method's RPC does. A keyed one bears a key, by which servers drop its repeats."""
+    """Whether a method's RPC may be repeated. A keyed RPC has a key by which servers drop its repeats."""
 
     IDEMPOTENT = "idempotent"
     KEYED = "tokened"
@@ -44,7 +45,7 @@
 
 
 class ServerStatus(IntEnum):
-    """A server's place in its life cycle as the list has it. The figures stand in traces and on the wire."""
+    """A server's status in the server list. The values are part of the trace format and of the protocol."""
 
     REMOVED = 0
     DRAINING = 1
@@ -52,7 +53,7 @@
 
 
 class ReleaseState(IntEnum):
-    """The state of a release. The figures stand in traces and on the bench's wire."""
+    """The state of a release. The values are part of the trace format and of the bench's protocol."""
 
     ON_TRIAL = 0
     ROLLING_BACK = 1
@@ -61,7 +62,10 @@
 
 
 class Vote(IntEnum):
-    """What a balancer votes on a step of a release. The figures stand in traces and on the bench's wire."""
+    """A balancer's vote on a step of a release.
+
+    The values are part of the trace format and of the bench's protocol.
+    """
 
     NONE = 0
     PROCEED = 1
@@ -70,7 +74,7 @@
 
 
 class GiveUpReason(IntEnum):
-    """Why an RPC was given up. The figures stand in traces."""
+    """Why an RPC was given up. The values are part of the trace format."""
 
     QUEUED_TOO_LONG = 1
     OVERLOADED = 2
@@ -80,10 +84,11 @@
 
 
 class Exclusion:
-    """What keeps an RPC from a server; NONE where nothing does.
+    """Why an RPC may not be sent to a server; NONE if it may.
 
-    The figures stand in traces: they keep their meaning for ever, and new ones go behind. They are plain
-    figures, not members of an enum: the decisions look them up for each server of each RPC.
+    The values are part of the trace format: they never change their meaning, and new ones are appended. They
+    are plain integers and not members of an enum, since the decisions look them up for each server of each
+    RPC.
     """
 
     NONE = 0
@@ -103,31 +108,30 @@
 
 
 def digest(identifier: object) -> int:
-    """A server's place in the order that all balancers share, without any meaning of its own."""
+    """A number by which all balancers sort servers into the same arbitrary order."""
     return crc32(str(identifier).encode())
 
 
 @dataclass(slots=True, eq=False)
 class Method:
-    """A class of RPCs. `index` is its place in the settings."""
+    """A class of RPCs with common settings. `index` is its position in the settings."""
 
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     latency_target: Duration = SECOND
     target_per_work: float = 0.0  # added to the target for each unit of an RPC's expected work
     timeout: Duration = SECOND
-    utility: float = 1.0
-    overdue_utility: float = 0.0
-    dedup_scope: str = (
-        "all"  # where repeats of a keyed RPC are dropped: "all", or servers of one "zone", "cell"
-    )
-    dedup_window: Duration = 0  # for how long they are
+    utility: float = 1.0  # value of an answer within its latency target
+    overdue_utility: float = 0.0  # value of a later answer
+    # The servers that drop repeats of a keyed RPC: "all", or those of the same "zone" or "cell".
+    dedup_scope: str = "all"
+    dedup_window: Duration = 0  # how long servers recognize a repeat
     index: int = 0
     name: str = ""
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server: what the list says of it, then what the decisions keep about it."""
+    """A server: first its entry in the server list, then the state that the decisions keep about it."""
 
     build: int = 0
     zone: int = 0
@@ -136,24 +140,24 @@
     status: ServerStatus = ServerStatus.REMOVED
     started_at: Time = UNKNOWN_START
     digest: int = 0
-    host: Any = None  # the host's own; the decisions do not look at it
+    host: Any = None  # data of the host, not used by the decisions
 
-    in_flight: int = 0
-    warm_up_sends: deque[Time] = field(default_factory=deque)  # times of attempts while it was cold
-    latency_factor: float = 1.0  # its latency over the mean of all servers
+    in_flight: int = 0  # attempts of this balancer
+    warm_up_sends: deque[Time] = field(default_factory=deque)  # times of attempts while it warms up
+    latency_factor: float = 1.0  # its latency divided by the mean of all servers
     reported_load: float = 0.0  # RPCs of other balancers, by its last load report
     reported_at: float = -inf
-    recent_failures: float = 0.0
-    decayed_at: Time = 0  # until when latency_factor and recent_failures are decayed
+    recent_failures: float = 0.0  # with exponential decay
+    decayed_at: Time = 0  # when latency_factor and recent_failures were last decayed
     ejected_until: Time = 0
-    answered_at: Time = 0
-    suspect: bool = False  # its last attempt ended without any answer
-    on_trial: bool = False  # its build is
+    answered_at: Time = 0  # its last answer, or the last attempt sent to it while none was in flight
+    suspect: bool = False  # whether its last attempt ended without an answer
+    on_trial: bool = False  # whether its build is on trial or rejected
 
 
 @dataclass(slots=True, eq=False)
 class Rpc:
-    """An RPC of a client. `deadline` is when this try's client gives up."""
+    """An RPC of a client. `deadline` is when the client gives up this RPC; a retry of it is another RPC."""
 
     method: Method
     deadline: Time
@@ -161,35 +165,35 @@
     tenant: Any = 0
     key: int = 0
     expected_work: Duration = 0
-    is_retry: bool = False
-    host: Any = None  # the host's own; the decisions do not look at it
+    is_retry: bool = False  # whether the client has sent it before
+    host: Any = None  # data of the host, not used by the decisions
 
     attempts: list[Attempt] = field(default_factory=list)
-    target_at: Time = 0  # when an answer is late, though its client still waits
+    target_at: Time = 0  # latency target; a later answer is late, even if the client still waits
     done: bool = False
-    is_overdue: bool = False  # counted as slow before its answer came
+    is_overdue: bool = False  # whether it was counted as slow before its answer arrived
     response_began_at: Time | None = None
     give_up_reason: GiveUpReason | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of an RPC to a server. `result` is None while it is in flight."""
+    """One transmission of an RPC to a server. `result` is None while it is in flight."""
 
     rpc: Rpc
     server: Server
-    number: int
+    number: int  # counts the attempts of the RPC from 0
     build: int
     sent_at: Time
     on_young_server: bool = False
     latency: Duration = 0
-    latency_counted: bool = False
+    latency_counted: bool = False  # whether its latency is part of a sample of the release already
     result: AttemptResult | None = None
-    host: Any = None  # the host's own; the decisions do not look at it
+    host: Any = None  # data of the host, not used by the decisions
 
 
 class ServerEntry(NamedTuple):
-    """A line of the server list."""
+    """An entry of the server list."""
 
     server: Server
     build: int
@@ -201,7 +205,7 @@
 
 
 class ReleaseUpdate(NamedTuple):
-    """What the platform says of its newest release; `age` is how long ago its state began."""
+    """The state of the newest release as the platform reports it; `age` is how long ago the state began."""
 
     build: int
     step: int
@@ -211,7 +215,7 @@
 
 
 class PlatformCounts(NamedTuple):
-    """What the platform counted of a build and method at all balancers, `age` ago."""
+    """The platform's counts of a build and method at all balancers, taken `age` ago."""
 
     build: int
     method: Method
@@ -222,10 +226,10 @@
 
 
 class ReleaseTestResult(NamedTuple):
-    """One test of a release: p-value, its name in logs and traces, what it saw of how many and expected."""
+    """The result of one test of a release."""
 
     p_value: float
-    name: str
-    observed: float
+    name: str  # in logs and traces
+    observed: float  # failures, slow answers or sum of latencies, depending on the test
     outcomes: float
-    expected: float
+    expected: float  # as `observed`, by the rate of the earlier release
--- a/honeywood/balancer/sections.py
+++ b/honeywood/balancer/sections.py
@@ -1,4 +1,4 @@
-"""Reading a configuration key by key, with messages that name the key."""
+"""Reads a configuration key by key; error messages contain the name of the key."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class InvalidConfiguration(ValueError):  # noqa: N818 - named for what went wrong
-    """A value that cannot be used; the text names its key."""
+    """A value is missing or invalid; the message starts with its key."""
 
 
 class Section:
-    """An object of a configuration; unknown keys are skipped.
+    """An object of a configuration; unknown keys are ignored.
 
-    Methods raise InvalidConfiguration where a value is of another kind, or a key without default is missing.
+    Methods raise InvalidConfiguration if a value is invalid or a key without a default is missing.
 
     >>> section = Section({"limits": {"sockets": "many"}}, "")
     >>> section.section("limits").number("cores", 1.0)
@@ -33,21 +33,21 @@
     """
 
     def __init__(self, raw: Any, path: str) -> None:
-        """`path` is what the object's keys are named below; "" for the whole configuration."""
+        """`path` is the prefix of the object's keys in messages, "" for the whole configuration."""
         if not isinstance(raw, dict):
             raise InvalidConfiguration(f"{path or 'the whole'}: {raw!r:.{MAX_SHOWN}} is not an object")
         self.raw, self.path = raw, path
 
     def name(self, key: str) -> str:
-        """A key's whole name."""
+        """The full name of a key, including the path of this object."""
         return f"{self.path}.{key}" if self.path else key
 
     def invalid(self, key: str, expected: str) -> InvalidConfiguration:
-        """The error for a key's value that is not what is expected."""
+        """The error for a key whose value is not what was expected."""
         return InvalidConfiguration(f"{self.name(key)}: {self.raw.get(key)!r:.{MAX_SHOWN}} is not {expected}")
 
     def value(self, key: str, default: Any, fits: Callable[[Any], bool], expected: str) -> Any:
-        """A key's value if it fits; a default of None means that the key must be there."""
+        """The value of a key if it fits; a default of None means that the key is required."""
         value = self.raw.get(key, default)
         if key not in self.raw and default is None:
             raise InvalidConfiguration(f"{self.name(key)}: missing")
@@ -67,7 +67,7 @@
         return number
 
     def integer(self, key: str, default: int | None = None, least: int = 0) -> int:
-        """A whole number."""
+        """An integer of at least `least`."""
 
         def fits(value: Any) -> bool:
             return type(value) is int and value >= least
@@ -76,37 +76,37 @@
         return integer
 
     def duration(self, key: str, default: float | None = 0) -> int:
-        """Microseconds, as tenths of a millisecond."""
+        """A duration in microseconds, converted to tenths of a millisecond."""
         return int(self.number(key, default)) // 100
 
     def boolean(self, key: str, default: bool = False) -> bool:
-        """True or false."""
+        """A boolean."""
         boolean: bool = self.value(key, default, lambda value: isinstance(value, bool), "true or false")
         return boolean
 
     def string(self, key: str, default: str | None = None) -> str:
-        """A text."""
+        """A string."""
         string: str = self.value(key, default, lambda value: isinstance(value, str), "a text")
         return string
 
     def choice(self, key: str, default: str | None, choices: Mapping[str, Choice]) -> Choice:
-        """What a word stands for."""
-        word = self.string(key, default)
-        if word not in choices:
+        """The value of `choices` that the string selects."""
+        choice = self.string(key, default)
+        if choice not in choices:
             raise self.invalid(key, f"one of {', '.join(choices)}")
-        return choices[word]
+        return choices[choice]
 
     def section(self, key: str) -> Section:
-        """An object within this one, an empty one where it is missing."""
+        """An object within this one, an empty one if it is missing."""
         return Section(self.raw.get(key, {}), self.name(key))
 
     def sections(self, key: str) -> list[Section]:
         """A list of objects."""
-        listed = self.value(key, [], lambda value: isinstance(value, list), "a list")
-        return [Section(raw, f"{self.name(key)}[{index}]") for index, raw in enumerate(listed)]
+        objects = self.value(key, [], lambda value: isinstance(value, list), "a list")
+        return [Section(raw, f"{self.name(key)}[{index}]") for index, raw in enumerate(objects)]
 
     def strings(self, key: str) -> list[str]:
-        """A list of texts."""
+        """A list of strings."""
 
         def fits(value: Any) -> bool:
             return isinstance(value, list) and all(isinstance(text, str) for text in value)
@@ -115,7 +115,7 @@
         return strings
 
     def shares(self, key: str) -> list[float]:
-        """A list of numbers from 0 to 1, not empty."""
+        """A non-empty list of numbers from 0 to 1."""
 
         def fits(value: Any) -> bool:
             return (
--- a/honeywood/balancer/settings_codec.py
+++ b/honeywood/balancer/settings_codec.py
@@ -1,4 +1,4 @@
-"""The settings object of the configuration and of the bench: its keys are named only here."""
+"""Reads the settings object of the configuration and of the bench; the only module that knows its keys."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def read_settings(raw: Any, seed: int, path: str = "") -> Settings:
-    """The settings of an object; absent keys have their defaults. Raises InvalidConfiguration."""
+    """Read the settings from an object; missing keys get their defaults. Raises InvalidConfiguration."""
     top = Section(raw, path)
     rollout, limits, rules = top.section("family_info"), top.section("limits"), top.section("rules")
     report, prices = top.section("report"), top.section("prices")
