--- a/tests/balancer/fleet/test_settings.py
+++ b/tests/balancer/fleet/test_settings.py
@@ -1,4 +1,4 @@
-"""What the settings tell of the fleet, and what they may lack."""
+"""Tests the settings that describe the fleet, and their defaults."""
 
 import pytest
 from fleet import Fleet
@@ -9,17 +9,17 @@
 PROFILE = {"name": "read", "idempotency": "safe", "aim_us": 900000, "give_up_us": 3600000}
 
 
-def read(**given):
-    return read_settings({"profiles": [PROFILE], **given}, 1, "settings")
+def read(**keys):
+    return read_settings({"profiles": [PROFILE], **keys}, 1, "settings")
 
 
-def test_what_is_not_told_has_its_default():
-    given = read()
-    assert (given.balancers, given.balancer_index, given.probe_price, given.warm_up_time) == (1, 0, 0.0, 0)
+def test_missing_keys_have_defaults():
+    got = read()
+    assert (got.balancers, got.balancer_index, got.probe_price, got.warm_up_time) == (1, 0, 0.0, 0)
 
 
 @pytest.mark.parametrize(
-    "key, part, text",
+    "key, section, message",
     [
         ("balancers", {"balancers": -1}, "settings.balancers: -1 is not a whole number from 0 on"),
         ("balancers", {"balancers": "many"}, "settings.balancers: 'many' is not a whole number from 0 on"),
@@ -27,14 +27,14 @@
         ("probe", {"prices": {"probe": -0.1}}, "settings.prices.probe: -0.1 is not a number from 0 to 1e+15"),
     ],
 )
-def test_what_cannot_be_used_names_its_key(key, part, text):
-    with pytest.raises(InvalidConfiguration, match=key) as bad:
-        read(**part)
-    assert str(bad.value) == text
+def test_the_error_for_an_invalid_value_names_its_key(key, section, message):
+    with pytest.raises(InvalidConfiguration, match=key) as error:
+        read(**section)
+    assert str(error.value) == message
 
 
 @pytest.mark.parametrize(
-    "given",
+    "settings",
     [
         {"balancers": 1},
         {"balancers": 0},
@@ -45,12 +45,12 @@
     ],
 )
 @pytest.mark.parametrize("count", [1, 3, 40])
-def test_a_front_serves_whatever_it_is_told_of_its_fleet(given, count):
-    """Alone, of an unknown number, with an index beyond it, with fewer servers than fronts, with all servers
-    in another zone."""
-    fleet = Fleet(1, [f"s{n}/1" for n in range(count)], 5, **given)
+def test_a_balancer_serves_with_any_description_of_its_fleet(settings, count):
+    """One balancer, an unknown number of them, an index beyond their number, fewer servers than balancers,
+    all servers in another zone."""
+    fleet = Fleet(1, [f"s{n}/1" for n in range(count)], 5, **settings)
     member = fleet.members[0]
-    fleet.flow(10000)
-    fleet.run(14000)
-    assert len(member.sends) > 30 and len(member.pushed) + len(member.aborted) <= 0.05 * fleet.taken
-    assert len({p.host for p in member.sends}) >= min(count, 6)
+    fleet.load(10000)
+    fleet.run_until(14000)
+    assert len(member.sends) > 30 and len(member.rejected) + len(member.aborted) <= 0.05 * fleet.rpc_count
+    assert len({a.host for a in member.sends}) >= min(count, 6)
