--- a/honeywood/balancer/decisions/release_verdict.py
+++ b/honeywood/balancer/decisions/release_verdict.py
@@ -208,8 +208,8 @@
         """The vote if steps proceed by themselves: it can only hold a step, or withdraw such a vote."""
         if min((result.p_value for result in self._results), default=1) <= FALSE_DISCOVERY_RATE:
             return Vote.HOLD
-        is_held = self.accepted_vote is not None and self.accepted_vote.vote == Vote.HOLD
-        return Vote.NONE if is_held else None
+        has_held = self.accepted_vote is not None and self.accepted_vote.vote == Vote.HOLD
+        return Vote.NONE if has_held else None
 
     def _step_started(self, now: Time) -> bool:
         """Whether the step's servers are listed, and the step and the servers have reached MIN_SERVER_AGE."""
--- a/honeywood/balancer/decisions/server_selection.py
+++ b/honeywood/balancer/decisions/server_selection.py
@@ -112,10 +112,10 @@
             if self._observer:
                 self._observer.considered(rpc, server, exclusion)
             if not exclusion:
-                crosses = self._zone not in (None, server.zone)
-                load = self._load(now, server) * server.latency_factor + CROSS_ZONE_LOAD * crosses
+                crosses_zone = self._zone not in (None, server.zone)
+                load = self._load(now, server) * server.latency_factor + CROSS_ZONE_LOAD * crosses_zone
                 candidates.append((load, len(candidates), server))
-                in_zone += not crosses
+                in_zone += not crosses_zone
             if in_zone == 2:
                 break
         if not candidates:
--- a/tests/balancer/decisions/decision_builders.py
+++ b/tests/balancer/decisions/decision_builders.py
@@ -19,7 +19,7 @@
     observer = None
 
     def __init__(self):
-        self.sent, self.votes, self.lines, self.list_requests = [], [], [], 0
+        self.sent, self.votes, self.log_lines, self.list_requests = [], [], [], 0
 
     def send(self, attempt, until):
         self.sent.append(attempt)
@@ -31,10 +31,10 @@
         self.list_requests += 1
 
     def log(self, text):
-        self.lines.append(text)
+        self.log_lines.append(text)
 
 
-class NoRelease:
+class StubRelease:
     """A release that puts only the builds of `on_trial` on trial."""
 
     build, state, rejected_builds = None, None, ()
@@ -46,38 +46,40 @@
         return self.on_trial.get(f"build_{build}")
 
 
-def method(**given):
-    return Method(**{"latency_target": 10_000, "timeout": 40_000, "dedup_window": 50_000, **given})
+def method(**fields):
+    return Method(**{"latency_target": 10_000, "timeout": 40_000, "dedup_window": 50_000, **fields})
 
 
-def settings(**given):
-    return Settings(**{"methods": [method()], "max_attempts": 3, "clock_resolution": 50, **given})
+def settings(**fields):
+    return Settings(**{"methods": [method()], "max_attempts": 3, "clock_resolution": 50, **fields})
 
 
-def server(**given):
-    built = Server(**{"status": ServerStatus.READY, "build": 1, **given})
+def server(**fields):
+    built = Server(**{"status": ServerStatus.READY, "build": 1, **fields})
     built.host = built
     return built
 
 
-def rpc(of=None, **given):
-    return Rpc(**{"method": of or method(), "deadline": 40_000, "arrived_at": 0, **given})
+def rpc(of_method=None, **fields):
+    return Rpc(**{"method": of_method or method(), "deadline": 40_000, "arrived_at": 0, **fields})
 
 
-def attempt(of=None, at=None, result=None, latency=100, sent_at=0):
-    of, at = of or rpc(), at or server()
-    built = Attempt(rpc=of, server=at, number=len(of.attempts), build=at.build, sent_at=sent_at)
+def attempt(of_rpc=None, at_server=None, result=None, latency=100, sent_at=0):
+    of_rpc, at_server = of_rpc or rpc(), at_server or server()
+    built = Attempt(
+        rpc=of_rpc, server=at_server, number=len(of_rpc.attempts), build=at_server.build, sent_at=sent_at
+    )
     built.result, built.latency = result, latency
-    of.attempts.append(built)
+    of_rpc.attempts.append(built)
     return built
 
 
 def groups(*servers, release=None):
     built = ServerGroups()
     built.listed = list(servers)
-    built.regroup(release or NoRelease())
+    built.regroup(release or StubRelease())
     return built
 
 
-def entry(of, build=1, status=ServerStatus.READY, started_at=UNKNOWN_START):
-    return ServerEntry(of, build, 0, 0, 1.0, status, started_at)
+def entry(listed, build=1, status=ServerStatus.READY, started_at=UNKNOWN_START):
+    return ServerEntry(listed, build, 0, 0, 1.0, status, started_at)
--- a/tests/balancer/decisions/test_concurrency_limit.py
+++ b/tests/balancer/decisions/test_concurrency_limit.py
@@ -6,14 +6,16 @@
 from honeywood.balancer.model import AttemptResult
 
 
-def limit(**given):
-    return ConcurrencyLimit(settings(**given), groups(server()))
+def limit(**fields):
+    return ConcurrencyLimit(settings(**fields), groups(server()))
 
 
-def largest(concurrency_limit, of=None, responding=0):
+def largest(concurrency_limit, of_rpc=None, responding=0):
     """The largest number of RPCs that may be open."""
-    of = of or rpc()
-    return next(count for count in range(1000) if concurrency_limit.exceeded(0, of, count + 1, responding))
+    of_rpc = of_rpc or rpc()
+    return next(
+        count for count in range(1000) if concurrency_limit.exceeded(0, of_rpc, count + 1, responding)
+    )
 
 
 def test_a_balancer_with_little_traffic_uses_the_headroom_of_its_last_answers():
--- a/tests/balancer/decisions/test_list_watch.py
+++ b/tests/balancer/decisions/test_list_watch.py
@@ -7,9 +7,9 @@
 from honeywood.balancer.decisions.list_watch import MAX_REQUEST_INTERVAL, ListWatch
 
 
-def watch(**given):
+def watch(**fields):
     host = RecordingHost()
-    return ListWatch(settings(**given), host, Random(1)), host
+    return ListWatch(settings(**fields), host, Random(1)), host
 
 
 def test_a_pushed_list_is_never_requested():
--- a/tests/balancer/decisions/test_release_samples.py
+++ b/tests/balancer/decisions/test_release_samples.py
@@ -10,15 +10,15 @@
 OLD, NEW = server(build=1), server(build=2)
 
 
-def samples(**given):
-    of = groups(OLD, NEW)
-    of.newest = of.newest_by_start = [NEW]
-    return ReleaseSamples(settings(**given), of)
+def samples(**fields):
+    server_groups = groups(OLD, NEW)
+    server_groups.newest = server_groups.newest_by_start = [NEW]
+    return ReleaseSamples(settings(**fields), server_groups)
 
 
-def add(release_samples, at, result, count, latency=100):
+def add(release_samples, at_server, result, count, latency=100):
     for _ in range(count):
-        release_samples.add(attempt(at=at, result=result, latency=latency), 2, ())
+        release_samples.add(attempt(at_server=at_server, result=result, latency=latency), 2, ())
 
 
 def test_failures_are_compared_with_the_failure_rate_of_the_earlier_release():
@@ -30,17 +30,17 @@
 
 
 def test_young_servers_and_rejected_builds_are_not_counted():
-    release_samples, young = samples(), attempt(at=NEW, result=AttemptResult.ERROR)
+    release_samples, young = samples(), attempt(at_server=NEW, result=AttemptResult.ERROR)
     young.on_young_server = True
     release_samples.add(young, 2, ())
-    release_samples.add(attempt(at=NEW, result=AttemptResult.ERROR), 2, (2,))
+    release_samples.add(attempt(at_server=NEW, result=AttemptResult.ERROR), 2, (2,))
     assert not release_samples.by_server
 
 
 def test_an_overdue_attempt_counts_once_as_slow():
     release_samples = samples()
     add(release_samples, OLD, AttemptResult.OK, 100)
-    overdue = attempt(at=NEW, result=None, latency=9_000)
+    overdue = attempt(at_server=NEW, result=None, latency=9_000)
     release_samples.add(overdue, 2, ())
     overdue.result = AttemptResult.OK
     release_samples.add(overdue, 2, ())
@@ -68,6 +68,9 @@
         release_samples = samples()
         add(release_samples, OLD, AttemptResult.OK, 100)
         add(release_samples, NEW, result, 30)
-        found = {one.name: one.p_value for one in release_tests(release_samples, VoteLevels(settings()))}
-        assert (found["failures of method 0"] < 0.001) == rejects
-        assert set(found) >= {"failures of method 0", "failures of method 1"}
+        p_values = {
+            test_result.name: test_result.p_value
+            for test_result in release_tests(release_samples, VoteLevels(settings()))
+        }
+        assert (p_values["failures of method 0"] < 0.001) == rejects
+        assert set(p_values) >= {"failures of method 0", "failures of method 1"}
--- a/tests/balancer/decisions/test_server_groups.py
+++ b/tests/balancer/decisions/test_server_groups.py
@@ -1,6 +1,6 @@
 """Tests how servers are grouped by the server list and the release."""
 
-from decision_builders import NoRelease, entry, groups, server
+from decision_builders import StubRelease, entry, groups, server
 
 from honeywood.balancer.decisions.server_groups import ServerGroups
 from honeywood.balancer.model import Server, ServerStatus
@@ -17,7 +17,7 @@
     first, second, server_groups = Server(), Server(), ServerGroups()
     server_groups.update(0, [entry(first), entry(second)], complete=True)
     server_groups.update(1, [entry(first, status=ServerStatus.DRAINING)], complete=False)
-    server_groups.regroup(NoRelease())
+    server_groups.regroup(StubRelease())
     assert server_groups.listed == [first, second] and server_groups.ready == [second]
 
 
@@ -35,7 +35,7 @@
 def test_groups_depend_on_the_trial_and_are_sorted_by_digest():
     old, young, newest = server(digest=3), server(digest=1, build=2), server(digest=2, build=2)
     young.started_at, newest.started_at = 50, 10
-    release = NoRelease(build_2=(0.5, 0))
+    release = StubRelease(build_2=(0.5, 0))
     release.build = 2
     server_groups = groups(old, young, newest, release=release)
     assert server_groups.ready == [young, newest, old]
--- a/tests/balancer/decisions/test_server_selection.py
+++ b/tests/balancer/decisions/test_server_selection.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from decision_builders import NoRelease, RecordingHost, attempt, groups, rpc, server, settings
+from decision_builders import RecordingHost, StubRelease, attempt, groups, rpc, server, settings
 
 from honeywood.balancer.decisions.arrivals import Arrivals
 from honeywood.balancer.decisions.limits import UNRESPONSIVE_AFTER
@@ -12,15 +12,15 @@
 from honeywood.balancer.model import AttemptResult
 
 
-def selection(*servers, **given):
+def selection(*servers, **fields):
     selection_settings, host, random, server_groups = (
-        settings(**given),
+        settings(**fields),
         RecordingHost(),
         Random(1),
         groups(*servers),
     )
     warm_up = WarmUpBudget(selection_settings, server_groups, random)
-    policy = SendPolicy(selection_settings, host, NoRelease(), warm_up)
+    policy = SendPolicy(selection_settings, host, StubRelease(), warm_up)
     return ServerSelection(selection_settings, host, random, server_groups, Arrivals(), warm_up, policy), host
 
 
@@ -44,7 +44,7 @@
     server_selection, host = selection(bad, good)
     for _ in range(2):
         bad.in_flight += 1
-        server_selection.on_result(0, attempt(at=bad, result=AttemptResult.RESET), ())
+        server_selection.on_result(0, attempt(at_server=bad, result=AttemptResult.RESET), ())
     assert bad.ejected_until == EJECTION_TIME
     assert set(targets(server_selection, host, [bad, good], 20, now=EJECTION_TIME - 1)) == {good}
     assert bad in targets(server_selection, host, [bad, good], 40, now=10**6)
--- a/tests/balancer/decisions/test_warm_up.py
+++ b/tests/balancer/decisions/test_warm_up.py
@@ -7,7 +7,7 @@
 from honeywood.balancer.decisions.warm_up import WarmUpBudget
 from honeywood.balancer.model import AttemptResult
 
-GIVEN = {
+SETTINGS = {
     "balancers": 1,
     "initial_capacity_share": 0.4,
     "warm_up_time": 40_000,
@@ -17,7 +17,7 @@
 
 
 def budget(*servers):
-    return WarmUpBudget(settings(**GIVEN), groups(*servers), Random(1))
+    return WarmUpBudget(settings(**SETTINGS), groups(*servers), Random(1))
 
 
 def test_capacity_grows_from_its_initial_share():
@@ -42,7 +42,7 @@
     warm_up_budget = budget(warmed_up, warming_up)
     for now in range(100):
         warm_up_budget.on_send(now, warmed_up)
-        warm_up_budget.on_result(now, attempt(at=warmed_up, result=AttemptResult.OK))
+        warm_up_budget.on_result(now, attempt(at_server=warmed_up, result=AttemptResult.OK))
     sent = 0
     while warm_up_budget.may_send(100, warming_up):
         warm_up_budget.on_send(100, warming_up)
