--- a/honeywood/balancer/decisions/balancer.py
+++ b/honeywood/balancer/decisions/balancer.py
@@ -92,7 +92,7 @@
         self.release.on_update(now, update)
 
     def on_vote_answered(self, now: Time, update: ReleaseUpdate | None) -> None:
-        """Record whether the platform accepted the last vote; `update` is None if it did not."""
+        """Apply the answer to the last vote; `update` is None if the platform did not accept the vote."""
         self.release.on_vote_answered(now, update)
 
     def on_request(self, now: Time, rpc: Rpc) -> None:
--- a/honeywood/balancer/interface.py
+++ b/honeywood/balancer/interface.py
@@ -93,7 +93,7 @@
         """The platform reported the state of its newest release."""
 
     def on_vote_answered(self, now: Time, update: ReleaseUpdate | None) -> None:
-        """The platform accepted the last vote and reported the release's state, or did not: then None."""
+        """The platform answered the last vote; `update` is None if it did not accept the vote."""
 
     def on_request(self, now: Time, rpc: Rpc) -> None:
         """A client's RPC has arrived."""
