--- a/honeywood/gateway/controller/machine_table.py
+++ b/honeywood/gateway/controller/machine_table.py
@@ -69,7 +69,7 @@
         """Publish that a machine has left for good, also one that is not known here: others may know it."""
         self.store.put(RecordKind.MACHINE.key(machine_id), DEPARTED_STAMP, DEPARTED.encode())
 
-    def merge_record(self, now: float, machine_id: str, value: JsonValue) -> None:
+    def observe_record(self, now: float, machine_id: str, value: JsonValue) -> None:
         """Take note of a machine's record that has come to the store, from here or from others."""
         state = MachineRecord.decode(value).state
         self.retired.observe(now, machine_id, state)
@@ -79,7 +79,7 @@
             self.store.drop(RecordKind.HEARTBEAT.key(machine_id))
         self.on_change(machine_id, HeartbeatRecord(self._stamp(RecordKind.MACHINE.key(machine_id)), value))
 
-    def merge_departed(self, key: str, bucket: str) -> None:
+    def observe_departed(self, key: str, bucket: str) -> None:
         """Take note of a bucket of names of machines that left, which has come to the store.
 
         Machines of these names that late copies of their heartbeats brought back meanwhile leave once more,
--- a/honeywood/gateway/controller/record_router.py
+++ b/honeywood/gateway/controller/record_router.py
@@ -50,10 +50,10 @@
         self.machines.record_alive(self.clock(), machine_id)
 
     def _receive_machine(self, machine_id: str, value: JsonValue) -> None:
-        self.machines.merge_record(self.clock(), machine_id, value)
+        self.machines.observe_record(self.clock(), machine_id, value)
 
     def _receive_tombstones(self, bucket_name: str, bucket: str) -> None:
-        self.machines.merge_departed(RecordKind.TOMBSTONES.key(bucket_name), bucket)
+        self.machines.observe_departed(RecordKind.TOMBSTONES.key(bucket_name), bucket)
 
     def _receive_rollout(self, service: str, value: Mapping[str, int]) -> None:
         self.rollouts.record_revision(service, value["n"])
--- a/tests/gateway/dissemination/test_mutations.py
+++ b/tests/gateway/dissemination/test_mutations.py
@@ -236,7 +236,11 @@
         "names not told", ChangeFeed, "since", without_names, "a tombstone outlives {what}: a late copy of"
     ),
     Mutation(
-        "copies stay", MachineTable, "merge_departed", heard_alone, "a copy taken before a controller had the"
+        "copies stay",
+        MachineTable,
+        "observe_departed",
+        heard_alone,
+        "a copy taken before a controller had the",
     ),
 )
 
--- a/tests/gateway/dissemination/test_retired_machines.py
+++ b/tests/gateway/dissemination/test_retired_machines.py
@@ -120,7 +120,7 @@
 def _():
     def merge(key, value):
         if key.startswith("machine/"):
-            machines.merge_record(now, key[8:], value)
+            machines.observe_record(now, key[8:], value)
 
     def save(id, row):
         if row is None:
