--- a/honeywood/gateway/controller/configuration_orders.py
+++ b/honeywood/gateway/controller/configuration_orders.py
@@ -18,31 +18,31 @@
 
 
 class ReplaceResult(NamedTuple):
-    """What an order came to, and the version that is in force after it."""
+    """The outcome of an order, and the version that is in force after it."""
 
     outcome: OrderOutcome
     version: int
 
 
 class ConfigurationOrders:
-    """The configuration of this system as operators see it."""
+    """Operators' access to the configuration: reads and replaces it."""
 
     def __init__(self, register: RegisterAccess, log: EventLog) -> None:
-        """Read and change the configuration by `register`."""
+        """Read and change the configuration through `register`."""
         self.register, self.log = register, log
 
     async def read(self, peer: str) -> str:
-        """Return the newest configuration, packed; raises NotFound where a majority holds none."""
+        """Return the newest configuration, packed; raises NotFound if a majority holds none."""
         current = await self._current(CallName.READ_CONFIGURATION, peer)
         if current is None:
             raise NotFound(CallName.READ_CONFIGURATION, "none yet", peer)
         return current.text
 
     async def replace(self, version: int, raw: bytes, peer: str) -> ReplaceResult:
-        """Order a configuration, `raw` as it came; VersionConflict for a version with another content."""
+        """Replace the configuration by `raw`; raises VersionConflict if the version has another content."""
         digest = record.content_digest(raw)
         current = None
-        if self._may_be_known(version):
+        if self._may_be_repeated(version):
             current = await self._current(CallName.REPLACE_CONFIGURATION, peer)
         if current is None or record.order_outcome(current, version, digest) is None:
             current = await self._order(version, raw, digest, peer)
@@ -57,18 +57,18 @@
             raise VersionConflict(CallName.REPLACE_CONFIGURATION, reason, peer)
         return ReplaceResult(outcome, current.version)
 
-    def _may_be_known(self, version: int) -> bool:
-        """Return whether an order is likely a repeated one, which a read finds at less cost than a change."""
+    def _may_be_repeated(self, version: int) -> bool:
+        """Return whether an order is probably a repeated one, which a read detects more cheaply."""
         published = self.register.publication.configuration_version
         return published is not None and version <= published
 
     async def _current(self, operation: str, peer: str) -> ConfigurationRecord | None:
-        """Return the record that a majority holds."""
+        """Return the record that a majority holds, or None."""
         value = await self.register.read(operation, RecordKind.CONFIGURATION, peer)
         return None if value is None else record.decode(value)
 
     async def _order(self, version: int, raw: bytes, digest: str, peer: str) -> ConfigurationRecord:
-        """Return the record that a majority holds after the order."""
+        """Replace the configuration in the register; return the record that a majority then holds."""
         text = packing.pack(raw)
 
         def update(stored: StoredValue | None) -> StoredValue | None:
--- a/honeywood/gateway/controller/count_retention.py
+++ b/honeywood/gateway/controller/count_retention.py
@@ -1,4 +1,4 @@
-"""Which proxies' counts stay on the store though their proxy has ended: those that a rollout still needs."""
+"""Decides which counts of ended proxies stay in the store: those that a rollout still needs."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 def is_count_needed(store: Store, key: str, value: JsonValue) -> bool:
     """Return whether a record holds counts of an active rollout, or of one that is not known here yet.
 
-    The revisions of a rollout and of its order only rise: counts that are not needed any more never are
-    again.
+    The revisions of a rollout and of its order only increase, so counts that are no longer needed are never
+    needed again.
     """
     if not key.startswith(RecordKind.PROXY_COUNTS.prefix):
         return False
@@ -30,7 +30,7 @@
 
 
 def _is_needed_by(stored_rollout: StoredValue | None, revision: int) -> bool:
-    """Return whether a rollout, in its stored form, needs counts that were taken in `revision` of it."""
+    """Return whether a rollout, in its stored form, needs counts that were taken at its `revision`."""
     if stored_rollout is None or stored_rollout["n"] < revision:
         return True
     is_active = bool(stored_rollout["state"] == RolloutState.ACTIVE)
--- a/honeywood/gateway/controller/heartbeat.py
+++ b/honeywood/gateway/controller/heartbeat.py
@@ -1,7 +1,7 @@
-"""The body of a machine's heartbeat, read and checked.
+"""Decodes and checks the body of a machine's heartbeat.
 
-{"svc", "addr", "zone", "ver", "slots", "state", "cold_left_s", "seq"}: "addr" is "ip:port", "seq" rises with
-each heartbeat, "cold_left_s" are the seconds until the machine has warmed up.
+The body is {"svc", "addr", "zone", "ver", "slots", "state", "cold_left_s", "seq"}. "addr" is "ip:port", "seq"
+increases with each heartbeat, and "cold_left_s" is the number of seconds until the machine is warmed up.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 OPERATION = "instances.heartbeat"
 SEQUENCE_MAX = DEPARTED_SEQUENCE - 1
 SLOTS_MAX = 1 << 20
-MACHINE_ID_MAX_BYTES = 256  # a row's key on disk holds 511
-RESERVED_CHARACTER = "\0"  # begins the keys of rows on disk that are no machine's
+MACHINE_ID_MAX_BYTES = 256  # the key of a row on disk may have 511
+RESERVED_CHARACTER = "\0"  # starts the keys of rows on disk that do not belong to a machine
 
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """What a machine reports of itself."""
+    """A machine's report of its state; `stamp` holds the heartbeat's sequence number."""
 
     stamp: Stamp
     record: MachineRecord
 
 
 def check_machine_id(operation: str, machine_id: str, peer: str) -> None:
-    """Raise InvalidInput where a call names no machine, or by what can't be stored."""
+    """Raise InvalidInput if a machine's id is missing or can't be stored."""
     if not machine_id:
         raise InvalidInput(operation, "of is missing", peer)
     if RESERVED_CHARACTER in machine_id or len(machine_id.encode()) > MACHINE_ID_MAX_BYTES:
@@ -48,7 +48,7 @@
 
 
 def decode_heartbeat(machine_id: str, body: Mapping[str, object], peer: str) -> Heartbeat:
-    """Return the heartbeat of a call; raises InvalidInput that names the key."""
+    """Return the heartbeat in a call's body; raises InvalidInput, which names the invalid key."""
     check_machine_id(OPERATION, machine_id, peer)
     state = need(body, "state", str, OPERATION, peer=peer)
     if state not in IN_SERVICE:
--- a/honeywood/gateway/controller/machine_record.py
+++ b/honeywood/gateway/controller/machine_record.py
@@ -1,10 +1,10 @@
-"""What is known of one service machine: the record that controllers publish and keep on disk, and its stamp.
+"""The record of a service machine that controllers publish and keep on disk, and the stamp of this record.
 
-A record's stamp are two numbers: that of the heartbeat it came with, and 1 where the machine was silent for
-too long after that heartbeat, else 0.
+A stamp consists of two numbers: the sequence number of the heartbeat that the record came with, and 1 if the
+machine was silent for too long after that heartbeat, else 0.
 
-The stored form is the JSON object {"svc", "ip", "port", "zone", "ver", "slots", "state", "cold"}; of a
-machine that has left only "state" remains.
+The stored form is the JSON object {"svc", "ip", "port", "zone", "ver", "slots", "state", "cold"}. For a
+machine that has left, only "state" remains.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     from honeywood.gateway.dissemination.record import JsonValue
 
     class StoredMachine(TypedDict, total=False):
-        """The stored form."""
+        """The stored form of a machine's record."""
 
         svc: str
         ip: str
@@ -36,16 +36,16 @@
 
 IN_SERVICE = (READY, DRAINING)  # states of machines that serve requests
 OUT_OF_SERVICE = (GONE, LOST)
-DEPARTED_SEQUENCE = 1 << 53  # above the number of any heartbeat: a machine that has left does not come back
+DEPARTED_SEQUENCE = 1 << 53  # above that of any heartbeat, so that a machine that has left does not come back
 
 
 def heartbeat_stamp(sequence: int) -> Stamp:
-    """Return the stamp of what came with a heartbeat."""
+    """Return the stamp of a record that came with the heartbeat of this sequence number."""
     return Stamp.of(sequence, 0)
 
 
 def lost_stamp(sequence: int) -> Stamp:
-    """Return the stamp of a record that says that no heartbeat followed this one in time."""
+    """Return the stamp of a record saying that no heartbeat followed the one of this number in time."""
     return Stamp.of(sequence, 1)
 
 
@@ -59,7 +59,7 @@
     port: int | None = None
     zone: str | None = None
     version: str | None = None
-    slots: int | None = None  # requests that it serves at once
+    slots: int | None = None  # requests that it serves concurrently
     warmup_left_s: float | None = None
 
     @property
@@ -68,7 +68,7 @@
         return self.state in IN_SERVICE
 
     def differs_from(self, other: MachineRecord) -> bool:
-        """Return whether anything but the remaining warm-up differs: that runs down by itself."""
+        """Return whether anything differs besides the remaining warm-up time, which counts down by itself."""
         return replace(self, warmup_left_s=None) != replace(other, warmup_left_s=None)
 
     def encode(self) -> dict[str, str | int | float]:
@@ -87,7 +87,7 @@
 
     @classmethod
     def decode(cls, value: JsonValue) -> MachineRecord:
-        """Return the record of a stored form, which a controller wrote."""
+        """Return the record of a stored form that a controller wrote."""
         stored = cast("StoredMachine", value)
         return cls(
             state=stored["state"],
--- a/honeywood/gateway/controller/machine_table.py
+++ b/honeywood/gateway/controller/machine_table.py
@@ -1,7 +1,7 @@
-"""The service machines that are known at one controller.
+"""The service machines that one controller knows.
 
-Their records are published only when they change; a record of its own, with a stamp alone, shows each
-heartbeat to the other controllers. Nothing here reads a clock: times are passed in, in steady seconds.
+A machine's record is published only when it changes. A separate record, which has a stamp and no value,
+reports each heartbeat to the other controllers. This module reads no clock: callers pass monotonic seconds.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
     from honeywood.gateway.dissemination.record import JsonValue
     from honeywood.gateway.dissemination.store import Store
 
-DEPARTED_ROW_PREFIX = RESERVED_CHARACTER  # of the keys of rows that hold names of machines that left
+DEPARTED_ROW_PREFIX = RESERVED_CHARACTER  # of the keys of rows that hold tombstones of departed machines
 MISSED_HEARTBEATS = 3.4  # heartbeat intervals of silence after which a machine is lost
 
 
 class MachineTable:
-    """Machines by id, as records on the store tell of them."""
+    """Machines by id, as described by the records in the store."""
 
     def __init__(
         self,
@@ -44,14 +44,14 @@
         heartbeat_interval_s: float,
         on_change: Callable[[str, HeartbeatRecord | None], None],
     ) -> None:
-        """Start without any machine; `on_change(key, row)` takes each row that this disk should hold."""
+        """Start without machines; `on_change(key, row)` receives rows for this disk, None to remove one."""
         self.store, self.on_change = store, on_change
         self.timeout_s = MISSED_HEARTBEATS * heartbeat_interval_s
         self.last_seen_at: dict[str, float] = {}
         self.retired = RetiredMachines(store)
 
     def record_heartbeat(self, now: float, machine_id: str, heartbeat: Heartbeat) -> None:
-        """Take a heartbeat; one of a machine that has left changes nothing."""
+        """Record a heartbeat; one of a machine that has left changes nothing."""
         known = self._get(machine_id)
         if known is not None and known.state == GONE:
             return
@@ -62,15 +62,15 @@
             self.store.put(RecordKind.MACHINE.key(machine_id), stamp, record.encode())
 
     def record_alive(self, now: float, machine_id: str) -> None:
-        """Take note of a heartbeat that has arrived here or at another controller."""
+        """Record that a heartbeat has arrived at this or another controller."""
         self.last_seen_at[machine_id] = now
 
     def record_departure(self, machine_id: str) -> None:
-        """Publish that a machine has left for good, also one that is not known here: others may know it."""
+        """Publish that a machine has left for good, even if it is unknown here: others may know it."""
         self.store.put(RecordKind.MACHINE.key(machine_id), DEPARTED_STAMP, DEPARTED.encode())
 
     def observe_record(self, now: float, machine_id: str, value: JsonValue) -> None:
-        """Take note of a machine's record that has come to the store, from here or from others."""
+        """Process a machine's record that the store received from this or another controller."""
         state = MachineRecord.decode(value).state
         self.retired.observe(now, machine_id, state)
         if state in OUT_OF_SERVICE:
@@ -80,26 +80,26 @@
         self.on_change(machine_id, HeartbeatRecord(self._stamp(RecordKind.MACHINE.key(machine_id)), value))
 
     def observe_departed(self, key: str, bucket: str) -> None:
-        """Take note of a bucket of names of machines that left, which has come to the store.
+        """Process a bucket of tombstones (hashed ids of departed machines) that the store received.
 
-        Machines of these names that late copies of their heartbeats brought back meanwhile leave once more,
-        so that whoever has received the copies learns of that too.
+        Late copies of heartbeats may have added such machines again. Their departure is published once more,
+        so that every controller that has received the copies learns of it too.
         """
         self.on_change(DEPARTED_ROW_PREFIX + key, HeartbeatRecord(self._stamp(key), bucket))
-        names = tombstones.decode(bucket)
+        hashes = tombstones.decode(bucket)
         for stored_key, value in self.store.items_of(RecordKind.MACHINE):
             machine_id = name_of(stored_key)
-            if tombstones.machine_hash(machine_id) in names and MachineRecord.decode(value).state != GONE:
+            if tombstones.machine_hash(machine_id) in hashes and MachineRecord.decode(value).state != GONE:
                 self.record_departure(machine_id)
 
     def restore(self, rows: Mapping[str, HeartbeatRecord]) -> None:
-        """Take over the rows that this disk held at the start.
+        """Load the rows that this disk held at the start.
 
-        Any newer record wins, and a machine that sends no heartbeat is found silent as usual.
+        Any newer record takes precedence, and a machine that sends no heartbeats expires as usual.
         """
         records = []
         for key, row in rows.items():
-            if isinstance(row.value, str):  # a bucket of names, which must be known before any record is
+            if isinstance(row.value, str):  # a bucket of tombstones, to be stored before any record
                 self.store.put(key.removeprefix(DEPARTED_ROW_PREFIX), Stamp(row.stamp), row.value)
             else:
                 records.append((key, Stamp(row.stamp), MachineRecord.decode(row.value)))
@@ -108,7 +108,7 @@
             self.store.put(RecordKind.MACHINE.key(machine_id), stamp, warmed_up.encode())
 
     def expire(self, now: float) -> None:
-        """Mark machines that have been silent for long as lost, and forget what ended long ago."""
+        """Mark machines that have been silent for too long as lost, and drop those that ended long ago."""
         for machine_id in self.retired.evict(now):
             self.on_change(machine_id, None)
         known = dict(self._known())
@@ -127,7 +127,7 @@
                 self.store.drop(key)
 
     def _mark_lost(self, machine_id: str, record: MachineRecord) -> None:
-        """Publish that a machine is silent, below its next heartbeat, which makes it known again."""
+        """Publish that a machine is lost, with a stamp below its next heartbeat, which restores it."""
         stamps = (
             self.store.stamp(RecordKind.MACHINE.key(machine_id)),
             self.store.stamp(RecordKind.HEARTBEAT.key(machine_id)),
@@ -137,7 +137,7 @@
         self.store.put(RecordKind.MACHINE.key(machine_id), lost_stamp(latest_sequence), lost.encode())
 
     def _stamp(self, key: str) -> list[int]:
-        """Return the stamp of a record that the store holds, as it is stored on disk."""
+        """Return the stamp of a record in the store, in the form that is written to disk."""
         stamp = self.store.stamp(key)
         return [] if stamp is None else stamp.encode()
 
@@ -146,7 +146,7 @@
         return None if value is None else MachineRecord.decode(value)
 
     def _known(self) -> list[tuple[str, MachineRecord]]:
-        """Return all machines by id with their records."""
+        """Return the id and record of each machine in the store."""
         return [
             (name_of(key), MachineRecord.decode(value))
             for key, value in self.store.items_of(RecordKind.MACHINE)
--- a/honeywood/gateway/controller/proxy_fleet.py
+++ b/honeywood/gateway/controller/proxy_fleet.py
@@ -1,4 +1,4 @@
-"""Which proxies share the traffic: those that poll any controller in contact.
+"""Tracks which proxies share the traffic: those that poll any controller in contact.
 
 Each controller publishes, under its own address, the location of every proxy that polls it.
 """
@@ -19,17 +19,17 @@
     from honeywood.gateway.dissemination.record import JsonValue
     from honeywood.gateway.dissemination.store import Store
 
-PROXY_TIMEOUT_S = 3.0  # seconds without a poll after which a proxy shares in nothing
+PROXY_TIMEOUT_S = 3.0  # seconds without a poll after which a proxy no longer shares the traffic
 
 
 class ProxyLocation(NamedTuple):
-    """Where a proxy is; a tuple, as rendezvous hashing takes it, and stored as [zone, ip]."""
+    """A proxy's location; a tuple because rendezvous hashing expects one, stored as [zone, ip]."""
 
     zone: str
     ip: str
 
     def encode(self) -> list[str]:
-        """Return the value of its record."""
+        """Return the value of the location's record."""
         return list(self)
 
     @classmethod
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxySighting:
-    """The latest poll of a proxy at this controller."""
+    """The latest poll by a proxy at this controller; `polled_at` is in monotonic seconds."""
 
     polled_at: float
     location: ProxyLocation
@@ -60,16 +60,16 @@
         """Start without any proxy; `publish_local(key, value)` publishes a record of this controller."""
         self.local_ip, self.store, self.contacts = local_ip, store, contacts
         self.publish_local = publish_local
-        self.sightings: dict[str, ProxySighting] = {}  # by node, of the proxies that poll this controller
-        self.proxies: dict[str, ProxyLocation] = {}  # by node, of those that share the traffic
-        self._relays: dict[str, list[str]] = {}  # addresses by node, while `proxies` stands
+        self.sightings: dict[str, ProxySighting] = {}  # by node, the proxies that poll this controller
+        self.proxies: dict[str, ProxyLocation] = {}  # by node, those that share the traffic
+        self._relays: dict[str, list[str]] = {}  # addresses by node, cached until `proxies` changes
 
     def record_poll(self, now: float, node: str, location: ProxyLocation) -> None:
-        """Take note of a proxy that polls this controller."""
+        """Record a poll by a proxy at this controller."""
         self.sightings[node] = ProxySighting(now, location)
 
     def refresh(self, now: float) -> None:
-        """Publish which proxies poll this controller or have ceased to, and determine `proxies` anew."""
+        """Publish which proxies poll this controller or have stopped doing so, and update `proxies`."""
         for node, sighting in list(self.sightings.items()):
             silent = now - sighting.polled_at >= PROXY_TIMEOUT_S
             key, value = self._local_key(node), None if silent else sighting.location.encode()
@@ -83,7 +83,7 @@
         return RecordKind.PROXY_LOCATION.key(self.local_ip, node)
 
     def current_proxies(self, now: float) -> dict[str, ProxyLocation]:
-        """Return the proxies that share the traffic now, by node."""
+        """Update and return `proxies`, those that share the traffic now, by node."""
         observers, live = self.contacts.observers(now), {}
         for key, value in self.store.items_of(RecordKind.PROXY_LOCATION):
             _, observer, node = key.split("/", 2)
@@ -94,7 +94,7 @@
         return live
 
     def relays_of(self, node: str, zone: str) -> list[str]:
-        """Return the addresses of the relays that a proxy polls, the nearest first."""
+        """Return the addresses of the relays that a proxy polls, nearest first."""
         if node not in self._relays:
             self._relays[node] = relays_of(node, zone, self.proxies)
         return self._relays[node]
--- a/honeywood/gateway/controller/replication.py
+++ b/honeywood/gateway/controller/replication.py
@@ -1,4 +1,4 @@
-"""Delays an acknowledgement until enough other controllers hold what it acknowledges."""
+"""Delays an acknowledgement until enough other controllers hold the acknowledged change."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
     from honeywood.gateway.dissemination.store import Store
 
 OPERATION = "instances"
-REPLICATION_TIMEOUT_S = 0.8  # seconds in which enough other controllers must hold a change
+REPLICATION_TIMEOUT_S = 0.8  # seconds within which enough other controllers must hold a change
 
 
 class Replication:
     """Waits for other controllers to acknowledge changes of the local store."""
 
     def __init__(self, store: Store, contacts: Contacts, clock: Callable[[], float]) -> None:
-        """Nothing waits; `clock` gives steady seconds."""
+        """Start without any waiter; `clock` returns monotonic seconds."""
         self.store, self.contacts, self.clock = store, contacts, clock
         self._waiters: list[asyncio.Event] = []
 
     def notify(self) -> None:
-        """Another controller may have acknowledged more: all who wait check again."""
+        """Wake all waiters to check again: another controller may have acknowledged more changes."""
         for acknowledged in self._waiters:
             acknowledged.set()
 
     async def wait(self) -> None:
-        """Return when enough others hold all changes made so far; raises Unavailable at the time-out."""
+        """Return when enough others hold all changes made so far; raises Unavailable on time-out."""
         revision, deadline = self.store.revision, self.clock() + REPLICATION_TIMEOUT_S
         acknowledged = asyncio.Event()
         self._waiters.append(acknowledged)
--- a/honeywood/gateway/controller/rollout_evidence.py
+++ b/honeywood/gateway/controller/rollout_evidence.py
@@ -1,4 +1,4 @@
-"""What is known at one controller of a rollout: since when, what proxies have counted, and how they vote."""
+"""What one controller knows about a rollout: for how long, the counts of proxies, and their votes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownRevision:
-    """Which revision of a rollout is known here, and since when (steady seconds)."""
+    """The revision of a rollout that is known here, and since when, in monotonic seconds."""
 
     revision: int
     since: float
@@ -30,29 +30,29 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyEvidence:
-    """What proxies say of one revision of a rollout."""
+    """What proxies report about one revision of a rollout."""
 
-    outcome_counts: list[OutcomeCounts]  # of all proxies since the order, also of those that have ended
-    votes: list[Vote | None]  # of each proxy that shares the traffic; None: it has not voted on this revision
-    all_left: bool  # whether all of these follow it and have nothing in flight where its stage leaves
+    outcome_counts: list[OutcomeCounts]  # of all proxies since the order, including ended ones
+    votes: list[Vote | None]  # of each proxy that shares the traffic; None before its vote on this revision
+    all_drained: bool  # whether all of these follow the revision and have drained endpoints without traffic
 
 
 class RolloutEvidence:
-    """Collects evidence from the records on this controller's store."""
+    """Collects evidence from the records in this controller's store."""
 
     def __init__(self, store: Store, fleet: ProxyFleet, clock: Callable[[], float]) -> None:
-        """Start without any rollout; `clock` gives steady seconds."""
+        """Start without any rollout; `clock` returns monotonic seconds."""
         self.store, self.fleet, self.clock = store, fleet, clock
         self._known: dict[str, KnownRevision] = {}  # by service
 
     def record_revision(self, service: str, revision: int) -> None:
-        """Take note of a rollout's record that has come to the store."""
+        """Record the revision of a rollout's record that the store received."""
         self._known[service] = KnownRevision(revision, self.clock())
 
     def known_for_s(self, rollout: Rollout) -> float:
-        """Return for how many seconds at least the rollout's revision has been known, here or at a proxy.
+        """Return a lower bound, in seconds, on how long the revision has been known here or at a proxy.
 
-        Steady clocks of proxies go on where all controllers restart.
+        The proxies' clocks are used as well because they keep running when all controllers restart.
         """
         known_s: list[float] = []
         local = self._known.get(rollout.service)
@@ -66,12 +66,16 @@
         return max(known_s, default=0.0)
 
     def collect(self, rollout: Rollout) -> ProxyEvidence:
-        """Return what proxies say of a rollout."""
+        """Return what proxies report about a rollout."""
         reports = self._reports()
-        # What arrived last is of the incarnation that runs, whatever its clock said: a later entry wins.
+        # A node's report that arrived last is that of its running incarnation, even if a clock was wrong. So
+        # the last entry of each node takes precedence.
         latest = dict(reports)
         outcome_counts = [
-            counts for _, one in reports if _follows_order(one, rollout) for counts in one.outcome_counts
+            counts
+            for _, proxy_report in reports
+            if _follows_order(proxy_report, rollout)
+            for counts in proxy_report.outcome_counts
         ]
         statuses = [
             self._current_status(latest.get(node), rollout)
@@ -80,17 +84,17 @@
         return ProxyEvidence(
             outcome_counts=outcome_counts,
             votes=[status.vote if status else None for status in statuses],
-            all_left=bool(statuses) and all(status and not status.pending for status in statuses),
+            all_drained=bool(statuses) and all(status and not status.pending for status in statuses),
         )
 
     def _reports(self) -> list[tuple[str, ProxyReport]]:
-        """Return each incarnation's report with its proxy's node, in the order of their arrival."""
+        """Return the report of each incarnation with its proxy's node, in order of arrival."""
         by_arrival = self.store.items_by_revision(RecordKind.PROXY_COUNTS)
         return [(key.split("/")[1], _decode_report(value)) for key, value in by_arrival]
 
     @staticmethod
     def _current_status(latest: ProxyReport | None, rollout: Rollout) -> RolloutStatus | None:
-        """Return a proxy's status in the rollout's present revision, or None."""
+        """Return a proxy's status in the rollout's current revision, or None."""
         status = None if latest is None else latest.status(rollout.service)
         return status if status is not None and status.revision == rollout.revision else None
 
@@ -99,9 +103,9 @@
     return report.decode(cast("StoredValue", value))
 
 
-def _follows_order(report_of_proxy: ProxyReport, rollout: Rollout) -> bool:
-    """Return whether a report is of a proxy that knew the rollout's order."""
-    status = report_of_proxy.status(rollout.service)
+def _follows_order(proxy_report: ProxyReport, rollout: Rollout) -> bool:
+    """Return whether a report comes from a proxy that knew the rollout's order."""
+    status = proxy_report.status(rollout.service)
     if status is None or status.revision_age_s is None:
         return False
     return status.revision >= rollout.order_revision
--- a/honeywood/gateway/controller/rollout_orders.py
+++ b/honeywood/gateway/controller/rollout_orders.py
@@ -1,4 +1,4 @@
-"""Operators' calls that start a rollout of a version and read what has come of it."""
+"""Operators' calls that start a rollout of a version and read its progress."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
     from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.rollout.record import Rollout
 
-ORDER_LIFETIME_S = 1.0  # seconds after which whoever sent an order has given up: an older one begins nothing
-# Seconds besides `ack_s` in which an order may arrive once more: its sender's last attempt may take so long.
+ORDER_LIFETIME_S = 1.0  # seconds after which the sender has given up; an older order starts no rollout
+# Seconds beyond `ack_s` in which an order may be repeated: the sender's last attempt may take that long.
 REPEAT_MARGIN_S = 1.0
-# Seconds that an order for a version that was sent back waits for its caller's end: behind bytes that were
-# held up by a network partition comes the end of a caller who gave up.
+# Seconds for which an order for a reverted version waits for its caller to disconnect. An order delayed by a
+# network partition is followed by the disconnect of a caller that gave up.
 DEPARTURE_GRACE_S = 0.25
 DURATION_MIN_S = 0.001
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutOrder:
-    """An operator's order to bring a service to a version within some time."""
+    """An operator's order to roll out a version of a service within `duration_s` seconds."""
 
     service: str
     version: str
@@ -46,7 +46,7 @@
 
     @classmethod
     def decode(cls, body: Mapping[str, object]) -> RolloutOrder:
-        """Return the order of a call's body; raises InvalidInput that names the key."""
+        """Return the order in a call's body; raises InvalidInput, which names the invalid key."""
         service = need(body, "svc", str, CallName.START_ROLLOUT)
         version = need(body, "to_ver", str, CallName.START_ROLLOUT)
         duration_s = need(body, "over_s", float, CallName.START_ROLLOUT, least=DURATION_MIN_S)
@@ -54,7 +54,7 @@
 
 
 class RolloutOrders:
-    """The rollouts of this system as operators see them."""
+    """Operators' access to the rollouts: starts and reads them."""
 
     def __init__(
         self,
@@ -67,23 +67,23 @@
         clock: Callable[[], float],
         log: EventLog,
     ) -> None:
-        """Start; operators repeat an order for `acknowledge_within_s` seconds, `clock` is steady."""
+        """Operators repeat an order for `acknowledge_within_s` seconds; `clock` returns monotonic seconds."""
         self.register, self.store, self.evidence, self.peers = register, store, evidence, peers
         self.stalls, self.clock, self.log = stalls, clock, log
         self.repeat_within_s = acknowledge_within_s + REPEAT_MARGIN_S
 
     async def read(self, service: str, peer: str) -> Rollout:
-        """Return the rollout of a service; raises NotFound where a majority holds none."""
+        """Return the rollout of a service; raises NotFound if a majority holds none."""
         value = await self.register.read(CallName.READ_ROLLOUT, RecordKind.ROLLOUT.key(service), peer)
         if value is None:
             raise NotFound(CallName.READ_ROLLOUT, f"no rollout of {service!r}", peer)
         return record.decode(value)
 
     async def start(self, order: RolloutOrder, peer: str, has_left: Callable[[], bool] = never) -> Rollout:
-        """Return the rollout once it has begun, or the one in which this order was taken before.
+        """Start a rollout and return it; a repeated order returns the rollout that it started before.
 
-        Raises Unavailable where the order may be an old one, or its caller has left: nothing is begun
-        that nobody waits for.
+        Raises Unavailable if the order may be outdated or its caller has disconnected: no rollout starts
+        unless a caller waits for the result.
         """
         arrived_at = self.clock()
         if self.stalls.resumed_recently:
@@ -93,12 +93,14 @@
         if transitions.was_reverted(current, order.version):
             await asyncio.sleep(DEPARTURE_GRACE_S)
 
-        def begin(held: Rollout | None) -> Rollout:
+        def begin(stored_rollout: Rollout | None) -> Rollout:
             if has_left():
                 raise self._refusal("its caller has left", peer)
             if self.clock() - arrived_at > ORDER_LIFETIME_S:
                 raise self._refusal("too late; it is no longer waited for", peer)
-            return self._begun(order, held, is_only_version and self._is_only_version(order))
+            return self._rollout_after_order(
+                order, stored_rollout, is_only_version and self._is_only_version(order)
+            )
 
         def update(stored: StoredValue | None) -> StoredValue | None:
             return transitions.update_stored(stored, begin)
@@ -117,14 +119,16 @@
 
     @staticmethod
     def _refusal(reason: str, peer: str) -> Unavailable:
-        """Return the error that sends an order to another controller."""
+        """Return the error after which the caller repeats the order at another controller."""
         return Unavailable(CallName.START_ROLLOUT, reason, peer)
 
-    def _begun(self, order: RolloutOrder, held: Rollout | None, is_only_version: bool) -> Rollout:
-        """Return the rollout after an order, given the one before."""
-        known_s = 0.0 if held is None else self.evidence.known_for_s(held)
+    def _rollout_after_order(
+        self, order: RolloutOrder, previous: Rollout | None, is_only_version: bool
+    ) -> Rollout:
+        """Return the rollout after an order; `previous` is the one before it."""
+        known_s = 0.0 if previous is None else self.evidence.known_for_s(previous)
         return transitions.start_rollout(
-            held,
+            previous,
             order.service,
             order.version,
             order.duration_s,
@@ -134,7 +138,7 @@
         )
 
     async def _current_rollout(self, service: str, peer: str) -> Rollout | None:
-        """Return the rollout of a service, or None; refuses a service that no configuration names."""
+        """Return the rollout of a service or None; raises InvalidInput if the configuration lacks it."""
         configuration, value = await asyncio.gather(
             self.register.read(CallName.START_ROLLOUT, RecordKind.CONFIGURATION, peer),
             self.register.read(CallName.START_ROLLOUT, RecordKind.ROLLOUT.key(service), peer),
@@ -146,15 +150,16 @@
         return None if value is None else record.decode(value)
 
     def _is_only_version(self, order: RolloutOrder) -> bool:
-        """Return whether all machines of the service that are known here to serve are of that version."""
+        """Return whether all machines of the service that are known here and in service run the version."""
         machines = (MachineRecord.decode(value) for _, value in self.store.items_of(RecordKind.MACHINE))
         serving = (machine for machine in machines if machine.in_service)
         return {one.version for one in serving if one.service == order.service} == {order.version}
 
     async def _is_only_version_anywhere(self, order: RolloutOrder, peer: str) -> bool:
-        """Return the same by all that enough controllers know, polled since the order arrived.
+        """Return the result of `_is_only_version` after polling the other controllers for all they know.
 
-        Such an order is answered as done at once, and then the operator stops all machines of other versions.
+        An order for the only version is answered as done at once, and the operator then stops all machines of
+        other versions. So the answer must not depend on what one controller knew before the order arrived.
         """
         if not self._is_only_version(order):
             return False
--- a/honeywood/gateway/controller/rollout_steering.py
+++ b/honeywood/gateway/controller/rollout_steering.py
@@ -1,4 +1,4 @@
-"""Steers rollouts at one controller: decides on the next step of each, and takes it by a register change."""
+"""Advances rollouts from one controller: decides the next step of each and makes it a register change."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
     from honeywood.gateway.rollout.evaluator import RolloutChange
     from honeywood.gateway.rollout.record import Rollout
 
-STAGGER_S = 0.15  # seconds by which controllers act after each other, so that mostly one does
-DECISION_LIFETIME_S = 0.5  # seconds beyond the stagger after which a decision is taken anew
+STAGGER_S = 0.15  # delay in seconds per rank of a controller, so that usually only one acts
+DECISION_LIFETIME_S = 0.5  # seconds beyond the delay after which a decision has expired and is made again
 
 
 class RolloutSteering:
-    """The rollouts that one controller knows of."""
+    """Advances or reverts the rollouts that one controller knows of."""
 
     def __init__(
         self,
@@ -41,17 +41,17 @@
         clock: Callable[[], float],
         log: EventLog,
     ) -> None:
-        """Start without any rollout; `clock` gives steady seconds."""
+        """Start without any rollout; `clock` returns monotonic seconds."""
         self.local_ip, self.store, self.register = local_ip, store, register
         self.contacts, self.evidence, self.publication = contacts, evidence, publication
         self.clock, self.log = clock, log
         self.evaluators: dict[str, RolloutEvaluator] = {}  # by service
 
     async def steer(self) -> None:
-        """Advance rollouts, or take them back.
+        """Advance or revert the active rollouts.
 
-        Without a quorum nothing is decided: what is known here of proxies' counts may be as old as the
-        network partition or the stall that took it away.
+        Without a quorum nothing is decided: the proxies' counts that are known here may be as old as the
+        network partition or stall that caused its loss.
         """
         if not self.contacts.in_quorum(self.clock()):
             return
@@ -61,22 +61,22 @@
                 self.evaluators.pop(rollout.service, None)
                 continue
             change = self._next_change(rollout)
-            if change is not None and await self._still_holds_after_stagger(rollout, key, value):
+            if change is not None and await self._still_valid_after_stagger(rollout, key, value):
                 await self._apply(key, rollout, change)
 
     def _next_change(self, rollout: Rollout) -> RolloutChange | None:
-        """Return the change that is due, or None."""
+        """Return the change of a rollout that is due, or None."""
         evaluator = self.evaluators.get(rollout.service)
         if evaluator is None or evaluator.revision != rollout.revision:
             evaluator = self.evaluators[rollout.service] = RolloutEvaluator(rollout.revision)
         evidence = self.evidence.collect(rollout)
         elapsed_s = rollout.elapsed_s + self.evidence.known_for_s(rollout)
         return evaluator.evaluate(
-            self.clock(), elapsed_s, rollout, evidence.outcome_counts, evidence.votes, evidence.all_left
+            self.clock(), elapsed_s, rollout, evidence.outcome_counts, evidence.votes, evidence.all_drained
         )
 
-    async def _still_holds_after_stagger(self, rollout: Rollout, key: str, value: object) -> bool:
-        """Wait as long as this controller's rank says; return whether the decision still holds then."""
+    async def _still_valid_after_stagger(self, rollout: Rollout, key: str, value: object) -> bool:
+        """Wait for the delay of this controller's rank; return whether the decision is still valid then."""
         ranked = rank({*self.register.membership.members, self.local_ip}, rollout.service)
         wait_s, decided_at = ranked.index(self.local_ip) * STAGGER_S, self.clock()
         await asyncio.sleep(wait_s)
@@ -85,12 +85,12 @@
         return in_time and self.contacts.in_quorum(now) and self.store.get(key) == value
 
     async def _apply(self, key: str, rollout: Rollout, change: RolloutChange) -> None:
-        """Take a step by a register change, and publish its result; without a majority nothing happens."""
+        """Make a change in the register and publish the result; without a majority nothing happens."""
 
-        def advance(held: Rollout | None) -> Rollout | None:
+        def advance(current: Rollout | None) -> Rollout | None:
             known_s = self.evidence.known_for_s(rollout)
             return transitions.advance(
-                held, rollout.version, rollout.revision, known_s, change.state, change.stage
+                current, rollout.version, rollout.revision, known_s, change.state, change.stage
             )
 
         try:
--- a/honeywood/gateway/controller/stall_detector.py
+++ b/honeywood/gateway/controller/stall_detector.py
@@ -1,6 +1,7 @@
-"""Detects that this process stood still: its machine was suspended, or it got no processor time.
+"""Detects that this process was stalled: its machine was suspended, or it got no processor time.
 
-What lies unread in its sockets then may be old, and whoever sent it may have gone to another controller.
+Requests that were in its sockets during the stall may be old, and their senders may have switched to another
+controller.
 """
 
 from __future__ import annotations
@@ -12,21 +13,21 @@
     from honeywood.gateway.event_log import EventLog
 
 TICK_INTERVAL_S = 0.1  # seconds between two ticks
-STALL_THRESHOLD_S = 0.5  # seconds without a tick that count as a stall
-RECOVERY_S = 1.0  # seconds after a stall in which what arrives may have been sent before or during it
+STALL_THRESHOLD_S = 0.5  # a longer time without a tick is a stall
+RECOVERY_S = 1.0  # seconds after a stall in which a received message may have been sent before its end
 
 
 class StallDetector:
-    """Compares the times of its own ticks, which a periodic task drives every TICK_INTERVAL_S seconds."""
+    """Measures the time between ticks, which a periodic task triggers every TICK_INTERVAL_S seconds."""
 
     def __init__(self, clock: Callable[[], float], log: EventLog) -> None:
-        """Start without a stall; `clock` gives steady seconds."""
+        """Start without a stall; `clock` returns monotonic seconds."""
         self._clock, self._log = clock, log
         self._last_tick_at = clock()
         self._resumed_at = clock() - RECOVERY_S
 
     async def tick(self) -> None:
-        """Take note that this process runs, and log a stall that has just ended."""
+        """Record that this process is running, and log a stall that has just ended."""
         now = self._clock()
         gap_s = now - self._last_tick_at
         if gap_s > STALL_THRESHOLD_S:
@@ -36,6 +37,6 @@
 
     @property
     def resumed_recently(self) -> bool:
-        """Whether a message that is read now may have waited for a stall to end."""
+        """Whether a message that is read now may have waited through a stall."""
         now = self._clock()
         return now - self._last_tick_at > STALL_THRESHOLD_S or now - self._resumed_at < RECOVERY_S
