--- a/honeywood/gateway/controller/__init__.py
+++ b/honeywood/gateway/controller/__init__.py
@@ -1,4 +1,5 @@
-"""The program on core machines: serves machines and operators, takes part in the register, steers rollouts.
+"""The controller: serves machines and operators, is a member of the register, and advances rollouts.
 
-Start reading at program.py, then app.py and operations.py (calls) and rollout_steering.py.
+It runs on core machines. Start reading at program.py, then app.py and operations.py for the calls, and
+rollout_steering.py for the rollouts.
 """
--- a/honeywood/gateway/controller/app.py
+++ b/honeywood/gateway/controller/app.py
@@ -1,4 +1,4 @@
-"""The controller's ASGI application: dispatches calls, and turns their results and errors into answers."""
+"""The controller's ASGI application: dispatches calls and sends their results and errors as responses."""
 
 from __future__ import annotations
 
@@ -40,9 +40,9 @@
 
 
 class App:
-    """The calls of machines and operators on the operators' address, those of our own programs on another."""
+    """Serves machines and operators at one address, and the gateway's own programs at an internal port."""
 
-    limits = Limits()  # the server's; callers are machines, operators and our own programs
+    limits = Limits()  # defaults: the only callers are machines, operators and the gateway's own programs
 
     def __init__(
         self,
@@ -54,17 +54,17 @@
         clock: Callable[[], float],
         log: EventLog,
     ) -> None:
-        """Serve our own programs on `internal_port`, others elsewhere; `clock` gives steady seconds."""
+        """Serve the gateway's own programs at `internal_port`; `clock` returns monotonic seconds."""
         self.operations, self.polls, self.register = operations, polls, register
         self.metrics, self.internal_port, self.clock, self.log = metrics, internal_port, clock, log
         self.refused: Counter[str] = Counter()  # refused calls by call and status
         self.internal_handlers = {POLL_PATH: self.poll, REGISTER_PATH: self.register_step}
 
     def begin_early(self, scope: Scope) -> None:
-        """Begin nothing early: the calls of one connection are answered one after the other."""
+        """Do nothing: the requests of one connection are answered one after the other."""
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request."""
+        """Answer a request."""
         if scope["server"][1] == self.metrics.port:
             await self.metrics.serve(scope, send)
             return
@@ -84,7 +84,7 @@
             await send_response(send, OK, JSON_HEADERS, _encode(result))
 
     def _handler(self, scope: Scope, name: str, peer: str) -> Handler:
-        """Return the handler of a request; raises NotFound where there is none."""
+        """Return the handler of a request; raises NotFound if there is none."""
         path = "/" + scope["path"].strip("/")
         handler: Handler | None = None
         if scope["method"] == METHOD:
@@ -98,7 +98,7 @@
         return handler
 
     async def _refuse(self, send: Send, error: GatewayError, name: str, peer: str) -> None:
-        """Count, log and answer a call that was refused."""
+        """Count, log and answer a call that is refused."""
         status = status_of(error)
         self.refused[f"refused: {name or error.operation} {status}"] += 1
         self.log.info(
@@ -113,16 +113,16 @@
         await send_response(send, status, JSON_HEADERS, body)
 
     async def poll(self, call: Call) -> Answer:
-        """Answer another program's poll of the store."""
+        """Answer a poll of the store by another program."""
         request = PollRequest.decode(read_json(call.body, POLL_PATH, call.peer), call.peer)
         return (await self.polls.answer(request, call.has_left)).encode()
 
     async def register_step(self, call: Call) -> Answer:
-        """Answer another controller's step of the register's protocol."""
+        """Answer a register protocol message of another controller."""
         reply: Answer = await self.register(read_json(call.body, REGISTER_PATH, call.peer), call.peer)
         return reply
 
 
 def _encode(result: Answer) -> bytes:
-    """Return an answer's body."""
+    """Return the body of a response."""
     return result if isinstance(result, bytes) else json.dumps(result, separators=(",", ":")).encode()
--- a/honeywood/gateway/controller/call.py
+++ b/honeywood/gateway/controller/call.py
@@ -1,4 +1,4 @@
-"""A call to a controller as its handlers receive it, and the names of the calls that are served."""
+"""A call to a controller as its handlers receive it, and the names of the available calls."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 
 def never() -> bool:
-    """Tell of a caller that stays."""
+    """The `has_left` of a caller that never disconnects."""
     return False
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call; `has_left` tells whether the caller's connection has ended by now."""
+    """One call; `has_left` returns whether the caller's connection has ended."""
 
-    subject: str  # what it is about: the id of a machine, or the name of a service
+    subject: str  # the id of a machine or the name of a service that the call is about
     body: bytes
     peer: str  # the caller's address
     has_left: Callable[[], bool] = never
--- a/honeywood/gateway/controller/disk_health.py
+++ b/honeywood/gateway/controller/disk_health.py
@@ -1,4 +1,4 @@
-"""Whether this controller's disk accepts writes: a small trial write now and then, and its outcome."""
+"""Checks with periodic trial writes whether this controller's disk accepts writes."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
     from honeywood.gateway.event_log import EventLog
 
 
-CHECK_INTERVAL_S = 1.0  # seconds between trial writes; one that takes longer counts as refused
-LOG_INTERVAL_S = 5.0  # seconds between two lines of a disk that goes on refusing
+CHECK_INTERVAL_S = 1.0  # seconds between trial writes; a write that takes longer counts as refused
+LOG_INTERVAL_S = 5.0  # minimum seconds between log lines while a disk keeps refusing
 
 
 class DiskHealth:
-    """The outcome of the latest trial writes."""
+    """Runs trial writes and keeps their outcome."""
 
     def __init__(
         self, write: Callable[[], Awaitable[None]], clock: Callable[[], float], log: EventLog
     ) -> None:
-        """Start with a disk that works; `write` syncs without any content, or raises Unavailable."""
+        """Assume a working disk; `write` syncs without writing content, or raises Unavailable."""
         self._write, self._clock, self._log = write, clock, log
-        self.refused_since: float | None = None  # when the first of an unbroken row of refused writes began
+        self.refused_since: float | None = None  # start of the first of the consecutive refused writes
         self._pending: asyncio.Future[None] | None = None
 
     @property
     def refuses_writes(self) -> bool:
-        """Whether the latest write was refused, or hangs."""
+        """Whether the latest write was refused or is hanging."""
         return self.refused_since is not None
 
     async def check(self) -> None:
-        """Begins a write, or waits on for one that hangs."""
+        """Start a trial write, or wait again for one that is hanging."""
         began_at = self._clock()
         if self._pending is None:
             self._pending = asyncio.ensure_future(self._try_write(began_at))
         await asyncio.wait((self._pending,), timeout=CHECK_INTERVAL_S)
         if not self._pending.done():
-            self._record_refusal(began_at, "it hangs")
+            self._record_refusal(began_at, "the write hangs")
             return
         finished, self._pending = self._pending, None
         finished.result()
--- a/honeywood/gateway/controller/machine_row_writer.py
+++ b/honeywood/gateway/controller/machine_row_writer.py
@@ -1,4 +1,4 @@
-"""Writes rows of machines to this controller's disk as they change, one write at a time."""
+"""Writes changed rows of machines to this controller's disk, one write at a time."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 
 class MachineRowWriter:
-    """Collects changed rows and writes them together.
+    """Collects changed rows and writes them in batches.
 
-    While a write is in progress at most one more waits for it, with all that changes meanwhile: a disk that
-    hangs leaves nothing queued behind it but that.
+    While a write is in progress, at most one more waits for it and collects all rows that change in the
+    meantime. So a disk that hangs never has more than one write queued.
     """
 
     def __init__(self, write: Callable[[dict[str, Row]], Awaitable[None]]) -> None:
-        """Start without any change; `write` puts rows on disk, or raises Unavailable."""
+        """Start without any change; `write` writes rows to disk, or raises Unavailable."""
         self._write = write
         self._changed: dict[str, Row] = {}
         self._writing: asyncio.Future[None] | None = None
         self._waiting: asyncio.Future[None] | None = None
 
     def update(self, key: str, row: Row) -> None:
-        """Take a row that has changed, None where it is to be removed."""
+        """Add a changed row to the next write; None removes the row."""
         self._changed[key] = row
 
     async def flush(self) -> None:
-        """Return when what has changed by now is on disk; raises Unavailable where the disk refuses."""
+        """Return when all changes made so far are on disk; raises Unavailable if the disk refuses them."""
         if self._waiting is None:
             self._waiting = asyncio.ensure_future(self._write_after(self._writing))
         await asyncio.shield(self._waiting)
--- a/honeywood/gateway/controller/machine_service.py
+++ b/honeywood/gateway/controller/machine_service.py
@@ -1,4 +1,4 @@
-"""Machines' calls at one controller, and the periodic tasks over what is known of machines."""
+"""Machines' calls at one controller, and the periodic tasks that save and expire machines."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 LEAVE_OPERATION = "instances.leave"
 SAVE_LOG_INTERVAL_S = 5.0
-DISK_TIMEOUT_S = 0.2  # seconds that an acknowledgement waits for this disk, besides other controllers
+DISK_TIMEOUT_S = 0.2  # seconds that an acknowledgement waits at most for this controller's own disk
 
 
 class MachineService:
-    """The machines that are known, acknowledged to them as far as this controller is in quorum."""
+    """Handles the calls of machines; acknowledges them only while this controller is in quorum."""
 
     def __init__(
         self,
@@ -46,14 +46,14 @@
         self.machines = MachineTable(store, heartbeat_interval_s, self.rows.update)
 
     async def heartbeat(self, machine_id: str, heartbeat: Heartbeat) -> None:
-        """Take a machine's heartbeat; one that begins draining returns once enough others know it."""
+        """Record a machine's heartbeat; if it is draining, return only once enough others know it."""
         self._require_quorum(heartbeats.OPERATION)
         self.machines.record_heartbeat(self.clock(), machine_id, heartbeat)
         if heartbeat.record.state == DRAINING:
             await self._replicate()
 
     async def leave(self, machine_id: str) -> None:
-        """Take a machine's departure; returns once enough others know it."""
+        """Record a machine's departure; return once enough others know it."""
         self._require_quorum(LEAVE_OPERATION)
         self.machines.record_departure(machine_id)
         await self._replicate()
@@ -63,7 +63,7 @@
             raise Unavailable(operation, "cut off from the other controllers")
 
     async def _replicate(self) -> None:
-        """Wait for other controllers, and for this disk if it is fast: a slow one delays no answer long."""
+        """Wait for other controllers, and at most DISK_TIMEOUT_S for this controller's disk."""
         await asyncio.gather(self.replication.wait(), self._save_within_timeout())
 
     async def _save_within_timeout(self) -> None:
@@ -71,7 +71,7 @@
         await asyncio.wait((saving,), timeout=DISK_TIMEOUT_S)
 
     async def save_rows(self) -> None:
-        """Put the rows that have changed on this disk."""
+        """Write the rows that have changed to this disk."""
         try:
             if self.register.membership.intact:
                 await self.rows.flush()
@@ -79,9 +79,10 @@
             self.log.info("machine states not saved", min_interval_s=SAVE_LOG_INTERVAL_S, why=str(error))
 
     def expire(self, now: float) -> None:
-        """Mark silent machines as lost, where enough others have lately sent all that they know.
+        """Mark silent machines as lost, if enough others have recently sent everything they know.
 
-        While part of it is missing, a machine that other controllers hear may seem silent.
+        While some of their records are missing, a machine may seem silent although its heartbeats reach
+        other controllers.
         """
         if self.contacts.in_quorum(now) and self.contacts.has_complete_view(now):
             self.machines.expire(now)
--- a/honeywood/gateway/controller/membership.py
+++ b/honeywood/gateway/controller/membership.py
@@ -1,7 +1,7 @@
-"""How a controller takes part in the register.
+"""A controller's participation in the register.
 
-Its disk is brought to where it belongs, what a majority of the disks holds is published, and a member that
-can't be used is replaced.
+It brings its disk into the register's newest epoch, publishes the values that a majority of the disks holds,
+and replaces members that can't be used.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
     from honeywood.gateway.event_log import EventLog
     from honeywood.gateway.register.register import Register
 
-# A member that can't be used is replaced by a spare that was there all the time after so many times
-# `contact_s` + `sync_s`: a member that restarts comes back sooner, with its disk.
+# Multiple of `contact_s` + `sync_s` after which a member that can't be used is replaced by a spare that has
+# been in contact all the time. A member that restarts with its disk is back sooner.
 REPLACE_AFTER_FACTOR = 3.0
-LOG_INTERVAL_S = 1.0  # seconds between two lines of one member that can't be used
+LOG_INTERVAL_S = 1.0  # minimum seconds between log lines about a member that can't be used
 
 
 class Membership:
-    """Keeps this disk and the register's members usable."""
+    """Keeps this controller's disk and the register's members usable."""
 
     def __init__(
         self,
@@ -42,33 +42,35 @@
         clock: Callable[[], float],
         log: EventLog,
     ) -> None:
-        """Start; `publish(key, value)` publishes a value that a majority holds, `clock` is steady."""
+        """`publish(key, value)` publishes what a majority holds; `clock` returns monotonic seconds."""
         self.settings, self.register, self.contacts, self.peers = settings, register, contacts, peers
         self.publish, self.clock, self.log = publish, clock, log
         self.disk_health = DiskHealth(lambda: register.write_heartbeats({}), clock, log)
 
     @property
     def disk(self) -> DiskState:
-        """The state of this disk as other controllers are told it."""
+        """The state of this disk as reported to other controllers."""
         if not self.register.membership.intact:
             return DiskState.LOST
         return DiskState.REFUSES if self.disk_health.refuses_writes else DiskState.WORKS
 
     async def synchronize(self) -> None:
-        """Bring this disk to where it belongs; once it is there, look after the other members."""
+        """Bring this disk into the register's newest epoch; once it is there, check the other members."""
         if not self.register.membership.is_synchronized:
             await self.register.manager.synchronize(self.peers.addresses)
-        elif self.disk is DiskState.WORKS:  # otherwise the others see to this one
+        elif self.disk is DiskState.WORKS:  # otherwise the other members may replace this one
             await self._replace_unusable_member()
 
     async def _replace_unusable_member(self) -> None:
-        """Propose a spare controller for the place of a member that can't be used."""
+        """Propose a spare controller as the replacement of a member that can't be used."""
         bounds = self.settings.bounds
-        soon_s = bounds.contact_s
-        late_s = REPLACE_AFTER_FACTOR * (bounds.contact_s + bounds.sync_s)
+        short_timeout_s = bounds.contact_s
+        long_timeout_s = REPLACE_AFTER_FACTOR * (bounds.contact_s + bounds.sync_s)
         states, now = self.contacts.peer_states(), self.clock()
         configuration = self.register.membership.configuration
-        proposed = propose_replacement(configuration, self.settings.ip, states, now, soon_s, late_s)
+        proposed = propose_replacement(
+            configuration, self.settings.ip, states, now, short_timeout_s, long_timeout_s
+        )
         if proposed is None:
             return
         self.log.info(
@@ -78,16 +80,16 @@
             spare=proposed.spare,
             why=proposed.reason,
         )
-        with suppress(RegisterUnavailable):  # proposed again as long as the member can't be used
+        with suppress(RegisterUnavailable):  # it is proposed again while the member can't be used
             await self.register.manager.replace_member(proposed.member, proposed.spare)
 
     async def check_disk(self) -> None:
-        """Find out whether this disk accepts writes."""
+        """Check whether this disk accepts writes."""
         if self.register.membership.intact:
             await self.disk_health.check()
 
     async def publish_register(self) -> None:
-        """Publish all that a majority of the members holds."""
+        """Publish all values that a majority of the members holds."""
         self.peers.start()
         with suppress(RegisterUnavailable):
             for key, value in (await self.register.read_all()).items():
--- a/honeywood/gateway/controller/operations.py
+++ b/honeywood/gateway/controller/operations.py
@@ -1,4 +1,4 @@
-"""The calls of machines and operators: each reads its body, has its work done, and returns the answer."""
+"""The handlers of the calls of machines and operators: each decodes the body and returns the answer."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
     from honeywood.gateway.controller.rollout_orders import RolloutOrders
     from honeywood.gateway.rollout.record import Rollout
 
-    Answer = bytes | Mapping[str, object]  # a body as it is, or an object that is encoded as JSON
+    Answer = bytes | Mapping[str, object]  # a raw body, or an object to encode as JSON
     Handler = Callable[[Call], Awaitable[Answer]]
 
 
 class Operations:
-    """The handlers of the public calls. All raise a GatewayError where a call is refused."""
+    """The handlers of the public calls; each raises a GatewayError if the call is refused."""
 
     def __init__(
         self, machines: MachineService, configurations: ConfigurationOrders, rollouts: RolloutOrders
     ) -> None:
-        """Hand calls on to these."""
+        """Pass calls on to these services."""
         self.machines, self.configurations, self.rollouts = machines, configurations, rollouts
         self.handlers: dict[CallName, Handler] = {
             CallName.HEARTBEAT: self.heartbeat,
@@ -41,38 +41,38 @@
         }
 
     async def heartbeat(self, call: Call) -> Answer:
-        """Take a machine's heartbeat."""
+        """Process a machine's heartbeat."""
         body = read_json(call.body, CallName.HEARTBEAT, call.peer)
         heartbeat = heartbeats.decode_heartbeat(call.subject, body, call.peer)
         await self.machines.heartbeat(call.subject, heartbeat)
         return {}
 
     async def leave(self, call: Call) -> Answer:
-        """Take a machine's departure."""
+        """Process a machine's departure."""
         heartbeats.check_machine_id(CallName.LEAVE, call.subject, call.peer)
         await self.machines.leave(call.subject)
         return {}
 
     async def replace_configuration(self, call: Call) -> Answer:
-        """Take an operator's configuration."""
+        """Replace the configuration by an operator's."""
         version = read_configuration(call.body, call.peer).version
         result = await self.configurations.replace(version, call.body, call.peer)
         return {"outcome": result.outcome, "ver": f"{result.version:08x}"}
 
     async def read_configuration(self, call: Call) -> bytes:
-        """Return the configuration as it was sent."""
+        """Return the current configuration as it was sent."""
         return packing.unpack(await self.configurations.read(call.peer), call.peer)
 
     async def start_rollout(self, call: Call) -> Answer:
-        """Take an operator's order of a rollout."""
+        """Start a rollout that an operator ordered."""
         order = RolloutOrder.decode(read_json(call.body, CallName.START_ROLLOUT, call.peer))
         return _encode_rollout(await self.rollouts.start(order, call.peer, call.has_left))
 
     async def read_rollout(self, call: Call) -> Answer:
-        """Return what has come of a service's rollout."""
+        """Return the state of a service's rollout."""
         return _encode_rollout(await self.rollouts.read(call.subject, call.peer))
 
 
 def _encode_rollout(rollout: Rollout) -> Answer:
-    """Return what operators are told of a rollout."""
+    """Return the answer that describes a rollout to operators."""
     return {"state": rollout.state, "to_ver": rollout.version}
--- a/honeywood/gateway/controller/peer_polling.py
+++ b/honeywood/gateway/controller/peer_polling.py
@@ -1,6 +1,6 @@
-"""Polls the other controllers for changes of their stores, each by a task of its own.
+"""Polls the other controllers for changes of their stores, with one task per controller.
 
-Their answers show contact.
+Their responses prove contact.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
     from honeywood.gateway.register.replacement import DiskState
     from honeywood.gateway.rpc.client import Caller
 
-LONG_POLL_S = 0.5  # seconds that another controller holds a poll while nothing is new
-BACKOFF_MAX_S = 0.5  # seconds for which a controller that does not answer is not polled
-POLL_INTERVAL_S = 0.05  # seconds between an answer and the next poll
+LONG_POLL_S = 0.5  # seconds for which another controller holds a poll while it has no changes
+BACKOFF_MAX_S = 0.5  # maximum seconds for which a controller that does not answer is not polled
+POLL_INTERVAL_S = 0.05  # seconds between a response and the next poll
 
 
 class PeerPolling:
@@ -46,10 +46,10 @@
         clock: Callable[[], float],
         start_task: Callable[[Callable[[], Awaitable[None]], float], None],
     ) -> None:
-        """Start with the seeds.
+        """Start with the seeds as the known controllers.
 
-        `local_disk()` gives the state of this controller's disk, `start_task(step, interval_s)` begins to run
-        a step again and again.
+        `local_disk()` returns the state of this controller's disk; `start_task(step, interval_s)` starts a
+        task that runs `step` repeatedly. `clock` returns monotonic seconds.
         """
         self.settings, self.contacts, self.local_disk = settings, contacts, local_disk
         self.clock, self.start_task = clock, start_task
@@ -61,15 +61,15 @@
             Backoff(random, BACKOFF_MAX_S),
             lambda: publisher.max_response_bytes,
         )
-        self.addresses = [ip for ip, _ in settings.seeds]  # of all known controllers, this one's too
-        self.polled: set[str] = set()  # the addresses that have a task
+        self.addresses = [ip for ip, _ in settings.seeds]  # of all known controllers, including this one
+        self.polled: set[str] = set()  # the addresses that have a polling task
 
     def discover(self, addresses: Iterable[str]) -> None:
-        """Take note of controllers: where there are more than three, no one has all of them as seeds."""
+        """Add controllers: if there are more than three, no program has all of them as seeds."""
         self.addresses += [ip for ip in addresses if ip not in self.addresses]
 
     def forget_others(self, known: set[str]) -> None:
-        """Stop polling whoever is neither `known` nor a seed."""
+        """Stop polling controllers that are neither in `known` nor seeds."""
         known = known | {ip for ip, _ in self.settings.seeds}
         for ip in set(self.addresses) - known:
             self.addresses = [one for one in self.addresses if one != ip]
@@ -77,7 +77,7 @@
             self.contacts.forget(ip)
 
     def _requester(self) -> Requester:
-        """Return what this controller says of itself in a poll."""
+        """Return the description of this controller that its polls contain."""
         return Requester(
             self.settings.node,
             self.settings.ip,
@@ -87,7 +87,7 @@
         )
 
     def start(self) -> None:
-        """Begin to poll each controller that is known and isn't polled yet."""
+        """Start polling each known controller that isn't polled yet."""
         for ip in self.addresses:
             if ip != self.settings.ip and ip not in self.polled:
                 self._start_polling(ip)
@@ -100,14 +100,14 @@
         self.start_task(poll_peer, POLL_INTERVAL_S)
 
     async def poll(self, ip: str) -> None:
-        """Poll a controller once, and back off where it does not answer.
+        """Poll a controller once, and back off if it does not answer.
 
-        Raises TaskFinished once that controller is not known any more.
+        Raises TaskFinished once that controller is no longer known.
         """
         if ip not in self.addresses:
             self.polled.discard(ip)
             raise TaskFinished
-        sent_at = self.clock()  # its answer may lie unread while this process is stalled
+        sent_at = self.clock()  # before the poll: its response may wait unread while this process is stalled
         with suppress(CallFailed):
             response = await self.subscriber.poll(ip, self.settings.controller_port, LONG_POLL_S)
             disk = decode_disk_state(response.disk)
@@ -116,7 +116,7 @@
         await asyncio.sleep(min(BACKOFF_MAX_S, backoff_s))
 
     async def poll_all(self) -> bool:
-        """Poll all other controllers for what they know now; return whether enough sent all of it."""
+        """Poll all other controllers now; return whether enough of them sent everything they know."""
         others = [ip for ip in self.addresses if ip != self.settings.ip]
         complete = await asyncio.gather(*[self._poll_completely(ip) for ip in others])
         return self.contacts.forms_quorum(ip for ip, done in zip(others, complete, strict=True) if done)
--- a/honeywood/gateway/controller/poll_service.py
+++ b/honeywood/gateway/controller/poll_service.py
@@ -1,4 +1,4 @@
-"""Answers other programs' polls of this controller's store, and learns from them who is in contact."""
+"""Answers other programs' polls of this controller's store, and records which programs are in contact."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class PollService:
-    """Polls at one controller."""
+    """Answers the polls that one controller receives."""
 
     def __init__(
         self,
@@ -36,13 +36,13 @@
         local_disk: Callable[[], DiskState],
         clock: Callable[[], float],
     ) -> None:
-        """Answer from `publisher`; `local_disk()` gives the state of this disk, `clock` steady seconds."""
+        """`local_disk()` returns the state of this controller's disk, `clock` monotonic seconds."""
         self.local_ip, self.publisher, self.contacts = local_ip, publisher, contacts
         self.peers, self.fleet, self.replication = peers, fleet, replication
         self.local_disk, self.clock = local_disk, clock
 
     def record_requester(self, requester: Requester, revision: int) -> None:
-        """Take note of a program that polls, and holds all changes of this store up to `revision`."""
+        """Record a poll; its sender holds all changes of the local store up to `revision`."""
         now = self.clock()
         if requester.is_proxy:
             location = ProxyLocation(requester.zone, requester.ip)
@@ -54,7 +54,7 @@
             self.replication.notify()
 
     async def answer(self, request: PollRequest, has_left: Callable[[], bool]) -> PollResponse:
-        """Return the response to a poll: news of the store, and what depends on who polls."""
+        """Return the response to a poll: changes of the store, and fields that depend on the requester."""
         response = await self.publisher.serve(request, has_left)
         now, requester = self.clock(), request.requester
         response = replace(response, in_quorum=self.contacts.in_quorum(now))
@@ -68,7 +68,7 @@
         return response
 
     def _received_counts(self, requester: Requester) -> int:
-        """Return up to which number a proxy's counts are known here."""
+        """Return the number of the latest counts of a proxy that are known here, 0 for none."""
         key = RecordKind.PROXY_COUNTS.key(requester.node, requester.incarnation)
         stamp = self.publisher.store.stamp(key)
         return stamp[0] if stamp else 0
--- a/honeywood/gateway/controller/program.py
+++ b/honeywood/gateway/controller/program.py
@@ -1,4 +1,4 @@
-"""The controller's program: makes its parts, connects them, and runs their periodic tasks."""
+"""The controller's program: creates its components, connects them, and runs their periodic tasks."""
 
 from __future__ import annotations
 
@@ -49,17 +49,17 @@
     from honeywood.gateway.register.replacement import DiskState
     from honeywood.gateway.rpc.client import Caller
 
-# Seconds between two runs of periodic tasks.
+# Seconds between two runs of each periodic task.
 SYNCHRONIZE_INTERVAL_S = 0.1
 STEER_INTERVAL_S = 0.1
 PUBLISH_REGISTER_INTERVAL_S = 1.0
 MAINTENANCE_INTERVAL_S = 0.5
 SAVE_ROWS_INTERVAL_S = 0.5
-CLOSE_MARGIN_S = 1.0  # seconds of the grace period that are left for the end of the process
+CLOSE_MARGIN_S = 1.0  # seconds of the grace period that are reserved for ending the process
 
 
 class Controller(Program):
-    """One controller: its parts are made in the order in which they depend on each other."""
+    """One controller; its components are created in the order of their dependencies."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         disk: Callable[[str], Store] = RowStore,
         log: EventLog | None = None,
     ) -> None:
-        """Make the parts; `disk` opens a folder, the others are those of Program."""
+        """Create the components; `disk` opens the data folder, the other parameters are those of Program."""
         super().__init__(settings, caller, clock, wall_clock, log, random)
         self._make_store()
         self.register = Register(self.settings, PagedCaller(self.caller), self.random, self.log, disk)
@@ -83,7 +83,7 @@
         self.status = ControllerStatus(self)
 
     def _make_store(self) -> None:
-        """Make the store of records, and what this controller publishes of itself."""
+        """Create the store of records and the components that publish this controller's records."""
         self.publisher = Publisher(
             self.store_incarnation(),
             self.on_record,
@@ -96,7 +96,7 @@
         self.publication = RegisterPublication(self.store)
 
     def _make_peers(self) -> None:
-        """Make what deals with other controllers."""
+        """Create the components for the other controllers and the register's members."""
         settings, clock = self.settings, self.clock
         self.contacts = Contacts(
             settings.ip,
@@ -121,7 +121,7 @@
         self.replication = Replication(self.store, self.contacts, clock)
 
     def _make_machines(self) -> None:
-        """Make what deals with machines and proxies."""
+        """Create the components for machines and proxies."""
         self.machine_service = MachineService(
             self.store,
             self.settings.heartbeat_interval_s,
@@ -135,9 +135,9 @@
         self.fleet = ProxyFleet(self.settings.ip, self.store, self.contacts, self.local_records.publish)
 
     def _make_rollouts(self) -> None:
-        """Make what deals with rollouts."""
+        """Create the components for rollouts."""
         self.evidence = RolloutEvidence(self.store, self.fleet, self.clock)
-        self.rollouts = RolloutSteering(
+        self.rollout_steering = RolloutSteering(
             self.settings.ip,
             self.store,
             self.register,
@@ -150,7 +150,7 @@
         self.router = RecordRouter(self.peers, self.machines, self.evidence, self.clock)
 
     def _make_calls(self) -> None:
-        """Make what answers calls."""
+        """Create the components that answer calls."""
         settings, clock = self.settings, self.clock
         access = RegisterAccess(self.register, self.publication)
         self.stalls = StallDetector(clock, self.log)
@@ -187,12 +187,12 @@
         )
 
     def configuration_version(self) -> str | None:
-        """Return the version of the configuration that the store holds, for the log."""
+        """Return the version of the configuration in the store, for the log."""
         version = self.publication.configuration_version
         return None if version is None else f"{version:08x}"
 
     def discover_controllers(self, controllers: Iterable[str]) -> None:
-        """Take note of the seeds of a settings file that has changed."""
+        """Add the seeds of a settings file that has changed."""
         self.peers.discover(controllers)
 
     def metrics(self) -> Metrics:
@@ -201,29 +201,29 @@
 
     @property
     def in_quorum(self) -> bool:
-        """Whether enough other controllers are in contact."""
+        """Whether enough other controllers answer this one."""
         return self.contacts.in_quorum(self.clock())
 
     def disk_state(self) -> DiskState:
-        """Return the state of this disk as other controllers are told it."""
+        """Return the state of this disk as reported to other controllers."""
         return self.membership.disk
 
     def is_local(self, key: str) -> bool:
-        """Return whether a record is this controller's own, of this incarnation or an earlier one."""
+        """Return whether a record was published by this controller, in this or an earlier incarnation."""
         ip = self.settings.ip
         return key == RecordKind.CONTROLLER.key(ip) or key.startswith(RecordKind.PROXY_LOCATION.key(ip, ""))
 
     def on_record(self, key: str, value: JsonValue) -> None:
-        """Take note of a record that has come to the store, from here or from others."""
+        """Process a record that the store received from this or another program."""
         self.local_records.on_update(key)
         self.router.route(key, value)
 
     def on_poll(self, requester: Requester, revision: int) -> None:
-        """Take note of a program that polls, and holds all changes of this store up to `revision`."""
+        """Record a poll; its sender holds all changes of the local store up to `revision`."""
         self.polls.record_requester(requester, revision)
 
     async def maintain(self) -> None:
-        """Expire machines, proxies and records of owners that have ended."""
+        """Expire machines, proxies, and records whose owners have ended."""
         now = self.clock()
         self.machine_service.expire(now)
         self.fleet.refresh(now)
@@ -249,14 +249,14 @@
         self.log.info("stopped")
 
     def begin(self) -> None:
-        """Publish what this controller knows of itself and from its disk, and start the periodic tasks."""
+        """Publish this controller's own record and the rows on its disk, and start the periodic tasks."""
         self.local_records.publish(RecordKind.CONTROLLER.key(self.settings.ip), self.settings.node)
         self.machines.restore(self.register.state.heartbeats)
         self.peers.start()
         self.periodic_tasks.start(self.membership.synchronize, SYNCHRONIZE_INTERVAL_S)
         self.periodic_tasks.start(self.membership.publish_register, PUBLISH_REGISTER_INTERVAL_S)
         self.periodic_tasks.start(self.maintain, MAINTENANCE_INTERVAL_S)
-        self.periodic_tasks.start(self.rollouts.steer, STEER_INTERVAL_S)
+        self.periodic_tasks.start(self.rollout_steering.steer, STEER_INTERVAL_S)
         self.periodic_tasks.start(self.stalls.tick, stall_detector.TICK_INTERVAL_S)
         self.periodic_tasks.start(self.machine_service.save_rows, SAVE_ROWS_INTERVAL_S)
         self.periodic_tasks.start(self.membership.check_disk, disk_health.CHECK_INTERVAL_S)
--- a/honeywood/gateway/controller/record_router.py
+++ b/honeywood/gateway/controller/record_router.py
@@ -1,4 +1,4 @@
-"""Hands each record that comes to a controller's store to the part that it concerns."""
+"""Passes each record that a controller's store receives to the component that uses its kind."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
     from honeywood.gateway.controller.rollout_evidence import RolloutEvidence
     from honeywood.gateway.dissemination.record import JsonValue
 
-    Receiver = Callable[[str, Any], None]  # takes the rest of the key, and the record's value
+    Receiver = Callable[[str, Any], None]  # called with the key without its kind, and the record's value
 
 
 class RecordRouter:
-    """Takes the records that this controller and others publish."""
+    """Dispatches records that this controller and others publish, by their kind."""
 
     def __init__(
         self,
         peers: PeerPolling,
         machines: MachineTable,
-        rollouts: RolloutEvidence,
+        evidence: RolloutEvidence,
         clock: Callable[[], float],
     ) -> None:
-        """Hand records on to these; `clock` gives steady seconds."""
-        self.peers, self.machines, self.rollouts, self.clock = peers, machines, rollouts, clock
+        """Pass records on to these components; `clock` returns monotonic seconds."""
+        self.peers, self.machines, self.evidence, self.clock = peers, machines, evidence, clock
         self.receivers: dict[str, Receiver] = {
             RecordKind.CONTROLLER: self._receive_controller,
             RecordKind.HEARTBEAT: self._receive_heartbeat,
@@ -38,7 +38,7 @@
         }
 
     def route(self, key: str, value: JsonValue) -> None:
-        """Hand on a record that has changed; those of other kinds concern nobody here."""
+        """Pass on a record that has changed; records of other kinds are ignored."""
         receive = self.receivers.get(kind_of(key))
         if receive is not None:
             receive(name_of(key), value)
@@ -56,4 +56,4 @@
         self.machines.observe_departed(RecordKind.TOMBSTONES.key(bucket_name), bucket)
 
     def _receive_rollout(self, service: str, value: Mapping[str, int]) -> None:
-        self.rollouts.record_revision(service, value["n"])
+        self.evidence.record_revision(service, value["n"])
--- a/honeywood/gateway/controller/register_access.py
+++ b/honeywood/gateway/controller/register_access.py
@@ -1,7 +1,7 @@
-"""Reads and changes of the replicated register on behalf of operators' calls.
+"""Reads and changes the replicated register on behalf of operators' calls.
 
-Each rests on a majority of the register's disks at some moment since the call arrived. Without a majority the
-call is refused as unavailable, and its caller goes on to another controller.
+Each result is based on a majority of the register's disks at some moment since the call arrived. Without a
+majority the call is refused as unavailable, and its caller tries another controller.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
     from honeywood.gateway.controller.register_publication import RegisterPublication
     from honeywood.gateway.register.register import Register
 
-    StoredValue = dict[str, Any]  # a JSON object; its codec is beside the type that it encodes
+    StoredValue = dict[str, Any]  # a JSON object; its codec is in the module of the type that it encodes
     Update = Callable[[StoredValue | None], StoredValue | None]
 
 
 class RegisterAccess:
-    """The register, with what it holds published at once."""
+    """Reads and changes values of the register, and publishes each result immediately."""
 
     def __init__(self, register: Register, publication: RegisterPublication) -> None:
-        """Use `register`, and publish what it holds by `publication`."""
+        """Use `register`, and publish its values through `publication`."""
         self.register, self.publication = register, publication
 
     async def read(self, operation: str, key: str, peer: str) -> StoredValue | None:
-        """Return the value under `key`, or None; raises Unavailable without a majority."""
+        """Return the value under `key` or None; raises Unavailable without a majority."""
         try:
             value: StoredValue | None = await self.register.read(key)
         except RegisterUnavailable as error:
@@ -38,7 +38,7 @@
         return value
 
     async def change(self, operation: str, key: str, update: Update, peer: str) -> StoredValue:
-        """Return the value under `key` after `update`; raises Unavailable without a majority."""
+        """Apply `update` to the value under `key` and return it; raises Unavailable without a majority."""
         try:
             value: StoredValue = await self.register.change(key, update)
         except RegisterUnavailable as error:
--- a/honeywood/gateway/controller/register_publication.py
+++ b/honeywood/gateway/controller/register_publication.py
@@ -1,4 +1,4 @@
-"""Publishes values of the replicated register to all programs, once a majority of its disks holds them."""
+"""Publishes values of the replicated register to all programs once a majority of its disks holds them."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class RegisterPublication:
-    """The register's values on this controller's store."""
+    """Publishes the register's values in this controller's store."""
 
     def __init__(self, store: Store) -> None:
-        """Publish on `store`."""
+        """Publish in `store`."""
         self.store = store
 
     def publish(self, key: str, value: StoredValue | None) -> None:
-        """Publish the value under a key; None, where nothing is held, changes nothing."""
+        """Publish the value under a key; None, for a key without a value, changes nothing."""
         if value is None:
             return
         if key == RecordKind.CONFIGURATION:
@@ -31,12 +31,12 @@
             self.store.put(key, Stamp.of(value["n"]), value)
 
     def _publish_configuration(self, version: int, text: str) -> None:
-        """Publish a configuration, with hashes in place of its tenants' keys."""
+        """Publish a configuration with hashes in place of its tenants' keys."""
         if self.store.stamp(RecordKind.CONFIGURATION) != Stamp.of(version):
             self.store.put(RecordKind.CONFIGURATION, Stamp.of(version), pack_for_proxies(text))
 
     @property
     def configuration_version(self) -> int | None:
-        """The number of the configuration that is published, None before the first."""
+        """The version of the published configuration, None before the first one."""
         stamp = self.store.stamp(RecordKind.CONFIGURATION)
         return stamp[0] if stamp else None
--- a/honeywood/gateway/controller/status.py
+++ b/honeywood/gateway/controller/status.py
@@ -1,4 +1,4 @@
-"""What a controller reports of itself: the line `counts` of its log, and its metrics."""
+"""A controller's report on itself: the event `counts` in its log, and its metrics."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class ControllerStatus:
-    """Readings of one controller."""
+    """Reads the status of one controller."""
 
     def __init__(self, controller: Controller) -> None:
-        """Read from `controller`."""
+        """Report the status of `controller`."""
         self.controller = controller
 
     def _machines_by_state(self) -> Counter[str]:
@@ -27,32 +27,32 @@
         )
 
     async def log_counts(self) -> None:
-        """Log sums since the start, and present values."""
-        one = self.controller
-        one.log.info(
+        """Log the totals since the start, and the current values."""
+        controller = self.controller
+        controller.log.info(
             "counts",
             machines=dict(self._machines_by_state()),
-            fronts=len(one.fleet.proxies),
-            told=dict(one.publisher.sent_bytes),
-            called=dict(one.caller.bytes_by_path),
-            joined=one.in_quorum,
-            sound=one.register.membership.intact,
-            disk=one.membership.disk.value,
-            epoch=one.register.membership.epoch,
-            counts=one.register.membership.is_voter,
-            refused=one.app.refused.total(),
-            **one.app.refused,
+            fronts=len(controller.fleet.proxies),
+            told=dict(controller.publisher.sent_bytes),
+            called=dict(controller.caller.bytes_by_path),
+            joined=controller.in_quorum,
+            sound=controller.register.membership.intact,
+            disk=controller.membership.disk.value,
+            epoch=controller.register.membership.epoch,
+            counts=controller.register.membership.is_voter,
+            refused=controller.app.refused.total(),
+            **controller.app.refused,
         )
 
     def metrics(self) -> Metrics:
-        """Return a reading of the metrics."""
-        one = self.controller
+        """Return the current metrics."""
+        controller = self.controller
         gauges = {
-            "in_quorum": one.in_quorum,
-            "register_synced": one.register.membership.intact,
-            "epoch": one.register.membership.epoch,
-            "config_version": one.publication.configuration_version or 0,
-            "proxies": len(one.fleet.proxies),
+            "in_quorum": controller.in_quorum,
+            "register_synced": controller.register.membership.intact,
+            "epoch": controller.register.membership.epoch,
+            "config_version": controller.publication.configuration_version or 0,
+            "proxies": len(controller.fleet.proxies),
         }
         gauges |= {f"machines_{state}": count for state, count in self._machines_by_state().items()}
-        return Metrics(one.app.refused, gauges)
+        return Metrics(controller.app.refused, gauges)
