--- a/tests/gateway/controller/test_app.py
+++ b/tests/gateway/controller/test_app.py
@@ -1,4 +1,4 @@
-"""Calls that can't be used, at controllers that run: they are refused, and nothing of them takes effect."""
+"""Invalid calls to running controllers are refused and change nothing."""
 
 from timeline import World, config
 from ward import test
@@ -7,13 +7,13 @@
 
 
 def with_unknown_service():
-    """A configuration whose route names a service that it doesn't have."""
-    sent = config(7)
-    sent["res"][0]["spec"]["svc"] = "nowhere"
-    return sent
+    """Return a configuration with a route to a service that it doesn't contain."""
+    body = config(7)
+    body["res"][0]["spec"]["svc"] = "nowhere"
+    return body
 
 
-@test("no bad call of an operator or machine is acknowledged, and nothing of it holds")
+@test("an invalid call of an operator or machine is refused and changes nothing")
 def _():
     world = World()
     try:
@@ -35,9 +35,9 @@
         ]
         tasks = [world.loop.create_task(world.ask("a", call, of, body)) for call, of, body in calls]
         world.run(2.5)
-        found = [task.result() for task in tasks]
-        assert all(400 <= status < 500 for status, _ in found), f"{found}"
-        assert all(told.operation and told.reason for _, told in found), f"{found}"
+        answers = [task.result() for task in tasks]
+        assert all(400 <= status < 500 for status, _ in answers), f"{answers}"
+        assert all(error.operation and error.reason for _, error in answers), f"{answers}"
         assert world.version("b") is None and not world.nodes["b"].store.items_of(RecordKind.MACHINE)
     finally:
         world.close()
--- a/tests/gateway/controller/test_contacts.py
+++ b/tests/gateway/controller/test_contacts.py
@@ -1,4 +1,4 @@
-"""What shows that another controller is in contact, and who is in quorum by that."""
+"""What proves that another controller is in contact, and which controllers are in quorum as a result."""
 
 import asyncio
 
@@ -9,10 +9,10 @@
 from honeywood.gateway.register.replacement import DiskState
 
 
-@test("a request shows contact when the answer was sent whose stamp it repeats, a copy nothing")
+@test("a request proves contact at the time of the response whose stamp it echoes; a copy proves nothing")
 def _():
     contacts = Contacts("a", "a1", 0.0, 1, lambda: ["a", "b", "c"])
-    contacts.record_request("b", 1.0, None, 7, DiskState.WORKS)  # nothing of ours: it may be of any age
+    contacts.record_request("b", 1.0, None, 7, DiskState.WORKS)  # without a stamp it may be of any age
     assert contacts.peer_states()["b"].contact_at == 0.0 and not contacts.is_replicated(7)
     first, second = contacts.issue_stamp(2.0), contacts.issue_stamp(3.0)
     contacts.record_request("b", 3.1, second, 9, DiskState.WORKS)
@@ -24,12 +24,13 @@
     assert contacts.observers(5.9) == {"a", "b"} and contacts.observers(6.1) == {"a"}
 
 
-@test("of two sides of a cut one at most is in quorum, however many controllers there are besides members")
+@test("at most one side of a network partition is in quorum, even if some controllers are not members")
 def _():
-    # Any one other controller was enough: each side took the machines that beat at the other one for lost.
+    # Guards against counting any one other controller as a quorum: each side then marked machines as lost
+    # that sent their heartbeats to the other side.
     world = World("abcd", proxies="f")
 
-    async def beats():
+    async def send_heartbeats():
         for seq in range(9):
             for name in "bc":
                 body = {"svc": "s", "addr": f"10.0.0.{ord(name)}:1", "state": "ready", "seq": seq}
@@ -40,7 +41,7 @@
         for name in "abcdf":
             world.start(name)
         world.run(2.0)
-        world.loop.create_task(beats())
+        world.loop.create_task(send_heartbeats())
         world.run(4.0)
         for name in "ad":
             world.partition(name, "bc")
--- a/tests/gateway/controller/test_heartbeat.py
+++ b/tests/gateway/controller/test_heartbeat.py
@@ -1,4 +1,4 @@
-"""Bodies of heartbeats and ids of machines that can't be used."""
+"""Invalid heartbeat bodies and machine ids are refused."""
 
 from ward import each, test
 
@@ -7,21 +7,21 @@
 from honeywood.gateway.rpc.statuses import status_of
 
 
-@test("a beat with more slots than any machine has is refused")
+@test("a heartbeat with no slots, or more than any machine has, is refused")
 def _():
-    # Found by review: a whole number too large for a fraction ended each request's choice of a machine.
-    sent = {"svc": "s", "addr": "10.0.0.1:80", "seq": 1, "state": "ready"}
-    assert decode_heartbeat("i-1", {**sent, "slots": 6}, "").record.slots == 6
+    # Guards against integers too large for a float, with which every selection of a machine failed.
+    body = {"svc": "s", "addr": "10.0.0.1:80", "seq": 1, "state": "ready"}
+    assert decode_heartbeat("i-1", {**body, "slots": 6}, "").record.slots == 6
     for slots in (10**400, 0, 1 << 21):
         try:
-            decode_heartbeat("i-1", {**sent, "slots": slots}, "")
-        except InvalidInput as wrong:
-            assert "slots" in wrong.reason
+            decode_heartbeat("i-1", {**body, "slots": slots}, "")
+        except InvalidInput as error:
+            assert "slots" in error.reason
         else:
-            raise AssertionError(f"{slots} slots were taken")
+            raise AssertionError(f"{slots} slots were accepted")
 
 
-NO_ADDRESSES = (
+INVALID_ADDRESSES = (
     "localhost:80",
     "machine.example:80",
     "10.0.0:80",
@@ -39,24 +39,24 @@
 
 
 @test("a heartbeat from {addr!r} is refused with 400, and the error names key and peer")
-def _(addr=each(*NO_ADDRESSES)):
-    # Host names were taken: proxies would have waited for a resolver, or found nobody, request by request.
-    sent = {"svc": "s", "addr": addr, "seq": 1, "state": "ready"}
+def _(addr=each(*INVALID_ADDRESSES)):
+    # Guards against host names: proxies would wait for a resolver, or find no machine, at every request.
+    body = {"svc": "s", "addr": addr, "seq": 1, "state": "ready"}
     try:
-        decode_heartbeat("i-1", sent, "10.0.0.9")
-    except InvalidInput as wrong:
-        assert status_of(wrong) == 400 and "addr" in str(wrong) and wrong.peer == "10.0.0.9"
+        decode_heartbeat("i-1", body, "10.0.0.9")
+    except InvalidInput as error:
+        assert status_of(error) == 400 and "addr" in str(error) and error.peer == "10.0.0.9"
     else:
-        raise AssertionError("it was taken")
+        raise AssertionError("it was accepted")
 
 
-@test("ids that no row on disk can bear are refused: {id!r}")
+@test("machine ids that can't be keys of rows on disk are refused: {id!r}")
 def _(id=each("", "i\0left/00", "i" * 257, "é" * 129)):
-    # lmdb's keys hold 511 bytes: one longer id, and no note of any machine was kept on that disk any more.
+    # lmdb limits keys to 511 bytes: after one longer id, that disk stored no machine's row any more.
     for call in (lambda: decode_heartbeat(id, {}, "p"), lambda: check_machine_id("instances.leave", id, "p")):
         try:
             call()
-        except InvalidInput as wrong:
-            assert wrong.reason.startswith("of ") and wrong.peer == "p"
+        except InvalidInput as error:
+            assert error.reason.startswith("of ") and error.peer == "p"
         else:
-            raise AssertionError("it was taken")
+            raise AssertionError("it was accepted")
--- a/tests/gateway/controller/test_machine_row_writer.py
+++ b/tests/gateway/controller/test_machine_row_writer.py
@@ -1,4 +1,4 @@
-"""Rows of machines are written to disk together, one write at a time."""
+"""Changed rows of machines are written to disk in batches, one write at a time."""
 
 import asyncio
 
@@ -11,9 +11,9 @@
 ROW = HeartbeatRecord([1, 0], {"svc": "s", "ip": "m", "port": 1, "state": "ready"})
 
 
-@test("behind a disk that hangs one write of rows waits, with all that changed; one refused is tried again")
+@test("while a write hangs, one more waits with all rows that change; rows of a refused write are kept")
 def _():
-    async def play():
+    async def write_while_disk_hangs():
         gate, writes = asyncio.Event(), []
 
         async def write(changed):
@@ -34,4 +34,4 @@
         assert len(writes) == 2 and len(writes[1]) == 50
         assert isinstance(done[0], Unavailable) and done[-1] is None
 
-    asyncio.run(play())
+    asyncio.run(write_while_disk_hangs())
--- a/tests/gateway/controller/test_machine_table.py
+++ b/tests/gateway/controller/test_machine_table.py
@@ -1,11 +1,11 @@
-"""Machines' heartbeats and departures as controllers know them: late, after a restart, by a wrong clock."""
+"""Heartbeats and departures of machines that arrive late, after a restart, or with a wrong clock."""
 
 from timeline import World
 from ward import test
 
 
 def started_world():
-    """Return a world of three controllers and a proxy that know each other."""
+    """Return a running world of three controllers and a proxy that know each other."""
     world = World(proxies="f")
     for name in "abcf":
         world.start(name)
@@ -17,14 +17,14 @@
     world.loop.create_task(world.ask(name, "instances.leave", id))
 
 
-@test("a beat that was overtaken changes nothing, at whichever controller it comes")
+@test("a heartbeat older than the latest one changes nothing, whichever controller receives it")
 def _():
     world = started_world()
     try:
         for name, state in zip("abc", ("ready", "ready", "draining")):
             world.say(name, f"beat m {state}")
             world.run(world.loop.time() + 1.0)
-        world.beats["m"] = 0  # the first two come once more, late
+        world.beats["m"] = 0  # the first two sequence numbers arrive once more
         for name in "bc":
             world.say(name, "beat m ready")
             world.run(world.loop.time() + 1.0)
@@ -33,7 +33,7 @@
         world.close()
 
 
-@test("what a controller's disk says of a machine is older than what others know: it changes nothing")
+@test("a machine's row on a restarted controller's disk does not replace newer records of others")
 def _():
     world, seen = started_world(), []
     try:
@@ -53,7 +53,7 @@
         world.close()
 
 
-@test("a controller whose clock was set back tells and is told as before")
+@test("a controller whose clock was set back still sends and receives changes of machines")
 def _():
     world = started_world()
     try:
--- a/tests/gateway/controller/test_operator_calls.py
+++ b/tests/gateway/controller/test_operator_calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls: each answer rests on a majority at the time of the call, and an order has one outcome."""
+"""Operators' calls: each answer is based on a majority at call time, and an order has one outcome."""
 
 import json
 
@@ -17,12 +17,17 @@
 from honeywood.gateway.rpc.request_context import CONTEXT, RequestContext
 from honeywood.lab.emulator.boot import BOUNDS
 
-CONTENTS = {"x": 1, "y": 2, "z": 3}  # contents under one number, by their routes
+CONTENTS = {"x": 1, "y": 2, "z": 3}  # numbers of routes, by which contents with one version differ
 
 
 class OperatorWorld(World):
-    """Words for operators: `send 7x` a configuration, `order v2 14`, `read` it, `state` of the rollout; `says
-    WORD STATUS` looks at the answer to the last call of that word at the column's controller (0: none)."""
+    """A world whose charts have words for operators' calls and their answers.
+
+    `send 7x` sends version 7 of the configuration with content x, `order v2 14` orders a rollout, `read`
+    reads the configuration and `state` the rollout. `expect CALL STATUS ...` checks the answer to the latest
+    call of that name at the column's controller; status 0 means that there is no answer yet. `drop-inbound`
+    cuts the controller off in one direction.
+    """
 
     def __init__(self, *given, **more):
         super().__init__(*given, **more)
@@ -40,30 +45,32 @@
             self.call(name, "read", "config.read")
         elif word == "state":
             self.call(name, "state", "rollouts.read", "s")
-        elif word == "deaf":  # nothing reaches the controller, what it says does
+        elif word == "drop-inbound":  # the controller can send to the others but receives nothing
             self.partitions |= {(other, name) for other in self.controllers if other != name}
-        elif word == "says":
-            status, told = self.answers.get((name, more[0]), (None, None))
-            found = " ".join([str(status), *self.shown(told)][: len(more) - 1])
-            assert found == " ".join(more[1:]), f"{name} says {found} to {more[0]} at {self.loop.time():.2f}"
+        elif word == "expect":
+            status, answer = self.answers.get((name, more[0]), (None, None))
+            found = " ".join([str(status), *self.answer_words(answer)][: len(more) - 1])
+            assert found == " ".join(
+                more[1:]
+            ), f"{name} answered {found} to {more[0]} at {self.loop.time():.2f}"
         else:
             super().say(name, cell)
 
-    def shown(self, told):
-        """The words of an answer that are looked at."""
-        told = json.loads(told) if isinstance(told, bytes) else told
-        shown = told if isinstance(told, dict) else {}
-        return [str(shown[key]) for key in ("outcome", "state", "ver", "to_ver") if key in shown]
+    def answer_words(self, answer):
+        """Return the values of an answer that `expect` compares."""
+        answer = json.loads(answer) if isinstance(answer, bytes) else answer
+        fields = answer if isinstance(answer, dict) else {}
+        return [str(fields[key]) for key in ("outcome", "state", "ver", "to_ver") if key in fields]
 
-    def call(self, name, word, *given, **more):
-        async def asked():
-            self.answers[name, word] = await self.ask(name, *given, **more)
+    def call(self, name, label, *given, **more):
+        async def ask_and_store():
+            self.answers[name, label] = await self.ask(name, *given, **more)
 
-        self.answers[name, word] = 0, None
-        self.loop.create_task(asked())
+        self.answers[name, label] = 0, None
+        self.loop.create_task(ask_and_store())
 
 
-def played(chart, **more):
+def play_and_close(chart, **more):
     world = OperatorWorld(**more)
     try:
         return world.play(chart)
@@ -72,52 +79,52 @@
 
 
 CUT_OFF = """
-  at   | a              | b     | c
-  0    | start          | start | start
-  1    | send 5x        |       |
-  1.5  | order v2 14    |       |
-  2    | says v2 200, cut bc |  |
-  2.1  | {call}         |       |
-  3.2  | says {word} 503|       |
-  20   | {call}         |       |
-  21   | says {word} 503|       |
-  21.1 | join           |       |
-  24   | {call}         |       |
-  25   | says {word} {joined} | |
+  at   | a                      | b     | c
+  0    | start                  | start | start
+  1    | send 5x
+  1.5  | order v2 14
+  2    | expect v2 200, cut bc
+  2.1  | {call}
+  3.2  | expect {word} 503
+  20   | {call}
+  21   | expect {word} 503
+  21.1 | join
+  24   | {call}
+  25   | expect {word} {joined}
 """
 
 
-@test("cut off, a controller answers {call} by 503 from the first moment on, and {joined} when joined")
+@test("a controller that is cut off answers {call} with 503 at once, and with {joined} after it has rejoined")
 def _(
     call=each("state", "read", "send 5x", "send 4x", "send 5y", "order v2 14", "order v3 9"),
     word=each("state", "read", "5x", "4x", "5y", "v2", "v3"),
     joined=each(200, 200, 200, 200, 412, 200, 200),
 ):
-    # `rollouts.read` and orders with a number not above the held one were answered 200 from its own store,
-    # twenty seconds after the cut, whatever the others had come to hold.
-    played(CUT_OFF.format(call=call, word=word, joined=joined))
+    # Guards against outdated answers: 20 s after the cut, `rollouts.read` and orders with a version not above
+    # the stored one were answered 200 from the local store, whatever the other controllers held by then.
+    play_and_close(CUT_OFF.format(call=call, word=word, joined=joined))
 
 
-@test("cut off in one direction alone, {way}, a controller answers by 503; the others go on")
-def _(way=each("deaf", "mute bc")):
-    played(
+@test("a controller that is cut off in one direction ({way}) answers with 503; the others keep working")
+def _(way=each("drop-inbound", "mute bc")):
+    play_and_close(
         """
-      at   | a              | b       | c
-      0    | start          | start   | start
-      1    | send 5x        |         |
-      1.5  | order v2 14    |         |
-      2    | WAY            |         |
-      2.1  | send 5x, state, order v3 14 | send 6x | state
-      4    | send 4x, read  |         |
-      5.5  | says 5x 503, says state 503, says v3 503 | says 6x 200 | says state 200 active v2
-      5.6  | says 4x 503, says read 503 |  |
+      at  | a             | b             | c
+      0   | start         | start         | start
+      1   | send 5x
+      1.5 | order v2 14
+      2   | WAY
+      2.1 | send 5x, state, order v3 14 | send 6x       | state
+      4   | send 4x, read
+      5.5 | expect 5x 503, expect state 503, expect v3 503 | expect 6x 200 | expect state 200 active v2
+      5.6 | expect 4x 503, expect read 503
     """.replace("WAY", way)
     )
 
 
-@test("a service brought in by a version that this controller has not heard of is known all the same")
+@test("a rollout order is accepted for a service that only a version unknown to this controller contains")
 def _():
-    # 400 ends an operator's call for good; it was told from this controller's store alone.
+    # Guards against refusing an order by the local store alone: a 400 is final for the operator.
     world = OperatorWorld()
     try:
         world.play("""
@@ -135,7 +142,7 @@
         order = {"svc": "t", "to_ver": "v2", "over_s": 9.0}
         world.call("a", "known", "rollouts.start", body=order)
         world.call("a", "unknown", "rollouts.start", body={**order, "svc": "nobody"})
-        assert world.version("a") == 5  # it has not heard yet
+        assert world.version("a") == 5  # it has not received version 6 yet
         world.run(3.5)
         assert world.answers["b", "6"][0] == world.answers["a", "known"][0] == 200
         assert world.answers["a", "unknown"][0] == 400
@@ -143,7 +150,7 @@
         world.close()
 
 
-@test("restarted while cut off, a controller refuses nothing for good and confirms nothing")
+@test("a controller restarted while cut off neither refuses a call with a final status nor confirms one")
 def _():
     world = OperatorWorld()
     try:
@@ -155,39 +162,40 @@
         """)
         world.fresh = False
         world.play("""
-          at  | a                                        | b
-          3   | start                                    | says 6x 200
-          3.1 | send 5x, read, state, order v2 9         |
-          4.5 | says 5x 503, says read 503, says state 503, says v2 503 |
-          5   | join                                     |
-          8   | read, send 5x, state                     |
-          9   | says read 200 00000006, says 5x 200 overtaken, says state 404 |
+          at  | a                    | b
+          3   | start                | expect 6x 200
+          3.1 | send 5x, read, state, order v2 9
+          4.5 | expect 5x 503, expect read 503, expect state 503, expect v2 503
+          5   | join
+          8   | read, send 5x, state
+          9   | expect read 200 00000006, expect 5x 200 overtaken, expect state 404
         """)
     finally:
         world.close()
 
 
-@test("two contents under one number: the one that holds is confirmed, the other refused at every controller")
+@test("of two contents with one version, the stored one is confirmed and every controller refuses the other")
 def _():
-    # A's change ended in doubt, B's won, A's operator sent again and was confirmed by B's.
-    played("""
-      at   | a             | b             | c
-      0    | start         | start         | start
-      1    | send 5x       |               |
-      2    | cut bc, send 7x |             |
-      2.1  |               | send 7y       |
-      3.5  | says 7x 503   | says 7y 200 taken |
-      3.6  | send 7x       | send 7x       | send 7x
-      4.5  | says 7x 503   | says 7x 412   | says 7x 412
-      5    | join          | send 9z       |
-      7    | send 7x       | send 7y       | read
-      8    | says 7x 412   | says 7y 200 overtaken | says read 200 00000009
+    # Guards against confirming the wrong content: a's change ended without a clear outcome, b's was stored,
+    # and when a's operator repeated the call, it was confirmed because b's content had that version.
+    play_and_close("""
+      at  | a               | b                   | c
+      0   | start           | start               | start
+      1   | send 5x
+      2   | cut bc, send 7x
+      2.1 |                 | send 7y
+      3.5 | expect 7x 503   | expect 7y 200 taken
+      3.6 | send 7x         | send 7x             | send 7x
+      4.5 | expect 7x 503   | expect 7x 412       | expect 7x 412
+      5   | join            | send 9z
+      7   | send 7x         | send 7y             | read
+      8   | expect 7x 412   | expect 7y 200 overtaken | expect read 200 00000009
     """)
 
 
-@test("cut between prepare and accept, {share} of it done: no clear answer, and one content in the end")
+@test("a cut after {share} messages of a change: no clear answer, and one content in the end")
 def _(share=each(0.3, 1.3, 2.3, 3.3)):
-    # The delay is 50 to 100 ms a way, so that the cut falls into the round after `share` of its ways.
+    # A message takes 50 to 100 ms, so the cut comes after about `share` one-way messages of the change.
     world = OperatorWorld()
     try:
         world.play("""
@@ -207,18 +215,18 @@
         world.say("b", "send 7y")
         world.run(6.0)
         first = world.answers["a", "7x"][0]
-        told = world.answers["c", "7x"][0], world.answers["b", "7y"][0]
-        assert told in ((200, 412), (412, 200)) and first in (0, 503, told[0]) and first != 412, (first, told)
+        last = world.answers["c", "7x"][0], world.answers["b", "7y"][0]
+        assert last in ((200, 412), (412, 200)) and first in (0, 503, last[0]) and first != 412, (first, last)
         world.heal()
         world.run(9.0)
         world.say("a", "send 7x")
         world.run(10.0)
-        assert world.answers["a", "7x"][0] == told[0]
+        assert world.answers["a", "7x"][0] == last[0]
     finally:
         world.close()
 
 
-@test("one order eight at once at all controllers, answers lost: acknowledged or no clear answer, never 4xx")
+@test("an order sent eight times at once while messages are lost gets 200, 503 or no answer, never 4xx")
 def _(order=each("send 7x", "order v2 14"), word=each("7x", "v2")):
     for seed in range(6):
         world = OperatorWorld(seed=seed)
@@ -240,15 +248,15 @@
             world.say("b", order)
             world.run(world.loop.time() + 1.0)
             assert set(statuses) <= {0, 200, 503} and world.answers["b", word][0] == 200, statuses
-            if word == "v2":  # never twice in force: one start, and no stage since
+            if word == "v2":  # started only once, and no stage has followed
                 assert world.nodes["a"].store.get("rollout/s")["n"] == 1
         finally:
             world.close()
 
 
-@test("an order that lay unread while its controller stood still begins nothing; the next one is taken")
+@test("an order that waited unread while its controller was stalled starts no rollout; the next one does")
 def _():
-    # Its operator had gone on: what a thawed controller finds in its sockets may be twenty seconds old.
+    # The operator has given up by then: messages in the sockets of a resumed controller may be 20 s old.
     world = OperatorWorld()
     try:
         world.play("""
@@ -258,7 +266,7 @@
         """)
         world.run(2.0)
         world.say("a", "order v2 14")
-        world.loop.now += 20.0  # all stand still, with the order in a's socket
+        world.loop.now += 20.0  # all programs are stalled while the order waits in a's socket
         world.run(22.5)
         assert world.answers["a", "v2"][0] == 503 and not world.nodes["b"].store.get("rollout/s")
         world.run(24.0)
@@ -270,20 +278,20 @@
 
 
 class OperatorCall:
-    """A call of an operator at a controller's door; its caller leaves after `stays_s` seconds."""
+    """An operator's call at a controller's ASGI application; the caller disconnects after `connected_s`."""
 
-    def __init__(self, world, name, to_ver, over_s, stays_s):
+    def __init__(self, world, name, to_ver, over_s, connected_s):
         self.body = json.dumps({"svc": "s", "to_ver": to_ver, "over_s": over_s}).encode()
-        self.world, self.leaves_at, self.status = world, world.loop.time() + stays_s, None
+        self.world, self.disconnects_at, self.status = world, world.loop.time() + connected_s, None
         scope = {"client": ("op", 1), "server": ("a", 82), "method": "POST", "path": "/v1/rpc"}
-        # What the server hands over, by its own type: a key that only tests knew let every order of the real
-        # controllers end in 500.
+        # The context has the server's type. With a key that only tests used, the tests passed while real
+        # controllers answered every order with 500.
         context = RequestContext(b"/v1/rpc?call=rollouts.start", ClientDisconnect(self.left))
         scope |= {"query_string": b"call=rollouts.start", CONTEXT: context}
         world.loop.create_task(world.nodes[name].app(scope, self.receive, self.send))
 
     def left(self):
-        return self.world.loop.time() >= self.leaves_at
+        return self.world.loop.time() >= self.disconnects_at
 
     async def receive(self):
         return {"type": "http.request", "body": self.body, "more_body": False}
@@ -292,59 +300,63 @@
         self.status = message.get("status", self.status)
 
 
-def was_reverted(world, name, to_ver):
-    """Sends the rollout that is under way back."""
-    key, held = "rollout/s", world.nodes[name].store.get("rollout/s")
+def revert_rollout(world, name, to_ver):
+    """Revert the active rollout."""
+    key, stored = "rollout/s", world.nodes[name].store.get("rollout/s")
 
-    def step(value):
+    def update(value):
         return transitions.update_stored(
-            value, lambda now: transitions.advance(now, to_ver, held["n"], state=RolloutState.REVERTED)
+            value,
+            lambda current: transitions.advance(current, to_ver, stored["n"], state=RolloutState.REVERTED),
         )
 
-    world.loop.create_task(world.nodes[name].register.change(key, step))
+    world.loop.create_task(world.nodes[name].register.change(key, update))
 
 
-@test("a copy of an order that comes {late_s} s late, its caller gone {when}, begins nothing")
+@test("a copy of an order that arrives {late_s} s late and whose caller left {when} starts no rollout")
 def _(
     late_s=each(1.0, 9.0, 9.0, 30.0),
-    stays_s=each(0.0, 0.0, 0.1, 0.0),
+    connected_s=each(0.0, 0.0, 0.1, 0.0),
     when=each("before", "before", "right after it", "before"),
 ):
-    # Held up in a cut for longer than `ack_s` + 1 s, a copy began a version anew that had been sent back.
+    # Guards against restarting a reverted version by a copy that was delayed for longer than `ack_s` + 1 s.
     world = OperatorWorld()
     try:
         world.play("""
-          at   | a           | b     | c
-          0    | start       | start | start
-          1    | send 5x     |       |
-          2    | order v2 14 |       |
-          3    | says v2 200 active v2 |  |
+          at | a           | b     | c
+          0  | start       | start | start
+          1  | send 5x
+          2  | order v2 14
+          3  | expect v2 200 active v2
         """)
-        was_reverted(world, "a", "v2")
+        revert_rollout(world, "a", "v2")
         world.run(3.0 + late_s)
-        copies = [OperatorCall(world, name, "v2", 14.0, stays_s) for name in "ab"]
+        copies = [OperatorCall(world, name, "v2", 14.0, connected_s) for name in "ab"]
         world.run(world.loop.time() + 2.0)
-        held = world.nodes["c"].store.get("rollout/s")
-        assert [copy.status for copy in copies] == [503, 503] and held["n"] == 2, held
-        again = OperatorCall(world, "b", "v2", 14.0, 1.0)
+        stored = world.nodes["c"].store.get("rollout/s")
+        assert [copy.status for copy in copies] == [503, 503] and stored["n"] == 2, stored
+        repeated = OperatorCall(world, "b", "v2", 14.0, 1.0)
         world.run(world.loop.time() + 2.0)
-        begun = late_s > world.bounds["ack_s"] + 1.0
-        held = world.nodes["c"].store.get("rollout/s")
-        assert again.status == 200 and (held["n"], held["state"] == RolloutState.ACTIVE) == (2 + begun, begun)
+        restarted = late_s > world.bounds["ack_s"] + 1.0
+        stored = world.nodes["c"].store.get("rollout/s")
+        assert repeated.status == 200 and (stored["n"], stored["state"] == RolloutState.ACTIVE) == (
+            2 + restarted,
+            restarted,
+        )
     finally:
         world.close()
 
 
 def send_heartbeat(world, name, id, ver):
-    """A machine of a version beats at one controller."""
+    """Send a heartbeat of a machine with version `ver` to one controller."""
     body = {"svc": "s", "addr": "10.0.0.1:1", "zone": "z", "ver": ver, "slots": 4}
     world.call(name, id, "instances.heartbeat", id, {**body, "state": "ready", "cold_left_s": 0, "seq": 1})
 
 
-@test("an order for the version that alone is in service is done at once; another version's is a trial")
+@test("an order for the only version in service is done at once; one for another version starts a trial")
 def _():
-    # It went on trial: the service's only machines were then given a tenth of its requests, the rest had
-    # nowhere to go.
+    # Guards against a trial of the only version: the service's only machines then got a tenth of its
+    # requests, and no machine was left for the rest.
     world = OperatorWorld(proxies="f")
     try:
         world.play("""
@@ -355,11 +367,11 @@
         send_heartbeat(world, "a", "m", "v1")
         world.run(2.0)
         world.play("""
-          at   | a           | b
-          2    | order v1 14 |
-          2.8  | says v1 200 done v1 | order v1 14
-          3.5  |             | says v1 200 done v1, order v2 14
-          4.5  |             | says v2 200 active v2
+          at  | a                     | b
+          2   | order v1 14
+          2.8 | expect v1 200 done v1 | order v1 14
+          3.5 |                       | expect v1 200 done v1, order v2 14
+          4.5 |                       | expect v2 200 active v2
         """)
         stage = world.nodes["f"].stage
         assert [stage.version_status("s", ver) for ver in ("v1", "v2")] == ["established", "trial"]
@@ -367,13 +379,14 @@
         world.close()
 
 
-@test("alone in service is what a majority says now: with {what} the order is answered {status} {state}")
+@test("only a majority decides that no other version is in service: with {what}, answer {status} {state}")
 def _(
-    what=each("a version known to others alone", "too few others to ask", "no machines"),
+    what=each("a version that only others know", "too few reachable controllers", "no machines"),
     status=each(200, 503, 200),
     state=each("active", "", "active"),
 ):
-    # An operator stops all other machines at `done`: one controller's old view must not say so.
+    # The operator stops all other machines after `done`, so one controller's outdated view must not decide
+    # on it.
     world = OperatorWorld()
     try:
         world.play("""
@@ -385,22 +398,22 @@
             send_heartbeat(world, "a", "m", "v1")
         world.run(3.0)
         world.partition("a", "bc")
-        if what == "a version known to others alone":
+        if what == "a version that only others know":
             send_heartbeat(world, "b", "n", "v2")
             world.run(5.0)
-        if what != "too few others to ask":
+        if what != "too few reachable controllers":
             world.heal()
         known = {value["ver"] for _, value in world.nodes["a"].store.items_of(RecordKind.MACHINE)}
         assert known == (set() if what == "no machines" else {"v1"})
         world.say("a", "order v1 14")
         world.run(world.loop.time() + 1.0)
-        told = world.answers["a", "v1"]
-        assert told[0] == status and (status != 200 or told[1]["state"] == state), told
+        answer = world.answers["a", "v1"]
+        assert answer[0] == status and (status != 200 or answer[1]["state"] == state), answer
     finally:
         world.close()
 
 
-@test("an order whose rounds take longer than its operator waits begins nothing")
+@test("an order whose register rounds take longer than its operator waits starts no rollout")
 def _():
     for seed in range(4):
         world = OperatorWorld(seed=seed)
@@ -411,7 +424,7 @@
               1   | send 5x |       |
             """)
             world.run(2.0)
-            world.latency_s = 0.25  # 0.25 to 0.5 s a way: read and prepare take a second or more
+            world.latency_s = 0.25  # 0.25 to 0.5 s per message: read and prepare take at least a second
             world.loop.create_task(world.nodes["a"].rollout_orders.start(RolloutOrder("s", "v2", 14.0), "op"))
             world.run(5.0)
             world.latency_s = 0.001
@@ -421,28 +434,28 @@
             world.close()
 
 
-@test("frozen for 20 s with calls in its sockets, a controller begins nothing and tells nothing old")
+@test("a controller frozen for 20 s with calls in its sockets starts no rollout and returns no old data")
 def _():
-    played("""
-      at   | a                          | b            | c
-      0    | start                      | start        | start
-      1    | send 5x                    |              |
-      2    | freeze                     |              |
-      2.1  | state, read, order v2 14, send 5x |       |
-      3    |                            | send 6x, order v3 14 |
-      4.5  | says state 0, says read 0, says v2 0, says 5x 0 | says 6x 200, says v3 200 active v3 |
-      22   | thaw                       |              |
-      22.1 | order v2 14, read, state   |              |
-      23.2 | says v2 503, says read 200 00000006, says state 200 active v3 | state |
-      24   | order v4 9                 | says state 200 active v3 |
-      25   | says v4 200 active v4      | state        |
-      25.5 |                            | says state 200 active v4 |
+    play_and_close("""
+      at   | a          | b                    | c
+      0    | start      | start                | start
+      1    | send 5x
+      2    | freeze
+      2.1  | state, read, order v2 14, send 5x
+      3    |            | send 6x, order v3 14
+      4.5  | expect state 0, expect read 0, expect v2 0, expect 5x 0 | expect 6x 200, expect v3 200 active v3
+      22   | thaw
+      22.1 | order v2 14, read, state
+      23.2 | expect v2 503, expect read 200 00000006, expect state 200 active v3 | state
+      24   | order v4 9 | expect state 200 active v3
+      25   | expect v4 200 active v4 | state
+      25.5 |            | expect state 200 active v4
     """)
 
 
-@test("thirty times as slow, a controller answers by what holds now, by 503, or not in time")
+@test("a controller slowed thirtyfold answers with current data, with 503, or too late")
 def _():
-    world, told = OperatorWorld(), []
+    world, statuses = OperatorWorld(), []
     try:
         world.play("""
           at   | a                      | b     | c
@@ -460,42 +473,42 @@
             world.run(5.0 + 3 * turn)
             for word, newest in (("read", f"{6 + turn:08x}"), ("state", f"v{2 + turn}")):
                 status, found = world.answers["a", word]
-                told.append(status)
+                statuses.append(status)
                 assert status in (0, 503) or status == 200 and newest in str(found), (turn, status, found)
-        assert 200 in told  # it is slow, not cut off
+        assert 200 in statuses  # it is slow, not cut off
     finally:
         world.close()
 
 
-@test("an answer left unread shows no contact: thawed, neither controller nor front takes itself for joined")
+@test("a response read after a stall proves no contact: controller and proxy don't count as connected")
 def _():
-    # What was asked before a freeze of twenty seconds was answered then; read now, it made a lease of 1.6 s.
+    # Guards against 1.6 s of contact, counted from the reading, by a response from before a stall of 20 s.
     world = OperatorWorld(proxies="f")
     try:
         for name in "abcf":
             world.start(name)
         world.run(2.0)
-        controller, front = world.nodes["a"], world.nodes["f"]
-        for task in front.periodic_tasks.tasks:
+        controller, proxy = world.nodes["a"], world.nodes["f"]
+        for task in proxy.periodic_tasks.tasks:
             task.cancel()
 
-        async def old(ip, port, hold):
-            world.loop.now += 20.0  # all stand still while the answer lies there
+        async def stalled_poll(ip, port, hold):
+            world.loop.now += 20.0  # all programs are stalled while the response waits unread
             return PollResponse("", 0, in_quorum=True)
 
-        controller.peers.subscriber.poll = front.poller.subscriber.poll = old
+        controller.peers.subscriber.poll = proxy.poller.subscriber.poll = stalled_poll
         world.loop.run_until_complete(controller.peers.poll("b"))
         assert not controller.in_quorum
         now = world.loop.now
-        world.loop.run_until_complete(front.poller.poll_once())
-        assert front.stage.controller_contact_at == now
+        world.loop.run_until_complete(proxy.poller.poll_once())
+        assert proxy.stage.controller_contact_at == now
     finally:
         world.close()
 
 
-@test("a front started beside a cut-off controller serves its configuration and is ready after contact_s")
+@test("a proxy started next to a cut-off controller uses its configuration and is ready after contact_s")
 def _():
-    # It took the old configuration of a controller cut off from the others and called itself ready by it.
+    # Guards against being ready at once with the old configuration of a controller that is cut off.
     world = OperatorWorld(proxies="fg", bounds={**BOUNDS, "contact_s": 3.0})
     try:
         for name in "abcf":
@@ -505,7 +518,7 @@
         world.run(2.0)
         world.say("a", "beat m ready")
         world.run(3.0)
-        assert world.nodes["f"].ready  # with a majority: as soon as it has heard
+        assert world.nodes["f"].ready  # in contact with a majority: ready with the first response
         world.partition("a", "bc")
         world.partition("g", "bc")
         world.say("b", "send 6x")
@@ -523,22 +536,22 @@
 
 
 async def read_local_store(self, operation, key, peer):
-    """The mutation: reads from this controller's own store."""
+    """Replace RegisterAccess.read by a read of this controller's own store."""
     value = self.publication.store.get(key)
     if key != "config" or value is None:
         return value
-    mark = content_digest(unpack(value))
-    return {"ver": self.publication.store.stamp(key)[0], "text": value, "digest": mark, "past": []}
+    digest = content_digest(unpack(value))
+    return {"ver": self.publication.store.stamp(key)[0], "text": value, "digest": digest, "past": []}
 
 
-@test("without the read of a majority {call} is answered from what a cut-off controller last heard")
+@test("without the majority read, a cut-off controller answers {call} from its outdated store")
 def _(call=each("state", "read", "send 5x"), word=each("state", "read", "5x")):
-    guarded, RegisterAccess.read = RegisterAccess.read, read_local_store
+    original_read, RegisterAccess.read = RegisterAccess.read, read_local_store
     try:
-        played(CUT_OFF.format(call=call, word=word, joined=200))
-    except AssertionError as wrong:
-        assert f"says 200 to {word}" in str(wrong)
+        play_and_close(CUT_OFF.format(call=call, word=word, joined=200))
+    except AssertionError as error:
+        assert f"answered 200 to {word}" in str(error)
     else:
-        raise AssertionError("nothing seen")
+        raise AssertionError("the outdated answers were not detected")
     finally:
-        RegisterAccess.read = guarded
+        RegisterAccess.read = original_read
--- a/tests/gateway/controller/test_stall_detector.py
+++ b/tests/gateway/controller/test_stall_detector.py
@@ -1,4 +1,4 @@
-"""A stall is seen by the time between two ticks, and remembered for a while."""
+"""A stall is detected by the time between two ticks and reported until RECOVERY_S after its end."""
 
 import asyncio
 
@@ -8,16 +8,16 @@
 from honeywood.lab.emulator.silent_log import SilentLog
 
 
-@test("a gap between ticks is a stall, before its end is noticed and for a while after")
+@test("a gap between ticks counts as a stall, before the next tick and for a while after it")
 def _():
     now = [10.0]
-    stalls = StallDetector(lambda: now[0], SilentLog())
-    assert not stalls.resumed_recently
+    detector = StallDetector(lambda: now[0], SilentLog())
+    assert not detector.resumed_recently
     now[0] += STALL_THRESHOLD_S + 0.1
-    assert stalls.resumed_recently
-    asyncio.run(stalls.tick())
-    assert stalls.resumed_recently
+    assert detector.resumed_recently
+    asyncio.run(detector.tick())
+    assert detector.resumed_recently
     for _ in range(11):
         now[0] += RECOVERY_S / 10
-        asyncio.run(stalls.tick())
-    assert not stalls.resumed_recently
+        asyncio.run(detector.tick())
+    assert not detector.resumed_recently
