--- a/tests/gateway/test_pinned_controller.py
+++ b/tests/gateway/test_pinned_controller.py
@@ -1,10 +1,11 @@
-"""What a controller answers, stores and publishes, byte for byte, as recorded with the program of ae67546.
+"""Compares what a controller answers, stores and publishes, byte for byte, with recordings.
 
-recorded/controller_calls.json holds scenes: steps, each a call with the answer that it got (status, headers
-and body), and the state of the controller after the last one: the rows of its disk, and the records of its
-store as it publishes them. recorded/controller_disk.json holds the files of a controller's data folder.
+The recordings were made with the program at commit ae67546. recorded/controller_calls.json holds scenes. Each
+consists of steps (a call and the status, headers and body of its answer) and of the controller's state after
+the last step: the rows on its disk and the records in its store, as published.
+recorded/controller_disk.json holds the files of a controller's data folder.
 
-Where the program renames something, the accessors below follow; the recorded files never change.
+When names of the program change, the accessors below are adapted; the recorded files never change.
 """
 
 import json
@@ -22,7 +23,7 @@
 from honeywood.lab.emulator.world import World
 
 RECORDED = Path(__file__).parent / "recorded"
-ANSWERED_WITHIN_S = 0.3  # seconds that a step takes, unless it says otherwise
+ANSWERED_WITHIN_S = 0.3  # seconds per step, unless the step specifies another time
 OPERATORS_PORT, METRICS_PORT = 82, 9464
 SCENES = (
     "instances",
@@ -39,40 +40,40 @@
 )
 
 
-# Accessors: the only places that know the program's names.
+# Accessors: only these depend on names in the program.
 def application(world, name):
-    """The ASGI application of a controller."""
+    """Return the ASGI application of a controller."""
     return world.nodes[name].app
 
 
 def open_metrics_port(world, name):
-    """Has a controller answer at its metrics address."""
+    """Make a controller answer at its metrics address."""
     world.nodes[name].metrics_endpoint.port = METRICS_PORT
 
 
 def refuse_writes(world, name):
-    """Has a controller's disk refuse all writes."""
+    """Make a controller's disk refuse all writes."""
     world.set_disk_fault(name, REFUSING_DISK)
 
 
 def published_records(world, name):
-    """The records of a controller's store as they stand in an answer to /news: [key, stamp, value]."""
+    """Return the records of a controller's store in the form of a response to /news: [key, stamp, value]."""
     records = world.nodes[name].publisher.store.records
     return [[key, records[key].stamp, records[key].value] for key in sorted(records)]
 
 
 def disk_rows(world, name):
-    """The rows of a controller's disk by key, as they are written."""
+    """Return the rows on a controller's disk by key, in the written form."""
     return dict(sorted(world.disks.get(name, {}).items()))
 
 
 def request_context(target, left):
-    """What the server hands over beside an ASGI scope."""
+    """Return the context that the server adds to an ASGI scope."""
     return RequestContext(target, ClientDisconnect(lambda: left))
 
 
 class DiskWorld(World):
-    """A world whose controllers have real folders below `folder`."""
+    """A world whose controllers store their rows in real folders below `folder`."""
 
     def __init__(self, folder, *given, **more):
         super().__init__(*given, **more)
@@ -82,9 +83,9 @@
         return RowStore(f"{self.folder}/{folder}")
 
 
-# Playing what was recorded.
+# Replay of the recordings.
 class Exchange:
-    """One call at a controller's application, and the answer as it leaves."""
+    """One call to a controller's application, and the answer that it sends."""
 
     def __init__(self, world, name, step):
         self.messages, self.step = [], step
@@ -111,19 +112,19 @@
         self.messages.append(message)
 
     def answer(self):
-        """The answer's bytes; None while there is none."""
+        """Return the answer in the recorded form; None if there is none yet."""
         if not self.messages:
             return None
         start, *bodies = self.messages
         return {
             "status": start["status"],
             "headers": [[key.decode(), value.decode()] for key, value in start["headers"]],
-            "body": b"".join(one["body"] for one in bodies).decode(),
+            "body": b"".join(message["body"] for message in bodies).decode(),
         }
 
 
 def play(world, scene):
-    """The answers of a scene's steps, in their order."""
+    """Run a scene's steps in a world; return their answers in order."""
     for name in world.controllers:
         world.start(name)
     world.run(scene["begins_s"])
@@ -143,28 +144,28 @@
 
 
 def recorded(name):
-    """A recorded file's content."""
+    """Return the content of a recorded file."""
     return json.loads((RECORDED / name).read_text())
 
 
-def as_text(value):
-    """JSON as a controller writes it."""
+def compact_json(value):
+    """Return a value as JSON in the controller's format."""
     return json.dumps(value, separators=(",", ":"))
 
 
-def world_of(scene):
-    """The world in which a scene was recorded."""
+def make_world(scene):
+    """Return a world set up as the one in which a scene was recorded."""
     world = World(scene["controllers"], tolerated_failures=scene["tolerated"])
     world.fresh = scene["fresh"]
     return world
 
 
-def seen(scene):
-    """The answers of a scene, and what its first controller stores and publishes at the end."""
-    world = world_of(scene)
+def play_in_new_world(scene):
+    """Play a scene; return its answers and the final published records and rows of controller a."""
+    world = make_world(scene)
     try:
         answers = play(world, scene)
-        return answers, as_text(published_records(world, "a")), as_text(disk_rows(world, "a"))
+        return answers, compact_json(published_records(world, "a")), compact_json(disk_rows(world, "a"))
     finally:
         world.close()
 
@@ -172,7 +173,7 @@
 @test("a controller answers as recorded, and stores and publishes the recorded bytes: {name}")
 def _(name=each(*SCENES)):
     scene = recorded("controller_calls.json")[name]
-    answers, records, rows = seen(scene)
+    answers, records, rows = play_in_new_world(scene)
     calls = [step for step in scene["steps"] if "target" in step]
     assert len(answers) == len(calls)
     for step, answer in zip(calls, answers):
@@ -181,7 +182,7 @@
     assert rows == scene["rows"]
 
 
-@test("a controller that starts from a recorded data folder answers as the one that wrote it")
+@test("a controller that starts with a recorded data folder answers like the controller that wrote it")
 def _():
     scene = recorded("controller_disk.json")
     with tempfile.TemporaryDirectory() as folder:
@@ -193,7 +194,7 @@
         world.fresh = scene["fresh"]
         try:
             answers = play(world, scene)
-            records = as_text(published_records(world, "a"))
+            records = compact_json(published_records(world, "a"))
         finally:
             world.close()
     for step, answer in zip(scene["steps"], answers):
