--- a/honeywood/gateway/controller/machine_table.py
+++ b/honeywood/gateway/controller/machine_table.py
@@ -52,7 +52,7 @@
 
     def record_heartbeat(self, now: float, machine_id: str, heartbeat: Heartbeat) -> None:
         """Record a heartbeat; one of a machine that has left changes nothing."""
-        known = self._get(machine_id)
+        known = self._get_record(machine_id)
         if known is not None and known.state == GONE:
             return
         self.record_alive(now, machine_id)
@@ -111,7 +111,7 @@
         """Mark machines that have been silent for too long as lost, and drop those that ended long ago."""
         for machine_id in self.retired.evict(now):
             self.on_change(machine_id, None)
-        known = dict(self._known())
+        known = dict(self._known_records())
         self._forget_unknown(known)
         for machine_id, record in known.items():
             silent_s = now - self.last_seen_at.setdefault(machine_id, now) if record.in_service else 0.0
@@ -141,11 +141,11 @@
         stamp = self.store.stamp(key)
         return [] if stamp is None else stamp.encode()
 
-    def _get(self, machine_id: str) -> MachineRecord | None:
+    def _get_record(self, machine_id: str) -> MachineRecord | None:
         value = self.store.get(RecordKind.MACHINE.key(machine_id))
         return None if value is None else MachineRecord.decode(value)
 
-    def _known(self) -> list[tuple[str, MachineRecord]]:
+    def _known_records(self) -> list[tuple[str, MachineRecord]]:
         """Return the id and record of each machine in the store."""
         return [
             (name_of(key), MachineRecord.decode(value))
--- a/honeywood/gateway/controller/rollout_evidence.py
+++ b/honeywood/gateway/controller/rollout_evidence.py
@@ -43,11 +43,11 @@
     def __init__(self, store: Store, fleet: ProxyFleet, clock: Callable[[], float]) -> None:
         """Start without any rollout; `clock` returns monotonic seconds."""
         self.store, self.fleet, self.clock = store, fleet, clock
-        self._known: dict[str, KnownRevision] = {}  # by service
+        self._known_revisions: dict[str, KnownRevision] = {}  # by service
 
     def record_revision(self, service: str, revision: int) -> None:
         """Record the revision of a rollout's record that the store received."""
-        self._known[service] = KnownRevision(revision, self.clock())
+        self._known_revisions[service] = KnownRevision(revision, self.clock())
 
     def known_for_s(self, rollout: Rollout) -> float:
         """Return a lower bound, in seconds, on how long the revision has been known here or at a proxy.
@@ -55,7 +55,7 @@
         The proxies' clocks are used as well because they keep running when all controllers restart.
         """
         known_s: list[float] = []
-        local = self._known.get(rollout.service)
+        local = self._known_revisions.get(rollout.service)
         if local is not None and local.revision == rollout.revision:
             known_s.append(self.clock() - local.since)
         for _, value in self.store.items_of(RecordKind.PROXY_COUNTS):
--- a/tests/gateway/controller/test_machine_table.py
+++ b/tests/gateway/controller/test_machine_table.py
@@ -35,7 +35,7 @@
 
 @test("a machine's row on a restarted controller's disk does not replace newer records of others")
 def _():
-    world, seen = started_world(), []
+    world, states = started_world(), []
     try:
         world.say("a", "beat m ready")
         world.say("a", "beat n ready")
@@ -46,8 +46,8 @@
         world.run(4.0)
         world.fresh = False
         world.start("a")
-        world.run(6.0, lambda: seen.append((world.state("f", "m"), world.state("b", "n"))))
-        assert set(seen) == {("draining", "gone")}
+        world.run(6.0, lambda: states.append((world.state("f", "m"), world.state("b", "n"))))
+        assert set(states) == {("draining", "gone")}
         assert world.state("a", "m") == "draining" and world.state("a", "n") == "gone"
     finally:
         world.close()
--- a/tests/gateway/controller/test_operator_calls.py
+++ b/tests/gateway/controller/test_operator_calls.py
@@ -29,8 +29,8 @@
     cuts the controller off in one direction.
     """
 
-    def __init__(self, *given, **more):
-        super().__init__(*given, **more)
+    def __init__(self, *args, **kwargs):
+        super().__init__(*args, **kwargs)
         self.answers = {}
 
     def say(self, name, cell):
@@ -62,16 +62,16 @@
         fields = answer if isinstance(answer, dict) else {}
         return [str(fields[key]) for key in ("outcome", "state", "ver", "to_ver") if key in fields]
 
-    def call(self, name, label, *given, **more):
+    def call(self, name, label, *args, **kwargs):
         async def ask_and_store():
-            self.answers[name, label] = await self.ask(name, *given, **more)
+            self.answers[name, label] = await self.ask(name, *args, **kwargs)
 
         self.answers[name, label] = 0, None
         self.loop.create_task(ask_and_store())
 
 
-def play_and_close(chart, **more):
-    world = OperatorWorld(**more)
+def play_and_close(chart, **kwargs):
+    world = OperatorWorld(**kwargs)
     try:
         return world.play(chart)
     finally:
@@ -85,24 +85,24 @@
   1.5  | order v2 14
   2    | expect v2 200, cut bc
   2.1  | {call}
-  3.2  | expect {word} 503
+  3.2  | expect {label} 503
   20   | {call}
-  21   | expect {word} 503
+  21   | expect {label} 503
   21.1 | join
   24   | {call}
-  25   | expect {word} {joined}
+  25   | expect {label} {joined}
 """
 
 
 @test("a controller that is cut off answers {call} with 503 at once, and with {joined} after it has rejoined")
 def _(
     call=each("state", "read", "send 5x", "send 4x", "send 5y", "order v2 14", "order v3 9"),
-    word=each("state", "read", "5x", "4x", "5y", "v2", "v3"),
+    label=each("state", "read", "5x", "4x", "5y", "v2", "v3"),
     joined=each(200, 200, 200, 200, 412, 200, 200),
 ):
     # Guards against outdated answers: 20 s after the cut, `rollouts.read` and orders with a version not above
     # the stored one were answered 200 from the local store, whatever the other controllers held by then.
-    play_and_close(CUT_OFF.format(call=call, word=word, joined=joined))
+    play_and_close(CUT_OFF.format(call=call, label=label, joined=joined))
 
 
 @test("a controller that is cut off in one direction ({way}) answers with 503; the others keep working")
@@ -227,7 +227,7 @@
 
 
 @test("an order sent eight times at once while messages are lost gets 200, 503 or no answer, never 4xx")
-def _(order=each("send 7x", "order v2 14"), word=each("7x", "v2")):
+def _(order=each("send 7x", "order v2 14"), label=each("7x", "v2")):
     for seed in range(6):
         world = OperatorWorld(seed=seed)
         try:
@@ -242,13 +242,13 @@
                 for name in "abcabcab":
                     world.say(name, order)
                 world.run(world.loop.time() + 1.2)
-                statuses += [world.answers[name, word][0] for name in "abc"]
+                statuses += [world.answers[name, label][0] for name in "abc"]
             world.loss_share = 0.0
             world.run(world.loop.time() + 2.0)
             world.say("b", order)
             world.run(world.loop.time() + 1.0)
-            assert set(statuses) <= {0, 200, 503} and world.answers["b", word][0] == 200, statuses
-            if word == "v2":  # started only once, and no stage has followed
+            assert set(statuses) <= {0, 200, 503} and world.answers["b", label][0] == 200, statuses
+            if label == "v2":  # started only once, and no stage has followed
                 assert world.nodes["a"].store.get("rollout/s")["n"] == 1
         finally:
             world.close()
@@ -471,8 +471,8 @@
             world.say("a", "read")
             world.say("a", "state")
             world.run(5.0 + 3 * turn)
-            for word, newest in (("read", f"{6 + turn:08x}"), ("state", f"v{2 + turn}")):
-                status, found = world.answers["a", word]
+            for label, newest in (("read", f"{6 + turn:08x}"), ("state", f"v{2 + turn}")):
+                status, found = world.answers["a", label]
                 statuses.append(status)
                 assert status in (0, 503) or status == 200 and newest in str(found), (turn, status, found)
         assert 200 in statuses  # it is slow, not cut off
@@ -545,12 +545,12 @@
 
 
 @test("without the majority read, a cut-off controller answers {call} from its outdated store")
-def _(call=each("state", "read", "send 5x"), word=each("state", "read", "5x")):
+def _(call=each("state", "read", "send 5x"), label=each("state", "read", "5x")):
     original_read, RegisterAccess.read = RegisterAccess.read, read_local_store
     try:
-        play_and_close(CUT_OFF.format(call=call, word=word, joined=200))
+        play_and_close(CUT_OFF.format(call=call, label=label, joined=200))
     except AssertionError as error:
-        assert f"answered 200 to {word}" in str(error)
+        assert f"answered 200 to {label}" in str(error)
     else:
         raise AssertionError("the outdated answers were not detected")
     finally:
--- a/tests/gateway/test_pinned_controller.py
+++ b/tests/gateway/test_pinned_controller.py
@@ -75,8 +75,8 @@
 class DiskWorld(World):
     """A world whose controllers store their rows in real folders below `folder`."""
 
-    def __init__(self, folder, *given, **more):
-        super().__init__(*given, **more)
+    def __init__(self, folder, *args, **kwargs):
+        super().__init__(*args, **kwargs)
         self.folder = folder
 
     def open_disk(self, folder):
