--- a/honeywood/gateway/register/acceptor.py
+++ b/honeywood/gateway/register/acceptor.py
@@ -1,4 +1,4 @@
-"""The acceptor of CASPaxos: the rules by which one disk answers prepare, accept and read. Pure.
+"""The CASPaxos acceptor: the rules by which one disk responds to prepare, accept and read. Pure.
 
 Invariants: a ballot below the promised one is rejected; the caller stores a returned row before it replies.
 """
@@ -19,7 +19,7 @@
 
 
 def prepare(row: Row | None, ballot: Ballot) -> Row | BallotConflict:
-    """Return the row that promises `ballot`, or the conflict where as high a ballot has been promised."""
+    """Return the row that promises `ballot`, or a conflict if an equal or higher ballot was promised."""
     promised, accepted, value = row or EMPTY_ROW
     if ballot <= promised:
         return BallotConflict(promised)
@@ -27,7 +27,7 @@
 
 
 def accept(row: Row | None, ballot: Ballot, value: JsonValue) -> Row | BallotConflict:
-    """Return the row that accepts `value`, or the conflict where a higher ballot has been promised."""
+    """Return the row that accepts `value`, or a conflict if a higher ballot was promised."""
     promised = (row or EMPTY_ROW).promised
     if ballot < promised:
         return BallotConflict(promised)
@@ -37,15 +37,15 @@
 def counts_as_accepted(row: Row) -> bool:
     """Return whether a read may count the row's value as accepted on this disk.
 
-    It may even where the row is a copy from another disk, as long as no higher ballot has been promised.
+    A row that was copied from another disk counts too, as long as no higher ballot has been promised.
     """
     return row.accepted in (row.promised, NO_BALLOT)
 
 
 def merge_rows(replicas: Iterable[Mapping[str, TransferredRow]]) -> dict[str, TransferredRow]:
-    """Return the rows for a disk that was lost, given those of a majority of the others.
+    """Merge the rows of a majority of the other members into the rows for a disk that was lost.
 
-    Each key gets the highest promise and the value of the highest accepted ballot.
+    Each key gets the highest promised ballot, and the value with the highest accepted ballot.
     """
     merged: dict[str, TransferredRow] = {}
     for rows in replicas:
--- a/honeywood/gateway/register/agreement.py
+++ b/honeywood/gateway/register/agreement.py
@@ -1,4 +1,4 @@
-"""What a majority of disks agrees on, given the views of one key that they replied to a read. Pure."""
+"""Finds the value that a majority of disks has accepted, from their replies to a read of one key. Pure."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 def find_agreed_view(views: Collection[RowView], majority: int) -> RowView | None:
-    """Return a view that a majority accepted under one ballot, None where a ballot must decide.
+    """Return a view that a majority accepted under one ballot, or None if a new ballot must decide.
 
-    Views that don't count as accepted are left out: a disk that was filled from the others stores copies of
-    values that it never accepted, beside the promises of others, and a higher ballot may have been promised
-    where the copied one was unknown.
+    Views that don't count as accepted are ignored: a rebuilt disk stores copies of values that it never
+    accepted, together with the promises of other disks, and a higher ballot may have been promised by a disk
+    that does not know the copied value.
     """
     ballots = [view.accepted for view in views if view.counts_as_accepted]
     return next((view for view in views if ballots.count(view.accepted) >= majority), None)
--- a/honeywood/gateway/register/chunk_size.py
+++ b/honeywood/gateway/register/chunk_size.py
@@ -1,31 +1,31 @@
-"""How large the next chunk of a value is, by how long earlier ones took on the same link. Pure."""
+"""The adaptive chunk size for value transfers to one peer, by how long earlier chunks took. Pure."""
 
 from __future__ import annotations
 
 from honeywood.gateway.register.values import MAX_CHUNK_CHARACTERS
 
 MIN_CHUNK_CHARACTERS = 1 << 12
-"""30,000 B/s carry it in 140 ms."""
+"""Takes 140 ms at 30,000 B/s."""
 
 FIRST_CHUNK_CHARACTERS = 1 << 14
-"""30,000 B/s carry it in 0.55 s, less than a request may take."""
+"""Takes 0.55 s at 30,000 B/s, which is within the timeout of a request."""
 
 FAST_S = 0.1
-"""A chunk that took less is followed by one of twice the size."""
+"""The size is doubled after a chunk that took less than this."""
 
 SLOW_S = 0.25
-"""A chunk that took more is followed by one of half the size."""
+"""The size is halved after a chunk that took more than this."""
 
 
 class ChunkSize:
     """The size of the next chunk between this disk and one peer, in characters."""
 
     def __init__(self) -> None:
-        """Start with the size for an unknown link."""
+        """Start with the size for a link of unknown speed."""
         self.characters = FIRST_CHUNK_CHARACTERS
 
     def record(self, elapsed_s: float, arrived: bool) -> None:
-        """Adapt the size to how long a chunk took."""
+        """Adapt the size to the time that a chunk took and to whether it arrived."""
         if not arrived or elapsed_s > SLOW_S:
             self.characters = max(MIN_CHUNK_CHARACTERS, self.characters // 2)
         elif elapsed_s < FAST_S:
--- a/honeywood/gateway/register/errors.py
+++ b/honeywood/gateway/register/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong with the register, below honeywood.gateway.errors."""
+"""Errors of the register; their base classes are in honeywood.gateway.errors."""
 
 from __future__ import annotations
 
@@ -8,46 +8,46 @@
 
 
 class RegisterUnavailable(Unavailable):
-    """A change or a read has no outcome; it may be tried again elsewhere or later.
+    """A change or a read did not complete; it may be retried later or at another controller.
 
-    A change may have been accepted all the same.
+    The value of a change that did not complete may still have been accepted.
     """
 
 
 class NotBootstrapped(RegisterUnavailable):
-    """The disk takes part in no epoch yet."""
+    """The disk has not entered an epoch yet."""
 
     def __init__(self) -> None:
-        """Name no peer."""
+        """Create the error without a peer."""
         super().__init__(OPERATION, "this disk takes no part yet")
 
 
 class QuorumUnavailable(RegisterUnavailable):
-    """Fewer than a majority of the members answered in time."""
+    """Fewer than a majority of the members replied in time."""
 
     def __init__(self) -> None:
-        """Name no peer."""
+        """Create the error without a peer."""
         super().__init__(OPERATION, "no majority answers")
 
 
 class ConcurrentChange(RegisterUnavailable):
-    """Other proposers' ballots won until the time for the change was up."""
+    """Other proposers' ballots won until the deadline of the change."""
 
     def __init__(self) -> None:
-        """Name no peer."""
+        """Create the error without a peer."""
         super().__init__(OPERATION, "other changes came first")
 
 
 class ValueUnavailable(RegisterUnavailable):
-    """A large value was not transferred in time; its transfer goes on."""
+    """A large value was not transferred in time; its transfer continues in the background."""
 
     def __init__(self) -> None:
-        """Name no peer."""
-        super().__init__(OPERATION, "the value has not been carried here yet")
+        """Create the error without a peer."""
+        super().__init__(OPERATION, "the value has not been transferred here yet")
 
 
 class DiskUnavailable(Unavailable):
-    """The disk of this controller can't be used now."""
+    """The disk of this controller can't be used at present."""
 
 
 class DiskRefused(DiskUnavailable):
@@ -55,8 +55,8 @@
 
 
 class DiskStalled(DiskUnavailable):
-    """An earlier write has not returned for longer than a request may take."""
+    """An earlier write has been running for longer than the timeout of a request."""
 
 
 class DiskLost(DiskUnavailable):
-    """The disk was lost, and is not filled from the others yet."""
+    """The disk was lost and has not been rebuilt from the other members yet."""
--- a/honeywood/gateway/register/file_operations.py
+++ b/honeywood/gateway/register/file_operations.py
@@ -1,4 +1,4 @@
-"""The file operations of the row store, each a moment at which power may fail or the operation be refused."""
+"""The file operations of the row store. Power may be lost or an error may occur at each of them."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
     from collections.abc import Mapping
 
 MAP_SIZE_BYTES = 64 << 20
-"""To which each LMDB file may grow."""
+"""The maximum size of each LMDB file."""
 
 READ_SIZE_BYTES = 1 << 16
-"""Read at a time when a file's checksum is computed."""
+"""How much is read at a time to compute a file's checksum."""
 
 
 class FileOperations:
-    """Operations on LMDB files, small files beside them, and their folder; tests replace them.
+    """Operations on LMDB files, on their checksum files, and on their folder; tests replace them.
 
-    All raise OSError or lmdb.Error.
+    All of them raise OSError or lmdb.Error.
     """
 
     def open(self, path: str, read_only: bool) -> lmdb.Environment:
-        """Open an LMDB environment that syncs only on request."""
+        """Open an LMDB environment that is synced only by `sync`."""
         return lmdb.open(
             path,
             map_size=MAP_SIZE_BYTES,
@@ -36,7 +36,7 @@
         )
 
     def commit(self, environment: lmdb.Environment, rows: Mapping[bytes, bytes | None]) -> None:
-        """Write rows, or remove those that are None; nothing of it is durable before a sync."""
+        """Write rows, and remove those that are None; the changes are durable only after a sync."""
         with environment.begin(write=True) as transaction:
             for key, row in rows.items():
                 if row is None:
@@ -45,7 +45,7 @@
                     transaction.put(key, row)
 
     def sync(self, environment: lmdb.Environment) -> None:
-        """Make durable what was committed."""
+        """Make the committed rows durable."""
         environment.sync(True)
 
     def write(self, path: str, content: bytes) -> None:
@@ -56,11 +56,11 @@
             os.fsync(file.fileno())
 
     def remove(self, path: str) -> None:
-        """Remove a file; the removal may be lost with power and the file come back."""
+        """Remove a file; the removal isn't durable, so the file may reappear after a loss of power."""
         os.unlink(path)
 
     def sync_path(self, path: str) -> None:
-        """Make durable the content of a file that was found, or the names in a folder."""
+        """Make the content of an existing file durable, or the file names in a folder."""
         descriptor = os.open(path, os.O_RDONLY)
         try:
             os.fsync(descriptor)
--- a/honeywood/gateway/register/incarnations.py
+++ b/honeywood/gateway/register/incarnations.py
@@ -1,9 +1,10 @@
-"""Incarnation numbers of the members' disks, and which replies they make invalid. Pure.
+"""Incarnation numbers of the members' disks, and the replies that they invalidate. Pure.
 
-A disk that was lost and is filled again from the others starts a new incarnation. Each reply carries the
-incarnations that its sender knows of, its own among them, where they are later than the first. A reply that a
-disk sent before it was lost no longer counts once another reply names a later incarnation of that disk: the
-disk has asked the others for their rows since, perhaps before they received what it had replied to.
+A disk that was lost and is rebuilt from the others starts a new incarnation. Each reply carries all
+incarnations later than the first that its sender knows, including that of its own disk. A reply that a disk
+sent before it was lost is ignored once another reply names a later incarnation of that disk: the disk has
+since requested the other members' rows, possibly before those members received the ballot that the old reply
+belongs to.
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
     from typing import Protocol, TypeVar
 
     class ReplyWithIncarnations(Protocol):
-        """A reply that names the incarnations its sender knows of, by the address of the disk."""
+        """A reply with the incarnations that its sender knows."""
 
         @property
         def incarnations(self) -> Mapping[str, int]:
-            """The incarnations."""
+            """The known incarnations later than the first, by the address of the disk."""
 
     R = TypeVar("R", bound=ReplyWithIncarnations)
 
@@ -27,17 +28,20 @@
 
 
 def merge_incarnations(known: Sequence[Mapping[str, int]]) -> dict[str, int]:
-    """Return the latest incarnation of each disk, given what several members know."""
-    return {ip: max(one.get(ip, 0) for one in known) for one in known for ip in one}
+    """Return the latest incarnation of each disk, from what several members know."""
+    return {ip: max(mapping.get(ip, 0) for mapping in known) for mapping in known for ip in mapping}
 
 
 def next_incarnation(ip: str, known: Sequence[Mapping[str, int]]) -> int:
-    """Return the incarnation that the lost disk of `ip` starts, given what a majority knows."""
+    """Return the incarnation that the lost disk of `ip` starts, from what a majority knows."""
     return merge_incarnations(known).get(ip, FIRST_INCARNATION) + 1
 
 
 def current_replies(replies: Mapping[str, R]) -> dict[str, R]:
-    """Return those replies, by sender, whose sender has started no later incarnation that a reply names."""
+    """Return the replies, by sender, that are not from an outdated incarnation of their sender.
+
+    A reply is outdated if any of the replies names a later incarnation of its sender.
+    """
     latest: dict[str, int] = {}
     for reply in replies.values():
         for ip, incarnation in reply.incarnations.items():
--- a/honeywood/gateway/register/json_value.py
+++ b/honeywood/gateway/register/json_value.py
@@ -1,4 +1,4 @@
-"""The type of the values that registers hold: any JSON value. The register never looks inside one."""
+"""The type of the values in the register: any JSON value. The register does not interpret them."""
 
 from __future__ import annotations
 
@@ -7,4 +7,4 @@
     from typing import Any, TypeAlias
 
     JsonValue: TypeAlias = Any
-    """What `json.loads` returns; the type of a value is known only to whoever changes its key."""
+    """What `json.loads` returns; only the code that changes a key knows the type of its value."""
--- a/honeywood/gateway/register/membership_configuration.py
+++ b/honeywood/gateway/register/membership_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration of the register: the members of one epoch, and the next configuration once it is agreed."""
+"""A membership configuration: the members of one epoch, and the next configuration once it is agreed on."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipConfiguration:
-    """The members, by address, of one epoch.
+    """The addresses of the members of one epoch.
 
-    `successor` is the next configuration where one is known to be agreed: the epoch is then sealed.
+    `successor` is the next configuration, once it is known to be agreed on; the epoch is then sealed.
     """
 
     epoch: int
@@ -22,21 +22,21 @@
     successor: MembershipConfiguration | None = None
 
     def without_successor(self) -> MembershipConfiguration:
-        """Return the epoch and the members alone."""
+        """Return a copy with the epoch and the members only."""
         return MembershipConfiguration(self.epoch, self.members)
 
     def encode(self) -> dict[str, JsonValue]:
-        """Return the JSON form with the successor, as it is stored and sent."""
+        """Return the JSON form, including the successor, as it is stored and sent."""
         successor = self.successor and self.successor.encode_members()
         return {**self.encode_members(), "next": successor}
 
     def encode_members(self) -> dict[str, JsonValue]:
-        """Return the JSON form of the epoch and the members alone."""
+        """Return the JSON form of the epoch and the members only."""
         return {"epoch": self.epoch, "members": list(self.members)}
 
     @classmethod
     def decode(cls, fields: MessageFields) -> MembershipConfiguration:
-        """Return the configuration, with its successor, in the fields of a message."""
+        """Read a configuration and its successor from the fields of a message."""
         successor = None
         if fields.has("next"):
             successor = cls.decode_members(fields.object("next"))
@@ -45,7 +45,7 @@
 
     @classmethod
     def decode_members(cls, fields: MessageFields) -> MembershipConfiguration:
-        """Return the epoch and the members in the fields of a message."""
+        """Read the epoch and the members only from the fields of a message."""
         members = fields.take("members", list)
         if not all(isinstance(ip, str) for ip in members):
             raise fields.error("members holds what is no address")
@@ -53,6 +53,6 @@
 
     @classmethod
     def from_stored(cls, stored: JsonValue) -> MembershipConfiguration:
-        """Return the configuration in a row of this disk or in an agreed value, unchecked."""
+        """Read a configuration from a row of this disk or from an agreed value, without checks."""
         successor = stored.get("next")
         return cls(stored["epoch"], tuple(stored["members"]), successor and cls.from_stored(successor))
--- a/honeywood/gateway/register/membership_rules.py
+++ b/honeywood/gateway/register/membership_rules.py
@@ -1,11 +1,11 @@
-"""Rules for the chain of configurations, each agreed by a majority of the one before. Pure.
+"""Rules for membership changes: each configuration is agreed on by a majority of the previous one. Pure.
 
-Each request of the register carries its epoch, and a disk serves requests of its own epoch alone. Once the
-members of an epoch have agreed on the next configuration, a majority of them seal theirs: they serve no more
-requests of it, and send what they store. A disk that received that from a majority has all that was accepted
-there, keeps all that was promised there, and so enters the next epoch.
+Each request carries an epoch, and a disk serves only requests of its own epoch. Once the members of an epoch
+have agreed on the next configuration, a majority of them seal the epoch: they serve no further requests of
+it, and send their state on request. A disk that has received the state of a majority has every value that was
+accepted in that epoch and keeps every promise that was made in it, so it may enter the next epoch.
 
-The members of BOOTSTRAP_EPOCH are the seeds of the first start; all that they agree on is epoch 1.
+The members of BOOTSTRAP_EPOCH are the seeds of the first start; they agree only on the members of epoch 1.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 BOOTSTRAP_EPOCH = 0
 
 SUCCESSOR_KEY = "successor"
-"""The key with which an epoch agrees on the next configuration: {"epoch", "members"}."""
+"""The key under which the members of an epoch agree on the next configuration: {"epoch", "members"}."""
 
 
 @dataclass(frozen=True, slots=True)
 class JoinQuorum:
-    """A configuration that a disk may enter, and the replies of its members with what the disk must store."""
+    """A configuration that a disk may enter, and the replies with the state that it must store first."""
 
     configuration: MembershipConfiguration
     replies: list[TransferStateReply]
 
 
 def majority(configuration: MembershipConfiguration) -> int:
-    """Return how many members of a configuration decide."""
+    """Return the number of members of a configuration that form a quorum."""
     return len(configuration.members) // 2 + 1
 
 
@@ -50,7 +50,7 @@
 def seal(
     configuration: MembershipConfiguration, successor: MembershipConfiguration
 ) -> MembershipConfiguration | None:
-    """Return a disk's configuration once the next one is agreed; None where nothing changes."""
+    """Return a disk's configuration sealed with its agreed successor, or None if nothing changes."""
     if configuration.successor is None and configuration.epoch + 1 == successor.epoch:
         return replace(configuration, successor=successor)
     return None
@@ -66,8 +66,9 @@
 ) -> list[TransferStateReply]:
     """Return the replies with which a disk of this sealed configuration may enter the next one.
 
-    They are those of a majority of its members, all sealed or in the next epoch. Empty while there are too
-    few. The disk must never have been in the next epoch (see join_quorum for one that was lost).
+    These are the replies of a majority of its members, each sealed or already in the next epoch. The list is
+    empty while there are too few. The disk must never have been in the next epoch; join_quorum covers disks
+    that were lost.
     """
     next_epoch = configuration.epoch + 1
     sealed = {
@@ -79,8 +80,9 @@
     current = current_replies(sealed)
     if len(current) >= majority(configuration):
         return list(current.values())
-    # A member of the next epoch that entered it has received a majority of this one already, and stores what
-    # was accepted since. This disk, which never served a request there, may take over what that one stores.
+    # A member that entered the next epoch has already received the state of a majority of this one, and
+    # stores the values accepted since. This disk never served a request in the next epoch, so it may copy
+    # that state.
     return [
         reply
         for ip, reply in current_replies(replies).items()
@@ -93,7 +95,7 @@
 
 
 def _may_be_over(reply: TransferStateReply) -> bool:
-    """Return whether a next configuration may have been agreed, as far as the reply shows."""
+    """Return whether, according to the reply, a next configuration may have been agreed on."""
     epoch = reply.configuration.epoch
     if _is_sealed(reply, epoch):
         return True
@@ -104,14 +106,14 @@
 
 
 def join_quorum(ip: str, replies: Mapping[str, TransferStateReply], lost: bool) -> JoinQuorum | None:
-    """Return the newest configuration in the replies, if a majority of its members but `ip` replied.
+    """Return the newest configuration in the replies, if a majority of its members other than `ip` replied.
 
-    For a disk that was lost, is new, or stayed behind. A `lost` disk enters no epoch that may be over: it may
-    have been in the next one, and what it accepted there would be missing when it entered that again with
-    what the members of this one store.
+    For a disk that was lost, is new, or missed a membership change. A `lost` disk does not enter an epoch
+    that may be over: it may already have been in the next epoch, and if it entered that one again with the
+    state of this epoch's members, the values that it had accepted there would be missing.
     """
     configurations = [reply.configuration for reply in replies.values()]
-    newest = max(configurations, key=lambda one: one.epoch, default=None)
+    newest = max(configurations, key=lambda configuration: configuration.epoch, default=None)
     if newest is None or newest.epoch == BOOTSTRAP_EPOCH:
         return None
     entered = {
@@ -123,5 +125,5 @@
     if len(current) < majority(newest) or lost and any(_may_be_over(reply) for reply in current):
         return None
     successors = (reply.configuration.successor for reply in current)
-    successor = next((one for one in successors if one is not None), None)
+    successor = next((candidate for candidate in successors if candidate is not None), None)
     return JoinQuorum(replace(newest, successor=successor), current)
--- a/honeywood/gateway/register/paged_responder.py
+++ b/honeywood/gateway/register/paged_responder.py
@@ -1,9 +1,9 @@
-"""The answering side of calls whose answers may be long: these are sent page by page."""
+"""The responding side of paged calls: long responses are sent page by page."""
 
 from __future__ import annotations
 
 from honeywood.gateway.register.pages import PagePosition, PageSender
-from honeywood.gateway.register.paging import PAGED_STEPS, POSITION_FIELD, question_of
+from honeywood.gateway.register.paging import PAGED_STEPS, POSITION_FIELD, make_call_key
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -15,31 +15,31 @@
 
 
 class PagedResponder:
-    """Answers requests with `serve(body, peer)`, long answers in pages."""
+    """Responds to requests with the result of `serve(body, peer)`, in pages if it is long."""
 
     def __init__(self, serve: Serve, clock: Callable[[], float]) -> None:
-        """`clock` gives steady seconds."""
+        """`clock` returns the seconds of a monotonic clock."""
         self._serve, self._clock = serve, clock
         self._sender = PageSender()
 
     async def __call__(self, body: dict[str, JsonValue], peer: str) -> dict[str, JsonValue]:
-        """Return the answer, or the page of it that comes next."""
-        have = body.get(POSITION_FIELD)
+        """Return the complete response, or its next page."""
+        raw_position = body.get(POSITION_FIELD)
         request = {key: value for key, value in body.items() if key != POSITION_FIELD}
-        if not isinstance(have, list) or request.get("step") not in PAGED_STEPS:
+        if not isinstance(raw_position, list) or request.get("step") not in PAGED_STEPS:
             return await self._serve(request, peer)
-        question = question_of(peer, request)
-        page = self._sender.next_page(self._clock(), question, _position(have))
+        call_key = make_call_key(peer, request)
+        page = self._sender.next_page(self._clock(), call_key, _position(raw_position))
         if page is not None:
             return page.encode()
-        answer = await self._serve(request, peer)
-        first_page = self._sender.start(self._clock(), question, answer)
-        return answer if first_page is None else first_page.encode()
+        response = await self._serve(request, peer)
+        first_page = self._sender.start(self._clock(), call_key, response)
+        return response if first_page is None else first_page.encode()
 
 
-def _position(have: list[JsonValue]) -> PagePosition | None:
-    """Return the position that an asker sent; None where it has nothing, or sent what is no position."""
-    if len(have) != 2 or not isinstance(have[0], str):
+def _position(raw_position: list[JsonValue]) -> PagePosition | None:
+    """Return the position that a caller sent, or None if it has received nothing or the field is invalid."""
+    if len(raw_position) != 2 or not isinstance(raw_position[0], str):
         return None
-    digest, characters = have
+    digest, characters = raw_position
     return PagePosition(digest, characters) if type(characters) is int and characters >= 0 else None
--- a/honeywood/gateway/register/pages.py
+++ b/honeywood/gateway/register/pages.py
@@ -1,8 +1,8 @@
-"""Long answers in pages, none longer than a slow link carries in one request's time. Pure.
+"""Splits long responses into pages that a slow link can carry within one request's timeout. Pure.
 
-The asker says how much of an answer it has, and gets the next page of that same answer; all pages together
-are one answer that was long on its way. Each page has a checksum, the whole answer a digest. An answer that
-is no longer kept starts anew.
+The caller sends the position up to which it has a response, and receives the next page of the same response.
+Each page has a checksum, and the complete response has a digest. A response that the sender no longer keeps
+is sent again from the first page.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
     from honeywood.gateway.register.json_value import JsonValue
 
 PAGE_CHARACTERS = 1 << 14
-"""30,000 B/s carry them in 0.55 s, less than a request may take."""
+"""The size of a page; it takes 0.55 s at 30,000 B/s, which is within the timeout of a request."""
 
-MAX_OPEN_ANSWERS = 8
-"""Of more, the oldest is discarded."""
+MAX_OPEN_RESPONSES = 8
+"""How many responses are kept; the oldest one is discarded beyond that."""
 
-ANSWER_TTL_S = 10.0
-"""For which an answer is kept after its first page was sent."""
+RESPONSE_TTL_S = 10.0
+"""How long a response is kept after its first page was sent."""
 
 PAGE_FIELD = "part"
-"""The field that tells a page from a complete answer."""
+"""The field that only a page has, with its text; a message without it is a complete response."""
 
 
 class PagePosition(NamedTuple):
-    """How much of an answer is there: its digest and the number of characters."""
+    """The position in a response: its digest, and the number of characters already received."""
 
     digest: str
     characters: int
@@ -43,20 +43,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """A chunk of an answer's text, with its checksum."""
+    """A chunk of a response's text, with its checksum."""
 
     chunk: TextChunk
     checksum: int
 
     @classmethod
-    def from_answer(cls, digest: str, answer: str, start: int) -> Page:
-        """Return the page of an answer's text from `start` on."""
-        chunk = TextChunk.cut(answer, digest, start, PAGE_CHARACTERS)
+    def from_response(cls, digest: str, response: str, start: int) -> Page:
+        """Return the page of a response's text that begins at `start`."""
+        chunk = TextChunk.cut(response, digest, start, PAGE_CHARACTERS)
         return cls(chunk, zlib.crc32(chunk.text.encode()))
 
     @property
     def is_intact(self) -> bool:
-        """Whether the text has its checksum."""
+        """Whether the text matches its checksum."""
         return zlib.crc32(self.chunk.text.encode()) == self.checksum
 
     def encode(self) -> dict[str, JsonValue]:
@@ -71,87 +71,87 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> Page:
-        """Return the page in the fields of a message."""
+        """Read a page from the fields of a message."""
         offset, length = fields.take("at", int, least=0), fields.take("of", int, least=0)
         text, digest = fields.take(PAGE_FIELD, str), fields.take("mark", str)
         return cls(TextChunk(digest, length, offset, text), fields.take("sum", int))
 
 
 @dataclass(frozen=True, slots=True)
-class _OpenAnswer:
+class _OpenResponse:
     started_at: float
     digest: str
     text: str
 
 
 class PageSender:
-    """Answers that are being sent, by the question to which they are."""
+    """The responses that are being sent, by the key of their call."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        self.open: dict[Hashable, _OpenAnswer] = {}
+        """Start without responses."""
+        self.open: dict[Hashable, _OpenResponse] = {}
 
-    def next_page(self, now: float, question: Hashable, position: PagePosition | None) -> Page | None:
-        """Return the next page for an asker that has got to `position`, None where there is none."""
-        answer = self.open.get(question)
-        if answer is None or position is None or position.digest != answer.digest:
+    def next_page(self, now: float, call_key: Hashable, position: PagePosition | None) -> Page | None:
+        """Return the page that follows `position`, or None if its response isn't kept or has expired."""
+        response = self.open.get(call_key)
+        if response is None or position is None or position.digest != response.digest:
             return None
-        if now - answer.started_at > ANSWER_TTL_S:
+        if now - response.started_at > RESPONSE_TTL_S:
             return None
-        return Page.from_answer(answer.digest, answer.text, position.characters)
+        return Page.from_response(response.digest, response.text, position.characters)
 
-    def start(self, now: float, question: Hashable, answer: JsonValue) -> Page | None:
-        """Return the first page of a long answer, None for one that is short enough to be sent whole."""
-        text = json.dumps(answer, separators=(",", ":"))
+    def start(self, now: float, call_key: Hashable, response: JsonValue) -> Page | None:
+        """Return the first page of a long response, or None for one short enough to be sent complete."""
+        text = json.dumps(response, separators=(",", ":"))
         if len(text) <= PAGE_CHARACTERS:
             return None
-        self.open.pop(question, None)
+        self.open.pop(call_key, None)
         digest = text_digest(text)
-        self.open[question] = _OpenAnswer(now, digest, text)
+        self.open[call_key] = _OpenResponse(now, digest, text)
         _discard_oldest(self.open)
-        return Page.from_answer(digest, text, 0)
+        return Page.from_response(digest, text, 0)
 
 
 class PageReceiver:
-    """Answers that are being received, by the question to which they are."""
+    """The responses that are being received, by the key of their call."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without responses."""
         self.open: dict[Hashable, PartialText] = {}
 
-    def position(self, question: Hashable) -> PagePosition | None:
-        """Return how much of an answer is here, None where nothing is."""
-        partial = self.open.get(question)
+    def position(self, call_key: Hashable) -> PagePosition | None:
+        """Return the position up to which a response has been received, or None if nothing has been."""
+        partial = self.open.get(call_key)
         return None if partial is None else PagePosition(partial.digest, len(partial.text))
 
     def add(
-        self, question: Hashable, answer: dict[str, JsonValue], peer: str = ""
+        self, call_key: Hashable, response: dict[str, JsonValue], peer: str = ""
     ) -> dict[str, JsonValue] | None:
-        """Take an answer or a page of one; return the complete answer once it is here.
+        """Add a response or a page of one; return the response once it is complete, else None.
 
-        A page that is damaged or doesn't start where the last one ended changes nothing; a first page starts
-        anew. Raises InvalidMessage for what is no page.
+        A page that is damaged, or doesn't start where the previous one ended, is ignored. A first page
+        replaces what was received before. Raises InvalidMessage if the fields of a page are invalid.
         """
-        if PAGE_FIELD not in answer:
-            self.open.pop(question, None)
-            return answer
-        page = Page.decode(MessageFields(answer, "part of an answer", peer))
+        if PAGE_FIELD not in response:
+            self.open.pop(call_key, None)
+            return response
+        page = Page.decode(MessageFields(response, "page of a response", peer))
         if not page.is_intact:
             return None
-        partial = self.open.get(question)
+        partial = self.open.get(call_key)
         if page.chunk.offset == 0:
             partial = PartialText(page.chunk.digest)
         elif partial is None or not partial.is_continued_by(page.chunk):
             return None
-        partial = self.open[question] = partial.extended(page.chunk)
+        partial = self.open[call_key] = partial.extended(page.chunk)
         _discard_oldest(self.open)
         if len(partial.text) < page.chunk.length:
             return None
-        del self.open[question]
+        del self.open[call_key]
         complete: dict[str, JsonValue] | None = json.loads(partial.text) if partial.is_intact else None
         return complete
 
 
-def _discard_oldest(answers: dict[Hashable, JsonValue]) -> None:
-    while len(answers) > MAX_OPEN_ANSWERS:
-        del answers[next(iter(answers))]
+def _discard_oldest(responses: dict[Hashable, JsonValue]) -> None:
+    while len(responses) > MAX_OPEN_RESPONSES:
+        del responses[next(iter(responses))]
--- a/honeywood/gateway/register/paging.py
+++ b/honeywood/gateway/register/paging.py
@@ -1,4 +1,4 @@
-"""What the two sides of a paged call share: which requests are paged, and how a question is named."""
+"""Definitions that both sides of a paged call share: the paged requests, and the key of a call."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 PAGED_STEPS = (TransferState.step, ReadAll.step)
 
 POSITION_FIELD = "have"
-"""Of a request: how much of its answer the asker has."""
+"""The field of a request for how much of its response the caller has already received."""
 
 
-def question_of(peer: str, body: Mapping[str, JsonValue]) -> str:
-    """Return what names an answer: the other side and the request without its position."""
-    question = {key: value for key, value in body.items() if key != POSITION_FIELD}
-    return json.dumps([peer, question], sort_keys=True)
+def make_call_key(peer: str, body: Mapping[str, JsonValue]) -> str:
+    """Return the key that identifies a response: the peer, and the request without its position."""
+    request = {key: value for key, value in body.items() if key != POSITION_FIELD}
+    return json.dumps([peer, request], sort_keys=True)
--- a/honeywood/gateway/register/peer_client.py
+++ b/honeywood/gateway/register/peer_client.py
@@ -46,8 +46,8 @@
         if ip == self._local_ip:
             return await self._serve(request, ip)
         body = encode_request(request)
-        answer = await self._caller.call(ip, self._port, PATH, body, timeout_s, idempotent=True)
-        return decode_reply(request, answer, ip)
+        response = await self._caller.call(ip, self._port, PATH, body, timeout_s, idempotent=True)
+        return decode_reply(request, response, ip)
 
     async def call_all(
         self,
--- a/honeywood/gateway/register/proposal.py
+++ b/honeywood/gateway/register/proposal.py
@@ -1,4 +1,4 @@
-"""The proposer's side of one ballot of CASPaxos: the replies of the members are fed in. Pure."""
+"""The proposer's state for one CASPaxos ballot, updated with the members' replies. Pure."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 class Proposal:
     """One ballot: a majority must promise it, then accept a value under it.
 
-    `latest_promise` names the value to start from, once a majority has promised; `highest_conflict` is the
-    highest ballot that a member has promised instead, NO_BALLOT where none has.
+    `latest_promise` is the promise with the highest accepted ballot, set once a majority has promised; its
+    value is the current one, to which the change is applied. `highest_conflict` is the highest ballot that a
+    member has promised instead, or NO_BALLOT if there is none.
     """
 
     def __init__(self, ballot: Ballot, majority: int) -> None:
-        """Start with no reply received; `majority` is the number of members that decide."""
+        """Start without replies; `majority` is the number of members that form a quorum."""
         self.ballot = ballot
         self.majority = majority
         self.promises: dict[str, Promise] = {}
@@ -53,6 +54,6 @@
 
     @property
     def value_sources(self) -> list[str]:
-        """The addresses of the members that have the value to start from."""
+        """The addresses of the members that have the current value."""
         latest = self.latest_promise.accepted
         return [ip for ip, promise in self.promises.items() if promise.accepted == latest]
--- a/honeywood/gateway/register/replacement.py
+++ b/honeywood/gateway/register/replacement.py
@@ -1,4 +1,4 @@
-"""When a member of the register is replaced, and by which controller. Pure: times are passed in."""
+"""Decides when a member of the register is replaced, and by which controller. Pure: times are passed in."""
 
 from __future__ import annotations
 
@@ -15,39 +15,39 @@
     from honeywood.gateway.register.membership_configuration import MembershipConfiguration
 
 STABLE_CONTACT_FACTOR = 0.75
-"""Times `short_s`: for how long a controller must have been in contact to count as stable."""
+"""A controller that has been in contact for longer than this factor times `short_s` counts as stable."""
 
 SILENT = "silent"
-"""The reason for which a member is replaced that isn't for its disk."""
+"""The reason for replacing a member that is out of contact, in contrast to one with a faulty disk."""
 
 
 class DiskState(StrEnum):
-    """What a controller reports of its disk; the values are on the wire."""
+    """The disk state that a controller reports; the values are sent on the wire."""
 
     WORKS = "works"
     REFUSES = "refuses writes"
-    """The latest write was refused, or it hangs."""
+    """The latest write failed or hangs."""
     LOST = "lost"
-    """And not filled from the others yet."""
+    """The disk was lost and has not been rebuilt yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerState:
-    """What a member knows of another controller; times are in seconds of its own steady clock."""
+    """What a member knows of another controller; times are in seconds of the member's monotonic clock."""
 
     contact_at: float
-    """When it was last in contact."""
+    """When the controller was last in contact."""
     usable_at: float
-    """When it was last in contact and reported that its disk works."""
+    """When the controller was last in contact and reported that its disk works."""
     contact_since: float = inf
-    """When the present contact began."""
+    """When the current period of contact began."""
     disk: DiskState = DiskState.WORKS
-    """By its latest report."""
+    """The disk state in its latest report."""
 
 
 @dataclass(frozen=True, slots=True)
 class Replacement:
-    """A member, the controller to take its place, and the reason."""
+    """A member to replace, the controller that takes its place, and the reason."""
 
     member: str
     spare: str
@@ -62,13 +62,16 @@
     short_s: float,
     long_s: float,
 ) -> Replacement | None:
-    """Return the replacement that the member `local_ip`, whose own disk works, is to propose.
+    """Return the replacement that the member `local_ip`, whose own disk works, should propose.
 
     A member that is silent, or whose disk refuses all writes or stays lost, is replaced after `long_s`
-    seconds of that; after `short_s` by a spare whose contact began meanwhile and has lasted: when a network
-    partition ends all come back, but not at one moment. None while too few others, with disks that work,
-    have been in contact for so long themselves. The spare's disk may still be lost: it may be waiting for
-    this very change (see membership_rules.join_quorum).
+    seconds. It is replaced after `short_s` seconds by a spare whose contact began during that time and is
+    stable. The contact must be stable because all controllers come back after a network partition, but not at
+    the same moment.
+
+    Returns None while this member and the other members with working disks and stable contact are not a
+    majority. The spare's disk may still be lost, since it may need this membership change to be rebuilt (see
+    membership_rules.join_quorum).
     """
     others = [ip for ip in configuration.members if ip != local_ip]
     unusable = [ip for ip in others if now - peers[ip].usable_at > short_s]
@@ -82,8 +85,8 @@
     for ip in unusable:
         peer = peers[ip]
         for spare in spares:
-            spare_came_since = peers[spare].contact_since > peer.usable_at
-            if now - peer.usable_at > (short_s if spare_came_since else long_s):
+            spare_is_newer = peers[spare].contact_since > peer.usable_at
+            if now - peer.usable_at > (short_s if spare_is_newer else long_s):
                 return Replacement(ip, spare, _reason(peer))
     return None
 
@@ -95,7 +98,7 @@
     now: float,
     short_s: float,
 ) -> bool:
-    """Return whether this member and others that work and are stably in contact are a majority."""
+    """Return whether this member and the others with working disks and stable contact are a majority."""
     healthy = [
         ip
         for ip in configuration.members
--- a/honeywood/gateway/register/replies.py
+++ b/honeywood/gateway/register/replies.py
@@ -1,7 +1,7 @@
-"""What an acceptor replies to the requests of requests.py, each reply with its JSON form. Pure.
+"""The replies of an acceptor to the requests in requests.py, with their JSON forms. Pure.
 
-`incarnations` are those that the sender knows of, by the address of the disk, where they are later than the
-first (see incarnations.py).
+The field `incarnations` has all incarnations later than the first that the sender knows, by the address of
+the disk (see incarnations.py).
 """
 
 from __future__ import annotations
@@ -29,27 +29,28 @@
 
 
 class TransferredRow(NamedTuple):
-    """A row of another disk, with its value as a message carries it."""
+    """A row of another disk, with its value in the form in which messages carry it."""
 
     promised: Ballot
     accepted: Ballot
     value: CarriedValue
 
     def encode(self) -> list[JsonValue]:
-        """Return the JSON form, a list as rows are stored."""
+        """Return the JSON form, a list like that of a stored row."""
         return [self.promised, self.accepted, encode_carried(self.value)]
 
     @classmethod
     def decode(cls, fields: MessageFields) -> TransferredRow:
-        """Return the row in fields of the names of this one's."""
+        """Read a row from fields that have the names of this class's fields."""
         return cls(fields.ballot("promised"), fields.ballot("accepted"), decode_carried(fields))
 
 
 @dataclass(frozen=True, slots=True)
 class RowView:
-    """A row as a read sees it; the value is left out where the reader has it.
+    """A row in the reply to a read; the value is omitted if the reader has it already.
 
-    `counts_as_accepted` tells whether it may count as accepted on this disk (see acceptor.py).
+    `counts_as_accepted` says whether the reader may count the value as accepted on this disk (see
+    acceptor.py).
     """
 
     accepted: Ballot
@@ -63,13 +64,13 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> RowView:
-        """Return the view in the fields of a message."""
+        """Read a view from the fields of a message."""
         return cls(fields.ballot("accepted"), decode_carried(fields), fields.take("sure", bool))
 
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """No ballot below this one will be accepted; what was accepted before."""
+    """The disk will accept no lower ballot; carries the ballot and value that it accepted last."""
 
     accepted: Ballot
     value: CarriedValue
@@ -83,13 +84,13 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> Promise:
-        """Return the reply in the fields of a message."""
+        """Read the reply from the fields of a message."""
         return cls(fields.ballot("accepted"), decode_carried(fields), fields.incarnations())
 
 
 @dataclass(frozen=True, slots=True)
 class BallotConflict:
-    """The request's ballot is rejected: `promised` has been promised."""
+    """The request's ballot is rejected, because the ballot `promised` has been promised."""
 
     promised: Ballot
     incarnations: Mapping[str, int] = field(default_factory=dict)
@@ -101,13 +102,13 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> BallotConflict:
-        """Return the reply in the fields of a message."""
+        """Read the reply from the fields of a message."""
         return cls(fields.ballot("promised"), fields.incarnations())
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The complete value is on this disk, under the request's ballot."""
+    """The complete value is stored durably on this disk under the request's ballot."""
 
     incarnations: Mapping[str, int] = field(default_factory=dict)
     kind = "accepted"
@@ -118,13 +119,13 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> Accepted:
-        """Return the reply in the fields of a message."""
+        """Read the reply from the fields of a message."""
         return cls(fields.incarnations())
 
 
 @dataclass(frozen=True, slots=True)
 class ValueMissing:
-    """Nothing was accepted: of the value that was referred to only `received_characters` are here."""
+    """Nothing was accepted: only `received_characters` of the referenced value have arrived so far."""
 
     received_characters: int
     kind = "value wanted"
@@ -135,13 +136,13 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> ValueMissing:
-        """Return the reply in the fields of a message."""
+        """Read the reply from the fields of a message."""
         return cls(fields.take("held", int, least=0))
 
 
 @dataclass(frozen=True, slots=True)
 class ChunkStored:
-    """How many characters of a value are here after a chunk of it was received."""
+    """The number of characters of a value that have arrived after a chunk was received."""
 
     received_characters: int
     kind = "chunk held"
@@ -152,13 +153,13 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> ChunkStored:
-        """Return the reply in the fields of a message."""
+        """Read the reply from the fields of a message."""
         return cls(fields.take("held", int, least=0))
 
 
 @dataclass(frozen=True, slots=True)
 class ChunkFetched:
-    """A chunk of a value; None where the value isn't here."""
+    """A chunk of a value, or None if the disk doesn't have the value."""
 
     chunk: ValueChunk | None
     kind = "chunk"
@@ -169,32 +170,32 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> ChunkFetched:
-        """Return the reply in the fields of a message."""
+        """Read the reply from the fields of a message."""
         return cls(ValueChunk.decode(fields.object("chunk")) if fields.get("chunk") else None)
 
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """The request is of an epoch that isn't this disk's, or is over; the configuration to go by."""
+    """The request's epoch is not this disk's epoch, or is over; carries the disk's newest configuration."""
 
     configuration: MembershipConfiguration
     kind = "fenced"
 
     def encode(self) -> dict[str, JsonValue]:
-        """Return the JSON form; released versions sent the successor first."""
+        """Return the JSON form; the successor comes first, as in released versions."""
         successor = self.configuration.successor
         following = successor and successor.encode_members()
         return {"configuration": {"next": following, **self.configuration.encode_members()}}
 
     @classmethod
     def decode(cls, fields: MessageFields) -> Fenced:
-        """Return the reply in the fields of a message."""
+        """Read the reply from the fields of a message."""
         return cls(MembershipConfiguration.decode(fields.object("configuration")))
 
 
 @dataclass(frozen=True, slots=True)
 class ReadReply:
-    """One row."""
+    """The view of one row."""
 
     row: RowView
     incarnations: Mapping[str, int]
@@ -206,13 +207,13 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> ReadReply:
-        """Return the reply in the fields of a message."""
+        """Read the reply from the fields of a message."""
         return cls(RowView.decode(fields.object("row")), fields.incarnations())
 
 
 @dataclass(frozen=True, slots=True)
 class ReadAllReply:
-    """All rows, by key."""
+    """The views of all rows, by key."""
 
     rows: Mapping[str, RowView]
     incarnations: Mapping[str, int]
@@ -225,14 +226,14 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> ReadAllReply:
-        """Return the reply in the fields of a message."""
+        """Read the reply from the fields of a message."""
         rows = {key: RowView.decode(row) for key, row in fields.objects("rows")}
         return cls(rows, fields.incarnations())
 
 
 @dataclass(frozen=True, slots=True)
 class TransferStateReply:
-    """All rows with their promises, by key, and the configuration that the sender goes by."""
+    """All rows with their promises, by key, and the sender's configuration."""
 
     rows: Mapping[str, TransferredRow]
     incarnations: Mapping[str, int]
@@ -246,7 +247,7 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> TransferStateReply:
-        """Return the reply in the fields of a message."""
+        """Read the reply from the fields of a message."""
         stored, names = fields.object("rows"), TransferredRow._fields
         rows = {key: TransferredRow.decode(stored.tuple_fields(key, names, "row")) for key in stored.names()}
         incarnations = fields.incarnations()
@@ -265,5 +266,5 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> Acknowledged:
-        """Return the reply to an announcement, which has no fields."""
+        """Return the reply, which has no fields."""
         return cls()
--- a/honeywood/gateway/register/requests.py
+++ b/honeywood/gateway/register/requests.py
@@ -1,7 +1,7 @@
-"""What one controller asks of another's disk, each request with its JSON form. Pure.
+"""The requests that one controller sends to another's disk, with their JSON forms. Pure.
 
-A message of another format is rejected: one of the earlier format names its request `op`, which isn't read
-here, and receivers of that format miss `op` in one of these.
+Messages of different formats are mutually rejected: the earlier format names its request in the field `op`,
+which is not read here, and receivers of that format reject a message without `op`.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Asks for a promise."""
+    """Requests the promise not to accept a lower ballot."""
 
     key: str
     ballot: Ballot
@@ -43,13 +43,13 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> Prepare:
-        """Return the request in the fields of a message."""
+        """Read the request from the fields of a message."""
         return cls(fields.take("key", str), fields.ballot("ballot"), fields.take("epoch", int))
 
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Asks to accept a value, which is carried inline or by reference."""
+    """Requests the acceptance of a value, which is carried inline or by reference."""
 
     key: str
     ballot: Ballot
@@ -65,7 +65,7 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> Accept:
-        """Return the request in the fields of a message."""
+        """Read the request from the fields of a message."""
         fields.require("value")
         key, ballot, epoch = fields.take("key", str), fields.ballot("ballot"), fields.take("epoch", int)
         return cls(key, ballot, epoch, decode_carried(fields))
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreChunk:
-    """Sends a chunk of a value that is to be accepted."""
+    """Sends a chunk of a value that the receiver will be requested to accept."""
 
     chunk: ValueChunk
     step = "store chunk"
@@ -85,13 +85,13 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> StoreChunk:
-        """Return the request in the fields of a message."""
+        """Read the request from the fields of a message."""
         return cls(ValueChunk.decode(fields.object("chunk")))
 
 
 @dataclass(frozen=True, slots=True)
 class FetchChunk:
-    """Asks for `size` characters from `start` on of a value that was referred to."""
+    """Requests `size` characters of a referenced value, beginning at `start`."""
 
     value: ValueReference
     start: int
@@ -105,14 +105,14 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> FetchChunk:
-        """Return the request in the fields of a message."""
+        """Read the request from the fields of a message."""
         start, size = fields.take("start", int, least=0), fields.take("size", int, least=1)
         return cls(ValueReference.decode(fields.object("value")), start, size)
 
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """Asks for one row; its value is left out where it was accepted under the ballot `known`."""
+    """Requests one row; its value is omitted if it was accepted under the ballot `known`."""
 
     key: str
     known: Ballot
@@ -126,13 +126,13 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> Read:
-        """Return the request in the fields of a message."""
+        """Read the request from the fields of a message."""
         return cls(fields.take("key", str), fields.ballot("known"), fields.take("epoch", int))
 
 
 @dataclass(frozen=True, slots=True)
 class ReadAll:
-    """Asks for all rows; a value is left out where it was accepted under its key's ballot in `known`."""
+    """Requests all rows; a value is omitted if it was accepted under its key's ballot in `known`."""
 
     known: Mapping[str, Ballot]
     epoch: int
@@ -145,17 +145,17 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> ReadAll:
-        """Return the request in the fields of a message."""
+        """Read the request from the fields of a message."""
         return cls(fields.ballots("known"), fields.take("epoch", int))
 
 
 @dataclass(frozen=True, slots=True)
 class TransferState:
-    """Asks for all rows with their promises, for the disk of `ip`.
+    """Requests all rows with their promises, for the disk of `ip`.
 
-    The receiver first records that disk's `incarnation`, and seals its epoch where `seal` is the
-    configuration that follows it. `successor_only` asks for the row of the successor alone. A value is left
-    out where it was accepted under its key's ballot in `known`.
+    Before it replies, the receiver records that disk's `incarnation`, and seals its own epoch if `seal` is
+    the configuration that follows it. With `successor_only`, only the row of the successor is requested. A
+    value is omitted if it was accepted under its key's ballot in `known`.
     """
 
     ip: str
@@ -174,7 +174,7 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> TransferState:
-        """Return the request in the fields of a message."""
+        """Read the request from the fields of a message."""
         seal = None
         if fields.has("seal"):
             seal = MembershipConfiguration.decode_members(fields.object("seal"))
@@ -184,7 +184,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnounceConfiguration:
-    """Sends the newest configuration that the sender knows, without its successor."""
+    """Announces the newest configuration that the sender knows, without its successor."""
 
     configuration: MembershipConfiguration
     step = "told"
@@ -196,7 +196,7 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> AnnounceConfiguration:
-        """Return the request in the fields of a message."""
+        """Read the request from the fields of a message."""
         return cls(MembershipConfiguration.decode_members(fields.object("members")))
 
 
@@ -214,12 +214,12 @@
 
 
 def encode_request(request: Request) -> dict[str, JsonValue]:
-    """Return the JSON form of a request, as it is sent."""
+    """Return the JSON form of a request, as sent."""
     return {"form": MESSAGE_FORMAT, "step": request.step, **request.encode()}
 
 
 def decode_request(table: Mapping[str, JsonValue], peer: str) -> Request:
-    """Return the request that `peer` sent; raise InvalidMessage where it can't be read."""
+    """Return the request that `peer` sent; raise InvalidMessage if it is invalid."""
     fields = MessageFields(table, "request", peer)
     message_format = table.get("form", 1)
     if message_format != MESSAGE_FORMAT:
@@ -232,15 +232,18 @@
 
 
 def encode_reply(reply: replies.Reply) -> dict[str, JsonValue]:
-    """Return the JSON form of a reply, as it is sent."""
+    """Return the JSON form of a reply, as sent."""
     return {"reply": reply.kind, **reply.encode()}
 
 
 def decode_reply(request: Request, table: Mapping[str, JsonValue], peer: str) -> replies.Reply:
-    """Return the reply of `peer` to a request; raise InvalidMessage where it is none to it, or invalid."""
+    """Return the reply of `peer` to a request.
+
+    Raises InvalidMessage if it is invalid, or not a reply to this type of request.
+    """
     fields = MessageFields(table, f"reply to {request.step}", peer)
     kind = fields.take("reply", str)
     for reply in request.reply_types:
         if reply.kind == kind:
             return reply.decode(MessageFields(table, f"{kind} to {request.step}", peer))
-    raise fields.error(f"{kind!r} is no reply to it")
+    raise fields.error(f"{kind!r} is not a reply to it")
--- a/honeywood/gateway/register/row.py
+++ b/honeywood/gateway/register/row.py
@@ -1,7 +1,7 @@
 """Ballot numbers, and the state that an acceptor stores for one key. Pure.
 
 Both types are named tuples. A row is stored as the JSON list ``[promised, accepted, value]`` and a ballot as
-``[counter, proposer]``; ballots compare as CASPaxos requires, by counter and then by proposer.
+``[counter, proposer]``. Ballots compare by counter first and then by proposer, as CASPaxos requires.
 
 Source: D. Rystsov, "CASPaxos: Replicated State Machines without logs", arXiv:1802.07000.
 """
@@ -18,7 +18,7 @@
 
 
 class Ballot(NamedTuple):
-    """The number of one attempt of one proposer to change a key; the higher ballot wins."""
+    """The ballot number of one attempt of one proposer to change a key; the higher ballot wins."""
 
     counter: int
     proposer: str
@@ -28,7 +28,7 @@
 
 
 class Row(NamedTuple):
-    """The highest ballot `promised`, the ballot under which `value` was `accepted`, and the value."""
+    """The highest promised ballot, the ballot under which the value was accepted, and the value."""
 
     promised: Ballot = NO_BALLOT
     accepted: Ballot = NO_BALLOT
@@ -39,6 +39,6 @@
 
 
 def row_from_json(stored: Sequence[JsonValue]) -> Row:
-    """Return the row that a stored JSON list stands for."""
+    """Return the row that is stored as a JSON list."""
     promised, accepted, value = stored
     return Row(Ballot(*promised), Ballot(*accepted), value)
--- a/honeywood/gateway/register/values.py
+++ b/honeywood/gateway/register/values.py
@@ -1,13 +1,13 @@
-"""Values as messages carry them: a small one inline, a large one by reference to its content hash. Pure.
+"""Values as messages carry them: small ones inline, large ones by reference to a content hash. Pure.
 
-Invariant: a value is taken for the one of a reference only if its complete text has that hash.
+Invariant: a value is used for a reference only if its complete text has the hash in that reference.
 """
 
 from __future__ import annotations
 
 import json
 import zlib
-from _blake2 import blake2b  # hashlib would bring OpenSSL
+from _blake2 import blake2b  # importing hashlib would load OpenSSL
 from dataclasses import dataclass
 
 TYPE_CHECKING = False
@@ -18,24 +18,24 @@
     from honeywood.gateway.register.message_fields import MessageFields
 
     CarriedValue: TypeAlias = "InlineValue | ValueReference | None"
-    """How a message carries a value; None where the key has none, or where the receiver has it."""
+    """How a message carries a value; None if the key has no value, or if the receiver has it already."""
 
 MAX_INLINE_CHARACTERS = 2048
-"""Of a value's text; 30,000 B/s carry it in 70 ms, less than the two calls of a transfer take."""
+"""The longest text of an inline value; it takes 70 ms at 30,000 B/s, less than two calls of a transfer."""
 
 MAX_VALUE_CHARACTERS = 8 << 20
-"""Of a value's text; an operator's call is no longer."""
+"""The longest text of a value; an operator's call is limited to the same length."""
 
 MAX_CHUNK_CHARACTERS = 1 << 16
-"""Of a chunk's text."""
+"""The longest text of a chunk."""
 
 DIGEST_CHARACTERS = 32
-"""Of a digest in hexadecimal digits: 128 bits."""
+"""The number of hexadecimal digits of a digest, which has 128 bits."""
 
 
 @dataclass(frozen=True, slots=True)
 class InlineValue:
-    """A value that stands in the message itself."""
+    """A value that is contained in the message itself."""
 
     value: JsonValue
 
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CompleteValue:
-    """A value that is here; a type of its own, since the value itself may be None."""
+    """A value that this disk has; a separate type, since the value itself may be None."""
 
     value: JsonValue
 
 
 @dataclass(frozen=True, slots=True)
 class ValueReference:
-    """A value by the hash and the length, in characters, of its text."""
+    """A reference to a value by the hash of its text and the text's length in characters."""
 
     digest: str
     length: int
@@ -64,7 +64,7 @@
 
     @classmethod
     def decode(cls, fields: MessageFields) -> ValueReference:
-        """Return the reference in the fields of a message."""
+        """Read a reference from the fields of a message."""
         digest = fields.take("digest", str)
         if len(digest) != DIGEST_CHARACTERS:
             raise fields.error("digest has another length")
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ValueChunk:
-    """A part of a value's text, from the character `start` on, with its CRC-32."""
+    """A chunk of a value's text that begins at the character `start`, with its CRC-32."""
 
     reference: ValueReference
     start: int
@@ -82,13 +82,13 @@
 
     @classmethod
     def from_text(cls, reference: ValueReference, text: str, start: int, size: int) -> ValueChunk:
-        """Return the part of a value's `text` from `start` on, of at most `size` characters."""
-        part = text[start : start + min(size, MAX_CHUNK_CHARACTERS)]
-        return cls(reference, start, part, zlib.crc32(part.encode()))
+        """Return the chunk of a value's `text` that begins at `start`, with at most `size` characters."""
+        chunk_text = text[start : start + min(size, MAX_CHUNK_CHARACTERS)]
+        return cls(reference, start, chunk_text, zlib.crc32(chunk_text.encode()))
 
     @property
     def is_intact(self) -> bool:
-        """Whether the text has its checksum and lies within the value."""
+        """Whether the text matches its checksum and lies within the value."""
         end = self.start + len(self.text)
         return len(self.text) > 0 and end <= self.reference.length and self._has_checksum
 
@@ -98,12 +98,12 @@
 
     def encode(self) -> dict[str, JsonValue]:
         """Return the JSON form."""
-        part = {"start": self.start, "text": self.text, "checksum": self.checksum}
-        return {**self.reference.encode(), **part}
+        own_fields = {"start": self.start, "text": self.text, "checksum": self.checksum}
+        return {**self.reference.encode(), **own_fields}
 
     @classmethod
     def decode(cls, fields: MessageFields) -> ValueChunk:
-        """Return the chunk in the fields of a message; it may be damaged."""
+        """Read a chunk, which may be damaged, from the fields of a message."""
         text = fields.take("text", str)
         if len(text) > MAX_CHUNK_CHARACTERS:
             raise fields.error("text is too long")
@@ -113,18 +113,18 @@
 
 
 def canonical_text(value: JsonValue) -> str:
-    """Return the text of a value, the same wherever it is written."""
+    """Return the canonical JSON text of a value, which is the same on every controller."""
     return json.dumps(value, sort_keys=True, separators=(",", ":"))
 
 
 def reference_to(text: str) -> ValueReference:
-    """Return the reference to the value with that text."""
+    """Return the reference to the value with this text."""
     digest = blake2b(text.encode(), digest_size=DIGEST_CHARACTERS // 2).hexdigest()
     return ValueReference(digest, len(text))
 
 
 def carried_form(value: JsonValue) -> CarriedValue:
-    """Return how messages carry a value: inline where it is small, else by reference."""
+    """Return the form in which messages carry a value: inline if it is small, else a reference."""
     if value is None:
         return None
     text = canonical_text(value)
@@ -137,7 +137,7 @@
 
 
 def decode_carried(fields: MessageFields, name: str = "value") -> CarriedValue:
-    """Return the carried value in the field `name` of a message."""
+    """Read a carried value from the field `name` of a message."""
     if not fields.has(name):
         return None
     content = fields.object(name)
--- a/tests/gateway/register/test_pages.py
+++ b/tests/gateway/register/test_pages.py
@@ -6,8 +6,8 @@
 from ward import test
 
 from honeywood.gateway.register.pages import (
-    ANSWER_TTL_S,
-    MAX_OPEN_ANSWERS,
+    MAX_OPEN_RESPONSES,
+    RESPONSE_TTL_S,
     PageReceiver,
     PageSender,
 )
@@ -63,10 +63,10 @@
 def _():
     sender, receiver = PageSender(), PageReceiver()
     receiver.add("q", sender.start(0.0, "q", LONG).encode())
-    assert sender.next_page(ANSWER_TTL_S + 1.0, "q", receiver.position("q")) is None
+    assert sender.next_page(RESPONSE_TTL_S + 1.0, "q", receiver.position("q")) is None
     sender.start(0.0, "q", {**LONG, "more": 1})
     assert sender.next_page(0.0, "q", receiver.position("q")) is None
     assert received(PageSender(), receiver) == LONG
-    for n in range(3 * MAX_OPEN_ANSWERS):
+    for n in range(3 * MAX_OPEN_RESPONSES):
         receiver.add(n, sender.start(0.0, n, LONG).encode())
-    assert len(sender.open) == MAX_OPEN_ANSWERS == len(receiver.open)
+    assert len(sender.open) == MAX_OPEN_RESPONSES == len(receiver.open)
