--- a/honeywood/gateway/register/acceptor_service.py
+++ b/honeywood/gateway/register/acceptor_service.py
@@ -1,4 +1,4 @@
-"""The acceptor's side of the messages: how this controller's disk answers requests."""
+"""Serves the register's requests from this controller's disk, by the rules of the acceptor."""
 
 from __future__ import annotations
 
@@ -48,23 +48,22 @@
     from honeywood.gateway.register.values import CarriedValue
 
 WRITING_REQUESTS = (Prepare, Accept, TransferState)
-"""Requests that wait for the disk."""
+"""The requests that write to the disk before they are replied to."""
 
 
 class AcceptorService:
-    """Answers requests from this disk alone."""
+    """Replies to requests from the state of this disk only."""
 
     def __init__(self, state: PersistentState, membership: MembershipState, lookup: ValueLookup) -> None:
-        """Answer nothing before the disk is intact."""
+        """Serve `state`; all requests but announcements are refused until the disk is intact."""
         self._state, self._membership, self._lookup = state, membership, lookup
-        self.waiting_since: dict[object, float] = {}  # of each request that waits for the disk, in order
+        self.waiting_since: dict[object, float] = {}  # when each pending write request began, oldest first
 
     async def serve(self, request: Request, peer: str) -> Reply:
         """Return the reply to a request of `peer`.
 
-        Raises DiskUnavailable. Nothing queues behind a disk that hangs: a
-        request that needs it is refused at once while an earlier one has waited for longer than its sender
-        does.
+        Raises DiskUnavailable. Requests do not queue behind a disk that hangs: a request that needs the disk
+        is refused at once while an earlier one has been waiting for longer than the timeout of its sender.
         """
         if not isinstance(request, WRITING_REQUESTS):
             return await self._serve(request, peer)
@@ -104,7 +103,7 @@
         return Acknowledged()
 
     def _fence(self, epoch: int) -> Fenced | None:
-        """Return the reply to a request of an epoch that isn't this disk's, or is over; else None."""
+        """Return the reply to a request whose epoch is over or not this disk's epoch, else None."""
         if self._membership.accepts_epoch(epoch):
             return None
         return Fenced(self._membership.newest.without_successor())
@@ -137,14 +136,14 @@
             return Accepted(self._state.incarnations())
 
     def _value_missing(self, value: CarriedValue) -> ValueMissing:
-        assert isinstance(value, ValueReference), "only a value by reference can be missing"
+        assert isinstance(value, ValueReference), "only a referenced value can be missing"
         return ValueMissing(self._lookup.expect_push(value))
 
     def _with_incarnations(self, conflict: BallotConflict) -> BallotConflict:
         return BallotConflict(conflict.promised, self._state.incarnations())
 
     def _view(self, key: str, known: Ballot | None) -> RowView:
-        """Return a row for a reader that has the value of the ballot `known`."""
+        """Return the view of a row, without its value if that was accepted under the ballot `known`."""
         row = self._state.registers.get(key, EMPTY_ROW)
         value = None if row.accepted == known else self._lookup.carried(key)
         return RowView(row.accepted, value, acceptor.counts_as_accepted(row))
@@ -163,7 +162,7 @@
     async def _transfer_state(self, request: TransferState) -> TransferStateReply:
         if request.seal is not None:
             await self._membership.adopt(request.seal)
-        async with self._membership.lock:  # what is being written belongs to the reply
+        async with self._membership.lock:  # the reply must include a write that is in progress
             await self._state.record_incarnation(request.ip, request.incarnation)
             rows = {
                 key: self._transferred(key, row, request.known.get(key))
@@ -173,9 +172,9 @@
             return TransferStateReply(rows, self._state.incarnations(), self._membership.configuration)
 
     def _transferred(self, key: str, row: Row, known: Ballot | None) -> TransferredRow:
-        """Return a row without the value of the ballot `known`.
+        """Return a row to transfer, without its value if that was accepted under the ballot `known`.
 
-        The successor is always inline: the rules that decide on the other rows look at it.
+        The successor is always inline, since the membership rules read it to decide about the other rows.
         """
         value: CarriedValue = None
         if row.accepted != known:
--- a/honeywood/gateway/register/membership_manager.py
+++ b/honeywood/gateway/register/membership_manager.py
@@ -1,4 +1,4 @@
-"""Brings this controller's disk into the newest epoch, and agrees on members (see membership_rules.py)."""
+"""Brings this controller's disk into the newest epoch, and proposes members (see membership_rules.py)."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     from honeywood.gateway.register.state_transfer import StateTransfer
 
 BOOTSTRAP_STAGGER_S = 0.3
-"""By which the seeds propose the first members after each other."""
+"""The delay between the first proposals of one seed and the next."""
 
 BLOCKED_LOG_INTERVAL_S = 5.0
 
@@ -50,7 +50,7 @@
         proposer: Proposer,
         transfer: StateTransfer,
     ) -> None:
-        """Take the seeds, and how many members may fail at once, from `settings`."""
+        """The seeds, and how many members may fail at once, are taken from `settings`."""
         self._settings, self._log, self._state, self._membership = settings, log, state, membership
         self._peers, self._proposer, self._transfer = peers, proposer, transfer
         self._bootstrap_started_at: float | None = None
@@ -58,8 +58,8 @@
     async def open(self) -> None:
         """Open the disk.
 
-        It is intact if it took part before, or if the whole system starts for the first time; else it was
-        lost.
+        The disk is intact if it took part in the register before, or if the whole system starts for the first
+        time. Otherwise it counts as lost.
         """
         state, membership = self._state, self._membership
         await state.open()
@@ -68,7 +68,7 @@
         elif self._settings.fresh:
             try:
                 await membership.initialize(tuple(seed.ip for seed in self._settings.seeds))
-            except DiskUnavailable as error:  # taken for a lost one until it can be written to
+            except DiskUnavailable as error:  # the disk counts as lost until it can be written
                 self._log.info("register not initialized", why=str(error))
         self._log.info(
             "register opened",
@@ -79,7 +79,7 @@
         )
 
     async def synchronize(self, known: Iterable[str]) -> None:
-        """Bring this disk into the newest epoch, as far as the controllers `known` allow it now."""
+        """Bring this disk towards the newest epoch, with the help of the controllers `known`."""
         membership = self._membership
         ips = {*known, *membership.members}
         if membership.pending is not None:
@@ -99,14 +99,14 @@
         elif membership.epoch == BOOTSTRAP_EPOCH and membership.pending is None:
             await self._bootstrap(ips)
         elif membership.is_synchronized:
-            return  # the next epoch came by another way, while `adopt` waited for the lock
+            return  # another task entered the next epoch while `adopt` waited for the lock
         elif membership.pending is not None or not await self._enter_successor():
             await self._join(ips)
 
     async def _bootstrap(self, ips: set[str]) -> None:
-        """Propose the first members, any 2 f + 1 of those known, where f may fail at once.
+        """Propose the first members: 2 f + 1 of the known controllers, of which f may fail at once.
 
-        The seeds propose after each other, in their order.
+        The seeds propose one after another, in their order; other controllers propose after them.
         """
         now = asyncio.get_running_loop().time()
         if self._bootstrap_started_at is None:
@@ -119,7 +119,7 @@
                 await self._agree(sorted(ips)[:size])
 
     async def replace_member(self, member: str, spare: str) -> MembershipConfiguration:
-        """Have `spare` take the place of `member`, unless other members are agreed on meanwhile.
+        """Propose `spare` in the place of `member`; a concurrent membership change may win instead.
 
         Returns the configuration that was agreed on. Raises RegisterUnavailable, or DiskRefused.
         """
@@ -128,9 +128,9 @@
         return agreed
 
     async def _agree(self, members: Sequence[str]) -> MembershipConfiguration:
-        """Return the next configuration once a majority of this epoch has agreed on one.
+        """Return the next configuration, once a majority of this epoch has agreed on it.
 
-        `members` are proposed; what was agreed on before stays.
+        It has the proposed `members`, unless another configuration was agreed on before.
         """
         proposed = MembershipConfiguration(self._membership.epoch + 1, tuple(members))
 
@@ -145,9 +145,10 @@
         return agreed
 
     async def _enter_successor(self) -> bool:
-        """Enter the configuration that follows the sealed one, with the rows of a majority of the latter.
+        """Enter the successor of the sealed configuration, with the rows of a majority of the sealed one.
 
-        Returns False where too few replied; True also where a value is still on its way.
+        Returns False if too few members replied, and True otherwise, even if a value is still being
+        transferred.
         """
         sealed = self._membership.configuration
         successor = sealed.successor
@@ -175,7 +176,7 @@
         return True
 
     async def _join(self, known: set[str]) -> None:
-        """Enter the newest configuration with the rows of a majority of its other members."""
+        """Enter the newest configuration, with the rows of a majority of its other members."""
         ips = known - {self._settings.ip}
         incarnation = await self._joining_incarnation(ips)
         if incarnation is None:
@@ -205,10 +206,10 @@
         )
 
     async def _joining_incarnation(self, ips: set[str]) -> int | None:
-        """Return the incarnation with which this disk joins; None where too few others replied.
+        """Return the incarnation with which this disk joins, or None if too few members replied.
 
-        A lost disk starts the next one after those that the others know of. They record it before they send
-        their rows.
+        A lost disk starts the incarnation after the latest one that the others know. The others record it
+        before they send their rows.
         """
         if self._membership.intact:
             return self._state.incarnation
@@ -228,6 +229,6 @@
         return not self._membership.intact or configuration.epoch > self._membership.epoch
 
     def _merged_incarnations(self, quorum: JoinQuorum) -> dict[str, int]:
-        """Return the incarnations that a quorum knows of, and this disk if it is intact."""
+        """Return the latest incarnations that the quorum knows, and that this disk knows if it is intact."""
         own = [self._state.incarnations()] if self._membership.intact else []
         return merge_incarnations([*own, *(reply.incarnations for reply in quorum.replies)])
--- a/honeywood/gateway/register/membership_state.py
+++ b/honeywood/gateway/register/membership_state.py
@@ -1,4 +1,4 @@
-"""The configuration that this disk goes by, and how it takes over the next one (see membership_rules.py)."""
+"""The current configuration of this disk, and the transition to the next one (see membership_rules.py)."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
     from honeywood.gateway.register.persistent_state import PersistentState
 
 NO_CONFIGURATION = MembershipConfiguration(BOOTSTRAP_EPOCH, ())
-"""What a disk goes by that was lost or is not open yet."""
+"""The configuration of a disk that was lost or is not open yet."""
 
 
 class MembershipState:
-    """What this disk knows of the members.
+    """The membership as this disk knows it.
 
-    `configuration` is the one it goes by, `pending` a later one that it heard of and has not entered,
-    `intact` whether it stores all that it ever promised and accepted; `lock` orders what is written.
+    `configuration` is the current one. `pending` is a later one that the disk has learned of but not entered.
+    `intact` says whether the disk stores everything that it ever promised and accepted. `lock` serializes the
+    writes to the disk.
     """
 
     def __init__(self, state: PersistentState, log: EventLog) -> None:
-        """Know no members before the disk is open."""
+        """Start without members; `restore` or `initialize` sets them once the disk is open."""
         self._state, self._log = state, log
         self.configuration = NO_CONFIGURATION
         self.pending: MembershipConfiguration | None = None
@@ -46,38 +47,38 @@
 
     @property
     def is_bootstrapped(self) -> bool:
-        """Whether this disk takes part in an epoch whose members were agreed on."""
+        """Whether this disk has entered an epoch whose members were agreed on."""
         return self.intact and self.epoch > BOOTSTRAP_EPOCH
 
     @property
     def is_synchronized(self) -> bool:
-        """Whether this disk is in the newest epoch that it knows of, as a member or not."""
+        """Whether this disk is in the newest epoch that it knows, as a member or not."""
         return self.is_bootstrapped and self.configuration.successor is None and self.pending is None
 
     @property
     def is_voter(self) -> bool:
-        """Whether this disk serves requests of its epoch, as far as it knows the newest one.
+        """Whether this disk serves requests of its epoch and knows of no later epoch.
 
-        A disk that refuses to store the next configuration is no voter all the same.
+        A disk that has learned of the next configuration but fails to store it is therefore not a voter.
         """
         return self.intact and self.pending is None and self.accepts_epoch(self.epoch)
 
     def accepts_epoch(self, epoch: int) -> bool:
-        """Return whether this disk, which is intact, serves requests of `epoch`."""
+        """Return whether this disk serves requests of `epoch`, provided that it is intact."""
         return membership_rules.accepts_epoch(self.configuration, self._state.local_ip, epoch)
 
     @property
     def newest(self) -> MembershipConfiguration:
-        """The newest configuration that this disk has agreed to, without its successor."""
+        """The successor of this disk's configuration if it has one, else the configuration itself."""
         return self.configuration.successor or self.configuration
 
     def restore(self) -> None:
-        """Go by what this disk stores, which took part before."""
-        assert self._state.configuration is not None, "a disk that took part stores its configuration"
+        """Use the configuration stored on this disk, which took part in the register before."""
+        assert self._state.configuration is not None, "a disk with an incarnation stores its configuration"
         self.configuration, self.intact = self._state.configuration, True
 
     async def initialize(self, seeds: tuple[str, ...]) -> None:
-        """Store the epoch of the seeds on a disk of a system that starts for the first time.
+        """Store the bootstrap epoch of the seeds on a disk of a system that starts for the first time.
 
         Raises DiskRefused.
         """
@@ -86,16 +87,16 @@
         self.configuration, self.intact = configuration, True
 
     def learn(self, configuration: MembershipConfiguration) -> None:
-        """Remember a configuration that is newer than all that are known here."""
+        """Record a configuration as pending if it is newer than all others that this disk knows."""
         newest_known = max(self.newest.epoch, self.pending.epoch if self.pending else BOOTSTRAP_EPOCH)
         if configuration.epoch > newest_known:
             self.pending = configuration.without_successor()
 
     async def adopt(self, successor: MembershipConfiguration) -> None:
-        """Take over an agreed configuration; raise DiskRefused.
+        """Handle a configuration that was agreed on; raise DiskRefused.
 
-        It is entered at once where this disk was in no epoch before; else the disk seals its epoch. A
-        configuration further on is remembered.
+        A disk in the bootstrap epoch enters epoch 1 at once. Another disk seals its epoch if the
+        configuration is its successor. A configuration of a later epoch is recorded as pending.
         """
         async with self.lock:
             if self.intact and self.epoch == BOOTSTRAP_EPOCH and successor.epoch == BOOTSTRAP_EPOCH + 1:
@@ -117,9 +118,9 @@
             self.pending = None
 
     async def enter(self, update: StateUpdate) -> None:
-        """Store the update's configuration with all that belongs to it; the disk is intact then.
+        """Store a configuration, together with the state that belongs to it; the disk is intact afterwards.
 
-        The caller holds the lock. Raises DiskRefused.
+        The caller must hold the lock. Raises DiskRefused.
         """
         assert update.configuration is not None, "an epoch is entered with its configuration"
         await self._state.write(update)
--- a/honeywood/gateway/register/peer_client.py
+++ b/honeywood/gateway/register/peer_client.py
@@ -1,4 +1,4 @@
-"""Calls to the members' disks, this controller's own among them: requests out, typed replies back."""
+"""Sends typed requests to the members' disks, including this controller's own, and returns typed replies."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     from honeywood.gateway.register.requests import Request
 
 REQUEST_TIMEOUT_S = 0.8
-"""That a peer has for one request."""
+"""The timeout of one request to a peer."""
 
 CONFLICT_GRACE_S = 0.1
-"""For which a ballot waits for further replies after one disk has rejected it."""
+"""The grace period in which further replies are awaited after one disk has rejected a ballot."""
 
 
 class PeerClient:
-    """Calls other controllers' disks; calls to this one's go to `serve` directly."""
+    """Calls the disks of other controllers over the network, and this controller's disk through `serve`."""
 
     def __init__(
         self,
@@ -37,12 +37,12 @@
         membership: MembershipState,
         serve: Callable[[Request, str], Awaitable[Reply]],
     ) -> None:
-        """`membership` tells which epoch this disk is in, and learns of later ones."""
+        """`membership` has the epoch of this disk, and records later ones."""
         self._local_ip, self._port = settings.ip, settings.controller_port
         self._caller, self._membership, self._serve = caller, membership, serve
 
     async def call(self, ip: str, request: Request, timeout_s: float = REQUEST_TIMEOUT_S) -> Reply:
-        """Return the reply of one disk; raise GatewayError where there is none."""
+        """Return the reply of one disk; raise GatewayError if the call fails."""
         if ip == self._local_ip:
             return await self._serve(request, ip)
         body = encode_request(request)
@@ -59,10 +59,11 @@
         call: Callable[[str], Awaitable[Reply]] | None = None,
         timeout_s: float | None = None,
     ) -> bool:
-        """Call all of `ips` at once until `on_reply(ip, reply)` returns True; return whether it did.
+        """Call all `ips` concurrently until `on_reply(ip, reply)` returns True; return whether it did.
 
-        A reply from another epoch counts as none, and a disk that is behind is sent the configuration.
-        `call(ip)` makes the calls where each takes more than one request; `timeout_s` bounds them all.
+        A reply from another epoch is ignored, and a disk in an earlier epoch is sent the newest
+        configuration. `call(ip)` replaces the single request if each call takes more than one. `timeout_s`
+        bounds all calls together.
         """
         epoch, loop = self._membership.epoch, asyncio.get_running_loop()
         call = call or (lambda ip: self.call(ip, request, request_timeout_s))
@@ -92,22 +93,22 @@
             self.announce_configuration([ip])
 
     def announce_configuration(self, ips: Iterable[str]) -> None:
-        """Send this disk's newest configuration to disks that may not know it; nothing relies on arrival."""
+        """Send the newest configuration to disks that may not know it, without waiting; it may get lost."""
         announcement = AnnounceConfiguration(self._membership.newest.without_successor())
         for ip in {*ips} - {self._local_ip}:
             asyncio.ensure_future(_reply_or_none(self.call(ip, announcement)))
 
 
 def _wait_time(now: float, deadline: float | None, conflict: bool) -> float | None:
-    """Return for how many seconds further replies are awaited, None for as long as the calls last."""
+    """Return how many seconds to wait for further replies, or None to wait until the calls end."""
     limits = [] if deadline is None else [max(0.0, deadline - now)]
-    if conflict:  # members that stay silent don't hold up the ballot
+    if conflict:  # silent members must not delay a ballot that has been rejected
         limits.append(CONFLICT_GRACE_S)
     return min(limits, default=None)
 
 
 async def _reply_or_none(call: Awaitable[Reply]) -> Reply | None:
-    """Return a call's reply, None where the call failed."""
+    """Return a call's reply, or None if the call failed."""
     try:
         return await call
     except GatewayError:
--- a/honeywood/gateway/register/persistent_state.py
+++ b/honeywood/gateway/register/persistent_state.py
@@ -1,4 +1,4 @@
-"""The disk of this controller as the program sees it: what is stored, with a copy in memory."""
+"""The state stored on this controller's disk, with a copy in memory."""
 
 from __future__ import annotations
 
@@ -24,31 +24,31 @@
     T = TypeVar("T")
 
     class Store(Protocol):
-        """Durable rows by key, as in row_store.RowStore; its methods raise OSError."""
+        """Durable rows by key, for example a row_store.RowStore; its methods raise OSError."""
 
         def rows(self) -> dict[str, JsonValue]:
             """Return all rows."""
 
         def put(self, rows: Mapping[str, JsonValue]) -> None:
-            """Write rows, or remove those that are None, durably."""
+            """Write rows durably, and remove those that are None."""
 
 
 REOPEN_INTERVAL_S = 0.3
-"""Until a disk that couldn't be opened is tried again."""
+"""The delay before opening a disk is retried."""
 
 OPEN_LOG_INTERVAL_S = 5.0
 
 
 class PersistentState:
-    """What a disk stores. It changes only once a write is durable, or when the disk is opened.
+    """The stored state, in memory. It changes only after a write is durable, or when the disk is opened.
 
-    `registers` are the registers' rows by key, `heartbeats` the records by machine id, `configuration` the
-    one this disk goes by, `incarnation` this disk's own (None where nothing is stored), `peer_incarnations`
-    those of other disks that are known to be later than the first.
+    `registers` has the registers' rows by key, `heartbeats` the records by machine id, `configuration` this
+    disk's current configuration, `incarnation` the incarnation of this disk (None if nothing is stored), and
+    `peer_incarnations` the incarnations of other disks that are known to be later than the first.
     """
 
     def __init__(self, settings: Settings, open_store: Callable[[str], Store], log: EventLog) -> None:
-        """`open_store` opens the store in a folder; nothing is read before `open`."""
+        """`open_store` opens the store in a folder; nothing is read before `open` is called."""
         self.local_ip, self._folder = settings.ip, settings.data_directory
         self._open_store, self._log = open_store, log
         self.store: Store | None = None
@@ -60,7 +60,7 @@
         self.peer_incarnations: Mapping[str, int] = {}
 
     async def open(self) -> None:
-        """Read the disk; one that can't be read or synced now is opened later, not taken for empty."""
+        """Open and read the disk, with retries until it opens: a faulty disk must not be taken for empty."""
         while self.store is None:
             try:
                 self.store = await self._on_disk(self._open_store, self._folder)
@@ -70,7 +70,7 @@
         self.apply(StateUpdate.decode(await self._on_disk(self.store.rows)))
 
     async def write(self, update: StateUpdate) -> None:
-        """Write an update durably, then apply it; raise DiskRefused."""
+        """Write an update durably, then apply it in memory; raise DiskRefused."""
         assert self.store is not None, "the disk was not opened"
         try:
             await self._on_disk(self.store.put, update.encode())
@@ -79,7 +79,7 @@
         self.apply(update)
 
     def apply(self, update: StateUpdate) -> None:
-        """Take over what is on disk now."""
+        """Apply an update in memory that is already on disk."""
         _apply_rows(self.registers, update.registers)
         _apply_rows(self.heartbeats, update.heartbeats)
         if update.configuration is not None:
@@ -90,22 +90,22 @@
             self.peer_incarnations = update.peer_incarnations
 
     def accepted_ballots(self) -> dict[str, Ballot]:
-        """Return the ballot under which each key's value was accepted, where there is one."""
+        """Return the ballot under which the value of each key that has one was accepted."""
         return {key: row.accepted for key, row in self.registers.items() if row.value is not None}
 
     def incarnations(self) -> dict[str, int]:
-        """Return all incarnations later than the first that this disk knows of, its own among them."""
+        """Return all incarnations later than the first that this disk knows, including its own."""
         own = self.incarnation or FIRST_INCARNATION
         return {**self.peer_incarnations, **({self.local_ip: own} if own > FIRST_INCARNATION else {})}
 
     async def record_incarnation(self, ip: str, incarnation: int) -> None:
-        """Store the later incarnation of a disk that was lost."""
+        """Store the incarnation of a disk that was lost, if it is later than the known one."""
         if incarnation > self.incarnations().get(ip, FIRST_INCARNATION):
             known = {**self.peer_incarnations, ip: incarnation}
             await self.write(StateUpdate(peer_incarnations=known))
 
-    async def _on_disk(self, work: Callable[..., T], *given: object) -> T:
-        return await asyncio.get_running_loop().run_in_executor(self.executor, work, *given)
+    async def _on_disk(self, operation: Callable[..., T], *arguments: object) -> T:
+        return await asyncio.get_running_loop().run_in_executor(self.executor, operation, *arguments)
 
 
 def _apply_rows(stored: dict[str, T], written: Mapping[str, T | None]) -> None:
--- a/honeywood/gateway/register/proposer.py
+++ b/honeywood/gateway/register/proposer.py
@@ -1,4 +1,4 @@
-"""Changes of one key's value: ballots over the members' disks until one wins."""
+"""The CASPaxos proposer: changes a key's value by ballots among the members' disks, until one wins."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
     from honeywood.gateway.register.value_transfer import ValueTransfer
 
 INITIAL_BACKOFF_S = 0.02
-"""After a ballot that lost, randomly up to twice as long; it doubles up to MAX_BACKOFF_S."""
+"""The minimum wait after a lost ballot; jitter adds up to 100%. It doubles each time up to MAX_BACKOFF_S."""
 
 MAX_BACKOFF_S = 0.16
 
 
 class Proposer:
-    """The proposer of this controller; `highest_counter` is the highest of a ballot that it knows of."""
+    """The proposer of this controller; `highest_counter` is the highest ballot counter that it knows."""
 
     def __init__(
         self,
@@ -54,17 +54,17 @@
         peers: PeerClient,
         transfer: ValueTransfer,
     ) -> None:
-        """`random` draws the backoff."""
+        """`random` draws the jitter of the backoff."""
         self._local_ip, self._random = settings.ip, random
         self._membership, self._state, self._lookup = membership, state, lookup
         self._peers, self._transfer = peers, transfer
         self.highest_counter = 0
 
     async def change(self, key: str, update: Callable[[JsonValue], JsonValue]) -> JsonValue:
-        """Return the value that a majority has accepted after `update` mapped the current value to it.
+        """Apply the change function `update` to the current value; return the value that was accepted.
 
-        `update` is called once a ballot and may raise; that ends the change. Raises RegisterUnavailable
-        where no ballot won in time; the last ballot's value may be accepted all the same.
+        `update` is called once per ballot; if it raises, the change ends with that exception. Raises
+        RegisterUnavailable if no ballot won in time; the value of the last ballot may still be accepted.
         """
         loop, backoff_s = asyncio.get_running_loop(), INITIAL_BACKOFF_S
         deadline = RetryDeadline(loop.time())
@@ -96,7 +96,7 @@
     async def _prepare(
         self, key: str, proposal: Proposal, configuration: MembershipConfiguration, deadline: RetryDeadline
     ) -> JsonValue:
-        """Have a majority promise the ballot; return the key's current value."""
+        """Obtain the promises of a majority; return the key's current value."""
 
         def on_reply(ip: str, reply: Reply) -> bool:
             return isinstance(reply, Promise | BallotConflict) and proposal.on_prepare_reply(ip, reply)
@@ -119,7 +119,7 @@
         configuration: MembershipConfiguration,
         deadline: RetryDeadline,
     ) -> None:
-        """Have a majority accept the value under the ballot."""
+        """Obtain the acceptance of the value by a majority under the ballot."""
 
         def on_reply(ip: str, reply: Reply) -> bool:
             return isinstance(reply, Accepted | BallotConflict) and proposal.on_accept_reply(ip, reply)
@@ -141,9 +141,9 @@
     def _call_with_value(
         self, request: Accept, reference: ValueReference
     ) -> Callable[[str], Awaitable[Reply]]:
-        """Return the call that has a member accept a large value, which is pushed where it is missing."""
+        """Return a call that requests acceptance of a large value, and pushes it if the member lacks it."""
         text = self._lookup.store.text(asyncio.get_running_loop().time(), reference)
-        assert text is not None, "a proposed value was put into the store"
+        assert text is not None, "a proposed value is in the store"
 
         async def call(ip: str) -> Reply:
             reply = await self._peers.call(ip, request)
--- a/honeywood/gateway/register/reader.py
+++ b/honeywood/gateway/register/reader.py
@@ -1,4 +1,4 @@
-"""Reads: what a majority of the members' disks has accepted, without a ballot where that is clear."""
+"""Reads the values that a majority of the members' disks has accepted, without a ballot if possible."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
     R = TypeVar("R", ReadReply, ReadAllReply)
 
 EMPTY_VIEW = RowView(NO_BALLOT, None, True)
-"""Of a key that a disk has no row of."""
+"""The view of a key for which a disk has no row."""
 
 
 class Reader:
-    """The reader of this controller; a key on which no majority agrees is decided by a ballot."""
+    """The reader of this controller; if no majority agrees on a key, a ballot decides."""
 
     def __init__(
         self,
@@ -42,12 +42,12 @@
         proposer: Proposer,
         transfer: ValueTransfer,
     ) -> None:
-        """`transfer` fetches values that this disk doesn't have."""
+        """`transfer` fetches the values that this disk doesn't have."""
         self._membership, self._state, self._peers = membership, state, peers
         self._proposer, self._transfer = proposer, transfer
 
     async def read(self, key: str) -> JsonValue:
-        """Return the value, or None, that a majority had accepted at some moment since the call.
+        """Return the value, or None, that a majority had accepted at some moment after the call began.
 
         Raises RegisterUnavailable.
         """
@@ -58,7 +58,7 @@
         views = {ip: reply.row for ip, reply in replies.items()}
         view = find_agreed_view(views.values(), membership_rules.majority(configuration))
         if view is None:
-            return await self._proposer.change(key, _unchanged)
+            return await self._proposer.change(key, _identity)
         if view.accepted == local.accepted:
             return local.value
         return await self._value(view, views)
@@ -66,14 +66,14 @@
     async def read_all(self) -> dict[str, JsonValue]:
         """Return the values that a majority has accepted, by key.
 
-        A large value that was not transferred here in time is left out until it was. Raises
-        RegisterUnavailable; DiskRefused where the next configuration was read and can't be stored.
+        A large value that was not transferred here in time is omitted. Raises RegisterUnavailable, or
+        DiskRefused if the next configuration was read and can't be stored.
         """
         configuration, known = self._membership.configuration, self._state.accepted_ballots()
         majority = membership_rules.majority(configuration)
 
         def is_decided(replies: Mapping[str, ReadAllReply]) -> bool:
-            """Whether no key needs a ballot: a disk that is behind takes over what the others agree on."""
+            """Return whether no key needs a ballot: a majority agrees on each, even if a disk is behind."""
             keys = {key for reply in replies.values() for key in reply.rows}
             return all(find_agreed_view(_views(replies, key).values(), majority) for key in keys)
 
@@ -93,16 +93,16 @@
     async def _decided_value(
         self, key: str, views: Mapping[str, RowView], known: Ballot | None, majority: int
     ) -> JsonValue:
-        """Return the value on which a majority agrees, or that a ballot decides."""
+        """Return the value on which a majority agrees, or the one that a new ballot decides."""
         view, local = find_agreed_view(views.values(), majority), self._state.registers.get(key, EMPTY_ROW)
         if view is not None and view.accepted != known:
             return await self._value(view, views)
         if view is not None and local.accepted == known:
             return local.value
-        return await self._proposer.change(key, _unchanged)
+        return await self._proposer.change(key, _identity)
 
     async def _value(self, view: RowView, views: Mapping[str, RowView]) -> JsonValue:
-        sources = [ip for ip, one in views.items() if one.accepted == view.accepted]
+        sources = [ip for ip, candidate in views.items() if candidate.accepted == view.accepted]
         return await self._transfer.resolve(view.value, sources)
 
     async def _replies_of_majority(
@@ -112,9 +112,9 @@
         reply_type: type[R],
         is_enough: Callable[[Mapping[str, R]], bool] = lambda replies: True,
     ) -> dict[str, R]:
-        """Return the replies of a majority of the members, by address; raise QuorumUnavailable.
+        """Return the replies of at least a majority of the members, by address; raise QuorumUnavailable.
 
-        More than a majority are waited for while what there is isn't enough.
+        Waits for the replies of further members as long as `is_enough` returns False.
         """
         replies: dict[str, R] = {}
         majority = membership_rules.majority(configuration)
@@ -132,7 +132,7 @@
         return current
 
 
-def _unchanged(value: JsonValue) -> JsonValue:
+def _identity(value: JsonValue) -> JsonValue:
     return value
 
 
--- a/honeywood/gateway/register/register.py
+++ b/honeywood/gateway/register/register.py
@@ -1,7 +1,7 @@
-"""The register of one controller: its disk and its calls to the others, connected.
+"""The register of one controller, assembled from its disk and its calls to the other controllers.
 
-The parts: acceptor_service.py answers other controllers, proposer.py changes keys, reader.py reads them,
-membership_manager.py keeps the disk in the newest epoch.
+Its components: acceptor_service.py serves other controllers, proposer.py changes keys, reader.py reads them,
+and membership_manager.py keeps the disk in the newest epoch.
 """
 
 from __future__ import annotations
@@ -38,8 +38,9 @@
 class Register:
     """The replicated register as one controller uses it.
 
-    `membership` tells which epoch this disk is in, `state` what it stores, and `manager` opens it and keeps
-    it in the newest epoch. Of 2 f + 1 members f may fail at once, where f is `settings.tolerated_failures`.
+    `membership` has the epoch of this disk, `state` has the stored state, and `manager` opens the disk and
+    keeps it in the newest epoch. Of 2 f + 1 members f may fail at once, where f is
+    `settings.tolerated_failures`.
     """
 
     def __init__(
@@ -50,7 +51,7 @@
         log: EventLog,
         open_store: Callable[[str], Store],
     ) -> None:
-        """`open_store` opens the rows in the settings' data directory."""
+        """`open_store` opens the store in the settings' data directory."""
         self._local_ip = settings.ip
         self.state = PersistentState(settings, open_store, log)
         self.membership = MembershipState(self.state, log)
@@ -66,24 +67,24 @@
         )
 
     async def serve(self, body: dict[str, JsonValue], peer: str) -> dict[str, JsonValue]:
-        """Return the answer to another controller's request, both as JSON objects.
+        """Return the reply to another controller's request, both as JSON objects.
 
-        Raises InvalidMessage where the request can't be read, DiskUnavailable where the disk can't be used.
+        Raises InvalidMessage if the request is invalid, and DiskUnavailable if the disk can't be used.
         """
         return encode_reply(await self.acceptor.serve(decode_request(body, peer), peer))
 
     async def change(self, key: str, update: Callable[[JsonValue], JsonValue]) -> JsonValue:
-        """Return the value of `key` that a majority has accepted after `update`; see Proposer.change."""
+        """Apply `update` to the value of `key`; return the value that was accepted (see Proposer.change)."""
         self._require_bootstrapped()
         return await self.proposer.change(key, update)
 
     async def read(self, key: str) -> JsonValue:
-        """Return the value of `key` that a majority has accepted; see Reader.read."""
+        """Return the value of `key` that a majority has accepted (see Reader.read)."""
         self._require_bootstrapped()
         return await self._reader.read(key)
 
     async def read_all(self) -> dict[str, JsonValue]:
-        """Return all values that a majority has accepted, by key; see Reader.read_all."""
+        """Return all values that a majority has accepted, by key (see Reader.read_all)."""
         self.lookup.discard_expired()
         self._require_bootstrapped()
         return await self._reader.read_all()
@@ -93,9 +94,9 @@
             raise NotBootstrapped
 
     async def write_heartbeats(self, records: Mapping[str, HeartbeatRecord | None]) -> None:
-        """Store the latest heartbeats by machine id, or remove those that are None.
+        """Store the latest heartbeats by machine id, and remove those that are None.
 
-        They are for this controller's next process alone. Raises DiskUnavailable.
+        Only the next process of this controller reads them. Raises DiskUnavailable.
         """
         if not self.membership.intact:
             raise DiskLost(PATH, "this disk was lost and is not rebuilt", self._local_ip)
--- a/honeywood/gateway/register/row_store.py
+++ b/honeywood/gateway/register/row_store.py
@@ -1,22 +1,26 @@
 """Durable rows in LMDB: each write is a checksummed snapshot of all rows, synced before `put` returns.
 
-LMDB's pages carry no checksums. A write torn by a loss of power may leave a file that opens and is damaged,
-and reading it may end the process. Therefore:
-
-- The checksum of each file is stored beside it, with the number of the attempt that wrote it. A file that
-  doesn't match its checksum isn't opened.
-- There are two files, written in turn, and each write has the rows of the previous one as well. So each file
-  is complete as of its attempt, and the one that isn't being written has all that earlier puts returned with.
-- Of the intact files that are found, the one of the highest attempt is read, alone. Attempts are numbered in
-  order, refused ones too, so that what a refused one left is never taken for what was written after it.
-- A file on which an attempt failed is not written again, nor is one that has grown to twice its live pages:
-  the next put writes all rows to a new file. Files of earlier processes are only read.
-
-Invariants: a put that returned is found by every later open, whatever became of the attempts after it. Of a
-put that was refused all rows or none are found, and none once a later put has returned. The folder is synced
-after a file is made, since only then is the file sure to be found; a removed file that comes back does no
-harm. What an open found is found by later ones: it is synced before it is returned, since the process that
-wrote it may have been killed before it did.
+LMDB's pages have no checksums. If a loss of power tears a write, the damaged file may still open, and reading
+it may crash the process. Therefore:
+
+- Beside each file a checksum is stored, with the number of the write attempt. A file that doesn't match its
+  checksum isn't opened.
+- There are two files, written alternately, and each write includes the rows of the previous one. So each file
+  has all rows as of its attempt, and the file that isn't being written has the rows of all earlier puts that
+  returned.
+- An open reads only the intact file with the highest attempt number. Failed attempts are numbered too, so
+  that the file of a failed attempt is never taken for one that was written after it.
+- A file is no longer written after an attempt on it failed, or after it has grown beyond twice its live
+  pages: the next put writes all rows to a new file. Files of earlier processes are only read.
+
+Invariants:
+
+- A put that returned is found by every later open, whatever happened to the attempts after it.
+- Of a put that failed, either all rows or none are found, and none after a later put has returned.
+- The folder is synced after a file is created, since only then the file is certain to be found. A removed
+  file that reappears does no harm.
+- The rows that an open returned are found by later opens: they are synced first, since the process that wrote
+  them may have been killed before it synced them.
 """
 
 from __future__ import annotations
@@ -38,23 +42,23 @@
 DATA_SUFFIX, CHECKSUM_SUFFIX = ".mdb", ".sum"
 
 MAX_CHECKSUM_BYTES = 64
-"""Of the text beside a file."""
+"""The maximum size of a checksum file."""
 
-SPARE_PAGES = 64
-"""That a file may have beyond twice its live ones."""
+COMPACTION_SLACK_PAGES = 64
+"""How many pages a file may have beyond twice its live pages before it is replaced."""
 
 
 class RowStore:
     """The rows in a folder, by key; used by one thread. All methods raise OSError."""
 
     def __init__(self, folder: str, operations: FileOperations | None = None) -> None:
-        """Open the folder and read the newest intact file; `operations` are replaced by tests."""
+        """Open the folder and read its newest intact file; tests replace `operations`."""
         self._folder = folder
         self._operations = operations or FileOperations()
         self._rows: dict[str, JsonValue] = {}
         self._previous_write: dict[bytes, bytes | None] = {}
         self._environments: list[lmdb.Environment | None] = [None, None]
-        self._turn = 0  # of the two files the one that is written next
+        self._write_index = 0  # the index in `_environments` of the file that is written next
         self._failed_files: list[str] = []
         os.makedirs(folder, exist_ok=True)
         stems = {name.partition(".")[0] for name in os.listdir(folder)}
@@ -75,7 +79,7 @@
         return None
 
     def _sync_found(self, name: str | None) -> None:
-        """Sync what was found, or that nothing was: the process that wrote or removed it may not have."""
+        """Sync the file that was found, if any, and the folder: an earlier process may not have done so."""
         if name is not None:
             self._operations.sync_path(self._path(name))
             self._operations.sync_path(self._path(name) + CHECKSUM_SUFFIX)
@@ -85,9 +89,9 @@
         return os.path.join(self._folder, name)
 
     def _read_checksum(self, name: str) -> tuple[int, bytes]:
-        """Return the attempt that wrote a file, 0 where that is unknown, and the stored checksum.
+        """Return the attempt that wrote a file, or 0 if that is unknown, and the stored checksum.
 
-        Raises OSError where it can't be read: an older file must not be taken for the newest.
+        Raises OSError if it can't be read, since otherwise an older file would be taken for the newest.
         """
         try:
             with open(self._path(name) + CHECKSUM_SUFFIX, "rb") as file:
@@ -98,7 +102,7 @@
         return int(attempt) if attempt.isdigit() else 0, checksum
 
     def _compute_checksum(self, name: str, attempt: int) -> bytes | None:
-        """Return attempt, length and CRC-32 of a whole file, as stored beside it; None without a file."""
+        """Return attempt, length and CRC-32 of a file, in their stored form, or None if it doesn't exist."""
         length, crc = 0, zlib.crc32(b"%d" % attempt)
         try:
             with open(self._path(name), "rb") as file:
@@ -126,7 +130,7 @@
         return dict(self._rows)
 
     def put(self, rows: Mapping[str, JsonValue]) -> None:
-        """Write rows, or remove those that are None; once it returned, every later open finds them."""
+        """Write rows, and remove those that are None; every open after the return finds the changes."""
         self._attempt += 1
         self._failed_files = self._remove(self._failed_files)
         written = {key.encode(): _encoded(row) for key, row in rows.items()}
@@ -137,33 +141,33 @@
             raise OSError(str(error)) from None
         self._previous_write = written
         self._apply(rows)
-        self._turn = 1 - self._turn
+        self._write_index = 1 - self._write_index
         self._superseded_files = self._remove(self._superseded_files)
-        if self._has_outgrown_its_pages():
+        if self._needs_compaction():
             self._superseded_files += self._abandon_file()
 
     def _write_snapshot(self, written: dict[bytes, bytes | None]) -> None:
-        """Bring the file in turn to all rows with `written` applied, durably, with its checksum."""
-        environment = self._environments[self._turn]
+        """Write a durable snapshot of all rows, with `written` applied, and its checksum."""
+        environment = self._environments[self._write_index]
         if environment is None:
-            environment = self._make_file()
+            environment = self._create_file()
             earlier = {key.encode(): _encoded(row) for key, row in self._rows.items()}
             is_new = True
         else:
-            earlier = self._previous_write  # the file has all that was written before that
+            earlier = self._previous_write  # the file already has all rows written before that
             is_new = False
         self._operations.commit(environment, {**earlier, **written})
         self._operations.sync(environment)
         checksum = self._compute_checksum(os.path.basename(environment.path()), self._attempt)
-        assert checksum is not None, "the file that was just synced is gone"
+        assert checksum is not None, "the file that was just synced does not exist"
         self._operations.write(environment.path() + CHECKSUM_SUFFIX, checksum)
         if is_new:
             self._operations.sync_path(self._folder)
 
     def _abandon_failed_file(self) -> None:
-        """Leave the file on which an attempt failed, and free what room can be freed."""
+        """Stop writing to the file on which an attempt failed, and remove the files that aren't needed."""
         self._failed_files += self._abandon_file()
-        if self._environments[1 - self._turn] is not None:  # it has all rows: older files may go
+        if self._environments[1 - self._write_index] is not None:  # has all rows, so older files can go
             self._failed_files += self._superseded_files
             self._superseded_files = []
         self._failed_files = self._remove(self._failed_files)
@@ -175,37 +179,37 @@
             else:
                 self._rows[key] = row
 
-    def _make_file(self) -> lmdb.Environment:
+    def _create_file(self) -> lmdb.Environment:
         self._last_file_number += 1
         environment = self._operations.open(self._path(self._last_file_name()), False)
-        self._environments[self._turn] = environment
+        self._environments[self._write_index] = environment
         return environment
 
     def _last_file_name(self) -> str:
         return f"{self._last_file_number:08d}{DATA_SUFFIX}"
 
     def _abandon_file(self) -> list[str]:
-        """Stop writing to the file in turn; return its name."""
-        environment = self._environments[self._turn]
-        self._environments[self._turn] = None
+        """Stop writing to the current file; return its name in a list."""
+        environment = self._environments[self._write_index]
+        self._environments[self._write_index] = None
         if environment is None:
-            return [self._last_file_name()]  # opening it failed, which may have made it
+            return [self._last_file_name()]  # opening the file failed, but may have created it
         name = os.path.basename(environment.path())
         environment.close()
         return [name]
 
-    def _has_outgrown_its_pages(self) -> bool:
-        """Return whether the file in turn has grown to twice its live pages."""
-        environment = self._environments[self._turn]
+    def _needs_compaction(self) -> bool:
+        """Return whether the current file has grown beyond twice its live pages and the slack."""
+        environment = self._environments[self._write_index]
         if environment is None:
             return False
         statistics = environment.stat()
         live_pages = sum(statistics[kind] for kind in ("branch_pages", "leaf_pages", "overflow_pages"))
         last_page: int = environment.info()["last_pgno"]
-        return last_page > 2 * live_pages + SPARE_PAGES
+        return last_page > 2 * live_pages + COMPACTION_SLACK_PAGES
 
     def _remove(self, names: list[str]) -> list[str]:
-        """Remove files; return those that couldn't be removed, to be tried again."""
+        """Remove files; return those that couldn't be removed, so that it can be retried."""
         remaining = []
         for name in names:
             try:
@@ -221,7 +225,7 @@
                 self._operations.remove(path)
 
     def close(self) -> None:
-        """Close the files; what was put is on disk."""
+        """Close the files; all rows that were put are already on disk."""
         for environment in self._environments:
             if environment is not None:
                 environment.close()
--- a/honeywood/gateway/register/state_transfer.py
+++ b/honeywood/gateway/register/state_transfer.py
@@ -1,4 +1,4 @@
-"""Takes over the rows of other disks, for a disk that enters an epoch."""
+"""Collects the rows of other disks, for a disk that enters an epoch."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
     from honeywood.gateway.register.value_transfer import ValueTransfer
 
 TRANSFER_REQUEST_TIMEOUT_S = 1.5
-"""That a peer has to send all its rows."""
+"""The timeout for a peer to send all its rows."""
 
 
 @dataclass(frozen=True, slots=True)
 class CollectedState:
-    """The quorum whose rows are taken over, and all replies by address: others may have a value too."""
+    """The quorum whose rows are copied, and all replies by address, since others may have a value too."""
 
     quorum: JoinQuorum
     replies: Mapping[str, TransferStateReply]
 
 
 class StateTransfer:
-    """Asks other disks for all that they store."""
+    """Requests the complete state of other disks."""
 
     def __init__(
         self, state: PersistentState, membership: MembershipState, peers: PeerClient, transfer: ValueTransfer
     ) -> None:
-        """Values that `state` has are not asked for again."""
+        """Values that `state` has already are not requested again."""
         self._state, self._membership, self._peers, self._transfer = state, membership, peers, transfer
 
     async def collect(
@@ -48,7 +48,7 @@
         request: TransferState,
         select: Callable[[Mapping[str, TransferStateReply]], JoinQuorum | None],
     ) -> CollectedState | None:
-        """Send a request to all `ips` until `select` finds a quorum in the replies; None where it doesn't."""
+        """Send a request to all `ips` until `select` finds a quorum in the replies; None if there is none."""
         replies: dict[str, TransferStateReply] = {}
         quorum: JoinQuorum | None = None
         local_rows = dict(self._state.registers)
@@ -68,23 +68,23 @@
         return None if quorum is None else CollectedState(quorum, replies)
 
     async def complete_rows(self, collected: CollectedState) -> dict[str, Row]:
-        """Return the rows of a quorum, merged, with their values.
+        """Return the merged rows of a quorum, with their values.
 
-        Raises ValueUnavailable where one can't be transferred in time; what arrived of it stays, and the
-        next attempt resumes there.
+        Raises ValueUnavailable if a value can't be transferred in time. The chunks of it that arrived are
+        kept, and the next attempt resumes there.
         """
         merged = acceptor.merge_rows(reply.rows for reply in collected.quorum.replies)
         rows = {}
         for key, row in merged.items():
             views = {ip: reply.rows.get(key) for ip, reply in collected.replies.items()}
-            sources = [ip for ip, one in views.items() if one is not None and one.accepted == row.accepted]
+            sources = [ip for ip, view in views.items() if view is not None and view.accepted == row.accepted]
             value = await self._transfer.resolve(row.value, sources)
             rows[key] = Row(row.promised, row.accepted, value)
         return rows
 
 
 def _with_local_value(row: TransferredRow, local: Row) -> TransferredRow:
-    """Return a row with the value that was left out because this disk has it."""
+    """Return a row with the value that was omitted because this disk has it already."""
     if row.value is None and row.accepted == local.accepted:
         return row._replace(value=InlineValue(local.value))
     return row
--- a/honeywood/gateway/register/state_update.py
+++ b/honeywood/gateway/register/state_update.py
@@ -1,8 +1,8 @@
-"""What a controller's disk stores, and the rows that stand for it on disk.
+"""The state that a controller's disk stores, and its encoding as rows.
 
-Besides the registers' rows a disk stores its own incarnation, the configuration it goes by, the later
-incarnations of other disks, and this controller's log of machines' heartbeats, on which no other controller
-relies. All rows are JSON; their keys and forms are those that released versions wrote.
+Besides the registers' rows a disk stores its incarnation, its current configuration, the known incarnations
+of other disks that are later than the first, and this controller's log of the machines' heartbeats, on which
+no other controller relies. All rows are JSON; their keys and forms are those of the released versions.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 CONFIGURATION_KEY = "members"
 PEER_INCARNATIONS_KEY = "lives"
 HEARTBEAT_PREFIX = "note/"
-"""Before a machine's id: the row of its latest heartbeat."""
+"""This prefix and a machine's id are the key of the row with its latest heartbeat."""
 
 METADATA_KEYS = (INCARNATION_KEY, CONFIGURATION_KEY, PEER_INCARNATIONS_KEY)
 
 
 class HeartbeatRecord(NamedTuple):
-    """The latest heartbeat of a machine: the stamp that orders it, and what it said."""
+    """The latest heartbeat of a machine: the stamp by which heartbeats are ordered, and its content."""
 
     stamp: list[int]
     value: JsonValue
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateUpdate:
-    """What is written to a disk at once; what isn't given stays as it is.
+    """An update that is written to a disk atomically; fields that aren't given stay unchanged.
 
     A register's row or a heartbeat that is None is removed.
     """
@@ -49,7 +49,7 @@
     peer_incarnations: Mapping[str, int] | None = None
 
     def encode(self) -> dict[str, JsonValue]:
-        """Return the rows to write, by key; None where a row is removed."""
+        """Return the rows to write, by key; a row that is None is removed."""
         rows: dict[str, JsonValue] = {**self.registers}
         rows.update({HEARTBEAT_PREFIX + id: record for id, record in self.heartbeats.items()})
         if self.peer_incarnations is not None:
@@ -62,7 +62,7 @@
 
     @classmethod
     def decode(cls, rows: Mapping[str, JsonValue]) -> StateUpdate:
-        """Return the update that brings an empty state to the stored rows."""
+        """Return the update that turns an empty state into the state of the stored rows."""
         configuration = rows.get(CONFIGURATION_KEY)
         return cls(
             registers={key: row_from_json(row) for key, row in rows.items() if is_register(key)},
@@ -78,5 +78,5 @@
 
 
 def is_register(key: str) -> bool:
-    """Return whether the row of that key is a register's."""
+    """Return whether the row with this key is a register's."""
     return key not in METADATA_KEYS and not key.startswith(HEARTBEAT_PREFIX)
--- a/honeywood/gateway/register/value_lookup.py
+++ b/honeywood/gateway/register/value_lookup.py
@@ -1,4 +1,4 @@
-"""Finds values by reference, in this disk's rows and among those on their way."""
+"""Finds values by reference, in this disk's rows and among the values in transfer."""
 
 from __future__ import annotations
 
@@ -26,17 +26,18 @@
 
 
 class ValueLookup:
-    """What this disk has of values: `store` keeps those on their way."""
+    """The values that this disk has, including those in transfer, which are in `store`."""
 
     def __init__(self, state: PersistentState, store: ValueStore) -> None:
-        """Look into the rows of `state` first."""
+        """Search the rows of `state` first, then `store`."""
         self._state = state
         self.store = store
-        # By key: the ballot, and the reference to its value, None for a small one. A value is hashed once.
+        # Each value is hashed only once. By key: the accepted ballot, and the reference to the value, which
+        # is None for a small value.
         self._references: dict[str, tuple[Ballot, ValueReference | None]] = {}
 
     def carried(self, key: str) -> CarriedValue:
-        """Return how messages carry the value of a key's row."""
+        """Return the form in which messages carry the value of a key's row."""
         row = self._state.registers.get(key)
         if row is None or row.value is None:
             return None
@@ -48,7 +49,7 @@
         return InlineValue(row.value) if reference is None else reference
 
     def find(self, carried: CarriedValue) -> CompleteValue | None:
-        """Return the value that a message carried, None where it isn't here."""
+        """Return the value that a message carried, or None if this disk doesn't have it."""
         if carried is None:
             return CompleteValue(None)
         if isinstance(carried, InlineValue):
@@ -59,7 +60,7 @@
         return self.store.value(_now(), carried)
 
     def has(self, reference: ValueReference) -> bool:
-        """Return whether a complete value is here."""
+        """Return whether this disk has a complete value."""
         return self._row_of(reference) is not None or self.store.text(_now(), reference) is not None
 
     def _row_of(self, reference: ValueReference) -> Row | None:
@@ -67,7 +68,10 @@
         return next((row for key, row in rows.items() if self.carried(key) == reference), None)
 
     def chunk(self, reference: ValueReference, start: int, size: int) -> ValueChunk | None:
-        """Return a chunk of a value, None where it isn't here. It is kept for a while if its row changes."""
+        """Return a chunk of a value, or None if this disk doesn't have the value.
+
+        The value is also put into the store, so that its transfer can continue if the row changes.
+        """
         now = _now()
         if self.store.text(now, reference) is None:
             complete = self.find(reference)
@@ -77,13 +81,13 @@
         return self.store.chunk(now, reference, start, size)
 
     def expect_push(self, reference: ValueReference) -> int:
-        """Return how many characters of a value are here; whoever asks pushes the rest."""
+        """Return how many characters of a value have arrived; the caller will push the rest."""
         now = _now()
         self.store.expect_push(now, reference)
         return self.store.received_characters(now, reference)
 
     def add_chunk(self, chunk: ValueChunk) -> int:
-        """Take a chunk that a peer pushed; return how many characters of the value are here then."""
+        """Add a chunk that a peer pushed; return how many characters of the value have arrived then."""
         if self.has(chunk.reference):
             return chunk.reference.length
         now = _now()
@@ -91,12 +95,12 @@
         return self.store.add_chunk(now, chunk)
 
     def add_proposed(self, value: JsonValue) -> CarriedValue:
-        """Return how a value to be proposed is carried; a large one is kept until it is accepted."""
+        """Return the carried form of a value to be proposed; a large one is kept until it is accepted."""
         carried = carried_form(value)
         if isinstance(carried, ValueReference):
             self.store.add(_now(), canonical_text(value))
         return carried
 
     def discard_expired(self) -> None:
-        """Discard values whose transfer was given up."""
+        """Discard the values in transfer that have expired."""
         self.store.discard_expired(_now())
--- a/honeywood/gateway/register/value_transfer.py
+++ b/honeywood/gateway/register/value_transfer.py
@@ -1,8 +1,8 @@
-"""Transfers large values to and from other disks, in checked chunks, each value once to each peer.
+"""Transfers large values to and from other disks in checksummed chunks, each value once per peer.
 
-A transfer goes on though whoever started it has stopped waiting: what arrived stays at the receiver, and the
-next ballot with the same value resumes there. At most one chunk is on its way between this disk and a peer,
-so that requests for other keys never wait behind more than one.
+A transfer continues after its caller has stopped waiting: the received chunks stay at the receiver, and the
+next ballot with the same value resumes there. At most one chunk is in flight between this disk and a peer, so
+that requests for other keys never wait behind more than one chunk.
 """
 
 from __future__ import annotations
@@ -28,35 +28,35 @@
     from honeywood.gateway.register.values import CarriedValue
 
 VALUE_TIMEOUT_S = 3.0
-"""For which a caller waits for a large value; its transfer goes on after that."""
+"""How long a caller waits for a large value; the transfer continues after that."""
 
 POLL_INTERVAL_S = 0.05
-"""Between checks of a value that a peer is pushing."""
+"""The interval between checks whether a value that a peer is pushing is complete."""
 
-MAX_FRUITLESS_CHUNKS = 3
-"""In a row, after which a transfer is given up."""
+MAX_STALLED_CHUNKS = 3
+"""A transfer is abandoned after this many consecutive chunks without progress."""
 
 TRANSFER_TIMEOUT_S = 60.0
-"""After which a transfer is given up however it goes."""
+"""A transfer is abandoned after this time even if it makes progress."""
 
 
 class ValueTransfer:
-    """The transfers of one disk. `call(ip, request)` calls a peer and raises GatewayError."""
+    """The value transfers of one disk. `call(ip, request)` calls a peer and raises GatewayError."""
 
     def __init__(self, lookup: ValueLookup, call: Callable[[str, Request], Awaitable[Reply]]) -> None:
-        """Put what is fetched into the store of `lookup`."""
+        """Fetched values are put into the store of `lookup`."""
         self._lookup, self._store, self._call = lookup, lookup.store, call
         self._running: dict[Hashable, asyncio.Task[bool]] = {}
-        self._wanted: dict[tuple[str, str], str] = {}  # by peer and key: the digest of the newest value
-        self._links: defaultdict[str, asyncio.Lock] = defaultdict(asyncio.Lock)
-        self._sizes: defaultdict[str, ChunkSize] = defaultdict(ChunkSize)
+        self._newest_digests: dict[tuple[str, str], str] = {}  # of the newest values, by peer and key
+        self._call_locks: defaultdict[str, asyncio.Lock] = defaultdict(asyncio.Lock)
+        self._chunk_sizes: defaultdict[str, ChunkSize] = defaultdict(ChunkSize)
 
     async def resolve(self, carried: CarriedValue, sources: Sequence[str]) -> JsonValue:
-        """Return a carried value, fetched from the `sources` if need be; raise ValueUnavailable."""
+        """Return a carried value, fetched from `sources` if necessary; raise ValueUnavailable."""
         complete = self._lookup.find(carried)
         if isinstance(carried, ValueReference) and complete is None:
-            is_here = await self._fetch_within(carried, sources, VALUE_TIMEOUT_S)
-            complete = self._lookup.find(carried) if is_here else None
+            has_arrived = await self._fetch_within(carried, sources, VALUE_TIMEOUT_S)
+            complete = self._lookup.find(carried) if has_arrived else None
         if complete is None:
             raise ValueUnavailable
         return complete.value
@@ -64,15 +64,15 @@
     async def push(self, ip: str, key: str, reference: ValueReference, text: str, received: int) -> bool:
         """Send a value of `key` to a peer that has `received` characters of it.
 
-        Returns whether the peer has all of it then. The transfer ends early once a newer value of the key is
-        pushed to that peer.
+        Returns whether the peer has the complete value then. The transfer ends early if a newer value of the
+        key is pushed to the same peer.
         """
-        self._wanted[ip, key] = reference.digest
+        self._newest_digests[ip, key] = reference.digest
         transfer = (ip, reference.digest)
         return await self._run_once(transfer, lambda: self._push(ip, key, reference, text, received))
 
     async def _fetch_within(self, reference: ValueReference, ips: Sequence[str], timeout_s: float) -> bool:
-        """Fetch a value from any of `ips`; return whether it is here within `timeout_s`."""
+        """Fetch a value from any of `ips`; return whether it arrived within `timeout_s`."""
         try:
             async with asyncio.timeout(timeout_s):
                 return await self._run_once(reference.digest, lambda: self._fetch(reference, list(ips)))
@@ -80,20 +80,20 @@
             return False
 
     async def _run_once(self, name: Hashable, start: Callable[[], Awaitable[bool]]) -> bool:
-        """Wait for the transfer of that name, which is started if there is none; it outlives the caller."""
+        """Wait for the transfer called `name`, starting it if none is running; it may outlive the caller."""
         task = self._running.get(name)
         if task is None:
             task = self._running[name] = asyncio.ensure_future(start())
             task.add_done_callback(lambda _: self._running.pop(name, None))
         return await asyncio.shield(task)
 
-    async def _call_in_turn(self, ip: str, request_of: Callable[[int], Request]) -> Reply:
-        """Call a peer once no other chunk is on its way, with the request for the size of chunk then."""
+    async def _call_serialized(self, ip: str, make_request: Callable[[int], Request]) -> Reply:
+        """Call a peer once no other chunk is in flight, with the request that fits the chunk size then."""
         loop = asyncio.get_running_loop()
-        async with self._links[ip]:
-            size, started_at = self._sizes[ip], loop.time()
+        async with self._call_locks[ip]:
+            size, started_at = self._chunk_sizes[ip], loop.time()
             try:
-                reply = await self._call(ip, request_of(size.characters))
+                reply = await self._call(ip, make_request(size.characters))
             except GatewayError:
                 size.record(loop.time() - started_at, arrived=False)
                 raise
@@ -101,47 +101,47 @@
         return reply
 
     async def _push(self, ip: str, key: str, reference: ValueReference, text: str, received: int) -> bool:
-        loop, fruitless = asyncio.get_running_loop(), 0
+        loop, stalled_chunks = asyncio.get_running_loop(), 0
         deadline = loop.time() + TRANSFER_TIMEOUT_S
-        while received < reference.length and fruitless < MAX_FRUITLESS_CHUNKS and loop.time() < deadline:
-            if self._wanted.get((ip, key)) != reference.digest:
+        while received < reference.length and stalled_chunks < MAX_STALLED_CHUNKS and loop.time() < deadline:
+            if self._newest_digests.get((ip, key)) != reference.digest:
                 return False
             after = await self._push_chunk(ip, reference, text, received)
-            fruitless = 0 if after > received else fruitless + 1
+            stalled_chunks = 0 if after > received else stalled_chunks + 1
             received = min(after, reference.length)
         return received >= reference.length
 
     async def _push_chunk(self, ip: str, reference: ValueReference, text: str, received: int) -> int:
-        """Send the next chunk; return how many characters the peer has then, as far as is known."""
+        """Send the next chunk; return how many characters the peer has then, as far as this disk knows."""
 
-        def request_of(size: int) -> StoreChunk:
+        def make_request(size: int) -> StoreChunk:
             return StoreChunk(ValueChunk.from_text(reference, text, received, size))
 
         try:
-            reply = await self._call_in_turn(ip, request_of)
+            reply = await self._call_serialized(ip, make_request)
         except GatewayError:
             return received
         return reply.received_characters if isinstance(reply, ChunkStored) else received
 
     async def _fetch(self, reference: ValueReference, ips: Sequence[str]) -> bool:
-        loop, fruitless = asyncio.get_running_loop(), 0
+        loop, stalled_chunks = asyncio.get_running_loop(), 0
         deadline = loop.time() + TRANSFER_TIMEOUT_S
-        while fruitless < MAX_FRUITLESS_CHUNKS * len(ips) and loop.time() < deadline:
+        while stalled_chunks < MAX_STALLED_CHUNKS * len(ips) and loop.time() < deadline:
             if self._lookup.has(reference):
                 return True
             if self._store.is_push_expected(loop.time(), reference):
                 await asyncio.sleep(POLL_INTERVAL_S)
                 continue
             received = self._store.received_characters(loop.time(), reference)
-            await self._fetch_chunk(ips[fruitless % len(ips)], reference, received)
+            await self._fetch_chunk(ips[stalled_chunks % len(ips)], reference, received)
             after = self._store.received_characters(loop.time(), reference)
-            fruitless = 0 if after > received else fruitless + 1
+            stalled_chunks = 0 if after > received else stalled_chunks + 1
         return self._lookup.has(reference)
 
     async def _fetch_chunk(self, ip: str, reference: ValueReference, received: int) -> None:
-        """Ask a peer for the next chunk, and store it if it comes."""
+        """Request the next chunk from a peer, and store it if it arrives."""
         try:
-            reply = await self._call_in_turn(ip, lambda size: FetchChunk(reference, received, size))
+            reply = await self._call_serialized(ip, lambda size: FetchChunk(reference, received, size))
         except GatewayError:
             return
         chunk = reply.chunk if isinstance(reply, ChunkFetched) else None
