--- a/tests/gateway/register/test_acceptor_service.py
+++ b/tests/gateway/register/test_acceptor_service.py
@@ -1,4 +1,4 @@
-"""A disk's answers to requests."""
+"""Tests of the acceptor's service."""
 
 import asyncio
 
@@ -8,9 +8,9 @@
 from honeywood.lab.emulator.loop import HEALTHY_DISK, DiskFault
 
 
-@test("behind a disk that hangs steps are refused at once, the loop goes on, and all is well after it")
+@test("while a disk hangs, requests that need it are refused at once, and it recovers afterwards")
 def _():
-    # They queued for the lock, each of them held until the disk came back, however long that took.
+    # Guards against requests queueing for the lock until a disk works again, however long that takes.
     world = World()
     try:
         world.play("""
--- a/tests/gateway/register/test_agreement.py
+++ b/tests/gateway/register/test_agreement.py
@@ -1,4 +1,4 @@
-"""What a majority of disks agrees on."""
+"""Tests of the agreement of a majority of disks on a read."""
 
 from ward import test
 
@@ -12,10 +12,11 @@
 )
 
 
-@test("a rebuilt disk's copy is no vote: what a read returned is never lost to a ballot promised before")
+@test("a value copied to a rebuilt disk doesn't count as accepted while a higher ballot is promised")
 def _():
-    # 5x reached a alone; a ballot without a was promised by b and c; c was lost, rebuilt from a and b. A read
-    # of a and c took c's copy for an accepted row and told 5x; b and c accepted 5y under the old promise.
+    # Guards against a read that returns a value which is lost later. Only a accepted 5x, b and c promised a
+    # higher ballot, and c was lost and rebuilt from a and b. If a read of a and c counted c's copy, it would
+    # return 5x, although b and c may still accept 5y under the higher ballot.
     rows, lower, higher = {}, Ballot(1, "p"), Ballot(2, "q")
 
     def prepare(disk, ballot):
--- a/tests/gateway/register/test_chunk_size.py
+++ b/tests/gateway/register/test_chunk_size.py
@@ -1,4 +1,4 @@
-"""The size of chunks."""
+"""Tests of the adaptive chunk size."""
 
 from ward import test
 
@@ -8,7 +8,7 @@
 )
 
 
-@test("parts grow on a quick link, shrink on a slow one and after one that didn't arrive, within bounds")
+@test("chunks grow on a fast link, and shrink on a slow link and after a lost chunk, within bounds")
 def _():
     size = ChunkSize()
     assert size.characters == FIRST_CHUNK_CHARACTERS
--- a/tests/gateway/register/test_membership_manager.py
+++ b/tests/gateway/register/test_membership_manager.py
@@ -1,4 +1,4 @@
-"""Members are agreed on and replaced, and lost disks are rebuilt."""
+"""Tests of the bootstrap of the members, their replacement, and the rebuilding of lost disks."""
 
 from register_histories import configurations, play_history, random_schedule
 from timeline import World, config
@@ -10,12 +10,14 @@
 
 
 def bootstrap_partitioned(seed=0):
-    """Seven controllers of which five are to count, cut into two from the start, with a majority of the
-    seeds on one side; joined later. The members by controller."""
+    """Starts seven controllers, of which five become members, in a network partition that heals later.
+
+    A majority of the seeds is on one side of the partition. Returns the configuration of each controller.
+    """
     world = World("abcdefg", tolerated_failures=2, seed=seed)
     try:
-        for one in "ade":
-            world.partition(one, "bcfg")
+        for name in "ade":
+            world.partition(name, "bcfg")
         for name in world.controllers:
             world.start(name)
         world.run(4.0)
@@ -26,30 +28,31 @@
         world.close()
 
 
-@test("controllers cut apart at their first start found one set of members")
+@test("controllers that are partitioned at their first start agree on one set of members")
 def _():
-    # Each fixed the first five that it knew of: a, d and e fixed abcde, the others abcfg, for good.
-    # Then, right after the cut, a controller that had heard some members and a spare replaced one not heard
+    # Guards against two faults: controllers on each side of the partition settle on the first five that they
+    # know, which are abcde for a, d and e, and abcfg for the others; and right after the partition a
+    # controller that has contact with some members and a spare replaces a member that it has no contact with
     # yet.
     for seed in range(4):
         results = bootstrap_partitioned(seed)
         assert results == [MembershipConfiguration(1, tuple("abcfg"))] * 7, seed
 
 
-async def agree_alone(self, wanted):
-    configuration = MembershipConfiguration(self._membership.epoch + 1, tuple(wanted))
+async def agree_alone(self, members):
+    configuration = MembershipConfiguration(self._membership.epoch + 1, tuple(members))
     await self._membership.adopt(configuration)
     return configuration
 
 
-@test("without agreement they found two")
+@test("without agreement, partitioned controllers have different members")
 def _():
-    # Mutation: each takes the members that it proposes for agreed.
-    guarded, MembershipManager._agree = MembershipManager._agree, agree_alone
+    # Mutation: each controller adopts the members that it proposes.
+    original, MembershipManager._agree = MembershipManager._agree, agree_alone
     try:
-        assert len({one.members for one in bootstrap_partitioned()}) > 1
+        assert len({configuration.members for configuration in bootstrap_partitioned()}) > 1
     finally:
-        MembershipManager._agree = guarded
+        MembershipManager._agree = original
 
 
 REPLACED = """
@@ -60,9 +63,9 @@
 """
 
 
-@test("a member that left for good is replaced, then another is lost: nothing is, and changes go on")
+@test("after a dead member is replaced, another one may fail without losing versions or blocking changes")
 def _():
-    # There was no way for d to count: with the second loss one member was left of three.
+    # Guards against d never becoming a member: after the second failure one of three members would be left.
     world = World("abcd")
     try:
         world.play(REPLACED)
@@ -92,7 +95,7 @@
         world.close()
 
 
-@test("a member that is killed and comes back is not replaced, also where a spare is there")
+@test("a member that is killed and restarts in time is not replaced, even if a spare is available")
 def _():
     world = World("abcd")
     try:
@@ -103,14 +106,15 @@
           8    | put 1 |       | start |
           40   | = 1   | = 1   | = 1   | = 1
         """)
-        assert [one.epoch for one in configurations(world)] == [1] * 4
+        assert [configuration.epoch for configuration in configurations(world)] == [1] * 4
     finally:
         world.close()
 
 
-@test("a wiped disk is a voter again at once ({disk} times a disk's usual time, {routes} routes)")
-def _(disk=each(1, 1, 30), routes=each(1, 1400, 1400)):
-    # From the start of its process; `sync_s` is 4 s. By the next round of the keeping loop it took up to 1 s.
+@test("a wiped disk votes again within 0.4 s of its start (disk slowdown {slowdown}, {routes} routes)")
+def _(slowdown=each(1, 1, 30), routes=each(1, 1400, 1400)):
+    # `sync_s` is 4 s. Guards against a wait for the next iteration of the membership loop, which takes up to
+    # 1 s.
     world, results = World(), []
     try:
         for name in world.controllers:
@@ -123,22 +127,23 @@
         world.wipe("a")
         world.run(4.5)
         world.start("a")
-        world.set_disk_fault("a", DiskFault(slowdown=disk))
-        began = world.loop.time()
+        world.set_disk_fault("a", DiskFault(slowdown=slowdown))
+        started_at = world.loop.time()
 
-        def look():
+        def check():
             if not results and "a" in world.nodes and world.nodes["a"].register.membership.is_voter:
-                results.append(world.loop.time() - began)
+                results.append(world.loop.time() - started_at)
 
-        world.run(8.0, look)
+        world.run(8.0, check)
         assert world.version("a") == 3 and results and results[0] < 0.4, results
     finally:
         world.close()
 
 
-@test("two disks lost one after the other, the second while the first is rebuilt, never vote on nothing")
+@test("if a second disk is lost while the first one is rebuilt, neither of them becomes intact")
 def _():
-    # Beyond what must be borne: nothing can be told any more, and nothing else is.
+    # Two of three disks are more than may fail: the register can't respond any more, and must not respond
+    # with wrong values.
     world = World()
     try:
         world.play("""
@@ -162,26 +167,27 @@
 
 
 def play_member_removed(seed):
-    """Kills, wipes and cuts of four controllers, of which the fourth is there when the third has gone."""
+    """Plays kills, wipes and partitions of four controllers; the fourth starts once the third is removed."""
     schedule, loss = random_schedule(seed, 30)
-    moments = [
-        (wait, what, "abd"[at % 3] if what == "start" else name)
-        for at, (wait, what, name) in enumerate(schedule)
+    events = [
+        (wait, event, "abd"[index % 3] if event == "start" else name)
+        for index, (wait, event, name) in enumerate(schedule)
     ]
-    gone = [(0.5, "kill", "c"), (0.1, "start", "d"), (4.0, "put", "a")]
-    moments = [*moments[:10], *gone, *moments[10:], (4.0, "put", "b")]
-    play_history(moments, loss, seed, controllers="abcd", first="abc")
+    replacement = [(0.5, "kill", "c"), (0.1, "start", "d"), (4.0, "put", "a")]
+    events = [*events[:10], *replacement, *events[10:], (4.0, "put", "b")]
+    play_history(events, loss, seed, controllers="abcd", initial="abc")
 
 
-@test("twenty histories with a member that goes for good and one that comes lose nothing")
+@test("twenty histories in which a member is removed and a spare takes its place lose nothing")
 def _():
     for seed in range(20):
         play_member_removed(seed)
 
 
-@test("contact with a spare is none with a majority: no leaving is acknowledged by the two of them")
+@test("a spare doesn't count for a majority: a member and a spare don't acknowledge that a machine drains")
 def _():
-    # A spare's notes count for nothing: it may go in any number, and a majority may never hear of it.
+    # Heartbeats stored by a spare are not durable: any number of spares may fail, and a majority of the
+    # members may never learn of what they stored.
     world = World("abcd")
     try:
         world.play(REPLACED.replace("kill", ""))
@@ -197,9 +203,10 @@
         world.close()
 
 
-@test("a member that is gone is replaced in time though copies of its requests keep arriving")
+@test("a dead member is replaced in time even if duplicates of its requests keep arriving")
 def _():
-    # Each copy passed for a sign of its life: the place was taken up to 6 s later than sync_s (4 s).
+    # Guards against duplicates that count as contact: they delayed the replacement by up to 6 s beyond sync_s
+    # (4 s).
     for seed in range(3):
         world = World("abcd", seed=seed)
         try:
@@ -220,14 +227,15 @@
 
 
 def run_with_refusing_disk(world, name, until):
-    """Plays on with a disk that takes no writes."""
+    """Runs the world until a time, with one disk that refuses all writes."""
     world.set_disk_fault(name, REFUSING_DISK)
     world.run(until)
 
 
-@test("a member whose disk refuses all writes is replaced, and is the spare once its disk works again")
+@test("a member whose disk refuses all writes is replaced, and is a spare once its disk works again")
 def _():
-    # It answered, so it was in contact: it stayed a member for ever, and one more loss ended all changes.
+    # Guards against a member that responds and thus counts as in contact: it stayed a member for ever, and
+    # one more failure blocked all changes.
     world, after = World("abcd"), MembershipConfiguration(2, ("a", "b", "d"))
     try:
         world.play("""
@@ -236,8 +244,8 @@
         """)
         world.run(3.0)
         world.fresh = False
-        run_with_refusing_disk(world, "c", 23.5)  # of 21 s: three times contact_s and sync_s together
-        assert [one.epoch for one in configurations(world)] == [1] * 4
+        run_with_refusing_disk(world, "c", 23.5)  # it is replaced after 21 s: 3 * (contact_s + sync_s)
+        assert [configuration.epoch for configuration in configurations(world)] == [1] * 4
         world.run(26.0)
         assert [world.nodes[name].register.membership.configuration for name in "abd"] == [after] * 3
         membership = world.nodes["c"].register.membership
@@ -256,7 +264,7 @@
         world.close()
 
 
-@test("a member whose disk refuses for less than that stays one")
+@test("a member whose disk refuses writes for less than 21 s stays a member")
 def _():
     world = World("abcd")
     try:
@@ -269,12 +277,12 @@
         run_with_refusing_disk(world, "c", 20.0)
         world.set_disk_fault("c", HEALTHY_DISK)
         world.run(40.0)
-        assert [one.epoch for one in configurations(world)] == [1] * 4
+        assert [configuration.epoch for configuration in configurations(world)] == [1] * 4
     finally:
         world.close()
 
 
-@test("a member that comes back with an empty disk which refuses all writes is replaced as well")
+@test("a member that restarts with an empty disk that refuses all writes is replaced as well")
 def _():
     world = World("abcd")
     try:
--- a/tests/gateway/register/test_paged_caller.py
+++ b/tests/gateway/register/test_paged_caller.py
@@ -1,4 +1,4 @@
-"""Calls whose answers come page by page."""
+"""Tests of calls whose responses arrive page by page."""
 
 import asyncio
 
@@ -10,39 +10,39 @@
 from honeywood.gateway.register.pages import PAGE_CHARACTERS
 
 
-@test("an answer that is neither complete nor a page is a failed call that names field and peer")
+@test("a call fails with the names of the field and the peer if the response is an invalid page")
 def _():
     class Peer:
-        async def call(self, ip, port, path, body, within, idempotent):
+        async def call(self, ip, port, path, body, timeout_s, idempotent):
             return {"part": "x", "at": "0", "of": 9, "mark": "m", "sum": 0}
 
-    ask = {"step": "survey", "known": {}}
+    request = {"step": "survey", "known": {}}
     with raises(GatewayError) as failed:
-        asyncio.run(PagedCaller(Peer()).call("b", 1, "/register", ask, 1.0))
+        asyncio.run(PagedCaller(Peer()).call("b", 1, "/register", request, 1.0))
     assert "at must be int" in str(failed.raised) and "with b" in str(failed.raised)
 
 
-@test("a read counts only what was answered after it began, though an earlier one got stuck half way")
+@test("a read uses only pages sent after it began, even if an equal earlier read failed halfway")
 def _():
-    # Two reads may ask alike: the second one must not end with the first one's older pages.
+    # Guards against a read whose request equals that of an earlier one, and which ends with its older pages.
     async def play():
         value, fails = ["x" * (3 * PAGE_CHARACTERS)], [False]
 
         class Peer:
-            async def call(self, ip, port, path, body, within, idempotent):
+            async def call(self, ip, port, path, body, timeout_s, idempotent):
                 if body["have"] and fails[0]:
                     raise CallFailed(path, "silence", ip)
-                return await telling(dict(body), "a")
+                return await responder(dict(body), "a")
 
-        async def serve(ask, peer):
+        async def serve(request, peer):
             return {"rows": value[0]}
 
-        telling, caller = PagedResponder(serve, lambda: 0.0), PagedCaller(Peer())
+        responder, caller = PagedResponder(serve, lambda: 0.0), PagedCaller(Peer())
         fails[0] = True
         with raises(CallFailed):
             await caller.call("b", 1, "/register", {"step": "survey", "known": {}}, 1.0)
         fails[0], value[0] = False, "y" * (3 * PAGE_CHARACTERS)
-        found = await caller.call("b", 1, "/register", {"step": "survey", "known": {}}, 1.0)
-        assert found == {"rows": value[0]}
+        response = await caller.call("b", 1, "/register", {"step": "survey", "known": {}}, 1.0)
+        assert response == {"rows": value[0]}
 
     asyncio.run(play())
--- a/tests/gateway/register/test_persistent_state.py
+++ b/tests/gateway/register/test_persistent_state.py
@@ -1,4 +1,4 @@
-"""What a controller's disk stores."""
+"""Tests of the state that a controller's disk stores."""
 
 from timeline import World
 from ward import test
@@ -6,7 +6,7 @@
 from honeywood.lab.emulator.loop import HEALTHY_DISK
 
 
-@test("a controller that starts while its disk refuses opens it later, and has lost nothing")
+@test("a controller that starts while its disk refuses to open opens it later and has lost nothing")
 def _():
     world = World()
     try:
--- a/tests/gateway/register/test_proposer.py
+++ b/tests/gateway/register/test_proposer.py
@@ -1,20 +1,21 @@
-"""Changes by ballots."""
+"""Tests of changes by ballots."""
 
 from timeline import World
 from ward import test
 
 
-@test("a ballot that one disk refused doesn't wait for one that is silent")
+@test("a ballot that one disk rejected doesn't wait for a silent one")
 def _():
-    # It waited 0.8 s for the silent one, and its caller was sent away with 503 though a majority stood.
-    world, took = World("abc"), []
+    # Guards against a wait of 0.8 s for the silent disk: the client got 503 although a majority was
+    # available.
+    world, results = World("abc"), []
 
     async def change():
-        register, began = world.nodes["b"].register, world.loop.time()
+        register, started_at = world.nodes["b"].register, world.loop.time()
         register.proposer.highest_counter = 0
-        register.state.registers.pop("config", None)  # its first ballot is below what c has promised
-        changed = await register.change("config", lambda held: {**held, "past": []})
-        took.append((changed["past"] == [], world.loop.time() - began))
+        register.state.registers.pop("config", None)  # so the first ballot is below the one that c promised
+        changed = await register.change("config", lambda current: {**current, "past": []})
+        results.append((changed["past"] == [], world.loop.time() - started_at))
 
     try:
         for name in "abc":
@@ -25,7 +26,7 @@
         world.partition("a", "bc")
         world.loop.create_task(change())
         world.run(6.0)
-        assert took and took[0][0] and took[0][1] < 0.5, took
+        assert results and results[0][0] and results[0][1] < 0.5, results
     finally:
         world.close()
 
--- a/tests/gateway/register/test_row_store.py
+++ b/tests/gateway/register/test_row_store.py
@@ -1,4 +1,4 @@
-"""The register's files: what a put that returned wrote is found by every later open."""
+"""Tests of the register's files: the rows of a put that returned are found by every later open."""
 
 import os
 import random
@@ -14,12 +14,12 @@
 from honeywood.lab.model.faulty_file_operations import FaultyFileOperations, ProcessTerminated
 
 
-@test("power is lost at every call in turn, what was not synced {unsynced}")
+@test("no row is lost if power is lost at any file operation, with unsynced writes {unsynced}")
 def _(unsynced=each(UnsyncedWrites.KEPT, UnsyncedWrites.DISCARDED, UnsyncedWrites.MIXED)):
     assert sum(fault_at_every_call(seed, unsynced) for seed in range(8)) > 60
 
 
-@test("every call in turn meets {fault}, and then power is lost, what was not synced {unsynced}")
+@test("no row is lost if any file operation meets {fault} before power is lost, unsynced writes {unsynced}")
 def _(
     fault=each(CallFault.HANG, CallFault.REFUSED, CallFault.DISK_FULL, CallFault.REFUSED_AFTER_EFFECT),
     unsynced=each(
@@ -29,27 +29,28 @@
     assert sum(fault_at_every_call(seed, unsynced, fault) for seed in range(8)) > 60
 
 
-@test("and at calls by chance in life after life: nothing that a put had ended is lost")
+@test("no row is lost over many restarts with faults at random file operations")
 def _():
-    # A torn lmdb file opens, and then puts end with MDB_CORRUPTED, rows are gone, or reading ends the program
-    # by an assertion of lmdb's: without the sums beside the files this test does not even end. Removals that
-    # were lost are played too: seen by a hunt, a mark of an opening that had come back with power made two
-    # machines put their newer file aside, and with it the version that had been acknowledged last.
+    # Guards against torn LMDB files that open: puts end with MDB_CORRUPTED, rows are missing, or an assertion
+    # in LMDB ends the process, so that this test would not even finish without the checksum files. Removals
+    # that were lost are played too: a marker file that reappeared after a loss of power once made two
+    # controllers discard their newer file, and with it the version acknowledged last.
     assert sum(run_history(seed) for seed in range(300)) > 1500
 
 
-@test("a row that was refused after its bytes were down isn't found in the place of the one that ended then")
+@test("a row of a failed put, although its bytes were written, isn't found in place of a later put's row")
 def _():
-    # Both attempts carried one number: the left file, come back with power, won by its name.
+    # Guards against two attempts with the same number: the file of the failed one reappeared after a loss of
+    # power, and was chosen by its name.
     with tempfile.TemporaryDirectory() as folder:
 
         class RefusedOnce(FaultyFileOperations):
-            left = []
+            removed = []
             refuses_next_write = False
 
             def remove(self, path):
                 with open(path, "rb") as file:
-                    self.left.append((path, file.read()))
+                    self.removed.append((path, file.read()))
                 super().remove(path)
 
             def write(self, path, content):
@@ -58,95 +59,95 @@
                     self.refuses_next_write = False
                     raise OSError(5, "refused")
 
-        calls = RefusedOnce(DiskModel(), {})
-        disk = RowStore(folder, calls)
-        disk.put({"k": "first"})
-        disk.put({"k": "second"})
-        calls.refuses_next_write = True
+        operations = RefusedOnce(DiskModel(), {})
+        store = RowStore(folder, operations)
+        store.put({"k": "first"})
+        store.put({"k": "second"})
+        operations.refuses_next_write = True
         try:
-            disk.put({"k": "refused"})
+            store.put({"k": "refused"})
         except OSError:
-            disk.put({"k": "ended"})
-        disk.close()
-        for path, content in calls.left:  # the removals are lost with power
+            store.put({"k": "written"})
+        store.close()
+        for path, content in operations.removed:  # the loss of power reverts the removals
             with open(path, "wb") as file:
                 file.write(content)
-        assert RowStore(folder).rows() == {"k": "ended"} and calls.left
+        assert RowStore(folder).rows() == {"k": "written"} and operations.removed
 
 
-@test("what an open found is still there when power is lost right after it")
+@test("rows that an open found are still there if power is lost right after it")
 def _():
-    # Whoever wrote it may have been killed before it synced; a restarted disk told others of a row that it
-    # then lost: its answer had counted for a majority.
+    # Guards against rows whose writer was killed before it synced them: after a restart the disk replied with
+    # such a row, which counted for a majority, and then lost it.
     for seed in range(30):
         with tempfile.TemporaryDirectory() as folder:
-            chance, disk_model = random.Random(seed), DiskModel()
-            calls = FaultyFileOperations(disk_model, {6 + seed % 5: CallFault.HANG})
+            rng, disk_model = random.Random(seed), DiskModel()
+            operations = FaultyFileOperations(disk_model, {6 + seed % 5: CallFault.HANG})
             try:
-                disk = RowStore(folder, calls)
+                store = RowStore(folder, operations)
                 for put in range(3):
-                    disk.put({"k": put})
+                    store.put({"k": put})
             except ProcessTerminated:
-                calls.close()
-            found = RowStore(folder, FaultyFileOperations(disk_model, {})).rows()
-            disk_model.lose_power(folder, chance, UnsyncedWrites.DISCARDED)
-            assert RowStore(folder).rows() == found
+                operations.close()
+            rows = RowStore(folder, FaultyFileOperations(disk_model, {})).rows()
+            disk_model.lose_power(folder, rng, UnsyncedWrites.DISCARDED)
+            assert RowStore(folder).rows() == rows
 
 
-@test("a full disk refuses, holds what it held, leaves nothing behind and goes on when there is room")
+@test("a full disk refuses puts, keeps its rows, accumulates no files, and recovers when there is space")
 def _():
-    # Each refused put left a file behind that took up room itself.
-    class Full(FileOperations):
+    # Guards against failed puts that each leave a file behind, which takes up space itself.
+    class FullDisk(FileOperations):
         full = False
 
         def write(self, path, text):
             if self.full:
-                raise OSError(28, "no room")
+                raise OSError(28, "no space left")
             super().write(path, text)
 
     with tempfile.TemporaryDirectory() as folder:
-        calls = Full()
-        disk = RowStore(folder, calls)
+        operations = FullDisk()
+        store = RowStore(folder, operations)
         for put in range(3):
-            disk.put({"k": put})
-        calls.full, refused = True, 0
+            store.put({"k": put})
+        operations.full, refused = True, 0
         for _ in range(20):
             try:
-                disk.put({"k": "x" * 10_000})
+                store.put({"k": "x" * 10_000})
             except OSError:
                 refused += 1
-        assert refused == 20 and disk.rows() == {"k": 2} and len(os.listdir(folder)) <= 4
-        calls.full = False
-        disk.put({"l": 1})
-        disk.close()
+        assert refused == 20 and store.rows() == {"k": 2} and len(os.listdir(folder)) <= 4
+        operations.full = False
+        store.put({"l": 1})
+        store.close()
         assert RowStore(folder).rows() == {"k": 2, "l": 1}
 
 
-def size(folder):
+def folder_size(folder):
     return sum(os.path.getsize(os.path.join(folder, name)) for name in os.listdir(folder))
 
 
-@test("after thousands of changes and rows that came and went the files are as small as after ten")
+@test("the files stay small over thousands of puts that change, add and remove rows")
 def _():
     with tempfile.TemporaryDirectory() as folder:
-        disk, sizes, draw = RowStore(folder), [], random.Random(1)
+        store, sizes, rng = RowStore(folder), [], random.Random(1)
         for put in range(3000):
-            disk.put({"k": "x" * draw.randrange(60_000), f"m{put}": "y" * 200, f"m{put - 40}": None})
+            store.put({"k": "x" * rng.randrange(60_000), f"m{put}": "y" * 200, f"m{put - 40}": None})
             if put in (50, 2999):
-                sizes.append(size(folder))
-        disk.close()
+                sizes.append(folder_size(folder))
+        store.close()
         assert sizes[1] < 2 * sizes[0] and sizes[1] < 1 << 20, sizes
         assert len(RowStore(folder).rows()) == 41
 
 
 class WithoutPreviousWrite(RowStore):
-    """Writes to its two files in turn without the rows of the write before."""
+    """Writes to its two files alternately, without the rows of the previous write."""
 
     _previous_write = property(lambda self: {}, lambda self, rows: None)
 
 
-class NumbersEndedAttempts(RowStore):
-    """Numbers only those attempts that ended."""
+class WithoutNumberOfFailedAttempts(RowStore):
+    """Numbers only successful attempts, so that a failed one and the next one have the same number."""
 
     def put(self, rows):
         try:
@@ -175,18 +176,18 @@
 @test("without {safeguard} a row is lost")
 def _(
     safeguard=each(
-        "the rows of the write before",
+        "the rows of the previous write",
         "the sync",
         "a number for each attempt",
-        "a sync of what was found",
+        "a sync of the file that was found",
         "a sync of the folder",
     ),
-    store=each(WithoutPreviousWrite, RowStore, NumbersEndedAttempts, WithoutSyncOfFound, RowStore),
+    store=each(WithoutPreviousWrite, RowStore, WithoutNumberOfFailedAttempts, WithoutSyncOfFound, RowStore),
     operations=each(
         FaultyFileOperations, WithoutSync, FaultyFileOperations, FaultyFileOperations, WithoutFolderSync
     ),
 ):
-    # Mutations: histories that can't see them would prove nothing.
+    # Mutation test: shows that the histories above would detect these faults.
     lost, types = 0, StoreTypes(store, operations)
     for seed in range(3000):
         try:
--- a/tests/gateway/register/test_value_store.py
+++ b/tests/gateway/register/test_value_store.py
@@ -1,4 +1,4 @@
-"""Values on their way: chunks, and their bounds."""
+"""Tests of the store of values in transfer: chunks, and bounds."""
 
 import random
 
@@ -23,9 +23,9 @@
     return ValueChunk.from_text(REFERENCE, TEXT, start, size)
 
 
-def damaged(draw, chunk):
-    """A part that was damaged, cut, moved, or is one of another value."""
-    return draw.choice(
+def damaged(rng, chunk):
+    """Returns a chunk that is damaged, truncated, moved, of another value, or from another position."""
+    return rng.choice(
         (
             ValueChunk(chunk.reference, chunk.start, chunk.text[:-1], chunk.checksum),
             ValueChunk(chunk.reference, chunk.start, "#" + chunk.text[1:], chunk.checksum),
@@ -33,24 +33,24 @@
             ValueChunk(chunk.reference, chunk.start + 1, chunk.text, chunk.checksum),
             ValueChunk(ValueReference(REFERENCE.digest, 70_000), chunk.start, chunk.text, chunk.checksum),
             ValueChunk(ValueReference("0" * 32, REFERENCE.length), chunk.start, chunk.text, chunk.checksum),
-            chunk_at(draw.randrange(len(TEXT))),
+            chunk_at(rng.randrange(len(TEXT))),
         )
     )
 
 
-@test("a value is complete only after its own intact chunks, each added once, whatever comes between them")
+@test("a value is complete only after all its intact chunks; damaged and foreign chunks are ignored")
 def _():
     for seed in range(30):
-        draw, store = random.Random(seed), ValueStore()
+        rng, store = random.Random(seed), ValueStore()
         while store.text(0.0, REFERENCE) is None:
             received = store.received_characters(0.0, REFERENCE)
-            store.add_chunk(0.0, damaged(draw, chunk_at(received)))
+            store.add_chunk(0.0, damaged(rng, chunk_at(received)))
             assert store.received_characters(0.0, REFERENCE) in (received, min(received + 10_000, len(TEXT)))
             store.add_chunk(0.0, chunk_at(store.received_characters(0.0, REFERENCE)))
         assert store.value(0.0, REFERENCE) == values.CompleteValue(large_value(50_000))
 
 
-@test("intact chunks of what isn't the value that was referred to are discarded, and it starts anew")
+@test("intact chunks that don't add up to the referenced value are discarded, and the value starts again")
 def _():
     store, wrong = ValueStore(), TEXT[:-5] + "#" + TEXT[-4:]
     received = 0
@@ -62,7 +62,7 @@
     assert after == 0 == store.received_characters(0.0, REFERENCE) and store.text(0.0, REFERENCE) is None
 
 
-@test("values on their way are bounded in number and time")
+@test("values in transfer are bounded in number and in age")
 def _():
     store = ValueStore()
     for n in range(3 * MAX_STAGED_VALUES):
--- a/tests/gateway/register/test_value_transfer.py
+++ b/tests/gateway/register/test_value_transfer.py
@@ -1,4 +1,4 @@
-"""Large values travel by content hash, apart from the ballots, in checked chunks."""
+"""Tests of large values, which are sent by content hash, separately from ballots, in checksummed chunks."""
 
 from slow_link import change_key, large_value, start_world, stored_value
 from ward import each, test
@@ -14,61 +14,68 @@
 
 
 def time_to_reach(length, rate, value=None):
-    """Of a value for a disk behind `rate`: (seconds until it held it, changes of another key that it took
-    meanwhile, the longest of those changes)."""
-    world, outcomes, other_outcomes, taken = start_world(rate), [], [], set()
+    """Changes a large value whose third disk is behind a link of `rate` bytes per second.
+
+    Returns the seconds until that disk stored the value, how many changes of another key the disk stored
+    meanwhile, and the seconds that the longest of those changes took.
+    """
+    world, outcomes, other_outcomes, stored_others = start_world(rate), [], [], set()
     value = value or large_value(length)
     try:
-        began = world.loop.time()
+        started_at = world.loop.time()
         change_key(world, "a", LARGE, value, outcomes)
-        while stored_value(world, "c", LARGE) != value and world.loop.time() - began < 40.0:
-            change_key(world, "a", OTHER, len(other_outcomes) + len(taken), other_outcomes)
+        while stored_value(world, "c", LARGE) != value and world.loop.time() - started_at < 40.0:
+            change_key(world, "a", OTHER, len(other_outcomes) + len(stored_others), other_outcomes)
             world.run(world.loop.time() + 0.25)
-            taken.add(stored_value(world, "c", OTHER))
+            stored_others.add(stored_value(world, "c", OTHER))
         assert outcomes and outcomes[0][1] and outcomes[0][0] < 0.7, outcomes  # a and b are a majority
         assert all(succeeded for _, succeeded in other_outcomes)
         world.run(world.loop.time() + 2.0)
         assert [stored_value(world, name, LARGE) for name in "abc"] == [value] * 3
-        return world.loop.time() - 2.0 - began, len(taken), max(took for took, _ in other_outcomes)
+        return (
+            world.loop.time() - 2.0 - started_at,
+            len(stored_others),
+            max(took for took, _ in other_outcomes),
+        )
     finally:
         world.close()
 
 
-@test("{length} characters reach a disk behind {rate} bytes a second, and ballots of another key go on")
+@test("{length} characters reach a disk behind {rate} bytes per second, and other keys' ballots continue")
 def _(length=each(25_000, 25_000, 300_000, 300_000), rate=each(100_000, 30_000, 100_000, 30_000)):
-    took, taken, longest = time_to_reach(length, rate)
-    assert took < 1.5 * length / rate + 1.0, took
-    assert taken >= took and longest < 0.5, (took, taken, longest)
+    elapsed, other_changes, longest = time_to_reach(length, rate)
+    assert elapsed < 1.5 * length / rate + 1.0, elapsed
+    assert other_changes >= elapsed and longest < 0.5, (elapsed, other_changes, longest)
 
 
-@test("carried inside the accept it doesn't reach that disk")
+@test("a large value that is inline in the accept request doesn't reach that disk")
 def _():
-    # Mutation, and what was: 300 kB take 3 s of the 0.8 s that a step has.
-    kept, values.MAX_INLINE_CHARACTERS = values.MAX_INLINE_CHARACTERS, 1 << 30
+    # Mutation, which is the former behaviour: 300 kB take 3 s, but the timeout of a request is 0.8 s.
+    original, values.MAX_INLINE_CHARACTERS = values.MAX_INLINE_CHARACTERS, 1 << 30
     try:
         time_to_reach(300_000, 100_000)
     except AssertionError:
         return
     finally:
-        values.MAX_INLINE_CHARACTERS = kept
-    raise AssertionError("it was seen to reach it")
+        values.MAX_INLINE_CHARACTERS = original
+    raise AssertionError("the value reached the disk")
 
 
-@test("without the wait for the value an acceptor acknowledges what its disk doesn't hold")
+@test("an acceptor that doesn't wait for the value acknowledges a value that its disk doesn't store")
 def _():
-    # Mutation: a reference to a value that isn't here is taken for one that is.
-    guarded = ValueLookup.find
-    ValueLookup.find = lambda self, value: guarded(self, value) or values.CompleteValue(None)
+    # Mutation: a value that this disk doesn't have is treated as if it had it.
+    original = ValueLookup.find
+    ValueLookup.find = lambda self, value: original(self, value) or values.CompleteValue(None)
     try:
         time_to_reach(300_000, 100_000)
     except AssertionError:
         return
     finally:
-        ValueLookup.find = guarded
-    raise AssertionError("it was not seen")
+        ValueLookup.find = original
+    raise AssertionError("the mutation was not detected")
 
 
-@test("where all links are slow a large value is acknowledged in the end: tries go on where others stopped")
+@test("if all links are slow a large value is acknowledged eventually, since retries resume the transfer")
 def _():
     world, outcomes, value = start_world(100_000, "abc"), [], large_value(300_000)
     try:
@@ -84,7 +91,7 @@
         world.close()
 
 
-@test("once a disk holds a value no message carries it again: not a promise, a ballot, nor a read")
+@test("once a disk stores a value, no message carries it again in a promise, an accept or a read")
 def _():
     world, outcomes, value = start_world(100_000), [], large_value(300_000)
     try:
@@ -105,7 +112,7 @@
         world.close()
 
 
-@test("a read of a value that isn't here fetches it, in parts")
+@test("a read fetches a value that this disk doesn't have, in chunks")
 def _():
     world, outcomes, value = start_world(100_000), [], large_value(100_000)
     try:
@@ -125,11 +132,11 @@
         world.close()
 
 
-RECEIVED = "once c has it whole, not accepted"
+RECEIVED = "when c has received it completely but not accepted it"
 
 
 def run_until_received(world, after, reference):
-    """Lets so many seconds pass, or until c has the whole value and has accepted nothing yet."""
+    """Runs for `after` seconds, or for RECEIVED until c has the complete value but hasn't accepted it."""
     if after != RECEIVED:
         return world.run(world.loop.time() + after)
     lookup = world.nodes["c"].register.lookup
@@ -138,12 +145,13 @@
     assert stored_value(world, "c", LARGE) == {"n": 1}
 
 
-@test("killing {who} while a value is on its way ({after}) loses nothing")
+@test("killing {victim} during a value's transfer ({after}) loses nothing")
 def _(
-    who=each("a", "a", "a", "a", "c", "c", "c", "c"),
+    victim=each("a", "a", "a", "a", "c", "c", "c", "c"),
     after=each(0.05, 1.0, 2.9, RECEIVED, 0.05, 1.0, 2.9, RECEIVED),
 ):
-    # b is down, so the majority is a and the slow c: nothing is acknowledged before c has it whole.
+    # b is down, so a and the slow c are the majority: nothing is acknowledged before c has the complete
+    # value.
     world, outcomes, value = start_world(100_000), [], large_value(250_000)
     try:
         change_key(world, "a", LARGE, {"n": 1}, outcomes)
@@ -153,11 +161,11 @@
         change_key(world, "a", LARGE, value, outcomes)
         run_until_received(world, after, reference_to(values.canonical_text(value)))
         acked = bool(outcomes) and outcomes[0][1]
-        world.kill(who)
+        world.kill(victim)
         world.run(world.loop.time() + 0.5)
-        stored = world.disks[who][LARGE][2]
+        stored = world.disks[victim][LARGE][2]
         assert stored in ({"n": 1}, value) and (not acked or stored == value)
-        for name in {who, "b"}:
+        for name in {victim, "b"}:
             world.start(name)
         world.run(world.loop.time() + 2.0)
         later_outcomes = []
--- a/tests/gateway/register_histories.py
+++ b/tests/gateway/register_histories.py
@@ -1,108 +1,113 @@
-"""Histories of faults played on controllers' registers, and the charts of timelines."""
+"""Plays timelines, and random histories of faults, on the registers of several controllers."""
 
 import random
 
 from timeline import World
 
 
-def play_charts(*charts):
-    """Plays charts in a world; from the second one on, whoever starts does so on a system not fresh."""
+def play_timelines(*timelines):
+    """Plays timelines in one world; controllers started from the second one on start with fresh = False."""
     world = World()
     try:
-        for chart in charts:
-            world.play(chart)
+        for timeline in timelines:
+            world.play(timeline)
             world.fresh = False
     finally:
         world.close()
 
 
-FAULTS = ("kill", "wipe", "cut", "join", "put", "put", "put", "start", "start")
+EVENTS = ("kill", "wipe", "cut", "join", "put", "put", "put", "start", "start")
 
 
 def random_schedule(seed, moments=40):
-    """A schedule by a seed: (schedule, share of calls lost)."""
-    draw = random.Random(seed)
-    loss = draw.choice((0.0, 0.0, 0.1))
-    return [(draw.random(), draw.choice(FAULTS), draw.choice("abc")) for _ in range(moments)], loss
+    """Returns a random schedule and the share of calls that are lost."""
+    rng = random.Random(seed)
+    loss = rng.choice((0.0, 0.0, 0.1))
+    return [(rng.random(), rng.choice(EVENTS), rng.choice("abc")) for _ in range(moments)], loss
 
 
-def play_history(schedule, loss, seed=0, delay=0.001, again=False, controllers="abc", first=None):
-    """Plays [(seconds waited, fault, controller)], with what must hold looked at all the while: no reader
-    goes
-    back, what was acknowledged is held in the end. A disk is lost only when the last one is sound again."""
+def play_history(schedule, loss, seed=0, delay=0.001, restart_all=False, controllers="abc", initial=None):
+    """Plays a schedule of (seconds to wait, event, controller) and checks the register's guarantees.
+
+    All the time: a reader never returns to an earlier version. In the end: each acknowledged version is
+    stored, and all controllers agree. A disk is wiped only if the one wiped before is intact again.
+
+    Returns the number of acknowledged versions.
+    """
     world = World(controllers, seed=seed)
     world.latency_s = delay
-    seen, lost, version = {}, None, 0
+    seen, wiped, version = {}, None, 0
 
-    def look():
+    def check():
         for name in world.nodes:
-            held, life = world.version(name) or 0, world.incarnations.get(name)
-            assert held >= seen.get((name, life), 0), f"{name} goes back"
-            seen[name, life] = held
+            current, incarnation = world.version(name) or 0, world.incarnations.get(name)
+            assert current >= seen.get((name, incarnation), 0), f"{name} returned to an earlier version"
+            seen[name, incarnation] = current
 
     try:
-        for name in first or controllers:
+        for name in initial or controllers:
             world.start(name)
-        world.run(1.0, look)
+        world.run(1.0, check)
         world.fresh, world.loss_share = False, loss
-        for wait, what, name in schedule:
-            world.run(world.loop.time() + wait, look)
-            if what == "put":
+        for wait, event, name in schedule:
+            world.run(world.loop.time() + wait, check)
+            if event == "put":
                 version += 1
                 world.say(name, f"put {version}")
-            elif what == "start" and name not in world.nodes:
+            elif event == "start" and name not in world.nodes:
                 world.start(name)
-            elif what == "cut":
+            elif event == "cut":
                 world.partition(name, world.controllers.replace(name, ""))
-            elif what == "join":
+            elif event == "join":
                 world.heal()
-            elif what == "kill":
+            elif event == "kill":
                 world.kill(name)
-            elif what == "wipe" and (
-                lost is None or lost in world.nodes and world.nodes[lost].register.membership.intact
+            elif event == "wipe" and (
+                wiped is None or wiped in world.nodes and world.nodes[wiped].register.membership.intact
             ):
                 world.wipe(name)
-                lost = name
+                wiped = name
         world.heal()
         world.loss_share = 0.0
-        for name in world.controllers if again else ():
-            world.kill(name)  # what only news remembered is gone with it
+        for name in world.controllers if restart_all else ():
+            world.kill(name)  # versions that are only in memory are lost
         for name in world.controllers:
             if name not in world.nodes:
                 world.start(name)
-        world.run(world.loop.time() + 6.0, look)
+        world.run(world.loop.time() + 6.0, check)
         newest = max((int(v) for v in world.acked), default=0)
-        held = [world.version(name) or 0 for name in world.controllers]
-        assert min(held) >= newest and len(set(held)) == 1, f"acked {newest}, held {held}"
+        stored = [world.version(name) or 0 for name in world.controllers]
+        assert min(stored) >= newest and len(set(stored)) == 1, f"acknowledged {newest}, stored {stored}"
         return len(world.acked)
     finally:
         world.close()
 
 
-def racing_schedule(seed):
-    """A schedule of changes that meet: two controllers at once, over a slow net."""
-    draw = random.Random(seed)
-    pairs = [(draw.random() * 0.3, draw.sample("abc", 2)) for _ in range(10)]
-    return [(wait * first, "put", name) for wait, two in pairs for first, name in zip((1, 0), two)]
+def concurrent_schedule(seed):
+    """Returns a schedule of pairs of simultaneous changes at two controllers."""
+    rng = random.Random(seed)
+    pairs = [(rng.random() * 0.3, rng.sample("abc", 2)) for _ in range(10)]
+    return [(wait * first, "put", name) for wait, pair in pairs for first, name in zip((1, 0), pair)]
 
 
-def count_broken(play):
-    """How many of forty histories lose something."""
-    found = 0
+def count_failures(play):
+    """Returns how many of forty histories violate a guarantee of the register."""
+    failures = 0
     for seed in range(40):
         try:
             play(seed)
         except AssertionError:
-            found += 1
-    return found
+            failures += 1
+    return failures
 
 
 def play_faults(seed):
     play_history(*random_schedule(seed), seed)
 
 
-def play_races(seed):
-    play_history(racing_schedule(seed), 0.0, seed, delay=0.03, again=True)
+def play_concurrent_changes(seed):
+    """Plays simultaneous changes over a slow network."""
+    play_history(concurrent_schedule(seed), 0.0, seed, delay=0.03, restart_all=True)
 
 
 def configurations(world):
