--- a/tests/gateway/register/test_membership_manager.py
+++ b/tests/gateway/register/test_membership_manager.py
@@ -16,8 +16,8 @@
     """
     world = World("abcdefg", tolerated_failures=2, seed=seed)
     try:
-        for name in "ade":
-            world.partition(name, "bcfg")
+        for separated in "ade":
+            world.partition(separated, "bcfg")
         for name in world.controllers:
             world.start(name)
         world.run(4.0)
--- a/tests/gateway/test_pinned_register.py
+++ b/tests/gateway/test_pinned_register.py
@@ -1,7 +1,7 @@
-"""The register's messages, exchanges and files stay as a released version wrote them.
+"""Tests that the register's messages, exchanges and files stay as a released version wrote them.
 
-All that is under recorded/ was written by the text of commit ae67546. Names of the program that may change
-are used in the accessors at the top alone; what is expected is never edited.
+Everything under recorded/ was written by the code of commit ae67546. Names of the program, which may change,
+are used only in the accessors at the top; the recorded expectations are never edited.
 """
 
 import asyncio
@@ -30,18 +30,18 @@
 from honeywood.lab.emulator.silent_log import SilentLog
 
 RECORDED = Path(__file__).parent / "recorded"
-LONGEST_TEXT = 1500  # characters of a message that are recorded; of a longer one its hash is
+MAX_TEXT_CHARACTERS = 1500  # a longer text is recorded as its length and hash
 
 
-# Accessors: the only names of the program that this file uses.
+# Accessors: only these use names of the program.
 
 
-def register_with(settings, caller, make_disk):
-    return Register(settings, caller, random.Random(1), SilentLog(), make_disk)
+def register_with(settings, caller, open_store):
+    return Register(settings, caller, random.Random(1), SilentLog(), open_store)
 
 
 def paged(register, caller):
-    """The two sides of the register's calls as a program connects them."""
+    """Returns the responding side of the register's calls, connected as a program does it."""
     return PagedResponder(register.serve, lambda: 0.0)
 
 
@@ -53,18 +53,18 @@
     register.state.executor = executor
 
 
-def answer_of(body):
-    """What a caller gives for the JSON of an answer."""
+def response_of(body):
+    """Returns what a caller returns for the JSON body of a response."""
     return body
 
 
 def failure_of(peer, operation, reason, status):
-    """What a caller gives for a call that was answered with another status."""
+    """Raises what a caller raises for a response with an error status."""
     raise CallRefused("/register", f"{operation}: {reason}", peer, status)
 
 
 def error_of(error):
-    """[operation, reason, peer, status] of an error that a served request ended with."""
+    """Returns [operation, reason, peer, status] of an error that ended a served request."""
     return [error.operation, error.reason, error.peer, status_of(error)]
 
 
@@ -72,7 +72,7 @@
 
 
 async def outcome_of(operation):
-    """["value", it], or ["failed", reason, status] of change, read and the like."""
+    """Returns ["value", value] or ["failed", reason, status] for an operation like change or read."""
     try:
         return ["value", await operation]
     except RegisterUnavailable as error:
@@ -80,8 +80,8 @@
 
 
 async def all_values(register):
-    found = await outcome_of(register.read_all())
-    return ["value", sorted(found[1].items())] if found[0] == "value" else found
+    outcome = await outcome_of(register.read_all())
+    return ["value", sorted(outcome[1].items())] if outcome[0] == "value" else outcome
 
 
 async def synchronize(register, known):
@@ -89,16 +89,16 @@
 
 
 async def replace_member(register, lost, spare):
-    found = await outcome_of(register.manager.replace_member(lost, spare))
-    return ["value", found[1].encode_members()] if found[0] == "value" else found
+    outcome = await outcome_of(register.manager.replace_member(lost, spare))
+    return ["value", outcome[1].encode_members()] if outcome[0] == "value" else outcome
 
 
-async def keep_heartbeats(register, records):
+async def write_heartbeats(register, records):
     typed = {id: record and HeartbeatRecord(*record) for id, record in records.items()}
     await register.write_heartbeats(typed)
 
 
-def kept_heartbeats(register):
+def stored_heartbeats(register):
     return [[id, *record] for id, record in register.state.heartbeats.items()]
 
 
@@ -107,46 +107,46 @@
 
 
 def state_of(register):
-    """What the register tells the program of itself."""
+    """Returns the state that the register exposes to the program."""
     membership = register.membership
     members = list(membership.members)
     return [membership.epoch, members, membership.intact, membership.is_synchronized, membership.is_voter]
 
 
 def rows_on(folder):
-    """The rows in a folder, as JSON values by key."""
-    disk = RowStore(folder)
+    """Returns the rows in a folder, as JSON values by key."""
+    store = RowStore(folder)
     try:
-        return disk.rows()
+        return store.rows()
     finally:
-        disk.close()
+        store.close()
 
 
-def read_again(row):
-    """A register's row through the type that it has in memory."""
+def decode_row(row):
+    """Returns a register's row as the type that it has in memory."""
     return row_from_json(row)
 
 
-def request_again(text, peer):
+def reencode_request(text, peer):
     return requests.encode_request(requests.decode_request(json.loads(text), peer))
 
 
-def reply_again(request_text, text, peer):
+def reencode_reply(request_text, text, peer):
     request = requests.decode_request(json.loads(request_text), peer)
     return requests.encode_reply(requests.decode_reply(request, json.loads(text), peer))
 
 
-# What is played; it was played in the same way when it was recorded.
+# The scenario, which was played in the same way for the recording.
 
 
-def written(value):
-    """JSON as it is sent."""
+def compact_json(value):
+    """Returns the JSON text of a value as it is sent."""
     return json.dumps(value, separators=(",", ":"))
 
 
 def shortened(text):
-    """A text, or the length and hash of a long one."""
-    if len(text) <= LONGEST_TEXT:
+    """Returns a text, or the length and hash of a long one."""
+    if len(text) <= MAX_TEXT_CHARACTERS:
         return text
     return f"{len(text)} {hashlib.sha256(text.encode()).hexdigest()}"
 
@@ -155,37 +155,37 @@
     return json.loads((RECORDED / name).read_text())
 
 
-class AtOnce(Executor):
-    """Does at once what is submitted, so that an exchange has one order."""
+class SynchronousExecutor(Executor):
+    """Runs submitted functions immediately, so that the order of messages is deterministic."""
 
-    def submit(self, work, *given):
-        done = Future()
+    def submit(self, function, *arguments):
+        future = Future()
         try:
-            done.set_result(work(*given))
+            future.set_result(function(*arguments))
         except Exception as error:
-            done.set_exception(error)
-        return done
+            future.set_exception(error)
+        return future
 
 
-class RowsInMemory:
-    """A disk that keeps its rows for the next one on the same folder."""
+class InMemoryStore:
+    """A store whose rows stay available to the next store on the same folder."""
 
-    def __init__(self, kept):
-        self.kept = kept
+    def __init__(self, folders):
+        self.folders = folders
 
     def __call__(self, folder):
-        self.folder = self.kept.setdefault(folder, {})
+        self.stored = self.folders.setdefault(folder, {})
         return self
 
     def rows(self):
-        return json.loads(json.dumps(self.folder))
+        return json.loads(json.dumps(self.stored))
 
     def put(self, rows):
         for key, row in json.loads(json.dumps(rows)).items():
             if row is None:
-                self.folder.pop(key, None)
+                self.stored.pop(key, None)
             else:
-                self.folder[key] = row
+                self.stored[key] = row
 
     def close(self):
         pass
@@ -198,41 +198,43 @@
     return read_settings(boot(f"core-{ip}", seeds=SEEDS, fresh=fresh, ip=ip, data=folder or ip))
 
 
-class Net:
-    """Registers that call each other in memory, with every message noted by its way."""
+class Network:
+    """Registers that call each other in memory; every message is logged by its source and target."""
 
     def __init__(self):
-        self.kept, self.registers, self.responders, self.messages = {}, {}, {}, {}
+        self.folders, self.registers, self.responders, self.messages = {}, {}, {}, {}
 
     def caller(self, source):
-        net = self
+        network = self
 
         class Caller:
-            async def call(self, ip, port, path, body, within, idempotent=False):
-                return await net.carry(source, ip, port, path, body)
+            async def call(self, ip, port, path, body, timeout_s, idempotent=False):
+                return await network.deliver(source, ip, port, path, body)
 
         return paged_caller(Caller())
 
-    async def carry(self, source, target, port, path, body):
-        noted = self.messages.setdefault(f"{source} > {target}", [])
-        text = written(body)
-        noted.append(f"{port}{path} {shortened(text)}")
-        for _ in range(3 * int(target[-1])):  # one after the other: messages have one order
+    async def deliver(self, source, target, port, path, body):
+        log = self.messages.setdefault(f"{source} > {target}", [])
+        text = compact_json(body)
+        log.append(f"{port}{path} {shortened(text)}")
+        for _ in range(
+            3 * int(target[-1])
+        ):  # a delay for each target makes the order of messages deterministic
             await asyncio.sleep(0)
         if target not in self.responders:
             return failure_of(target, "connect", "refused", 503)
         try:
-            answer = written(await self.responders[target](json.loads(text), source))
+            response = compact_json(await self.responders[target](json.loads(text), source))
         except SERVE_ERRORS as error:
             operation, reason, _, status = error_of(error)
-            noted.append(f"{status} {operation}: {reason}")
+            log.append(f"{status} {operation}: {reason}")
             return failure_of(target, operation, reason, status)
-        noted.append(shortened(answer))
-        return answer_of(json.loads(answer))
+        log.append(shortened(response))
+        return response_of(json.loads(response))
 
     async def start(self, ip, fresh=True):
-        register = register_with(settings_of(ip, fresh), self.caller(ip), RowsInMemory(self.kept))
-        use_executor(register, AtOnce())
+        register = register_with(settings_of(ip, fresh), self.caller(ip), InMemoryStore(self.folders))
+        use_executor(register, SynchronousExecutor())
         await register.manager.open()
         self.registers[ip], self.responders[ip] = register, paged(register, self)
         return register
@@ -241,126 +243,135 @@
         del self.registers[ip], self.responders[ip]
 
 
-async def quiet():
-    """Lets all that is under way end."""
+async def settle():
+    """Waits until all tasks that are in progress have ended."""
     for _ in range(2000):
         await asyncio.sleep(0)
 
 
-def letters(length, seed):
+def random_text(length, seed):
     return "".join(random.Random(seed).choices("abcdefghijklmnop", k=length))
 
 
 async def play_fleet():
-    """Four controllers: first members, changes, reads, a large value, a replacement, a lost disk."""
-    net, outcomes = Net(), []
+    """Plays bootstrap, changes, reads, a large value, a replacement and a lost disk on four controllers."""
+    network, outcomes = Network(), []
     one, two, three, four = (f"127.0.0.{n}" for n in (1, 2, 3, 4))
 
-    async def note(operation):
-        outcomes.append(shortened(written(await operation)))
-        await quiet()
+    async def record(operation):
+        outcomes.append(shortened(compact_json(await operation)))
+        await settle()
 
     for ip in (one, two, three):
-        await net.start(ip)
-    await synchronize(net.registers[one], [one, two, three])
-    await quiet()
-    await note(outcome_of(net.registers[one].change("config", lambda held: {"ver": 1, "text": "ü \u2028"})))
-    await note(outcome_of(net.registers[two].change("config", lambda held: {**held, "ver": held["ver"] + 1})))
-    await note(outcome_of(net.registers[three].read("config")))
-    await note(outcome_of(net.registers[three].read("never changed")))
-    large = {"text": letters(30_000, 1)}
-    await note(outcome_of(net.registers[two].change("large", lambda held: large)))
-    await note(outcome_of(net.registers[one].read("large")))
+        await network.start(ip)
+    await synchronize(network.registers[one], [one, two, three])
+    await settle()
+    await record(
+        outcome_of(network.registers[one].change("config", lambda current: {"ver": 1, "text": "ü \u2028"}))
+    )
+    await record(
+        outcome_of(
+            network.registers[two].change("config", lambda current: {**current, "ver": current["ver"] + 1})
+        )
+    )
+    await record(outcome_of(network.registers[three].read("config")))
+    await record(outcome_of(network.registers[three].read("never changed")))
+    large = {"text": random_text(30_000, 1)}
+    await record(outcome_of(network.registers[two].change("large", lambda current: large)))
+    await record(outcome_of(network.registers[one].read("large")))
     for n in range(12):
-        await note(outcome_of(net.registers[one].change(f"rollout/{n}", lambda held, n=n: letters(2000, n))))
-    await note(all_values(net.registers[three]))
-    await keep_heartbeats(net.registers[one], {"m1": [[7, 0], {"state": "ready"}], "m2": [[1, 0], None]})
-    await keep_heartbeats(net.registers[one], {"m2": None})
-    outcomes.append(written(kept_heartbeats(net.registers[one])))
-    await net.start(four)
-    net.stop(three)
-    await note(replace_member(net.registers[one], three, four))
+        await record(
+            outcome_of(
+                network.registers[one].change(f"rollout/{n}", lambda current, n=n: random_text(2000, n))
+            )
+        )
+    await record(all_values(network.registers[three]))
+    await write_heartbeats(network.registers[one], {"m1": [[7, 0], {"state": "ready"}], "m2": [[1, 0], None]})
+    await write_heartbeats(network.registers[one], {"m2": None})
+    outcomes.append(compact_json(stored_heartbeats(network.registers[one])))
+    await network.start(four)
+    network.stop(three)
+    await record(replace_member(network.registers[one], three, four))
     for _ in range(4):
         for ip in (one, two, four):
-            await synchronize(net.registers[ip], [one, two, three, four])
-            await quiet()
-    await note(outcome_of(net.registers[four].change("config", lambda held: {**held, "ver": 9})))
-    net.stop(two)
-    net.kept.pop(two)
-    await net.start(two, fresh=False)
+            await synchronize(network.registers[ip], [one, two, three, four])
+            await settle()
+    await record(outcome_of(network.registers[four].change("config", lambda current: {**current, "ver": 9})))
+    network.stop(two)
+    network.folders.pop(two)
+    await network.start(two, fresh=False)
     for _ in range(4):
-        await synchronize(net.registers[two], [one, two, three, four])
-        await quiet()
-    await net.start(three, fresh=False)
-    await note(outcome_of(net.registers[three].change("config", lambda held: {**held, "ver": 10})))
-    await synchronize(net.registers[three], [one, two, three, four])
-    await quiet()
-    await note(outcome_of(net.registers[two].change("config", lambda held: {**held, "ver": 11})))
-    await note(all_values(net.registers[three]))
-    net.stop(one)
-    net.stop(four)
-    await note(outcome_of(net.registers[two].read("config")))
-    states = {ip: state_of(register) for ip, register in net.registers.items()}
-    rows = {ip: shortened(written(rows)) for ip, rows in net.kept.items()}
-    return {"messages": net.messages, "outcomes": outcomes, "states": states, "rows": rows}
-
-
-async def play_served(asked):
-    """[[request, answer or error]] of requests that one controller's disk serves in order."""
-    net, found = Net(), []
-    register = await net.start("127.0.0.1")
-    for text in asked:
+        await synchronize(network.registers[two], [one, two, three, four])
+        await settle()
+    await network.start(three, fresh=False)
+    await record(
+        outcome_of(network.registers[three].change("config", lambda current: {**current, "ver": 10}))
+    )
+    await synchronize(network.registers[three], [one, two, three, four])
+    await settle()
+    await record(outcome_of(network.registers[two].change("config", lambda current: {**current, "ver": 11})))
+    await record(all_values(network.registers[three]))
+    network.stop(one)
+    network.stop(four)
+    await record(outcome_of(network.registers[two].read("config")))
+    states = {ip: state_of(register) for ip, register in network.registers.items()}
+    rows = {ip: shortened(compact_json(rows)) for ip, rows in network.folders.items()}
+    return {"messages": network.messages, "outcomes": outcomes, "states": states, "rows": rows}
+
+
+async def play_served(request_texts):
+    """Serves requests in order on one controller's disk; returns [request, response or error] of each."""
+    network, served = Network(), []
+    register = await network.start("127.0.0.1")
+    for text in request_texts:
         try:
-            answer = written(await net.responders["127.0.0.1"](json.loads(text), "127.0.0.2"))
+            response = compact_json(await network.responders["127.0.0.1"](json.loads(text), "127.0.0.2"))
         except SERVE_ERRORS as error:
-            answer = error_of(error)
-        found.append([text, answer])
-    return {"served": found, "rows": net.kept["127.0.0.1"], "state": state_of(register)}
-
-
-# The tests.
+            response = error_of(error)
+        served.append([text, response])
+    return {"served": served, "rows": network.folders["127.0.0.1"], "state": state_of(register)}
 
 
 MESSAGES = recorded("register_messages.json") if (RECORDED / "register_messages.json").exists() else {}
 
 
-@test("a recorded request of {step} is read and written again to the same bytes")
+@test("the recorded requests of {step} are encoded to the same bytes after decoding")
 def _(step=each(*sorted(MESSAGES))):
     for text in MESSAGES[step]["requests"]:
-        assert written(request_again(text, "peer")) == text
+        assert compact_json(reencode_request(text, "peer")) == text
 
 
-@test("each recorded reply to {step} is read and written again to the same bytes")
+@test("the recorded replies to {step} are encoded to the same bytes after decoding")
 def _(step=each(*sorted(MESSAGES))):
     for text in MESSAGES[step]["replies"]:
-        again = written(reply_again(MESSAGES[step]["requests"][0], text, "peer"))
-        assert json.loads(again) == json.loads(text)
-        # the released version read the fields of a configuration in another order than it sent them in
-        assert again == text or json.loads(again)["reply"] == "fenced"
+        reencoded = compact_json(reencode_reply(MESSAGES[step]["requests"][0], text, "peer"))
+        assert json.loads(reencoded) == json.loads(text)
+        # the released version decoded the fields of a configuration in another order than it encoded them
+        assert reencoded == text or json.loads(reencoded)["reply"] == "fenced"
 
 
-@test("a recorded sequence of requests gets the recorded answers, and leaves the recorded rows")
+@test("a recorded sequence of requests gets the recorded responses and results in the recorded rows")
 def _():
-    before = recorded("register_served.json")
-    found = asyncio.run(play_served([text for text, _ in before["served"]]))
-    for one, other in zip(found["served"], before["served"], strict=True):
-        assert one == other
-    assert json.loads(written(found)) == before
+    expected = recorded("register_served.json")
+    actual = asyncio.run(play_served([text for text, _ in expected["served"]]))
+    for actual_pair, expected_pair in zip(actual["served"], expected["served"], strict=True):
+        assert actual_pair == expected_pair
+    assert json.loads(compact_json(actual)) == expected
 
 
-@test("four controllers send each other the recorded messages, and end with the recorded rows")
+@test("four controllers send each other the recorded messages and end with the recorded rows")
 def _():
-    found, before = json.loads(written(asyncio.run(play_fleet()))), recorded("register_fleet.json")
-    for way, texts in before["messages"].items():
-        assert found["messages"][way] == texts, way
-    assert found == before
+    actual, expected = json.loads(compact_json(asyncio.run(play_fleet()))), recorded("register_fleet.json")
+    for direction, texts in expected["messages"].items():
+        assert actual["messages"][direction] == texts, direction
+    assert actual == expected
 
 
 FOLDERS = ("register_folder", "register_folder_sealed")
 
 
-def on_disk(folder):
-    """A copy of a recorded folder, which an open may write to."""
+def copy_of(folder):
+    """Returns the path of a copy of a recorded folder, since an open may write to it."""
     copy = tempfile.mkdtemp()
     shutil.copytree(RECORDED / folder, copy, dirs_exist_ok=True)
     return copy
@@ -368,32 +379,32 @@
 
 @test("the data folder {folder} that the released version wrote opens with the same rows")
 def _(folder=each(*FOLDERS)):
-    copy, before = on_disk(folder), recorded(f"{folder}.json")
+    copy, expected = copy_of(folder), recorded(f"{folder}.json")
     try:
-        assert rows_on(copy) == before["rows"]
-        for row in before["rows"].values():
+        assert rows_on(copy) == expected["rows"]
+        for row in expected["rows"].values():
             if isinstance(row, list) and len(row) == 3:  # a register's row
-                assert written(read_again(row)) == written(row)
+                assert compact_json(decode_row(row)) == compact_json(row)
     finally:
         shutil.rmtree(copy)
 
 
-@test("a controller starts on the data folder {folder}, knows what it knew, and writes rows that are read")
+@test("a controller started on the data folder {folder} has the recorded state and writes readable rows")
 def _(folder=each(*FOLDERS)):
-    copy, before = on_disk(folder), recorded(f"{folder}.json")
+    copy, expected = copy_of(folder), recorded(f"{folder}.json")
 
     async def play():
-        net = Net()
+        network = Network()
         settings = settings_of("127.0.0.1", False, copy)
-        register = register_with(settings, net.caller("127.0.0.1"), RowStore)
+        register = register_with(settings, network.caller("127.0.0.1"), RowStore)
         await register.manager.open()
-        assert state_of(register) == before["state"]
-        assert sorted(kept_heartbeats(register)) == sorted(before["heartbeats"])
-        await keep_heartbeats(register, {"new": [[1, 0], {"state": "ready"}]})
+        assert state_of(register) == expected["state"]
+        assert sorted(stored_heartbeats(register)) == sorted(expected["heartbeats"])
+        await write_heartbeats(register, {"new": [[1, 0], {"state": "ready"}]})
         close_files(register)
 
     try:
         asyncio.run(play())
-        assert rows_on(copy) == {**before["rows"], "note/new": [[1, 0], {"state": "ready"}]}
+        assert rows_on(copy) == {**expected["rows"], "note/new": [[1, 0], {"state": "ready"}]}
     finally:
         shutil.rmtree(copy)
