--- a/honeywood/gateway/register/membership_state.py
+++ b/honeywood/gateway/register/membership_state.py
@@ -69,7 +69,7 @@
 
     @property
     def newest(self) -> MembershipConfiguration:
-        """The successor of this disk's configuration if it has one, else the configuration itself."""
+        """The newest agreed configuration on this disk: the current one's successor, else the current one."""
         return self.configuration.successor or self.configuration
 
     def restore(self) -> None:
--- a/honeywood/gateway/register/values.py
+++ b/honeywood/gateway/register/values.py
@@ -24,7 +24,7 @@
 """The longest text of an inline value; it takes 70 ms at 30,000 B/s, less than two calls of a transfer."""
 
 MAX_VALUE_CHARACTERS = 8 << 20
-"""The longest text of a value; an operator's call is limited to the same length."""
+"""The longest text of a value; operators' calls are not longer."""
 
 MAX_CHUNK_CHARACTERS = 1 << 16
 """The longest text of a chunk."""
--- a/tests/gateway/register_histories.py
+++ b/tests/gateway/register_histories.py
@@ -19,11 +19,11 @@
 EVENTS = ("kill", "wipe", "cut", "join", "put", "put", "put", "start", "start")
 
 
-def random_schedule(seed, moments=40):
+def random_schedule(seed, length=40):
     """Returns a random schedule and the share of calls that are lost."""
     rng = random.Random(seed)
     loss = rng.choice((0.0, 0.0, 0.1))
-    return [(rng.random(), rng.choice(EVENTS), rng.choice("abc")) for _ in range(moments)], loss
+    return [(rng.random(), rng.choice(EVENTS), rng.choice("abc")) for _ in range(length)], loss
 
 
 def play_history(schedule, loss, seed=0, delay=0.001, restart_all=False, controllers="abc", initial=None):
