--- a/honeywood/gateway/dissemination/__init__.py
+++ b/honeywood/gateway/dissemination/__init__.py
@@ -1,7 +1,8 @@
-"""Versioned records that spread from program to program until all have them.
+"""Dissemination of versioned records between programs, until every program has all of them.
 
-Of two records with one key the one with the higher stamp wins.
+If two records have the same key, the one with the higher stamp wins.
 
-Start reading at store.py, then messages.py, subscriber.py (who polls), publisher.py (who answers) and
-rendezvous.py (who polls whom); epochs.py and tombstones.py say what is dropped, and never taken again.
+Start with store.py, then messages.py, subscriber.py (polls other programs), publisher.py (answers polls) and
+rendezvous.py (determines which program polls which). epochs.py and tombstones.py define which records are
+dropped and not accepted again.
 """
--- a/honeywood/gateway/dissemination/change_feed.py
+++ b/honeywood/gateway/dissemination/change_feed.py
@@ -1,4 +1,4 @@
-"""What has changed on a store since another program polled it, in batches that fit a response."""
+"""The changes of a store since another program polled it, in batches that fit into a response."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
     from honeywood.gateway.dissemination.record import Stamp
     from honeywood.gateway.dissemination.store import Store
 
-MIN_CHUNK_BYTES = 1024  # of a response, below which a chunk isn't worth sending
+MIN_CHUNK_BYTES = 1024  # with less space left in a response, a chunk is not worth sending
 
 
 def encode_text(record: Record) -> str:
-    """A record as text of a response."""
+    """Returns a record as the JSON text that a response contains."""
     return json.dumps(record.encode(), separators=(",", ":"))
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """The next records of a response, and a chunk of one that is too long for it.
+    """The records of a response, and a chunk of a further record that is too long for it.
 
-    With them a receiver has all changes up to `revision`.
+    With the records of the batch, a receiver has all changes up to `revision`.
     """
 
     records: list[Record]
@@ -37,14 +37,14 @@
 
 
 class ChangeFeed:
-    """The changes of one store."""
+    """Finds the changes of one store."""
 
     def __init__(self, store: Store) -> None:
         """`store` may change while the feed is used."""
         self.store = store
 
     def encoded_size(self, key: str) -> int:
-        """The bytes of a record in a response."""
+        """Returns the size of a record in a response, in bytes."""
         stored = self.store.records[key]
         if stored.encoded_size is None:
             stored.encoded_size = len(encode_text(self._record(key)))
@@ -57,10 +57,11 @@
         include_controller_only: bool,
         known_stamps: Mapping[str, Stamp] | None = None,
     ) -> list[Record]:
-        """The records that changed after `revision` of the store's incarnation, in their order.
+        """Returns the records that changed after `revision`, in the order of their changes.
 
-        These are all records where the receiver knows another incarnation. `known_stamps` are those of the
-        records that it has from other stores.
+        `incarnation` and `revision` are those that the receiver knows; if the incarnation is not that of the
+        store, all records have changed. Records that the receiver has from other stores are left out:
+        `known_stamps` are their stamps.
         """
         start = revision if incarnation == self.store.incarnation else 0
         if start >= self.store.revision:
@@ -78,9 +79,9 @@
     def batch(
         self, changes: Sequence[Record], max_bytes: int, progress: Mapping[str, ChunkProgress] | None = None
     ) -> Batch:
-        """As much of `changes`, which `since` has found, as fits in `max_bytes`.
+        """Returns as many of `changes`, which were returned by `since`, as fit into `max_bytes`.
 
-        `progress` is what the receiver has of large records.
+        `progress` is how much the receiver has of large records that it has not completed.
         """
         records: list[Record] = []
         remaining_bytes = max_bytes
@@ -90,16 +91,16 @@
             if size <= remaining_bytes:
                 records.append(record)
                 remaining_bytes -= size
-            elif self._fits_a_chunk(key, size, remaining_bytes, max_bytes):
+            elif self._fits_chunk(key, size, remaining_bytes, max_bytes):
                 chunk = self.store.large_records.next_chunk(key, remaining_bytes, (progress or {}).get(key))
                 return Batch(records, chunk, revision - 1)
             elif records or size <= max_bytes:
                 return Batch(records, None, revision - 1)
-            else:  # one that can't be split goes alone
+            else:  # a longer record that cannot be split is sent alone
                 return Batch([record], None, revision)
         return Batch(records, None, self.store.revision)
 
-    def _fits_a_chunk(self, key: str, size: int, remaining_bytes: int, max_bytes: int) -> bool:
+    def _fits_chunk(self, key: str, size: int, remaining_bytes: int, max_bytes: int) -> bool:
         if size <= max_bytes or key not in self.store.large_records:
             return False
         return remaining_bytes >= min(MIN_CHUNK_BYTES, max_bytes)
--- a/honeywood/gateway/dissemination/chunks.py
+++ b/honeywood/gateway/dissemination/chunks.py
@@ -1,7 +1,7 @@
-"""Records that are too long for one response, in chunks. Pure.
+"""Transfer of records in chunks, for records that are too long for one response.
 
-The receiver says how much of which value it has; whichever peer it polls next continues there. The value is
-taken only when its length and digest are those that were announced.
+The receiver reports how much of which value it has, and the peer that it polls next continues there. A value
+is accepted only if its length and digest are those that were announced. This module performs no I/O.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from honeywood.gateway.dissemination.record import JsonValue
 
-FIELD = "piece"  # of a response that carries a chunk
+CHUNK_FIELD = "piece"  # the field of a response that carries a chunk
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
     content: TextChunk
 
     def encode(self) -> dict[str, JsonValue]:
-        """The chunk in a response."""
+        """Returns the chunk as it appears in a response."""
         return {
             "key": self.key,
             "stamp": self.stamp.encode(),
@@ -42,10 +42,10 @@
 
     @classmethod
     def decode(cls, table: dict[str, object], peer: str = "") -> Chunk:
-        """A chunk out of a response; raises InvalidMessage that names field and peer."""
-        where = f"{PATH}: {FIELD}"
+        """Decodes a chunk; raises InvalidMessage, which names the field and the peer."""
+        where = f"{PATH}: {CHUNK_FIELD}"
         key = need(table, "key", str, where, peer=peer)
-        stamp = Stamp.decode(table.get("stamp"), f"{FIELD}: stamp", peer)
+        stamp = Stamp.decode(table.get("stamp"), f"{CHUNK_FIELD}: stamp", peer)
         content = TextChunk(
             digest=need(table, "mark", str, where, peer=peer),
             length=need(table, "of", int, where, least=0, peer=peer),
@@ -57,19 +57,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkProgress:
-    """How many characters of which value a receiver has."""
+    """How many characters a receiver has of which value."""
 
     stamp: Stamp
     digest: str
     received: int
 
     def encode(self) -> list[JsonValue]:
-        """The progress in a request: [stamp, digest, characters]."""
+        """Returns the progress as it appears in a request: [stamp, digest, characters]."""
         return [self.stamp.encode(), self.digest, self.received]
 
     @classmethod
     def decode(cls, value: object, peer: str = "") -> ChunkProgress:
-        """Progress out of a request; raises InvalidMessage that names field and peer."""
+        """Decodes progress; raises InvalidMessage, which names the field and the peer."""
         if not (isinstance(value, list) and len(value) == 3 and type(value[2]) is int and value[2] >= 0):
             raise InvalidMessage(PATH, "have must be lists of stamp, mark and characters by key", peer)
         stamp, digest, received = value
@@ -78,13 +78,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PartialValue:
-    """The text of a record's value up to where it has been received."""
+    """The text of a record's value as far as it has been received."""
 
     stamp: Stamp
     content: PartialText
 
-    def is_older_than(self, chunk: Chunk) -> bool:
-        """Whether a chunk is of a newer value, or of another one with the same stamp."""
+    def is_replaced_by(self, chunk: Chunk) -> bool:
+        """Whether a chunk belongs to a newer value, or to a different one with the same stamp."""
         is_other = chunk.content.digest != self.content.digest
         return chunk.stamp > self.stamp or (chunk.stamp == self.stamp and is_other)
 
@@ -94,27 +94,27 @@
 
 
 class ChunkAssembler:
-    """Values of which chunks have come: at most one a key, the newest that was begun."""
+    """Assembles values from chunks; keeps at most one incomplete value per key, the newest one."""
 
     def __init__(self) -> None:
-        """No value has been begun."""
+        """Initially there is no incomplete value."""
         self.partial: dict[str, PartialValue] = {}
 
     def progress(self) -> dict[str, ChunkProgress]:
-        """What has been received, by key."""
+        """Returns how much of each incomplete value has been received, by key."""
         return {
             key: ChunkProgress(partial.stamp, partial.content.digest, len(partial.content.text))
             for key, partial in self.partial.items()
         }
 
     def add(self, chunk: Chunk) -> Record | None:
-        """Takes a chunk and returns the record once it is complete.
+        """Adds a chunk; returns the record once it is complete, None otherwise.
 
-        The first chunk of a newer value replaces what was received of an older one; any other chunk that
-        doesn't continue what is there changes nothing.
+        The first chunk of a newer value replaces the incomplete older one. Any other chunk that does not
+        continue the incomplete value is ignored. A value with a wrong length or digest is discarded.
         """
         partial = self.partial.get(chunk.key)
-        if chunk.content.offset == 0 and (partial is None or partial.is_older_than(chunk)):
+        if chunk.content.offset == 0 and (partial is None or partial.is_replaced_by(chunk)):
             content = PartialText(chunk.content.digest)
         elif partial is not None and partial.is_continued_by(chunk):
             content = partial.content
--- a/honeywood/gateway/dissemination/digest.py
+++ b/honeywood/gateway/dissemination/digest.py
@@ -1,4 +1,7 @@
-"""A digest by which two stores find whether they have the same records, whatever came first. Pure."""
+"""A digest that shows whether two stores have the same records, whatever the order of their arrival.
+
+This module performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -10,16 +13,16 @@
 
 
 class StoreDigest:
-    """The exclusive or of the 64-bit hashes of all records: adding one and removing it are the same step."""
+    """The XOR of the 64-bit hashes of all records, so adding and removing a record are the same operation."""
 
     def __init__(self) -> None:
-        """The digest of no records."""
+        """Starts with the digest of an empty store."""
         self.value = 0
 
     def toggle(self, key: str, stamp: Stamp) -> None:
-        """Adds a record, or removes it."""
+        """Adds a record, or removes it if it was added before."""
         self.value ^= int.from_bytes(blake2b(f"{key}|{stamp}".encode(), digest_size=8).digest(), "big")
 
     def encode(self) -> str:
-        """The digest in a message."""
+        """Returns the digest as it appears in a message."""
         return f"{self.value:x}"
--- a/honeywood/gateway/dissemination/epochs.py
+++ b/honeywood/gateway/dissemination/epochs.py
@@ -1,9 +1,12 @@
-"""The epoch: a number that all programs agree on, by which records whose owners have ended expire. Pure.
+"""The epoch: a number that all programs share, by which the records of owners that have ended expire.
 
-A record's owner publishes it again in each epoch, and the last number of its stamp says in which. A record
-that wasn't published for EXPIRY_EPOCHS has no owner any more: every store that knows the epoch drops it,
-and takes no copy of it from another store. The epoch only rises; a controller in quorum advances it after
-EPOCH_S by its own steady clock, so no time of day is involved.
+The owner of a record publishes it again in each epoch, and the last number of the record's stamp is the epoch
+of its publication. A record that was not published again for EXPIRY_EPOCHS epochs has no owner any more:
+every store that knows the epoch drops the record, and accepts no copy of it from another store. The epoch
+only increases. A controller in quorum advances it after EPOCH_S seconds of its own monotonic clock, so the
+time of day is not involved.
+
+This module performs no I/O: times come from the caller.
 """
 
 from __future__ import annotations
@@ -14,10 +17,10 @@
 if TYPE_CHECKING:
     from honeywood.gateway.dissemination.record import Stamp
 
-EPOCH_S = 300.0  # seconds that an epoch lasts at least; owners in contact publish again within 5 of them
-EXPIRY_EPOCHS = 2  # after which a record expires: its owner always had a whole epoch to publish it again
-MAX_EPOCH = 1 << 40  # higher numbers in stamps are no epochs
-# The length of a stamp that ends with its epoch, of the kinds that are published again in each epoch.
+EPOCH_S = 300.0  # minimum duration of an epoch; owners that have contact publish again within 5 s
+EXPIRY_EPOCHS = 2  # until a record expires; its owner had at least one complete epoch to publish it again
+MAX_EPOCH = 1 << 40  # higher numbers in stamps are not epochs
+# The kinds that are published again in each epoch, with the length of a stamp that ends with the epoch.
 STAMP_LENGTHS: dict[str, int] = {
     RecordKind.PROXY_COUNTS: 2,
     RecordKind.PROXY_LOCATION: 3,
@@ -25,8 +28,11 @@
 }
 
 
-def published_in(key: str, stamp: Stamp) -> int | None:
-    """The epoch in which a record was last published; None for kinds without one and for old releases."""
+def publication_epoch(key: str, stamp: Stamp) -> int | None:
+    """Returns the epoch in which a record was last published.
+
+    This is None for kinds without epochs, for stamps of old releases, and for numbers out of range.
+    """
     kind, slash, _ = key.partition("/")
     length = STAMP_LENGTHS.get(kind)
     if not slash or length is None or len(stamp) < length:
@@ -35,23 +41,24 @@
     return epoch if 0 <= epoch <= MAX_EPOCH else None
 
 
-def is_expired(published: int | None, epoch: int) -> bool:
-    """Whether a record that was last published in the epoch `published` has expired in `epoch`."""
-    return published is not None and published + EXPIRY_EPOCHS <= epoch
+def is_expired(published_epoch: int | None, epoch: int) -> bool:
+    """Whether a record that was last published in `published_epoch` has expired in `epoch`."""
+    return published_epoch is not None and published_epoch + EXPIRY_EPOCHS <= epoch
 
 
 class EpochClock:
-    """How long the present epoch has lasted, by one controller's steady clock."""
+    """Measures how long the current epoch has lasted, by the monotonic clock of one controller."""
 
     def __init__(self) -> None:
-        """No epoch is known."""
+        """Initially no epoch is known."""
         self.epoch: int | None = None
         self.began_at = 0.0
 
     def advance(self, now: float, epoch: int, in_quorum: bool) -> int:
-        """The epoch at `now`, where `epoch` is the highest that is known.
+        """Returns the epoch at `now`; `epoch` is the highest known one.
 
-        It is the next one if this one has lasted long enough. A controller out of quorum begins none.
+        The next epoch begins once the current one has lasted for EPOCH_S seconds. A controller that is not in
+        quorum begins none.
         """
         if epoch != self.epoch:
             self.epoch, self.began_at = epoch, now
--- a/honeywood/gateway/dissemination/keys.py
+++ b/honeywood/gateway/dissemination/keys.py
@@ -1,6 +1,6 @@
-"""Keys of records: the kind, then a slash and the name of what the record is about.
+"""Keys of records: the kind of the record, a slash, and the name of its subject.
 
-They stand in messages between programs of different releases and on disks, so their text never changes.
+Keys are sent between programs of different releases and stored on disk, so their text must not change.
 """
 
 from __future__ import annotations
@@ -9,28 +9,28 @@
 
 
 class RecordKind(StrEnum):
-    """The kinds of records; a store takes records of kinds that it doesn't know, too."""
+    """The kinds of records; a store also accepts records of unknown kinds."""
 
-    CONFIGURATION = "config"  # the only record of its kind, and its whole key; the packed configuration
-    ROLLOUT = "rollout"  # rollout/SERVICE: the service's rollout
-    MACHINE = "machine"  # machine/ID: where a service machine is, and its state
-    HEARTBEAT = "beat"  # beat/ID: a machine's latest heartbeat, in the stamp; no value
-    PROXY_COUNTS = "count"  # count/NODE/INCARNATION: a proxy's outcome counts of versions on trial
-    PROXY_LOCATION = "fleet"  # fleet/CONTROLLER/NODE: a proxy that polls this controller, or None
-    CONTROLLER = "bourse"  # bourse/IP: a controller's node name
-    TOMBSTONES = "left"  # left/BUCKET: machines that left for good
+    CONFIGURATION = "config"  # the packed configuration; the only record of its kind, with this key
+    ROLLOUT = "rollout"  # rollout/SERVICE: the rollout of a service
+    MACHINE = "machine"  # machine/ID: the location and state of a service machine
+    HEARTBEAT = "beat"  # beat/ID: a machine's latest heartbeat, as the stamp; without a value
+    PROXY_COUNTS = "count"  # count/NODE/INCARNATION: a proxy's outcome counts for versions on trial
+    PROXY_LOCATION = "fleet"  # fleet/CONTROLLER/NODE: where a proxy that polls this controller is, or None
+    CONTROLLER = "bourse"  # bourse/IP: the node name of a controller
+    TOMBSTONES = "left"  # left/BUCKET: tombstones of machines that left permanently
 
     @property
     def prefix(self) -> str:
-        """How the keys of this kind begin."""
+        """The prefix of the keys of this kind."""
         return f"{self.value}/"
 
     def key(self, *names: str) -> str:
-        """The key of a record of this kind."""
+        """Returns the key of a record of this kind."""
         return "/".join((self.value, *names))
 
 
-# Records that only controllers send to each other.
+# Records that are sent among controllers only.
 CONTROLLER_ONLY_PREFIXES = (
     RecordKind.HEARTBEAT.prefix,
     RecordKind.PROXY_COUNTS.prefix,
@@ -40,15 +40,15 @@
 
 
 def is_controller_only(key: str) -> bool:
-    """Whether proxies aren't sent the record of this key."""
+    """Whether the record with this key is not sent to proxies."""
     return key.startswith(CONTROLLER_ONLY_PREFIXES)
 
 
 def kind_of(key: str) -> str:
-    """The kind in a key, which may be one that this release doesn't know."""
+    """Returns the kind in a key, which may be unknown to this release."""
     return key.partition("/")[0]
 
 
 def name_of(key: str) -> str:
-    """What follows the kind in a key."""
+    """Returns the name in a key: what follows the kind and the slash."""
     return key.partition("/")[2]
--- a/honeywood/gateway/dissemination/large_records.py
+++ b/honeywood/gateway/dissemination/large_records.py
@@ -1,7 +1,7 @@
-"""Large records, which are sent in chunks: their latest versions as text. Pure.
+"""The latest versions, as text, of large records, which are sent in chunks.
 
-A few previous versions are kept, so that a receiver which has begun one over a slow link can complete it
-while newer ones come.
+A few previous versions are kept, so that a receiver on a slow link can complete the version that it has begun
+to receive while newer ones are published. This module performs no I/O.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """One version of a large record: its value as JSON."""
+    """One version of a large record, with its value as JSON text."""
 
     stamp: Stamp
     text: str
@@ -35,7 +35,7 @@
     """The latest versions of large records, by key."""
 
     def __init__(self) -> None:
-        """No version is known."""
+        """Initially no version is known."""
         self.versions: dict[str, list[Version]] = {}
 
     def __contains__(self, key: str) -> bool:
@@ -43,7 +43,7 @@
         return key in self.versions
 
     def add(self, key: str, stamp: Stamp, value: JsonValue) -> None:
-        """A record has changed; those that aren't large are ignored."""
+        """Adds the new version of a record that has changed; records that are not large are ignored."""
         if key not in LARGE_KEYS:
             return
         text = json.dumps(value)
@@ -51,10 +51,10 @@
         self.versions[key] = versions[-VERSIONS_KEPT:]
 
     def next_chunk(self, key: str, max_characters: int, progress: ChunkProgress | None) -> Chunk:
-        """The chunk that continues `progress`.
+        """Returns the chunk that continues `progress`.
 
-        It is the first one of the newest version where there is no progress, or where its version is no
-        longer kept.
+        If there is no progress, or its version is no longer kept, this is the first chunk of the newest
+        version.
         """
         version, offset = self.versions[key][-1], 0
         for kept in self.versions[key]:
--- a/honeywood/gateway/dissemination/local_records.py
+++ b/honeywood/gateway/dissemination/local_records.py
@@ -1,8 +1,8 @@
 """Records that a program publishes about itself.
 
-Its clock may have been set back since its previous incarnation, whose records other programs still have
-with higher stamps. A program that receives such a record publishes its own above it, as OSPF routers do
-with self-originated advertisements (RFC 2328, section 13.4).
+The program's clock may have been set back since its previous incarnation, whose records other programs still
+have with higher stamps. A program that receives such a record publishes its own with a higher stamp, as OSPF
+routers do with self-originated advertisements (RFC 2328, section 13.4).
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 
 
 class LocalRecords:
-    """A program's own records on its store, with stamps of (incarnation, a number that rises, epoch)."""
+    """The records of a program in its own store, with stamps of (incarnation, sequence number, epoch)."""
 
     def __init__(self, store: Store, incarnation: int, is_local: Callable[[str], bool]) -> None:
-        """Nothing is published.
+        """Initially nothing is published.
 
-        `incarnation` rises from start to start unless the clock was set back; `is_local` recognizes the
-        keys of this program's records.
+        `incarnation` increases with each start of the program unless its clock was set back. `is_local`
+        returns whether a key is that of a record of this program.
         """
         self.store = store
         self.incarnation = incarnation
         self.is_local = is_local
-        self.number = 0
+        self.sequence_number = 0
         self.values: dict[str, JsonValue] = {}
         self.epoch = store.epoch
         self._is_publishing = False
 
     def publish(self, key: str, value: JsonValue) -> None:
-        """Publishes a value under a key, in place of the one before."""
+        """Publishes a value under a key, in place of the previous one."""
         self.values[key] = value
-        self.number += 1
-        stamp = Stamp.of(self.incarnation, self.number, self.store.epoch)
+        self.sequence_number += 1
+        stamp = Stamp.of(self.incarnation, self.sequence_number, self.store.epoch)
         self._is_publishing = True
         try:
             self.store.put(key, stamp, value)
@@ -46,7 +46,7 @@
             self._is_publishing = False
 
     def refresh(self) -> None:
-        """Publishes all values again if the epoch has changed; those that were withdrawn may expire."""
+        """Publishes all values again if the epoch has changed, and lets withdrawn ones expire."""
         if self.epoch == self.store.epoch:
             return
         self.epoch = self.store.epoch
@@ -55,10 +55,10 @@
             self.publish(key, value)
 
     def on_update(self, key: str) -> None:
-        """A record has come to the store.
+        """Handles a record that was added to the store.
 
-        If it is one of a previous incarnation, this incarnation publishes its own value above it, or
-        withdraws the record with the value None.
+        If it is from a previous incarnation of this program, this incarnation publishes its own value with a
+        higher stamp, or withdraws the record with the value None.
         """
         if self._is_publishing or not self.is_local(key):
             return
--- a/honeywood/gateway/dissemination/messages.py
+++ b/honeywood/gateway/dissemination/messages.py
@@ -1,6 +1,6 @@
-"""The messages of /news: a poll and its response, each with one `encode` and one `decode`.
+"""The messages of /news: a poll and its response, each with an `encode` and a `decode` method.
 
-Fields that are absent in a message of an older release have defaults. Whatever else doesn't fit raises
+Fields that are missing in messages of older releases have defaults. Any other fault in a message raises
 InvalidMessage, which names the field and the peer.
 """
 
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Requester:
-    """The program that polls: a controller, which is sent the records for controllers too, or a proxy.
+    """The program that polls: a proxy, or a controller, which also receives the records for controllers only.
 
-    A controller repeats the `echo_stamps` of the latest responses that it had, by the address of who gave
-    each, and reports the state of its `disk`.
+    A controller returns the `echo_stamps` of the latest responses that it received, by the address of the
+    controller that sent each, and reports the state of its `disk`.
     """
 
     node: str = ""
@@ -43,7 +43,7 @@
     disk: str | None = None
 
     def encode(self) -> dict[str, JsonValue]:
-        """The requester in a poll."""
+        """Returns the requester as it appears in a poll."""
         if self.is_controller:
             table: dict[str, JsonValue] = {"ip": self.ip, "node": self.node, "private": True}
             table |= {"stamps": self.echo_stamps} if self.echo_stamps else {}
@@ -60,7 +60,7 @@
 
     @classmethod
     def decode(cls, table: dict[str, object], peer: str = "") -> Requester:
-        """The requester out of a poll; raises InvalidMessage that names field and peer."""
+        """Decodes the requester; raises InvalidMessage, which names the field and the peer."""
         where = f"{PATH}: who"
         return cls(
             node=need(table, "node", str, where, "", peer=peer),
@@ -77,12 +77,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PollRequest:
-    """A program polls another one for what has changed.
+    """A poll: a program requests the changes of another program's store.
 
-    It has all changes up to `revision` of the store of this `incarnation`, or of any store with its
-    `digest`. The response may be held for `hold_s` until there is a change, and has at most `max_bytes`.
-    `known_stamps` are those of large records that it has from other peers, `progress` what it has of their
-    chunks; `records` are its own, for the peer to merge.
+    The requester has all changes up to `revision` of the store with this `incarnation`, and all records of a
+    store whose digest is `digest`. The response may be held for `hold_s` seconds until there is a change, and
+    may have at most `max_bytes`. `known_stamps` are the stamps of the large records that the requester has
+    from any peer, `progress` says how much it has of those that arrive in chunks, and `records` are its own,
+    which the peer merges.
     """
 
     requester: Requester
@@ -96,7 +97,7 @@
     progress: dict[str, ChunkProgress] = field(default_factory=dict)
 
     def encode(self) -> dict[str, JsonValue]:
-        """The poll as it is sent."""
+        """Returns the poll as it is sent."""
         return {
             "who": self.requester.encode(),
             "life": self.incarnation,
@@ -111,7 +112,7 @@
 
     @classmethod
     def decode(cls, table: dict[str, object], peer: str = "") -> PollRequest:
-        """A poll as it came; raises InvalidMessage that names field and peer."""
+        """Decodes a poll; raises InvalidMessage, which names the field and the peer."""
         stamps = need(table, "held", dict, PATH, {}, peer=peer)
         progress = need(table, "have", dict, PATH, {}, peer=peer)
         return cls(
@@ -123,27 +124,28 @@
             digest=need(table, "digest", str, PATH, None, peer=peer),
             max_bytes=need(table, "most", int, PATH, None, least=1, peer=peer),
             known_stamps={key: Stamp.decode(stamp, f"held: {key}", peer) for key, stamp in stamps.items()},
-            progress={key: ChunkProgress.decode(one, peer) for key, one in progress.items()},
+            progress={key: ChunkProgress.decode(value, peer) for key, value in progress.items()},
         )
 
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """A controller's view of the fleet, for one proxy.
+    """A controller's view of the fleet, as it is sent to one proxy.
 
-    It has the number of proxies, and the addresses of the relays that this one polls, the nearest first.
+    It contains the number of proxies, and the addresses of the relays that this proxy polls, the nearest
+    first.
     """
 
     proxy_count: int
     relays: list[str]
 
     def encode(self) -> list[JsonValue]:
-        """The view in a response: [count, addresses]."""
+        """Returns the view as it appears in a response: [count, addresses]."""
         return [self.proxy_count, self.relays]
 
     @classmethod
     def decode(cls, value: list[object], peer: str = "") -> FleetView:
-        """The view out of a response; raises InvalidMessage that names the peer."""
+        """Decodes the view; raises InvalidMessage, which names the peer."""
         if len(value) == 2:
             count, relays = value
             if type(count) is int and isinstance(relays, list):
@@ -155,11 +157,12 @@
 class PollResponse:
     """The changes of a store up to `revision`.
 
-    `has_more`: there are further changes; `chunk` is the next part of a long record; `retry_after_s`:
-    nothing is sent because the link is busy, poll again later. Controllers add whether they are
-    `in_quorum`; for proxies the `fleet`, and the number of the newest counts that came from the proxy
-    (`counts_number`); for controllers the state of their `disk`, and an `echo_stamp` to be repeated in the
-    next poll.
+    `has_more` says that there are further changes. `chunk` is the next part of a long record. With
+    `retry_after_s`, nothing is sent because the link is busy; the requester polls again after these seconds.
+
+    Controllers add whether they are `in_quorum`. For proxies they add the `fleet`, and the number of the
+    latest counts that they received from the proxy (`counts_number`); for controllers, the state of their
+    `disk`, and an `echo_stamp` that the next poll returns.
     """
 
     incarnation: str
@@ -176,11 +179,11 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether it has all changes that there were: it isn't one part of them, nor was it put off."""
+        """Whether the response contains all changes: it is neither one part of them nor deferred."""
         return not self.has_more and self.retry_after_s is None
 
     def encode(self) -> dict[str, JsonValue]:
-        """The response as it is sent, without the fields that are None."""
+        """Returns the response as it is sent, without the fields that are None."""
         table: dict[str, JsonValue] = {
             "life": self.incarnation,
             "rev": self.revision,
@@ -200,7 +203,7 @@
 
     @classmethod
     def decode(cls, table: object, peer: str = "") -> PollResponse:
-        """A response as it came; raises InvalidMessage that names field and peer."""
+        """Decodes a response; raises InvalidMessage, which names the field and the peer."""
         if not isinstance(table, dict):
             raise InvalidMessage(PATH, "the answer must be an object", peer)
         chunk = need(table, "piece", dict, PATH, None, peer=peer)
--- a/honeywood/gateway/dissemination/poll_waiters.py
+++ b/honeywood/gateway/dissemination/poll_waiters.py
@@ -10,15 +10,15 @@
 
 
 class PollWaiters:
-    """Wakes held polls in the order in which they came."""
+    """Wakes held polls in the order in which they arrived."""
 
     def __init__(self) -> None:
-        """No poll is held."""
+        """Initially no poll is held."""
         self._is_controller: dict[Future[None], bool] = {}  # by waiter; a dict keeps their order
         self._is_wake_scheduled = False
 
     async def wait(self, timeout_s: float, is_controller: bool) -> bool:
-        """Waits for a change, at most `timeout_s`; whether there was one."""
+        """Waits for a change for at most `timeout_s` seconds; returns whether there was one."""
         waiter: Future[None] = asyncio.get_running_loop().create_future()
         self._is_controller[waiter] = is_controller
         try:
@@ -32,7 +32,7 @@
         self._wake(include_proxies=True)
 
     def wake_controllers_within(self, delay_s: float) -> None:
-        """Wakes the polls of controllers after `delay_s`, together with what changes until then."""
+        """Wakes the polls of controllers after `delay_s` seconds, once for all changes until then."""
         if self._is_controller and not self._is_wake_scheduled:
             self._is_wake_scheduled = True
             loop = next(iter(self._is_controller)).get_loop()
--- a/honeywood/gateway/dissemination/publisher.py
+++ b/honeywood/gateway/dissemination/publisher.py
@@ -1,10 +1,10 @@
 """Answers the polls of other programs.
 
-A poll is held until the store changes, or for a while: so changes pass on at once, and each response is a
-sign of life.
+A poll is held until the store changes, or for a limited time. Changes are therefore sent on at once, and each
+response shows that the publisher is alive.
 
-Every response is short enough for the links that it crosses. What doesn't fit comes with the next poll,
-which continues where this response ended: at the same peer or, for large records, at another.
+Every response is short enough for the links that it crosses. The remaining changes are sent with the next
+poll, which continues where the response ended: at the same peer or, for large records, at any peer.
 """
 
 from __future__ import annotations
@@ -26,29 +26,31 @@
     from honeywood.gateway.dissemination.messages import PollRequest, Requester
     from honeywood.gateway.dissemination.record import JsonValue, Record
 
-MAX_HOLD_S = 1.0  # for which a poll is held without a change
-COALESCE_S = 0.02  # waited after a change for others that come with it
-NON_WAKING_PREFIXES = (RecordKind.HEARTBEAT.prefix, RecordKind.TOMBSTONES.prefix)  # wake no held poll
-# Records that wake only controllers, together with others that come within so many seconds.
+MAX_HOLD_S = 1.0  # longest time for which a poll is held without a change
+COALESCE_S = 0.02  # wait after a change for other changes that follow at once
+# Records that wake no held poll.
+NON_WAKING_PREFIXES = (RecordKind.HEARTBEAT.prefix, RecordKind.TOMBSTONES.prefix)
+# Records that wake only controllers, after these seconds, to send further changes together with them.
 WAKE_DELAYS_S = {RecordKind.PROXY_COUNTS.prefix: 0.2, RecordKind.PROXY_LOCATION.prefix: 0.1}
-UNPACED_BYTES = 2048  # of a response that isn't paced
-MAX_LINK_WAIT_S = 0.25  # that a response waits for the link; a poll that would wait longer is put off
-DEFAULT_LINK_BYTES_PER_S = 125e6  # where the settings say nothing
-POLL_PUT_OFF = "sent away"  # counted beside kinds of records, as logs have always named it
+UNPACED_BYTES = 2048  # largest response that is not paced
+MAX_LINK_WAIT_S = 0.25  # longest wait of a response for the link; a poll that would wait longer is deferred
+DEFAULT_LINK_BYTES_PER_S = 125e6  # if the settings specify no link speed
+# Counted beside the kinds of records, under the names that logs have always used.
+POLL_DEFERRED = "sent away"
 REQUESTER_LEFT = "asker left"
 
 
 def ignore_request(requester: Requester, revision: int) -> None:
-    """The `on_request` of a publisher whose requesters nobody observes."""
+    """Does nothing; the default of `on_request`."""
 
 
 def never() -> bool:
-    """The `has_left` of a requester that stays."""
+    """Returns False; the default of `has_left`, for requesters whose connection is not observed."""
     return False
 
 
 class Publisher:
-    """Answers polls out of its store; `sent_bytes` counts bytes of responses by kind of record."""
+    """Answers polls from its store; `sent_bytes` counts the bytes of responses by kind of record."""
 
     def __init__(
         self,
@@ -58,10 +60,11 @@
         link_bytes_per_s: float = DEFAULT_LINK_BYTES_PER_S,
         is_retained: Callable[[Store, str, JsonValue], bool] = retain_nothing,
     ) -> None:
-        """An empty store.
+        """Initially the store is empty.
 
-        `on_update(key, value)` is called with each record that it takes, `on_request(requester, revision)`
-        with who polls and up to which revision it has all; `is_retained` is the store's.
+        `on_update(key, value)` is called for each record that the store accepts. `on_request(requester,
+        revision)` is called for each poll, with the revision up to which the requester has all changes.
+        `is_retained` is passed on to the store.
         """
         self.store = Store(incarnation, self._record_changed, is_retained)
         self.feed = ChangeFeed(self.store)
@@ -83,16 +86,16 @@
             self.waiters.wake_controllers_within(delay_s)
 
     async def serve(self, poll: PollRequest, has_left: Callable[[], bool] = never) -> PollResponse:
-        """The response to a poll.
+        """Returns the response to a poll.
 
-        `has_left` says whether the requester has gone: it then takes up nothing of the link.
+        `has_left` returns whether the requester has disconnected; nothing is then scheduled on the link.
         """
         revision = poll.revision if poll.incarnation == self.store.incarnation else 0
         self.store.observe_epoch(poll.requester.epoch)
         self._on_request(poll.requester, revision)
         self.store.merge(poll.records)
         if not poll.requester.is_controller and poll.digest == self.store.digest:
-            revision = self.store.revision  # it has the same records from other peers
+            revision = self.store.revision  # the requester has the same records from other peers
         changes = await self._wait_for_changes(revision, poll)
         if has_left():
             self.sent_bytes[REQUESTER_LEFT] += 1
@@ -100,19 +103,19 @@
         return await self._respond(changes, revision, poll)
 
     async def _wait_for_changes(self, revision: int, poll: PollRequest) -> list[Record]:
-        """The changes since `revision`, as soon as there are any."""
+        """Returns the changes since `revision` once there are any, or none after the hold time."""
         loop, is_controller = asyncio.get_running_loop(), poll.requester.is_controller
         until = loop.time() + min(MAX_HOLD_S, poll.hold_s)
         while True:
             changes = self.feed.since(self.store.incarnation, revision, is_controller, poll.known_stamps)
             remaining_s = until - loop.time()
             if changes or remaining_s <= 0:
-                return changes  # looked up after the wait: records that wake nobody may have come in it
+                return changes  # looked up after the wait, since some records wake no poll
             if await self.waiters.wait(remaining_s, is_controller):
                 await asyncio.sleep(COALESCE_S)
 
     async def _respond(self, changes: list[Record], revision: int, poll: PollRequest) -> PollResponse:
-        """The response with the changes that fit, once the link is free for it."""
+        """Returns the response with the changes that fit, once the link is free for it."""
         max_bytes = min(self.max_response_bytes, poll.max_bytes or self.max_response_bytes)
         batch = self.feed.batch(changes, max_bytes, poll.progress)
         sizes = [(record.key, self.feed.encoded_size(record.key)) for record in batch.records]
@@ -127,17 +130,17 @@
         return PollResponse(self.store.incarnation, batch.revision, batch.records, batch.chunk, has_more)
 
     async def _wait_for_link(self, size: int, poll: PollRequest) -> float | None:
-        """Waits until a response may be sent.
+        """Waits until a response may be sent, then returns None.
 
-        Returns None then, or at once the seconds after which the requester should poll again, where the
-        wait would be too long.
+        If the wait would be too long, it returns at once the seconds after which the requester should poll
+        again.
         """
         if size <= UNPACED_BYTES:
             return None
         now, is_controller = asyncio.get_running_loop().time(), poll.requester.is_controller
         backlog_s = self.pacer.backlog_s(now)
         if not is_controller and backlog_s > MAX_LINK_WAIT_S:
-            self.sent_bytes[POLL_PUT_OFF] += 1
+            self.sent_bytes[POLL_DEFERRED] += 1
             return backlog_s
         wait_s = self.pacer.schedule(now, size)
         await asyncio.sleep(self._link_wait_s(wait_s, is_controller))
@@ -145,5 +148,5 @@
 
     @staticmethod
     def _link_wait_s(wait_s: float, is_controller: bool) -> float:
-        """Controllers are few, and don't wait behind proxies."""
+        """Returns the seconds that a response waits; controllers are few, and do not wait behind proxies."""
         return 0.0 if is_controller else wait_s
--- a/honeywood/gateway/dissemination/record.py
+++ b/honeywood/gateway/dissemination/record.py
@@ -17,46 +17,46 @@
 
 
 class Stamp(tuple[int, ...]):
-    """The version of a record: numbers that are compared from the first on and only rise."""
+    """The version of a record: numbers that are compared from the first on. It only increases."""
 
     __slots__ = ()
 
     @classmethod
     def of(cls, *numbers: int) -> Stamp:
-        """The stamp of these numbers."""
+        """Returns the stamp of these numbers."""
         return cls(numbers)
 
     @classmethod
     def decode(cls, value: object, field: str, peer: str = "") -> Stamp:
-        """A stamp out of a message; raises InvalidMessage that names field and peer."""
+        """Decodes a stamp; raises InvalidMessage, which names the field and the peer."""
         if not (isinstance(value, list) and value and all(type(number) is int for number in value)):
             raise InvalidMessage(PATH, f"{field} must be a list of whole numbers", peer)
         return cls(value)
 
     def encode(self) -> list[int]:
-        """The stamp in a message."""
+        """Returns the stamp as it appears in a message."""
         return list(self)
 
     def __str__(self) -> str:
-        """As JSON has it; digests of stores are made of this text."""
+        """Returns the stamp as JSON; the digests of stores are computed from this text."""
         return str(self.encode())
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """A value under a key; of two with one key the one with the higher stamp is newer."""
+    """A value under a key; if two records have the same key, the one with the higher stamp is newer."""
 
     key: str
     stamp: Stamp
     value: JsonValue
 
     def encode(self) -> list[JsonValue]:
-        """The record in a message: [key, stamp, value]."""
+        """Returns the record as it appears in a message: [key, stamp, value]."""
         return [self.key, self.stamp.encode(), self.value]
 
     @classmethod
     def decode(cls, value: object, field: str, peer: str = "") -> Record:
-        """A record out of a message; raises InvalidMessage that names field and peer."""
+        """Decodes a record; raises InvalidMessage, which names the field and the peer."""
         if not (isinstance(value, list) and len(value) == 3 and isinstance(value[0], str)):
             raise InvalidMessage(PATH, f"{field} must be lists of key, stamp and value", peer)
         key, stamp, content = value
@@ -65,10 +65,10 @@
 
 @dataclass(slots=True)
 class StoredRecord:
-    """A record on a store, without its key.
+    """A record in a store, without its key.
 
-    `revision` is the store's when it came; `encoded_size` its bytes in a response, once they have been
-    counted.
+    `revision` is the revision of the store in which the record was added. `encoded_size` is its size in a
+    response in bytes, or None until that has been computed.
     """
 
     stamp: Stamp
--- a/honeywood/gateway/dissemination/subscriber.py
+++ b/honeywood/gateway/dissemination/subscriber.py
@@ -20,24 +20,24 @@
     from honeywood.gateway.dissemination.store import Store
     from honeywood.gateway.rpc.client import Caller
 
-RESPONSE_MARGIN_S = 0.5  # that a response may take beside the time for which the poll is held
+RESPONSE_MARGIN_S = 0.5  # that a response may take in addition to the time for which the poll is held
 
 
 def no_records(ip: str) -> list[Record]:
-    """The `records_for` of a subscriber that sends no records along."""
+    """Returns no records; the default of `records_for`."""
     return []
 
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """Up to which revision of a peer's store all changes have come, and the incarnation of that store."""
+    """The revision of a peer's store up to which all changes were received, and the store's incarnation."""
 
     incarnation: str = ""
     revision: int = 0
 
 
 class Subscriber:
-    """Polls one peer at a time and merges the response; `positions` are by the peer's address and port."""
+    """Polls peers and merges their responses; `positions` are by the peer's address and port."""
 
     def __init__(
         self,
@@ -49,11 +49,11 @@
         max_bytes: Callable[[], int],
         records_for: Callable[[str], list[Record]] = no_records,
     ) -> None:
-        """No peer has been polled.
+        """Initially no peer has been polled.
 
-        Responses go to `store`, chunks of long records to `assembler`. `requester()` says who polls,
-        `max_bytes()` bounds the next response, `records_for(ip)` gives the records that are sent along to a
-        peer; peers that fail are put into `backoff`.
+        Responses are merged into `store`, chunks of long records into `assembler`. `requester()` returns the
+        program that polls, `max_bytes()` the maximum size of the next response, and `records_for(ip)` the
+        records that are sent to a peer with a poll. Peers that fail are recorded in `backoff`.
         """
         self.store = store
         self.assembler = assembler
@@ -65,14 +65,14 @@
         self.positions: dict[tuple[str, int], Position] = {}
 
     def forget(self, ip: str) -> None:
-        """Drops what is known of a peer that is no longer polled."""
+        """Drops the state of a peer that is no longer polled."""
         self.backoff.forget(ip)
         self.positions = {peer: position for peer, position in self.positions.items() if peer[0] != ip}
 
     async def poll(self, ip: str, port: int, hold_s: float) -> PollResponse:
         """Polls a peer and merges its response.
 
-        Raises CallFailed where no usable response came, and InvalidMessage where a record of it can't be
+        Raises CallFailed if there is no valid response, and InvalidMessage if one of its records cannot be
         merged.
         """
         loop = asyncio.get_running_loop()
--- a/tests/gateway/dissemination/test_epochs.py
+++ b/tests/gateway/dissemination/test_epochs.py
@@ -226,7 +226,7 @@
         ("bourse/a", Stamp.of(5, 1, -1)),
     )
     for key, stamp in stamps:
-        assert epochs.published_in(key, stamp) is None and not epochs.is_expired(None, 99)
+        assert epochs.publication_epoch(key, stamp) is None and not epochs.is_expired(None, 99)
     store = Store("l")
     store.put("fleet/a/p", Stamp.of(5, 1, epochs.MAX_EPOCH + 1), ["z", "p"])
     assert store.epoch == 0 and store.get("fleet/a/p")
--- a/tests/gateway/test_pinned_dissemination.py
+++ b/tests/gateway/test_pinned_dissemination.py
@@ -231,7 +231,7 @@
 
 def epoch_rows(rows):
     return [
-        [epochs.published_in(key, stamp), epochs.is_expired(epochs.published_in(key, stamp), 9)]
+        [epochs.publication_epoch(key, stamp), epochs.is_expired(epochs.publication_epoch(key, stamp), 9)]
         for key, stamp in rows
     ]
 
