--- a/tests/gateway/dissemination/test_link_pacer.py
+++ b/tests/gateway/dissemination/test_link_pacer.py
@@ -11,7 +11,7 @@
 )
 
 
-@test("responses on a slow link go one after the other, within their share of it")
+@test("responses on a slow link are sent one after another, within their share of it")
 def _():
     pacer, now, sent_at = LinkPacer(300_000), 0.0, []
     for _ in range(20):
--- a/tests/gateway/dissemination/test_mutations.py
+++ b/tests/gateway/dissemination/test_mutations.py
@@ -1,5 +1,5 @@
-"""Each guard of dissemination taken out alone makes the scenario that it guards fail (docs/design/control.md,
-chapter 0)."""
+"""Each safeguard of dissemination, removed alone, makes the scenario fail that depends on it
+(docs/design/control.md, chapter 0)."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -41,14 +41,14 @@
     for file in FILES
     for description, scenario in scenarios(f"dissemination/test_{file}").items()
 }
-FOREVER = 1e9  # seconds
+FOREVER_S = 1e9
 
 
-def everything(self, changes, max_bytes, progress=None):
+def unbounded_batch(self, changes, max_bytes, progress=None):
     return Batch(list(changes), None, self.store.revision)
 
 
-def any_chunks(self, chunk):
+def add_any_chunk(self, chunk):
     empty = PartialValue(chunk.stamp, PartialText(chunk.content.digest))
     begun = self.partial.get(chunk.key, empty)
     content = begun.content.extended(chunk.content)
@@ -56,16 +56,16 @@
     return None if len(content.text) < chunk.content.length else chunk
 
 
-def unlike(self, *given):
+def do_nothing(self, *arguments):
     return None
 
 
-def counts_always(self, controller, records_for=RolloutReports.records_for):
+def records_without_acknowledgement(self, controller, records_for=RolloutReports.records_for):
     self.acknowledged.clear()
     return records_for(self, controller)
 
 
-async def looked_up_before(self, revision, poll):
+async def look_up_before_wait(self, revision, poll):
     is_controller = poll.requester.is_controller
     found = self.feed.since(self.store.incarnation, revision, is_controller, poll.known_stamps)
     if not found and poll.hold_s:
@@ -73,174 +73,238 @@
     return found
 
 
-def told_to_all(self, key, value):
+def wake_all_polls(self, key, value):
     self._on_update(key, value)
     self.waiters.wake_all()
 
 
-class Unordered(dict):
+class ReversedDict(dict):
     def items(self):
         return reversed(list(super().items()))
 
 
-def unordered(self, init=PollWaiters.__init__):
+def init_with_reversed_waiters(self, init=PollWaiters.__init__):
     init(self)
-    self._is_controller = Unordered()
+    self._is_controller = ReversedDict()
 
 
-def machines_alone(self, key, row, update=MachineRowWriter.update):
+def write_machines_only(self, key, row, update=MachineRowWriter.update):
     if not key.startswith(DEPARTED_ROW_PREFIX):
         update(self, key, row)
 
 
-def without_names(self, *given, since=ChangeFeed.since, **more):
-    return [one for one in since(self, *given, **more) if not one.key.startswith(tombstones.PREFIX)]
+def since_without_tombstones(self, *arguments, since=ChangeFeed.since, **options):
+    return [one for one in since(self, *arguments, **options) if not one.key.startswith(tombstones.PREFIX)]
 
 
-def without_quorum(self, now, epoch, in_quorum, advance=epochs.EpochClock.advance):
+def advance_without_quorum(self, now, epoch, in_quorum, advance=epochs.EpochClock.advance):
     return advance(self, now, epoch, True)
 
 
-def no_epoch(self, encode=Requester.encode):
+def encode_without_epoch(self, encode=Requester.encode):
     return {**encode(self), "epoch": 0}
 
 
-def heard_alone(self, key, bucket):
-    """Names that left are kept, and machines of these names stay."""
+def ignore_tombstones(self, key, bucket):
+    """Ignores tombstones, so that the records of their machines stay."""
 
 
 @dataclass(frozen=True)
 class Mutation:
-    """`name` of `place` replaced by `by`; the scenario that begins so must fail."""
+    """Replaces `attribute` of `target`; the scenario whose description begins with `scenario` must fail."""
 
-    what: str
-    place: Any
-    name: str
-    by: Any
+    effect: str
+    target: Any
+    attribute: str
+    replacement: Any
     scenario: str
 
     def killed(self):
-        """Whether the scenario fails without the guard."""
-        (scenario,) = [one for text, one in SCENARIOS.items() if text.startswith(self.scenario)]
-        with mock.patch.object(self.place, self.name, self.by):
+        """Returns whether the scenario fails without the safeguard."""
+        (scenario,) = [test for text, test in SCENARIOS.items() if text.startswith(self.scenario)]
+        with mock.patch.object(self.target, self.attribute, self.replacement):
             return fails(scenario)
 
 
 MUTATIONS = (
     Mutation(
-        "answers have no bound", ChangeFeed, "batch", everything, "batches stay within {most} bytes, and one"
+        "responses have no size limit",
+        ChangeFeed,
+        "batch",
+        unbounded_batch,
+        "batches stay within {max_bytes} bytes, and",
     ),
-    Mutation("any chunks", ChunkAssembler, "add", any_chunks, "chunks of another text with the same stamp,"),
     Mutation(
-        "no earlier values", large_records, "VERSIONS_KEPT", 1, "a version that a receiver has begun is sent"
+        "any chunk is accepted",
+        ChunkAssembler,
+        "add",
+        add_any_chunk,
+        "chunks of another text with the same stamp,",
     ),
     Mutation(
-        "no turns on a link",
+        "no previous versions are kept",
+        large_records,
+        "VERSIONS_KEPT",
+        1,
+        "a version that a receiver has begun is",
+    ),
+    Mutation(
+        "responses on a link are not paced",
         LinkPacer,
         "backlog_s",
-        lambda *given: 0.0,
+        lambda *arguments: 0.0,
         "many proxies that poll one relay at once are",
     ),
-    Mutation("no digest", StoreDigest, "toggle", unlike, "a proxy that has all records from others is"),
-    Mutation("a part is all", PollResponse, "is_complete", True, "a response with {what} renews"),
     Mutation(
-        "a part is silence", PollResponse, "is_complete", True, "incomplete responses of others make no"
+        "stores have no digest",
+        StoreDigest,
+        "toggle",
+        do_nothing,
+        "a proxy that has all records from other peers",
     ),
     Mutation(
-        "one queue",
+        "a partial response counts as complete for a lease",
+        PollResponse,
+        "is_complete",
+        True,
+        "a response with {what} renews",
+    ),
+    Mutation(
+        "a partial response counts as complete for heartbeats",
+        PollResponse,
+        "is_complete",
+        True,
+        "incomplete responses of peers make no",
+    ),
+    Mutation(
+        "controllers wait behind proxies",
         Publisher,
         "_link_wait_s",
         lambda self, wait_s, is_controller: wait_s,
         "a controller is answered at once, however",
     ),
     Mutation(
-        "lists of proxies to all",
+        "records for controllers are sent to proxies",
         keys,
         "CONTROLLER_ONLY_PREFIXES",
         (),
-        "what a proxy is sent doesn't grow with their",
+        "what a proxy is sent doesn't grow with the",
+    ),
+    Mutation(
+        "counts are sent with every poll",
+        RolloutReports,
+        "records_for",
+        records_without_acknowledgement,
+        "all controllers",
     ),
-    Mutation("counts always told", RolloutReports, "records_for", counts_always, "all controllers"),
     Mutation(
-        "no backoff", Backoff, "remaining_s", lambda *given: 0.0, "a proxy without responses polls less and"
+        "polls have no backoff",
+        Backoff,
+        "remaining_s",
+        lambda *arguments: 0.0,
+        "a proxy without responses polls less and",
     ),
     Mutation(
-        "own records of before",
+        "records of the previous incarnation win",
         LocalRecords,
         "on_update",
-        unlike,
-        "a program publishes above the records of its",
+        do_nothing,
+        "a program publishes with higher stamps than",
     ),
     Mutation(
-        "dead controllers",
+        "contacts of proxies never time out",
         contacts,
         "OBSERVER_TIMEOUT_S",
-        FOREVER,
-        "a controller without contact keeps no proxy",
+        FOREVER_S,
+        "a controller without contact keeps no proxy in",
     ),
     Mutation(
-        "no order of waking", PollWaiters, "__init__", unordered, "held polls are woken in the order in which"
+        "polls are woken in another order",
+        PollWaiters,
+        "__init__",
+        init_with_reversed_waiters,
+        "held polls are woken in the order in which",
     ),
     Mutation(
-        "all records wake all",
+        "all records wake all polls",
         Publisher,
         "_record_changed",
-        told_to_all,
+        wake_all_polls,
         "held polls are woken in the order in which",
     ),
     Mutation(
-        "no last look",
+        "changes are looked up before the wait only",
         Publisher,
         "_wait_for_changes",
-        looked_up_before,
-        "a record that wakes no poll and comes while",
+        look_up_before_wait,
+        "a record that wakes no poll and arrives while",
     ),
     Mutation(
-        "nothing lapses",
+        "no record expires",
         epochs,
         "is_expired",
-        lambda *given: False,
+        lambda *arguments: False,
         "two days with hundreds of restarts, clocks",
     ),
     Mutation(
-        "counts lapse",
+        "counts expire although a rollout needs them",
         count_retention,
         "_is_needed_by",
-        lambda *given: False,
+        lambda *arguments: False,
         "counts of a proxy that has ended are",
     ),
     Mutation(
-        "lapsed ones come back",
+        "expired records are accepted",
         Store,
         "_must_expire",
-        lambda *given: False,
-        "expired records are taken from no one, and",
+        lambda *arguments: False,
+        "expired records are accepted from no peer, and",
     ),
     Mutation(
-        "incarnations alone",
+        "incarnations are compared after expiry",
         Store,
         "_is_superseded",
-        lambda *given: False,
-        "expired records are taken from no one, and",
+        lambda *arguments: False,
+        "expired records are accepted from no peer, and",
     ),
     Mutation(
-        "no quorum", epochs.EpochClock, "advance", without_quorum, "the epoch advances in quorum after its"
+        "the epoch advances without quorum",
+        epochs.EpochClock,
+        "advance",
+        advance_without_quorum,
+        "the epoch advances in quorum after its",
     ),
     Mutation(
-        "asks without epoch", Requester, "encode", no_epoch, "programs: controllers that all start again,"
+        "polls have no epoch",
+        Requester,
+        "encode",
+        encode_without_epoch,
+        "programs: controllers that all start again,",
     ),
     Mutation(
-        "no disk", MachineRowWriter, "update", machines_alone, "a tombstone outlives {what}: a late copy of"
+        "tombstones are not on disk",
+        MachineRowWriter,
+        "update",
+        write_machines_only,
+        "a tombstone outlives {what}: a late copy of",
     ),
     Mutation(
-        "names not told", ChangeFeed, "since", without_names, "a tombstone outlives {what}: a late copy of"
+        "tombstones are not published",
+        ChangeFeed,
+        "since",
+        since_without_tombstones,
+        "a tombstone outlives {what}: a late copy of",
     ),
     Mutation(
-        "copies stay", MachineTable, "merge_departed", heard_alone, "a copy taken before a controller had the"
+        "copies are not withdrawn",
+        MachineTable,
+        "merge_departed",
+        ignore_tombstones,
+        "a copy accepted before a controller had the",
     ),
 )
 
 
-@test("without its guard ({mutation.what}) the scenario {mutation.scenario!r} fails")
+@test("without a safeguard ({mutation.effect}) the scenario {mutation.scenario!r} fails")
 def _(mutation=each(*MUTATIONS)):
     assert mutation.killed()
--- a/tests/gateway/dissemination/test_poll_waiters.py
+++ b/tests/gateway/dissemination/test_poll_waiters.py
@@ -9,9 +9,9 @@
 from honeywood.lab.emulator.world import Loop
 
 
-@test("held polls are woken in the order in which they came")
+@test("held polls are woken in the order in which they arrived")
 def _():
-    # A set woke in order of addresses: emulated days didn't replay.
+    # Waiters in a set were woken in the order of memory addresses, so emulated days could not be replayed.
     loop = Loop()
     asyncio.set_event_loop(loop)
     try:
@@ -31,7 +31,7 @@
             await asyncio.gather(*waits)
             return controllers
 
-        assert loop.run_until_complete(many()) == list(range(0, 60, 3)), "counts wake controllers alone"
+        assert loop.run_until_complete(many()) == list(range(0, 60, 3)), "counts wake controllers only"
         assert woken[20:] == [n for n in range(60) if n % 3]
     finally:
         loop.close()
--- a/tests/gateway/dissemination/test_programs.py
+++ b/tests/gateway/dissemination/test_programs.py
@@ -1,4 +1,4 @@
-"""Whole programs on slow links, with peers that fail and clocks that were set back."""
+"""Complete programs on slow links, with peers that fail and clocks that were set back."""
 
 import asyncio
 import random
@@ -10,61 +10,61 @@
 from honeywood.gateway.rollout.report import OutcomeCounts, ProxyReport, RolloutStatus
 
 
-def met(fronts="fghijk", until=4.0, **more):
-    world = World(proxies=fronts, **more)
-    for name in world.controllers + fronts:
+def connected_world(proxies="fghijk", until=4.0, **options):
+    world = World(proxies=proxies, **options)
+    for name in world.controllers + proxies:
         world.start(name)
     world.run(until)
     return world
 
 
-@test("a proxy partitioned amid a long configuration continues where it was, at any peer that answers")
+@test("a proxy partitioned while it receives a long configuration continues there, at any peer that answers")
 def _():
-    world, taken = met("f", until=3.0), []
+    world, offsets = connected_world("f", until=3.0), []
     try:
         for program in world.nodes.values():
             program.publisher.max_response_bytes = 1500
         world.run(4.5)
-        pieces = world.nodes["f"].assembler
-        add = pieces.add
+        assembler = world.nodes["f"].assembler
+        add = assembler.add
 
-        def cut_off(piece):
-            if not taken:
+        def add_and_partition(chunk):
+            if not offsets:
                 world.partition("f", "abc")
-            taken.append(piece.content.offset)
-            return add(piece)
+            offsets.append(chunk.content.offset)
+            return add(chunk)
 
-        pieces.add = cut_off
-        text = config(5, routes=60)
-        for entry in text["res"][:-1]:  # texts that hardly pack
+        assembler.add = add_and_partition
+        configuration = config(5, routes=60)
+        for entry in configuration["res"][:-1]:  # texts that hardly compress
             entry["spec"]["pfx"] = f"/{random.Random(entry['hdr']['name']).getrandbits(400):x}/"
-        world.loop.create_task(world.ask("a", "config.replace", "", text))
+        world.loop.create_task(world.ask("a", "config.replace", "", configuration))
         world.run(6.0)
-        assert world.version("f") is None and pieces.progress()
+        assert world.version("f") is None and assembler.progress()
         world.heal()
         world.run(9.0)
         assert world.version("f") == 5
-        assert len(taken) > 3 and taken.count(0) == 1 and len(set(taken)) >= len(taken) - 2, taken
+        assert len(offsets) > 3 and offsets.count(0) == 1 and len(set(offsets)) >= len(offsets) - 2, offsets
     finally:
         world.close()
 
 
-@test("a proxy without responses polls less and less often, and is back within a second of the first one")
+@test("a proxy without responses polls less and less often, and is in contact within a second of the first")
 def _():
-    world = met("f")
+    world = connected_world("f")
     try:
         calls, call = [], world.nodes["f"].caller.call
         refuse = [True]
 
-        async def counted(ip, port, path, body, within, **more):
+        async def counted(ip, port, path, body, timeout_s, **options):
             calls.append(world.loop.time())
             if refuse[0]:
                 raise CallFailed(path, "refused", ip)
-            return await call(ip, port, path, body, within, **more)
+            return await call(ip, port, path, body, timeout_s, **options)
 
         world.nodes["f"].caller.call = counted
         world.run(14.0)
-        assert sum(12 <= at < 14 for at in calls) < 40, "without backoff 400 and more"
+        assert sum(12 <= at < 14 for at in calls) < 40, "without backoff there are 400 or more"
         refuse[0] = False
         world.run(15.2)
         assert world.loop.time() - world.nodes["f"].stage.controller_contact_at < 0.6
@@ -72,66 +72,70 @@
         world.close()
 
 
-def told(world, names):
-    """Bytes of notes told so far by these programs, by kind."""
-    found = {}
+def sent_bytes_by_kind(world, names):
+    """The bytes of records that these programs have sent, by kind."""
+    totals = {}
     for name in names:
         for kind, size in world.nodes[name].publisher.sent_bytes.items():
-            found[kind] = found.get(kind, 0) + size
-    return found
+            totals[kind] = totals.get(kind, 0) + size
+    return totals
 
 
-@test("what a proxy is sent doesn't grow with their number, and without changes nothing is sent")
+@test("what a proxy is sent doesn't grow with the number of proxies, and nothing is sent without changes")
 def _():
-    # Seen on the grown sites: names of all fronts from each controller to every front; counts of fronts
-    # without a rollout, 64 x 2.5 a second, woke whoever waited.
-    each_front, calm = {}, {}
+    # On larger sites, each controller sent the names of all proxies to every proxy, and the counts of proxies
+    # without a rollout, 64 x 2.5 a second, woke all held polls.
+    bytes_per_proxy, bytes_without_changes = {}, {}
     for n in (6, 24):
-        fronts = "fghijklmnopqrstuvwxyzABCDEFGH"[:n]
-        world = met(fronts, until=5.0)
+        proxies = "fghijklmnopqrstuvwxyzABCDEFGH"[:n]
+        world = connected_world(proxies, until=5.0)
         try:
-            before = told(world, world.nodes)
+            before = sent_bytes_by_kind(world, world.nodes)
             world.run(9.0)
-            after = told(world, world.nodes)
-            calm[n] = sum(after.values()) - sum(before.values())
+            after = sent_bytes_by_kind(world, world.nodes)
+            bytes_without_changes[n] = sum(after.values()) - sum(before.values())
             assert "count" not in after, after
-            assert all(program.fleet.count() == n for name, program in world.nodes.items() if name in fronts)
+            assert all(program.fleet.count() == n for name, program in world.nodes.items() if name in proxies)
             world.say("a", "put 5")
             world.say("b", "beat m ready")
             world.run(12.0)
-            each_front[n] = (sum(told(world, world.nodes).values()) - sum(after.values())) / n
+            bytes_per_proxy[n] = (
+                sum(sent_bytes_by_kind(world, world.nodes).values()) - sum(after.values())
+            ) / n
             assert {world.version(name) for name in world.nodes} == {5}
             kinds = {key.partition("/")[0] for key in world.nodes["f"].publisher.store.records}
             assert kinds == {"config", "machine", "bourse"}, kinds
         finally:
             world.close()
-    assert calm[6] == calm[24] == 0, calm
-    assert each_front[24] <= each_front[6], each_front
+    assert bytes_without_changes[6] == bytes_without_changes[24] == 0, bytes_without_changes
+    assert bytes_per_proxy[24] <= bytes_per_proxy[6], bytes_per_proxy
 
 
 @test("all controllers have the counts of a proxy, once it has sent them to one")
 def _():
-    world = met("fg")
+    world = connected_world("fg")
     try:
-        front = world.nodes["f"]
-        told = ProxyReport((OutcomeCounts("s", "r", "v1", 0, 9, ()),), {"s": RolloutStatus(1, 0, None, 2.0)})
-        front.stage.report = lambda now: told
+        proxy = world.nodes["f"]
+        report = ProxyReport(
+            (OutcomeCounts("s", "r", "v1", 0, 9, ()),), {"s": RolloutStatus(1, 0, None, 2.0)}
+        )
+        proxy.stage.report = lambda now: report
         world.run(6.0)
-        held = {name: world.nodes[name].store.get(f"count/f/{front.incarnation}") for name in "abc"}
-        assert all(note and note["rows"][0][4] == 9 for note in held.values()), held
-        own, asked = front.poller.subscriber.records_for, []
-        front.poller.subscriber.records_for = lambda ip: asked.append(own(ip)) or asked[-1]
+        counts = {name: world.nodes[name].store.get(f"count/f/{proxy.incarnation}") for name in "abc"}
+        assert all(record and record["rows"][0][4] == 9 for record in counts.values()), counts
+        records_for, results = proxy.poller.subscriber.records_for, []
+        proxy.poller.subscriber.records_for = lambda ip: results.append(records_for(ip)) or results[-1]
         world.run(9.0)
-        assert asked and not any(asked), "what hasn't changed is told again"
+        assert results and not any(results), "unchanged counts are sent again"
     finally:
         world.close()
 
 
-@test("a controller whose clock was set back since its last incarnation has its proxies' locations believed")
+@test("proxy locations of a controller are accepted after its clock was set back since its last incarnation")
 def _():
-    # Stamps were the time of day: all it told lost against its own notes from before, and fronts that died
-    # since were counted for ever, so that no rollout left them.
-    world = met("fg")
+    # When stamps were the time of day, the controller's records lost against those of its last incarnation.
+    # Proxies that had ended since then were counted forever, and every rollout waited for them.
+    world = connected_world("fg")
     try:
         assert all(set(world.nodes[name].fleet.proxies) == {"f", "g"} for name in "abc")
         world.kill("a")
@@ -146,9 +150,9 @@
         world.close()
 
 
-@test("a controller without contact keeps no proxy alive")
+@test("a controller without contact keeps no proxy in the fleet")
 def _():
-    world = met("fg")
+    world = connected_world("fg")
     try:
         world.kill("a")
         world.kill("g")
@@ -159,50 +163,50 @@
         world.close()
 
 
-@test("a response with {what} renews a lease only if complete; a first contact ends no partition")
+@test("a response with {what} renews a lease only if it is complete; a first contact doesn't end a partition")
 def _(
-    what=each("nothing", "a part", "all"),
+    what=each("no changes", "some changes", "all changes"),
     answer=each({"later": 0.2}, {"more": True}, {}),
     renewed=each(False, False, True),
 ):
-    # Found by review: a stage's end may be among what was not told; on a clock that doesn't begin at 0 each
-    # start looked like the end of a long cut, whose machines are all in doubt.
-    world = met("f", until=100.0)
+    # An incomplete response may lack the end of a rollout stage. On a clock that doesn't begin at 0, each
+    # start looked like the end of a long partition, after which the records of all machines are stale.
+    world = connected_world("f", until=100.0)
     try:
-        front = world.nodes["f"]
-        before, doubted = front.stage.controller_contact_at, front.revalidation.started_at
+        proxy = world.nodes["f"]
+        before, revalidated_at = proxy.stage.controller_contact_at, proxy.revalidation.started_at
 
-        async def call(*given, **more):
+        async def call(*arguments, **options):
             await asyncio.sleep(0.01)
-            told = {"life": "x", "rev": 0, "notes": [], "joined": True, "fleet": [1, []], "counted": 0}
-            return {**told, **answer}
+            response = {"life": "x", "rev": 0, "notes": [], "joined": True, "fleet": [1, []], "counted": 0}
+            return {**response, **answer}
 
-        front.caller.call = call
+        proxy.caller.call = call
         world.run(104.0)
-        assert (front.stage.controller_contact_at > before + 3.0) == renewed
+        assert (proxy.stage.controller_contact_at > before + 3.0) == renewed
         world.kill("f")
         world.start("f")
         world.run(106.0)
         again = world.nodes["f"]
-        assert doubted is None and again.readiness.met_quorum and again.revalidation.started_at is None
+        assert revalidated_at is None and again.readiness.met_quorum and again.revalidation.started_at is None
     finally:
         world.close()
 
 
-@test("incomplete responses of others make no machine lost that beats there: {lost} lost")
-def _(told=each({"more": True}, {}), lost=each(False, True)):
-    world = met("", until=4.0)
+@test("incomplete responses of peers make no machine lost that sends heartbeats to them: {lost} lost")
+def _(fields=each({"more": True}, {}), lost=each(False, True)):
+    world = connected_world("", until=4.0)
     try:
         beat = {"svc": "s", "addr": "10.0.0.1:1", "state": "ready", "seq": 1}
         world.loop.create_task(world.ask("b", "instances.heartbeat", "m", beat))
         world.run(5.0)
         controller, call = world.nodes["a"], world.nodes["a"].caller.call
 
-        async def partly(ip, port, path, body, within, **more):
-            reply = await call(ip, port, path, body, within, **more)
-            return {**reply, "notes": [], **told} if path == "/news" else reply
+        async def call_partially(ip, port, path, body, timeout_s, **options):
+            reply = await call(ip, port, path, body, timeout_s, **options)
+            return {**reply, "notes": [], **fields} if path == "/news" else reply
 
-        controller.caller.call = partly
+        controller.caller.call = call_partially
         world.run(14.0)
         assert controller.in_quorum and (world.state("a", "m") == "silent") == lost
     finally:
--- a/tests/gateway/dissemination/test_publisher.py
+++ b/tests/gateway/dissemination/test_publisher.py
@@ -1,4 +1,4 @@
-"""Responses to polls: what they hold, and when they are sent."""
+"""Responses to polls: what they contain, and when they are sent."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 from honeywood.lab.emulator.world import Loop
 
 
-@test("many proxies that poll one relay at once are answered in turn or put off, none waits beyond its time")
+@test("many proxies that poll one relay at once are answered in turn or deferred, and none waits too long")
 def _():
     loop = Loop()
     asyncio.set_event_loop(loop)
@@ -37,9 +37,9 @@
         loop.close()
 
 
-@test("a record that wakes no poll and comes while one is held is in its response")
+@test("a record that wakes no poll and arrives while one is held is in its response")
 def _():
-    # Found by a timeline: what came in the last moments of a held poll was never sent.
+    # Records that arrived in the last moments of a held poll were never sent.
     loop = Loop()
     asyncio.set_event_loop(loop)
     try:
@@ -60,17 +60,18 @@
 
 @test("a controller is answered at once, however many proxies wait for the link")
 def _():
-    # Found by review: put off behind a configuration for many proxies, one controller had none of another's
-    # heartbeats, took the response for contact, and published every machine that beat there as lost.
+    # When its polls were deferred behind a configuration for many proxies, a controller received none of
+    # another's heartbeats. It took the response for contact, and published every machine whose heartbeats the
+    # other one received as lost.
     loop = Loop()
     asyncio.set_event_loop(loop)
     try:
         publisher, responses = Publisher("l", link_bytes_per_s=250_000), []
         publisher.store.put("config", Stamp.of(1), "x" * 29_000)
 
-        async def one(who):
-            response = await publisher.serve(PollRequest.decode({"who": who, "rev": 0, "hold": 1.0}))
-            responses.append((bool(who.get("private")), response.is_complete, loop.time()))
+        async def one(requester):
+            response = await publisher.serve(PollRequest.decode({"who": requester, "rev": 0, "hold": 1.0}))
+            responses.append((bool(requester.get("private")), response.is_complete, loop.time()))
 
         async def all_at_once():
             await asyncio.gather(*[one({"front": True}) for _ in range(20)], one({"private": True}))
--- a/tests/gateway/dissemination/test_subscriber.py
+++ b/tests/gateway/dissemination/test_subscriber.py
@@ -1,4 +1,4 @@
-"""Polls, and what is merged of their responses."""
+"""Polls, and the merging of their responses."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 from honeywood.lab.emulator.world import Loop
 
 
-@test("a proxy that has all records from others is sent none again by a peer that has just started")
+@test("a proxy that has all records from other peers is sent none again by a peer that has just started")
 def _():
     loop = Loop()
     asyncio.set_event_loop(loop)
@@ -29,10 +29,10 @@
             async def call(self, ip, port, path, body, timeout_s, idempotent=False):
                 return (await sender.serve(PollRequest.decode(body, ip))).encode()
 
-        who, backoff = Requester(is_proxy=True), Backoff(random.Random(0), 1.0)
-        most = receiver.max_response_bytes
+        requester, backoff = Requester(is_proxy=True), Backoff(random.Random(0), 1.0)
+        max_bytes = receiver.max_response_bytes
         subscriber = Subscriber(
-            receiver.store, ChunkAssembler(), Caller(), lambda: who, backoff, lambda: most
+            receiver.store, ChunkAssembler(), Caller(), lambda: requester, backoff, lambda: max_bytes
         )
         response = loop.run_until_complete(subscriber.poll("p", 1, 0.0))
         assert response.records == [] and response.revision == 50
--- a/tests/gateway/dissemination/test_tombstones.py
+++ b/tests/gateway/dissemination/test_tombstones.py
@@ -1,4 +1,4 @@
-"""Tombstones converge, and keep late copies of machines' records out."""
+"""Tombstones converge, and prevent late copies of machines' records from being accepted."""
 
 import json
 import random
@@ -14,14 +14,14 @@
 from honeywood.gateway.dissemination.store import Store
 
 
-def carried(records):
-    """Records as they come out of a message."""
+def round_trip(records):
+    """The records after they were encoded and decoded."""
     return [Record.decode(one, "notes") for one in json.loads(json.dumps([one.encode() for one in records]))]
 
 
 @test("buckets of tombstones converge in any order, and keep the newest")
 def _():
-    draw = random.Random(1)
+    rng = random.Random(1)
     names = [f"i-{n}" for n in range(3 * tombstones.BUCKET_CAPACITY)]
     one = two = None
     for name in names:
@@ -35,29 +35,29 @@
         tombstones.machine_hash(name) in tombstones.decode(one) for name in names
     ]
     entry = tombstones.ENTRY.pack(0, 1)
-    across = entry[4:] + entry[:4]  # bytes of the end of one entry
+    across = entry[4:] + entry[:4]  # the bytes at the end of one entry
     entries = b"\0" * 4 + tombstones.machine_hash("i-1").to_bytes(8, "little") + across
     assert not tombstones.contains(b2a_base64(entries).decode(), "i-1")
     entries += tombstones.ENTRY.pack(tombstones.machine_hash("i-1"), 3)
     assert tombstones.contains(b2a_base64(entries).decode(), "i-1")
     stores = [Store(n) for n in "abc"]
     for n in range(2000):
-        store = draw.choice(stores)
+        store = rng.choice(stores)
         store.drop_machine(f"i-{n}", True)
         if n % 7 == 0:
             for other in stores:
-                other.merge(carried(ChangeFeed(store).since("", 0, True)))
+                other.merge(round_trip(ChangeFeed(store).since("", 0, True)))
     for _ in range(2):
         for store in stores:
             for other in stores:
                 other.merge(ChangeFeed(store).since("", 0, True))
-    held = [dict(store.items_of(RecordKind.TOMBSTONES)) for store in stores]
-    assert held[0] == held[1] == held[2] and stores[0].tombstone_count > 1900
+    buckets = [dict(store.items_of(RecordKind.TOMBSTONES)) for store in stores]
+    assert buckets[0] == buckets[1] == buckets[2] and stores[0].tombstone_count > 1900
 
 
-@test("a tombstone outlives {what}: a late copy of a heartbeat brings no machine back")
+@test("a tombstone outlives {what}: a late copy of a heartbeat restores no machine")
 def _(what=each("a restart of a controller", "the loss of its disk", "a restart of all")):
-    # Kept in memory alone: a controller that had begun anew took such a copy, and told it to all.
+    # With tombstones in memory only, a controller that had restarted accepted such a copy and published it.
     world = World(proxies="f")
     try:
         for name in "abcf":
@@ -84,7 +84,7 @@
         world.close()
 
 
-@test("a copy taken before a controller had the machine's tombstone is withdrawn everywhere")
+@test("a copy accepted before a controller had the machine's tombstone is withdrawn everywhere")
 def _():
     world = World(proxies="f")
     try:
@@ -94,8 +94,8 @@
         for name in "ab":
             world.nodes[name].store.drop_machine("m", True)
         world.nodes["c"].store.put("machine/m", Stamp.of(1, 0), machine("m"))
-        front = world.nodes["f"].publisher.store
-        front.put("machine/m", Stamp.of(1, 0), machine("m"))
+        proxy_store = world.nodes["f"].publisher.store
+        proxy_store.put("machine/m", Stamp.of(1, 0), machine("m"))
         world.run(4.0)
         assert world.state("c", "m") == world.state("f", "m") == "gone"
         assert world.nodes["f"].endpoints.by_id == {}
--- a/tests/gateway/mutation.py
+++ b/tests/gateway/mutation.py
@@ -1,4 +1,4 @@
-"""Scenarios of other test files, played while one guard of the program is taken out."""
+"""Mutation testing: runs scenarios of other test files while one safeguard of the program is removed."""
 
 import importlib.util
 import inspect
@@ -12,39 +12,39 @@
 
 
 def scenarios(name):
-    """The tests of `name`.py by their descriptions, as plain functions that are not registered again."""
-    found = {}
+    """Returns the tests of `name`.py by description, as plain functions that ward does not register again."""
+    tests = {}
 
-    def collect(description, *given, **more):
-        def taken(function):
-            found[description] = function
+    def collect(description, *arguments, **options):
+        def decorate(function):
+            tests[description] = function
             return function
 
-        return taken
+        return decorate
 
     spec = importlib.util.spec_from_file_location(f"scenarios.{name}", HERE / f"{name}.py")
     module = importlib.util.module_from_spec(spec)
     with mock.patch.object(ward, "test", collect):
         spec.loader.exec_module(module)
-    return found
+    return tests
 
 
 def cases(function):
-    """The arguments of each case of a test: its parameters' `each`, side by side."""
+    """Yields the arguments of each case of a test, from the `each` values of its parameters."""
     defaults = {
-        name: one.default
-        for name, one in inspect.signature(function).parameters.items()
-        if isinstance(one.default, Each)
+        name: parameter.default
+        for name, parameter in inspect.signature(function).parameters.items()
+        if isinstance(parameter.default, Each)
     }
-    for at in range(max(map(len, defaults.values()), default=1)):
-        yield {name: values[at] for name, values in defaults.items()}
+    for index in range(max(map(len, defaults.values()), default=1)):
+        yield {name: values[index] for name, values in defaults.items()}
 
 
 def fails(function):
-    """Whether a case of a test fails."""
-    for given in cases(function):
+    """Returns whether any case of a test fails."""
+    for arguments in cases(function):
         try:
-            function(**given)
-        except Exception:  # an assertion, or what the program raises without its guard
+            function(**arguments)
+        except Exception:  # a failed assertion, or an error of the program without its safeguard
             return True
     return False
