--- a/tests/gateway/dissemination/test_convergence.py
+++ b/tests/gateway/dissemination/test_convergence.py
@@ -1,22 +1,23 @@
-"""News: every front in touch has a version in time, whichever relay died or was cut off; none goes back."""
+"""Convergence: every connected proxy gets a version in time, whichever relay is killed or partitioned, and no
+program returns to an older version."""
 
 from timeline import World, config
 from ward import test
 
-APPLY = 2.0  # seconds, as the settings of these worlds say
+APPLY_S = 2.0  # as in the settings of these worlds
 
 
-def met(fronts="fghijk"):
-    """A world whose fronts have found one another."""
-    world = World(proxies=fronts)
-    for name in world.controllers + fronts:
+def connected_world(proxies="fghijk"):
+    """A world whose proxies have found one another."""
+    world = World(proxies=proxies)
+    for name in world.controllers + proxies:
         world.start(name)
     world.run(3.0)
     return world
 
 
-def top(world):
-    """The front of the zone that others hear from."""
+def root_relay(world):
+    """The proxy at the root of the zone's tree of relays."""
     from honeywood.gateway.dissemination.rendezvous import rank
 
     return rank(world.proxies, "z")[0]
@@ -24,22 +25,26 @@
 
 @test("proxies poll relays, and one relay polls a controller")
 def _():
-    world = met()
+    world = connected_world()
     try:
         subscribers = {name: world.nodes[name].subscription.subscriber for name in world.proxies}
-        asked = {name: {port for _, port in one.positions} for name, one in subscribers.items()}
-        assert [name for name in world.proxies if 7000 not in asked[name]] == [top(world)], asked
+        polled_ports = {
+            name: {port for _, port in subscriber.positions} for name, subscriber in subscribers.items()
+        }
+        assert [name for name in world.proxies if 7000 not in polled_ports[name]] == [
+            root_relay(world)
+        ], polled_ports
     finally:
         world.close()
 
 
 @test("a relay is killed at the moment of a change: all others have it in time")
 def _():
-    world = met()
+    world = connected_world()
     try:
         world.say("a", "put 5")
-        world.say(top(world), "kill")
-        world.run(3.0 + APPLY)
+        world.say(root_relay(world), "kill")
+        world.run(3.0 + APPLY_S)
         assert "5" in world.acked
         assert {world.version(name) for name in world.nodes} == {5}
     finally:
@@ -48,22 +53,22 @@
 
 @test("a proxy that is partitioned from its relay, not from the controllers, has a change in time")
 def _():
-    world = met()
+    world = connected_world()
     try:
-        for name in world.proxies.replace(top(world), ""):
-            world.partition(name, top(world))
+        for name in world.proxies.replace(root_relay(world), ""):
+            world.partition(name, root_relay(world))
         world.say("a", "put 5")
-        world.run(3.0 + APPLY)
+        world.run(3.0 + APPLY_S)
         assert {world.version(name) for name in world.nodes} == {5}
     finally:
         world.close()
 
 
-@test("a controller that gets no responses acknowledges nothing and is believed in nothing")
+@test("a controller that gets no responses acknowledges nothing, and its changes are not accepted")
 def _():
-    # Seen by a hunt: it was cut in one direction, so that others' asks still reached it, took itself for
-    # joined, and held the asks of fronts that waited for its news.
-    world = met()
+    # A controller that was partitioned in one direction still received polls, considered itself to be in
+    # quorum, and held the polls of proxies that waited for its changes.
+    world = connected_world()
     try:
         for other in "bc":
             world.partitions.add((other, "a"))
@@ -81,22 +86,22 @@
         world.close()
 
 
-@test("a controller that has just started and knows few proxies makes none take more than its share")
+@test("a controller that has just started and knows few proxies makes no proxy take more than its share")
 def _():
-    # Seen on standard days: after all controllers were killed, fronts took themselves for alone, and machines
-    # reset what was over their connections.
-    world, told = met(), set()
+    # After all controllers were killed, each proxy considered itself the only one, and machines reset the
+    # connections above their limit.
+    world, counts = connected_world(), set()
     try:
-        front = world.nodes["f"]
+        proxy = world.nodes["f"]
         world.run(4.0)
-        assert front.fleet.count() == 6
+        assert proxy.fleet.count() == 6
         for name in "abc":
             world.kill(name)
         world.run(4.6)
         for name in "abc":
             world.start(name)
-        world.run(7.0, lambda: told.add(front.fleet.count()))
-        assert told == {6}
+        world.run(7.0, lambda: counts.add(proxy.fleet.count()))
+        assert counts == {6}
         world.kill("g")
         world.start("g")
         world.run(7.02)
@@ -107,52 +112,56 @@
         world.close()
 
 
-@test("a proxy is sent a version once, not by its relay and each controller")
+@test("a proxy is sent a version once, not by its relay and by each controller")
 def _():
-    # Seen on days with a configuration of 370 routes: it crossed the zones four times for each front.
-    world, told = met(), {}
+    # A configuration of 370 routes was sent across zones four times for each proxy.
+    world, sent_versions = connected_world(), {}
     try:
         for name in world.nodes:
             since = world.nodes[name].publisher.feed.since
 
-            def counted(incarnation, revision, private, known=None, since=since, name=name):
-                found = since(incarnation, revision, private, known)
-                told[name] = told.get(name, 0) + sum(record.key == "config" for record in found)
-                return found
+            def counting_since(
+                incarnation, revision, include_controller_only, known=None, since=since, name=name
+            ):
+                records = since(incarnation, revision, include_controller_only, known)
+                sent_versions[name] = sent_versions.get(name, 0) + sum(
+                    record.key == "config" for record in records
+                )
+                return records
 
-            world.nodes[name].publisher.feed.since = counted
+            world.nodes[name].publisher.feed.since = counting_since
         world.say("a", "put 5")
         world.run(6.0)
         assert {world.version(name) for name in world.nodes} == {5}
-        assert sum(told.values()) <= 2 * len(world.nodes), told
+        assert sum(sent_versions.values()) <= 2 * len(world.nodes), sent_versions
     finally:
         world.close()
 
 
-@test("a storm of versions: no program goes back, all end at the newest")
+@test("many versions within a short time: no program returns to an older one, and all end at the newest")
 def _():
-    world, seen = met(), {}
+    world, latest = connected_world(), {}
 
-    def look():
+    def check_versions():
         for name in world.nodes:
-            held = world.version(name) or 0
-            assert held >= seen.get(name, 0), f"{name} goes back"
-            seen[name] = held
+            version = world.version(name) or 0
+            assert version >= latest.get(name, 0), f"{name} returned to an older version"
+            latest[name] = version
 
     try:
         for at in range(30):
             world.say("abc"[at % 3], f"put {1 + (at * 7) % 31}")
-            world.run(3.0 + at * 0.05, look)
-        world.run(7.0, look)
+            world.run(3.0 + at * 0.05, check_versions)
+        world.run(7.0, check_versions)
         newest = max(int(version) for version in world.acked)
-        assert newest >= 28 and set(seen.values()) == {newest}
+        assert newest >= 28 and set(latest.values()) == {newest}
     finally:
         world.close()
 
 
-@test("a draining is acknowledged only when enough others have it, and outlives the controller that did")
+@test("a draining state is acknowledged only when enough others have it, and outlives the first controller")
 def _():
-    world = met()
+    world = connected_world()
     try:
         world.play("""
           at   | a              | b | c
@@ -166,9 +175,9 @@
         world.close()
 
 
-@test("a late heartbeat changes nothing; a silent machine is lost, and back with its next heartbeat")
+@test("a late heartbeat changes nothing; a silent machine is lost, and known again with its next heartbeat")
 def _():
-    world = met("f")
+    world = connected_world("f")
     try:
         world.play("""
           at  | a               | b            | f
@@ -193,9 +202,9 @@
         world.close()
 
 
-@test("all controllers are killed: proxies keep what they know, and return machines to those that start")
+@test("all controllers are killed: proxies keep their records, and return machines to those that start")
 def _():
-    world = met("fg")
+    world = connected_world("fg")
     try:
         world.play("""
           at  | a            | b    | c    | f
@@ -213,11 +222,11 @@
         world.close()
 
 
-@test("everything is killed: machines are known again before their heartbeats, a draining one as such")
+@test("all programs are killed: machines are known before their next heartbeats, a draining one as draining")
 def _():
-    # Seen on standard days: after the closing fault fronts knew machines only with their next beats, up to
-    # 1.5 s later, and sent all requests to the first few.
-    world = met("f")
+    # After such a fault, proxies knew machines only with their next heartbeats, up to 1.5 s later, and sent
+    # all requests to the first few.
+    world = connected_world("f")
     try:
         world.play("""
           at  | a             | b            | c    | f
@@ -238,25 +247,27 @@
 
 @test("all proxies start at once: each is sent the configuration and the machines once")
 def _():
-    # Found on a bench day on which all lost power with 1,100 routes more: three controllers told each front
-    # all machines three times and the configuration one and a half times, for 1.2 s on links of 30 Mbit/s.
-    world = met("")
+    # After a power loss of all programs with 1,100 additional routes, three controllers sent each proxy all
+    # machines three times and the configuration one and a half times, for 1.2 s on links of 30 Mbit/s.
+    world = connected_world("")
     try:
         world.loop.create_task(world.ask("a", "config.replace", body=config(5, routes=400)))
         for n in range(40):
             world.say("abc"[n % 3], f"beat m{n} ready")
         world.run(6.0)
-        stores = [world.nodes[name].publisher for name in world.controllers]
-        before = [store.sent_bytes["config"] + store.sent_bytes["machine"] for store in stores]
+        publishers = [world.nodes[name].publisher for name in world.controllers]
+        before = [
+            publisher.sent_bytes["config"] + publisher.sent_bytes["machine"] for publisher in publishers
+        ]
         world.proxies = "fghijklm"
         for name in world.proxies:
             world.start(name)
         world.run(6.5)
         assert {world.version(name) for name in world.nodes} == {5}
-        told = [store.sent_bytes["config"] + store.sent_bytes["machine"] for store in stores]
-        size = stores[0].feed.encoded_size
-        once = size("config") + sum(size(f"machine/m{n}") for n in range(40))
-        times = (sum(told) - sum(before)) / once / len(world.proxies)
-        assert times < 1.5, f"told {times:.2f} times"
+        after = [publisher.sent_bytes["config"] + publisher.sent_bytes["machine"] for publisher in publishers]
+        encoded_size = publishers[0].feed.encoded_size
+        full_size = encoded_size("config") + sum(encoded_size(f"machine/m{n}") for n in range(40))
+        sent_times = (sum(after) - sum(before)) / full_size / len(world.proxies)
+        assert sent_times < 1.5, f"sent {sent_times:.2f} times"
     finally:
         world.close()
--- a/tests/gateway/dissemination/test_epochs.py
+++ b/tests/gateway/dissemination/test_epochs.py
@@ -129,8 +129,10 @@
         self.exchange()
         self.exchange()
         stores = [peer.store for peer in self.connected()]
-        contents = [{key: (one.stamp, one.value) for key, one in store.records.items()} for store in stores]
-        assert all(records == contents[0] for records in contents), contents
+        contents = [
+            {key: (entry.stamp, entry.value) for key, entry in store.records.items()} for store in stores
+        ]
+        assert all(entry == contents[0] for entry in contents), contents
         assert len({store.digest for store in stores}) == 1
         alive = {f"count/{node}/{proxy[0]}" for node, proxy in self.proxies.items()}
         kept = {key for key in contents[0] if key.startswith("count/")}
@@ -282,7 +284,7 @@
             report_counts(name)
             world.run(world.loop.time() + 1.4)
             world.kill(name)
-            stores = [world.nodes[ip].publisher.store for ip in "abc"]
+            stores = [world.nodes[controller].publisher.store for controller in "abc"]
             sizes.append(
                 max(sum(ChangeFeed(store).encoded_size(key) for key in store.records) for store in stores)
             )
