--- a/tests/gateway/test_pinned_dissemination.py
+++ b/tests/gateway/test_pinned_dissemination.py
@@ -1,7 +1,7 @@
-"""What programs send each other at /news, as release ae67546 sent it: fleets of mixed releases depend on it.
+"""The messages of /news have the bytes that release ae67546 sent: fleets of mixed releases depend on that.
 
-`recorded/dissemination.json` holds inputs and what that release made of them, as JSON. Nothing in it is ever
-written anew; only the accessors at the top of this file follow the names of the code.
+`recorded/dissemination.json` contains inputs and the results of that release for them, as JSON. It is never
+recorded again; only the accessors at the top of this file follow the names of the code.
 """
 
 import asyncio
@@ -31,35 +31,35 @@
 PEER = "10.0.0.3"
 
 
-def written(value):
-    """The bytes of a message, as the caller and the applications write them."""
+def to_json(value):
+    """The JSON text of a message, as programs send it."""
     return json.dumps(value, separators=(",", ":"))
 
 
 # Accessors: the only part that follows renames.
-def request_again(table):
-    """A request that was read and is written again."""
-    return written(PollRequest.decode(table, PEER).encode())
+def reencoded_request(table):
+    """A request after it was decoded and encoded again."""
+    return to_json(PollRequest.decode(table, PEER).encode())
 
 
-def response_again(table):
-    """A response that was read and is written again, and whether it told all."""
+def reencoded_response(table):
+    """A response after it was decoded and encoded again, and whether it is complete."""
     response = PollResponse.decode(table, PEER)
-    return [written(response.encode()), response.is_complete]
+    return [to_json(response.encode()), response.is_complete]
 
 
-def refusal_of(kind, table):
-    """(operation, reason, peer) of the error that a message which can't be used raises."""
+def decoding_error(kind, table):
+    """[operation, reason, peer] of the error that an invalid message raises."""
     decode = {"requests": PollRequest.decode, "responses": PollResponse.decode}[kind]
     try:
         decode(table, PEER)
     except InvalidInput as error:
         return [error.operation, error.reason, error.peer]
-    raise AssertionError("it was taken")
+    raise AssertionError("the message was accepted")
 
 
-def new_store(incarnation, on_update=lambda key, value: None, needed=lambda store, key, value: False):
-    return Store(incarnation, on_update, needed)
+def new_store(incarnation, on_update=lambda key, value: None, is_retained=lambda store, key, value: False):
+    return Store(incarnation, on_update, is_retained)
 
 
 def put(store, key, stamp, value):
@@ -67,14 +67,16 @@
 
 
 def merge(store, records):
-    """Takes records as they stand in a message; how many were new."""
+    """Merges records as they appear in a message; returns how many were added."""
     return store.merge([Record.decode(record, "notes", PEER) for record in records])
 
 
 def contents(store):
-    """All that a store holds and what it says of itself."""
+    """The records and the state of a store."""
     return {
-        "records": [[key, held.stamp, held.value, held.revision] for key, held in store.records.items()],
+        "records": [
+            [key, stored.stamp, stored.value, stored.revision] for key, stored in store.records.items()
+        ],
         "revision": store.revision,
         "digest": store.digest,
         "epoch": store.epoch,
@@ -84,9 +86,9 @@
     }
 
 
-def records_since(store, incarnation, revision, private, held):
-    known = {key: Stamp(stamp) for key, stamp in (held or {}).items()}
-    changes = ChangeFeed(store).since(incarnation, revision, private, known)
+def records_since(store, incarnation, revision, include_controller_only, known_stamps):
+    stamps = {key: Stamp(stamp) for key, stamp in (known_stamps or {}).items()}
+    changes = ChangeFeed(store).since(incarnation, revision, include_controller_only, stamps)
     return [record.encode() for record in changes]
 
 
@@ -103,8 +105,8 @@
 }
 
 
-def new_publisher(incarnation, rate):
-    publisher = Publisher(incarnation, link_bytes_per_s=rate)
+def new_publisher(incarnation, link_bytes_per_s):
+    publisher = Publisher(incarnation, link_bytes_per_s=link_bytes_per_s)
     publisher.assembler = ChunkAssembler()
     return publisher
 
@@ -113,7 +115,7 @@
     return publisher.store
 
 
-def collected(publisher):
+def progress_of(publisher):
     return {key: progress.encode() for key, progress in publisher.assembler.progress().items()}
 
 
@@ -122,60 +124,60 @@
     return (await publisher.serve(PollRequest.decode(table, PEER))).encode()
 
 
-def told_bytes(publisher):
+def sent_bytes(publisher):
     return dict(publisher.sent_bytes)
 
 
-def asker(kind, stamps, disk):
-    """Who asks, as each of the two programs says it."""
+def new_requester(kind, stamps, disk):
+    """The requester of each of the two programs."""
     if kind == "controller":
         return Requester("core-1", "10.0.0.1", is_controller=True, echo_stamps=stamps, disk=disk)
     return Requester("edge-1", "10.0.0.2", "z", "0018", is_proxy=True)
 
 
-def beside(answer_table, in_quorum, fleet, counted, stamp, disk):
-    """A response with what a controller says beside it."""
+def with_controller_fields(response_table, in_quorum, fleet, counts_number, stamp, disk):
+    """A response with the fields that a controller adds."""
     fleet = None if fleet is None else FleetView(*fleet)
-    more = {
+    fields = {
         "in_quorum": in_quorum,
         "fleet": fleet,
-        "counts_number": counted,
+        "counts_number": counts_number,
         "echo_stamp": stamp,
         "disk": disk,
     }
-    return written(replace(PollResponse.decode(answer_table, PEER), **more).encode())
+    return to_json(replace(PollResponse.decode(response_table, PEER), **fields).encode())
 
 
 class RecordedCaller:
-    """In place of a network: notes what is sent and answers what was recorded."""
+    """Replaces the network: keeps what is sent, and returns the recorded responses."""
 
-    def __init__(self, answers):
-        self.answers, self.sent = list(answers), []
+    def __init__(self, responses):
+        self.responses, self.sent = list(responses), []
 
-    async def call(self, ip, port, path, body, within, idempotent=False):
-        self.sent.append([ip, port, path, written(body), within, idempotent])
-        answer = self.answers.pop(0)
-        if answer is None:
+    async def call(self, ip, port, path, body, timeout_s, idempotent=False):
+        self.sent.append([ip, port, path, to_json(body), timeout_s, idempotent])
+        response = self.responses.pop(0)
+        if response is None:
             raise CallFailed(PATH, "refused", ip)
-        return answer
+        return response
 
 
-def new_subscriber(publisher, caller, who, records, most):
-    given = [Record(key, Stamp(stamp), value) for key, stamp, value in records]
-    bound = publisher.max_response_bytes
+def new_subscriber(publisher, caller, requester, records, max_bytes):
+    own_records = [Record(key, Stamp(stamp), value) for key, stamp, value in records]
+    max_response_bytes = publisher.max_response_bytes
     return Subscriber(
         publisher.store,
         publisher.assembler,
         caller,
-        lambda: who,
+        lambda: requester,
         Backoff(random.Random(7), 1.0),
-        lambda: min(bound, most or bound),
-        lambda ip: given,
+        lambda: min(max_response_bytes, max_bytes or max_response_bytes),
+        lambda ip: own_records,
     )
 
 
-async def ask(subscriber, ip, port, hold_s):
-    """Whether the peer gave an answer that can be used."""
+async def poll_succeeds(subscriber, ip, port, hold_s):
+    """Whether the peer gave a valid response."""
     try:
         await subscriber.poll(ip, port, hold_s)
     except CallFailed:
@@ -183,53 +185,55 @@
     return True
 
 
-def known_by(subscriber):
-    return [[*peer, known.incarnation, known.revision] for peer, known in subscriber.positions.items()]
+def positions_of(subscriber):
+    return [
+        [*peer, position.incarnation, position.revision] for peer, position in subscriber.positions.items()
+    ]
 
 
-def collect(chunks):
-    """What a collector makes of chunks as they stand in answers: [record or None, what it has] each."""
-    collector, found = ChunkAssembler(), []
+def assemble_chunks(chunks):
+    """[record or None, progress] of an assembler after each of the chunks."""
+    assembler, results = ChunkAssembler(), []
     for chunk in chunks:
-        record = collector.add(Chunk.decode(chunk, PEER))
-        have = {key: progress.encode() for key, progress in collector.progress().items()}
-        found.append([record and record.encode(), have])
-    return found
+        record = assembler.add(Chunk.decode(chunk, PEER))
+        progress_by_key = {key: progress.encode() for key, progress in assembler.progress().items()}
+        results.append([record and record.encode(), progress_by_key])
+    return results
 
 
 def local_records(steps):
-    """What stands on a store after each step of a program that tells records of itself."""
-    own, found = [], []
-    store = new_store("l", lambda key, value: own[0].on_update(key))
-    own.append(LocalRecords(store, 5, lambda key: key.startswith("fleet/a/")))
-    for name, *given in steps:
+    """The contents of a store after each step of a program that publishes records about itself."""
+    programs, results = [], []
+    store = new_store("l", lambda key, value: programs[0].on_update(key))
+    programs.append(LocalRecords(store, 5, lambda key: key.startswith("fleet/a/")))
+    for name, *arguments in steps:
         if name == "tell":
-            own[0].publish(*given)
+            programs[0].publish(*arguments)
         elif name == "refresh":
-            store.observe_epoch(*given)
-            own[0].refresh()
+            store.observe_epoch(*arguments)
+            programs[0].refresh()
         else:
-            put(store, *given)
-        found.append(contents(store))
-    return found
+            put(store, *arguments)
+        results.append(contents(store))
+    return results
 
 
-def bucket(names, others):
-    """Tombstones: the value after each of the last names, that of `others`, both merged, and who is in it."""
+def tombstone_buckets(machine_ids, others):
+    """Tombstones: the values after the last ids, that of `others`, both merged, and which are contained."""
     values, value = [], None
-    for name in names:
+    for name in machine_ids:
         value = tombstones.add(value, name)
         values.append(value)
     other = None
     for name in others:
         other = tombstones.add(other, name)
     merged = tombstones.merge(value, other)
-    holds = [tombstones.contains(merged, name) for name in [*names, *others, "nobody"]]
-    keys = [tombstones.bucket_key(name) for name in [*names, *others]]
-    return [values[-3:], other, merged, holds, keys, tombstones.count([value, other])]
+    contained = [tombstones.contains(merged, name) for name in [*machine_ids, *others, "nobody"]]
+    keys = [tombstones.bucket_key(name) for name in [*machine_ids, *others]]
+    return [values[-3:], other, merged, contained, keys, tombstones.count([value, other])]
 
 
-def epoch_rows(rows):
+def publication_epochs(rows):
     return [
         [epochs.publication_epoch(key, stamp), epochs.is_expired(epochs.publication_epoch(key, stamp), 9)]
         for key, stamp in rows
@@ -241,153 +245,157 @@
     return [clock.advance(*step) for step in steps]
 
 
-def ranks(names, places):
-    return [rendezvous.rank(names, place) for place in places]
+def ranks(nodes, keys):
+    return [rendezvous.rank(nodes, key) for key in keys]
 
 
 def relays(proxies):
-    """The relays of each proxy, and of one that isn't known."""
-    known = {node: tuple(place) for node, place in proxies.items()}
+    """The relays of each proxy, and of one that is not known."""
+    known = {node: tuple(location) for node, location in proxies.items()}
     return {node: rendezvous.relays_of(node, known.get(node, ("z",))[0], known) for node in [*known, "other"]}
 
 
-def pacing(rate, answers):
-    pacer = LinkPacer(rate)
+def pacing(link_bytes_per_s, responses):
+    pacer = LinkPacer(link_bytes_per_s)
     return [
-        response_limit(rate),
-        [[pacer.backlog_s(now), pacer.schedule(now, size)] for now, size in answers],
+        response_limit(link_bytes_per_s),
+        [[pacer.backlog_s(now), pacer.schedule(now, size)] for now, size in responses],
     ]
 
 
-def backing_off(steps):
-    backoff, found = Backoff(random.Random(3), 1.0), []
-    for name, *given in steps:
+def backoff_steps(steps):
+    backoff, results = Backoff(random.Random(3), 1.0), []
+    for name, *arguments in steps:
         {"answered": backoff.record_success, "silent": backoff.record_failure, "forget": backoff.forget}[
             name
-        ](*given)
-        found.append([[backoff.remaining_s(peer, 1.0) for peer in "pq"], backoff.available(["p", "q"], 1.0)])
-    return found
+        ](*arguments)
+        results.append(
+            [[backoff.remaining_s(peer, 1.0) for peer in "pq"], backoff.available(["p", "q"], 1.0)]
+        )
+    return results
 
 
-# What is compared: each function makes of recorded inputs what was recorded beside them.
-def on_virtual_time(work):
+# What is compared: each function computes, from recorded inputs, the results recorded with them.
+def on_virtual_time(coroutine):
     loop = Loop()
     asyncio.set_event_loop(loop)
     try:
-        return loop.run_until_complete(work)
+        return loop.run_until_complete(coroutine)
     finally:
         loop.close()
 
 
 def store_steps(steps):
-    """What each step on a store gives, and the store's contents after it."""
-    store, found = new_store("l.1"), []
-    for name, *given in steps:
-        result = STORE_STEPS[name](store, *given)
-        found.append([result, contents(store)])
-    return found
+    """The result of each step on a store, and the store's contents after it."""
+    store, results = new_store("l.1"), []
+    for name, *arguments in steps:
+        result = STORE_STEPS[name](store, *arguments)
+        results.append([result, contents(store)])
+    return results
 
 
-def publisher_steps(steps, rate):
-    """The responses of a publisher to recorded requests, as bytes, and the second at which each was given."""
+def publisher_steps(steps, link_bytes_per_s):
+    """The responses of a publisher to recorded requests, as JSON text, and the second of each response."""
 
-    async def play():
-        publisher, found, pending = new_publisher("l.1", rate), [], []
+    async def run():
+        publisher, results, pending = new_publisher("l.1", link_bytes_per_s), [], []
         loop = asyncio.get_running_loop()
 
-        async def one(table):
-            response = written(await serve(publisher, table))
-            found.append([response, round(loop.time(), 6)])
+        async def respond(table):
+            response = to_json(await serve(publisher, table))
+            results.append([response, round(loop.time(), 6)])
 
-        for name, *given in steps:
+        for name, *arguments in steps:
             if name == "put":
-                put(store_of(publisher), *given)
+                put(store_of(publisher), *arguments)
             elif name == "wait":
-                await asyncio.sleep(given[0])
+                await asyncio.sleep(arguments[0])
             elif name == "ask":
-                await one(*given)
+                await respond(*arguments)
             else:
-                pending.append(asyncio.ensure_future(one(*given)))
+                pending.append(asyncio.ensure_future(respond(*arguments)))
                 await asyncio.sleep(0)
         await asyncio.gather(*pending)
-        return [found, told_bytes(publisher), contents(store_of(publisher))]
+        return [results, sent_bytes(publisher), contents(store_of(publisher))]
 
-    return on_virtual_time(play())
+    return on_virtual_time(run())
 
 
-def subscriber_steps(kind, records, most, answers):
-    """What a subscriber sends, and what its store holds after each recorded answer."""
+def subscriber_steps(kind, records, max_bytes, responses):
+    """What a subscriber sends, and the contents of its store after each recorded response."""
 
-    async def play():
-        publisher, caller = new_publisher("l.9", 70_000), RecordedCaller(answers)
-        who = asker(kind, {"10.0.0.3": ["l.1", 12.5]}, "slow")
-        subscriber, found = new_subscriber(publisher, caller, who, records, most), []
-        for number in range(len(answers)):
-            usable = await ask(subscriber, f"10.0.0.{3 + number % 2}", 7001, 0.5)
-            found.append([usable, known_by(subscriber), collected(publisher), contents(store_of(publisher))])
-        return [caller.sent, found]
+    async def run():
+        publisher, caller = new_publisher("l.9", 70_000), RecordedCaller(responses)
+        requester = new_requester(kind, {"10.0.0.3": ["l.1", 12.5]}, "slow")
+        subscriber, results = new_subscriber(publisher, caller, requester, records, max_bytes), []
+        for number in range(len(responses)):
+            succeeded = await poll_succeeds(subscriber, f"10.0.0.{3 + number % 2}", 7001, 0.5)
+            results.append(
+                [succeeded, positions_of(subscriber), progress_of(publisher), contents(store_of(publisher))]
+            )
+        return [caller.sent, results]
 
-    return on_virtual_time(play())
+    return on_virtual_time(run())
 
 
-def merged(answers):
-    """The contents of a proxy's store after all answers that it was given in an emulated fleet."""
+def merged_contents(responses):
+    """The contents of a proxy's store after all responses that it received in an emulated fleet."""
 
-    async def play():
-        publisher, caller = new_publisher("l.9", 1e9), RecordedCaller(json.loads(text) for text in answers)
-        subscriber = new_subscriber(publisher, caller, asker("proxy", {}, None), [], None)
-        for _ in answers:
-            await ask(subscriber, "10.0.0.3", 7001, 0.0)
-        held = contents(store_of(publisher))
-        return {"records": [record[:3] for record in held["records"]], "digest": held["digest"]}
+    async def run():
+        publisher, caller = new_publisher("l.9", 1e9), RecordedCaller(json.loads(text) for text in responses)
+        subscriber = new_subscriber(publisher, caller, new_requester("proxy", {}, None), [], None)
+        for _ in responses:
+            await poll_succeeds(subscriber, "10.0.0.3", 7001, 0.0)
+        final = contents(store_of(publisher))
+        return {"records": [record[:3] for record in final["records"]], "digest": final["digest"]}
 
-    return on_virtual_time(play())
+    return on_virtual_time(run())
 
 
-MADE = {
-    "beside": beside,
-    "chunks": collect,
+COMPUTATIONS = {
+    "beside": with_controller_fields,
+    "chunks": assemble_chunks,
     "local records": local_records,
-    "tombstones": bucket,
-    "epochs": epoch_rows,
+    "tombstones": tombstone_buckets,
+    "epochs": publication_epochs,
     "epoch clock": epoch_clock,
     "ranks": ranks,
     "relays": relays,
     "pacing": pacing,
-    "backoff": backing_off,
+    "backoff": backoff_steps,
     "store": store_steps,
     "publisher": publisher_steps,
     "subscriber": subscriber_steps,
-    "fleet's proxy": merged,
+    "fleet's proxy": merged_contents,
 }
 
 
-@test("the recorded {kind} are read, and written again as the same bytes")
+@test("the recorded {kind} are decoded, and encoded again to the same bytes")
 def _(kind=each("requests", "responses")):
-    again = {"requests": request_again, "responses": lambda table: response_again(table)[0]}[kind]
+    again = {"requests": reencoded_request, "responses": lambda table: reencoded_response(table)[0]}[kind]
     for text in RECORDED[kind]:
         assert again(json.loads(text)) == text
 
 
-@test("the recorded responses tell all, or a part, as they did")
+@test("the recorded responses are complete or partial, as recorded")
 def _():
-    assert [response_again(json.loads(text))[1] for text in RECORDED["responses"]] == RECORDED["complete"]
+    assert [reencoded_response(json.loads(text))[1] for text in RECORDED["responses"]] == RECORDED["complete"]
 
 
-@test("recorded requests with fields absent are read, and written with the recorded defaults")
+@test("recorded requests without some fields are decoded, and encoded with the recorded defaults")
 def _():
     for sent, text in RECORDED["requests with fields absent"]:
-        assert request_again(json.loads(sent)) == text
+        assert reencoded_request(json.loads(sent)) == text
 
 
-@test("recorded {kind} that can't be used are refused with the recorded words")
+@test("invalid recorded {kind} are rejected with the recorded error messages")
 def _(kind=each("requests", "responses")):
     for sent, error in RECORDED["refused"][kind]:
-        assert refusal_of(kind, json.loads(sent)) == error
+        assert decoding_error(kind, json.loads(sent)) == error
 
 
-@test("recorded inputs of {what} give what was recorded")
-def _(what=each(*MADE)):
+@test("recorded inputs of {what} have the recorded results")
+def _(what=each(*COMPUTATIONS)):
     assert RECORDED["made"][what]
-    for given, found in RECORDED["made"][what]:
-        assert json.loads(json.dumps(MADE[what](*given))) == found
+    for arguments, results in RECORDED["made"][what]:
+        assert json.loads(json.dumps(COMPUTATIONS[what](*arguments))) == results
