--- a/honeywood/gateway/dissemination/tombstones.py
+++ b/honeywood/gateway/dissemination/tombstones.py
@@ -36,7 +36,7 @@
 
 
 def decode(value: object) -> dict[int, int]:
-    """Decodes the value of a bucket's record to logical clocks by hash; raises InvalidMessage."""
+    """Decodes the value of a bucket's record into logical clocks by hash; raises InvalidMessage."""
     try:
         if not isinstance(value, str):
             raise TypeError(f"argument should be bytes, buffer or ASCII string, not {type(value).__name__!r}")
@@ -52,7 +52,7 @@
 
 
 def add(value: object, machine_id: str) -> str:
-    """Returns the bucket `value`, None if empty, with a machine added as its newest entry."""
+    """Returns the bucket `value`, None if empty, with a machine added as newest entry if it is missing."""
     entries = decode(value) if value else {}
     new_hash = machine_hash(machine_id)
     if new_hash not in entries:
--- a/tests/gateway/dissemination/test_mutations.py
+++ b/tests/gateway/dissemination/test_mutations.py
@@ -212,7 +212,7 @@
         "a program publishes with higher stamps than",
     ),
     Mutation(
-        "contacts of proxies never time out",
+        "sightings of controllers without contact never expire",
         contacts,
         "OBSERVER_TIMEOUT_S",
         FOREVER_S,
--- a/tests/gateway/dissemination/test_publisher.py
+++ b/tests/gateway/dissemination/test_publisher.py
@@ -45,7 +45,7 @@
     try:
         publisher = Publisher("l")
 
-        async def held():
+        async def serve_held_poll():
             poll = PollRequest.decode({"who": {"private": True}, "rev": 0, "hold": 0.5})
             serving = asyncio.ensure_future(publisher.serve(poll))
             await asyncio.sleep(0.45)
@@ -53,7 +53,10 @@
             publisher.store.put("fleet/a/f", Stamp.of(1), None)
             return await serving
 
-        assert [record.key for record in loop.run_until_complete(held()).records] == ["beat/m", "fleet/a/f"]
+        assert [record.key for record in loop.run_until_complete(serve_held_poll()).records] == [
+            "beat/m",
+            "fleet/a/f",
+        ]
     finally:
         loop.close()
 
