--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -75,7 +75,7 @@
         early = context.early_response
         response = await (early if early is not None else self.clients.handle(scope, receive))
         # Pipelined requests that have begun are answered before a stopping proxy closes the connection.
-        close = self.stopping.is_set() and not context.others_begun()
+        close = self.stopping.is_set() and not context.later_requests_begun()
         await self.writer.write(send, response, context.disconnect, close)
 
     def begin_early(self, scope: Scope) -> asyncio.Task[ClientResponse] | None:
--- a/honeywood/gateway/proxy/attempt_sender.py
+++ b/honeywood/gateway/proxy/attempt_sender.py
@@ -171,7 +171,7 @@
         until = attempt.request.deadline + LATE_RESPONSE_S
         try:
             while isinstance(attempt.reply, Reply) and attempt.reply.surplus and attempt.connection:
-                attempt.reply = await attempt.connection.read_on(until)
+                attempt.reply = await attempt.connection.read_next_reply(until)
             result = self._conclude(attempt)
             self.counters.attempt_after_surplus_ended(result.outcome in OWN_RESPONSE_OUTCOMES)
             return result
--- a/honeywood/gateway/rpc/connection.py
+++ b/honeywood/gateway/rpc/connection.py
@@ -96,7 +96,7 @@
         self._expected_header = expected_header
         return await self._reply_by(deadline, max_buffered_bytes)
 
-    async def read_on(
+    async def read_next_reply(
         self, deadline: float, max_buffered_bytes: int = MAX_BUFFERED_BYTES
     ) -> Reply | ExchangeFailure:
         """Return what follows a surplus reply, as `exchange` does; nothing is sent."""
--- a/honeywood/gateway/rpc/reply.py
+++ b/honeywood/gateway/rpc/reply.py
@@ -53,7 +53,7 @@
     body: bytes
     remainder: BodyRemainder | None = None
     fields: dict[bytes, bytes] = field(default_factory=dict)
-    surplus: bool = False  # it answers another request; `Connection.read_on` may find the right response
+    surplus: bool = False  # answers another request; `Connection.read_next_reply` may find the right one
 
 
 @dataclass(frozen=True, slots=True)
--- a/honeywood/gateway/rpc/request_context.py
+++ b/honeywood/gateway/rpc/request_context.py
@@ -21,12 +21,12 @@
 
     `target` is as sent, with its escapes. `disconnect` tells of its client's disconnect. `received_at` is
     when the request was complete, in seconds on the loop's clock. `early_response` is what the application
-    has begun while the request stood behind another of its connection, None if it hasn't; `others_begun`
-    returns whether any request behind this one has been begun.
+    has begun while the request stood behind another of its connection, None if it hasn't;
+    `later_requests_begun` returns whether any request behind this one has been begun.
     """
 
     target: bytes
     disconnect: ClientDisconnect = field(default_factory=ClientDisconnect)
-    others_begun: Callable[[], bool] = lambda: False
+    later_requests_begun: Callable[[], bool] = lambda: False
     received_at: float | None = None
     early_response: asyncio.Future[Any] | None = None  # of the application's own type
--- a/honeywood/lab/emulator/machine_connection.py
+++ b/honeywood/lab/emulator/machine_connection.py
@@ -79,7 +79,7 @@
         self.serving = serving
         return await self._reply_by(deadline, serving, expected_header)
 
-    async def read_on(self, deadline: float) -> Reply | ExchangeFailure:
+    async def read_next_reply(self, deadline: float) -> Reply | ExchangeFailure:
         """Return what follows a stray response: the request's own, or nothing until the deadline."""
         if self.response_after_stray is None:
             self.response_after_stray = asyncio.get_running_loop().create_future()
--- a/tests/gateway/proxy/test_client_departure.py
+++ b/tests/gateway/proxy/test_client_departure.py
@@ -300,7 +300,7 @@
         async with HoldingScene(0) as scene:
             machine = await DeafMachine().open()
             scene.machines.append(machine)
-            scene.note(0, "ready")
+            scene.set_machine_state(0, "ready")
             _, writer = await scene.connect()
             writer.write(POST % (b"a", 20_000_000) + bytes(20_000_000))
             await scene.until(lambda: scene.proxy.forwarder.sender.in_flight, 3.0)
--- a/tests/gateway/proxy/test_failure_responses.py
+++ b/tests/gateway/proxy/test_failure_responses.py
@@ -22,7 +22,7 @@
     async def work():
         async with Scene([ok]) as scene:
             await scene.get(b"id1")
-            scene.note(0, "draining")
+            scene.set_machine_state(0, "draining")
             found = (await scene.get(b"id2")).lower()
             assert status(found.upper()) == 503 and b"no machine free: state" in found
             assert b"retry-after: 0.1" in found
--- a/tests/gateway/proxy/test_forwarder.py
+++ b/tests/gateway/proxy/test_forwarder.py
@@ -6,21 +6,21 @@
     GET,
     HEAD,
     Scene,
-    close,
-    cut,
-    endless,
-    full,
-    full_late,
-    noise,
+    close_connection,
+    error_500,
+    malformed,
+    misdirected_421,
+    mismatched_421,
+    mismatched_503,
+    mismatched_id,
+    missing_seal,
+    not_run_503,
     ok,
-    other,
-    other_late,
     play,
-    sealless,
-    sick,
-    silent_503,
     status,
-    stranger,
+    truncated,
+    undelimited,
+    unmarked_503,
 )
 from ward import each, test
 
@@ -44,34 +44,34 @@
 def _(
     kind=each(*["safe"] * 10, *["unsafe"] * 11),
     first=each(
-        cut,
-        close,
-        stranger,
-        sealless,
-        noise,
-        full,
-        other,
-        full_late,
-        other_late,
-        endless,
-        cut,
-        close,
-        stranger,
-        noise,
-        full_late,
-        other_late,
-        endless,
-        full,
-        other,
-        sick,
-        silent_503,
+        truncated,
+        close_connection,
+        mismatched_id,
+        missing_seal,
+        malformed,
+        not_run_503,
+        misdirected_421,
+        mismatched_503,
+        mismatched_421,
+        undelimited,
+        truncated,
+        close_connection,
+        mismatched_id,
+        malformed,
+        mismatched_503,
+        mismatched_421,
+        undelimited,
+        not_run_503,
+        misdirected_421,
+        error_500,
+        unmarked_503,
     ),
     expected=each(*[200] * 10, *[502] * 2, 504, 502, *[504] * 2, 502, 200, 200, 500, 502),
     attempts=each(*[2] * 10, *[1] * 7, 2, 2, 1, 1),
 ):
     # No invalid response reaches a client, nothing unsafe that may have run is sent again, and only what a
-    # machine declared not run is promised not to have. After a response to another request (stranger,
-    # full_late, other_late) its own may follow: an unsafe request waits for it until its deadline.
+    # machine declared not run is promised not to have. After a response to another request (mismatched_id,
+    # mismatched_503, mismatched_421) its own may follow: an unsafe request waits for it until its deadline.
     async def work():
         async with Scene([first, ok], [first, ok], kind=kind) as scene:
             for machine in scene.machines:
@@ -110,7 +110,7 @@
 
             async def late(machine, until):
                 connection = await opened(machine, until)
-                scene.note(0, "draining")
+                scene.set_machine_state(0, "draining")
                 return connection
 
             scene.proxy.pool.open = late
--- a/tests/gateway/proxy/test_forwarding_enumeration.py
+++ b/tests/gateway/proxy/test_forwarding_enumeration.py
@@ -40,7 +40,7 @@
             scenario = CallScenario(kind)
 
             def most(line, id, n=n):
-                line.most = n
+                line.max_write_bytes = n
                 line.say(good(id))
 
             if kept:
@@ -51,7 +51,7 @@
 
                 async def cut(factory, ip, port, scenario=scenario, connect=connect, n=n):
                     made = await connect(factory, ip, port)
-                    made[0].most, scenario.loop.create_connection = n, connect
+                    made[0].max_write_bytes, scenario.loop.create_connection = n, connect
                     return made
 
                 scenario.loop.create_connection = cut
--- a/tests/gateway/proxy/test_response_writer.py
+++ b/tests/gateway/proxy/test_response_writer.py
@@ -1,13 +1,13 @@
 """Responses that are relayed while they come."""
 
-from socket_scene import Scene, long, play, status
+from socket_scene import Scene, play, status, truncated_long
 from ward import test
 
 
 @test("a long response that ends early doesn't look complete")
 def _():
     async def work():
-        async with Scene([long]) as scene:
+        async with Scene([truncated_long]) as scene:
             found = await scene.get()
             assert status(found) == 200 and b"content-length: 1000000" in found and len(found) < 600000
 
--- a/tests/gateway/scripted_transport.py
+++ b/tests/gateway/scripted_transport.py
@@ -28,13 +28,13 @@
     def __init__(self, loop, protocol, peer=None):
         super().__init__({"sockname": ("f", 80), "peername": ("c", 1)})
         self.loop, self.protocol, self.peer = loop, protocol, peer
-        self.got, self.closing, self.most = b"", False, None
+        self.got, self.closing, self.max_write_bytes = b"", False, None
 
     def write(self, data):
         if self.closing:
             return
-        if self.most is not None:  # a reset within a request, or right behind it
-            data, self.most = data[: self.most], None
+        if self.max_write_bytes is not None:  # a reset within a request, or right behind it
+            data, self.max_write_bytes = data[: self.max_write_bytes], None
             self.loop.call_later(STEP, self.reset)
         self.loop.call_later(STEP, self.arrive, data)
 
--- a/tests/gateway/socket_scene.py
+++ b/tests/gateway/socket_scene.py
@@ -45,20 +45,20 @@
     writer.write(HEAD % id + b"ok")
 
 
-async def cut(id, writer):
+async def truncated(id, writer):
     writer.write(HEAD % id + b"o")
     writer.close()
 
 
-async def close(id, writer):
+async def close_connection(id, writer):
     writer.close()
 
 
-async def stranger(id, writer):
+async def mismatched_id(id, writer):
     writer.write(HEAD % b"other" + b"no")
 
 
-async def twice(id, writer):
+async def two_responses(id, writer):
     writer.write(HEAD % id + b"ok" + HEAD % id + b"no")
 
 
@@ -71,50 +71,50 @@
     writer.write(CHUNKED % (id, b"ok"))
 
 
-async def chunked_twice(id, writer):
+async def two_chunked_responses(id, writer):
     writer.write(CHUNKED % (id, b"ok") + CHUNKED % (id, b"no"))
 
 
-async def sealless(id, writer):
+async def missing_seal(id, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nX-Try-Id: %s\r\nContent-Length: 2\r\n\r\nno" % id)
 
 
-async def noise(id, writer):
+async def malformed(id, writer):
     writer.write(b"\x00\x01 this is no answer\r\n\r\n")
 
 
-async def full(id, writer):
+async def not_run_503(id, writer):
     writer.write(b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Try-Id: %s\r\nContent-Length: 0\r\n\r\n" % id)
 
 
-async def other(id, writer):
+async def misdirected_421(id, writer):
     writer.write(
         b"HTTP/1.1 421 Misdirected\r\nX-Try-Id: %s\r\nX-Instance: i-9\r\nContent-Length: 0\r\n\r\n" % id
     )
 
 
-async def full_late(id, writer):
-    await full(b"other", writer)
+async def mismatched_503(id, writer):
+    await not_run_503(b"other", writer)
 
 
-async def other_late(id, writer):
-    await other(b"other", writer)
+async def mismatched_421(id, writer):
+    await misdirected_421(b"other", writer)
 
 
-async def endless(id, writer):
+async def undelimited(id, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nX-Try-Id: %s\r\nX-Seal: s\r\n\r\nno" % id)
     writer.close()
 
 
-async def sick(id, writer):
+async def error_500(id, writer):
     writer.write(b"HTTP/1.1 500 Error\r\nX-Try-Id: %s\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\nno" % id)
 
 
-async def silent_503(id, writer):
+async def unmarked_503(id, writer):
     writer.write(b"HTTP/1.1 503 Busy\r\nX-Try-Id: %s\r\nContent-Length: 0\r\n\r\n" % id)
 
 
-async def long(id, writer):
+async def truncated_long(id, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nX-Try-Id: %s\r\nX-Seal: s\r\nContent-Length: 1000000\r\n\r\n" % id)
     writer.write(b"x" * 500000)
     await writer.drain()
@@ -137,7 +137,7 @@
         for n, script in enumerate(self.scripts):
             machine = await self.machine(script).open()
             self.machines.append(machine)
-            self.note(n, "ready")
+            self.set_machine_state(n, "ready")
         self.port = self.proxy.settings.listen.http.port
         self.server = self.proxy.server = HttpServer(self.proxy.app)
         await self.server.open([("127.0.0.1", self.port)])
@@ -157,7 +157,7 @@
         """The machine that plays a script."""
         return Machine(*script)
 
-    def note(self, n, state):
+    def set_machine_state(self, n, state):
         value = {
             "svc": "s",
             "ip": "127.0.0.1",
--- a/tests/gateway/test_pinned_proxy.py
+++ b/tests/gateway/test_pinned_proxy.py
@@ -21,15 +21,15 @@
     GET,
     HEAD,
     Machine,
-    close,
-    cut,
-    full,
-    noise,
+    close_connection,
+    error_500,
+    malformed,
+    misdirected_421,
+    mismatched_id,
+    not_run_503,
     ok,
-    other,
-    sick,
-    silent_503,
-    stranger,
+    truncated,
+    unmarked_503,
 )
 from timeline import config
 from ward import each, test
@@ -135,7 +135,7 @@
 
 
 async def late_stranger(id, writer):
-    await stranger(id, writer)
+    await mismatched_id(id, writer)
     await ok(id, writer)
 
 
@@ -210,19 +210,19 @@
     "a long answer": Case(PLAIN + b"\r\n", (long_body,)),
     "a long answer in chunks": Case(PLAIN + b"\r\n", (long_chunks,)),
     "a machine's 404": Case(PLAIN + b"\r\n", (not_found,), kind="unsafe"),
-    "a machine's 500": Case(PLAIN + b"\r\n", (sick,), kind="unsafe"),
-    "a machine's 503 without promise": Case(PLAIN + b"\r\n", (silent_503,), kind="unsafe"),
-    "an answer after a refusal": Case(PLAIN + b"\r\n", (full, ok)),
-    "an answer after a 421": Case(PLAIN + b"\r\n", (other, ok), kind="unsafe"),
-    "an answer after another's": Case(PLAIN + b"\r\n", (stranger, silence)),
-    "no answer": Case(POSTED, (close,), kind="unsafe"),
-    "half an answer": Case(POSTED, (cut,), kind="unsafe"),
-    "noise": Case(POSTED, (noise,), kind="unsafe"),
+    "a machine's 500": Case(PLAIN + b"\r\n", (error_500,), kind="unsafe"),
+    "a machine's 503 without promise": Case(PLAIN + b"\r\n", (unmarked_503,), kind="unsafe"),
+    "an answer after a refusal": Case(PLAIN + b"\r\n", (not_run_503, ok)),
+    "an answer after a 421": Case(PLAIN + b"\r\n", (misdirected_421, ok), kind="unsafe"),
+    "an answer after another's": Case(PLAIN + b"\r\n", (mismatched_id, silence)),
+    "no answer": Case(POSTED, (close_connection,), kind="unsafe"),
+    "half an answer": Case(POSTED, (truncated,), kind="unsafe"),
+    "noise": Case(POSTED, (malformed,), kind="unsafe"),
     "silence": Case(POSTED, (silence,), kind="unsafe", changes=(("timeout_s", 0.05),)),
-    "always refused": Case(PLAIN + b"\r\n", (full,), bounds=(("retry_slack", 6400),)),
+    "always refused": Case(PLAIN + b"\r\n", (not_run_503,), bounds=(("retry_slack", 6400),)),
     "no budget": Case(
         PLAIN + b"\r\n",
-        (full,),
+        (not_run_503,),
         bounds=(("retry_slack", 0), ("retry_ratio", 0)),
     ),
     "one behind another": Case(GET % b"a" + GET % b"b", answers=2),
@@ -353,7 +353,7 @@
 async def metrics_of_answers() -> str:
     """After requests that were served at once, after a refusal and after another's answer, that failed, that
     no machine took, and that were refused for want of a key or a route."""
-    case = Case(b"", (ok, full, ok, late_stranger, sick, full), extra=(TENANT,))
+    case = Case(b"", (ok, not_run_503, ok, late_stranger, error_500, not_run_503), extra=(TENANT,))
     async with AsyncExitStack() as stack:
         proxy, _ = await begin(stack, case)
         known = PLAIN + KNOWN_KEY + b"\r\n"
@@ -448,7 +448,7 @@
     call that is held."""
     async with AsyncExitStack() as stack:
         controller = await Controller().open(stack)
-        proxy, _ = await begin(stack, Case(b"", (ok, sick)), frozen=True, controller=controller.port)
+        proxy, _ = await begin(stack, Case(b"", (ok, error_500)), frozen=True, controller=controller.port)
         await poll_once(proxy)
         for _ in range(3):
             await exchange(port_of(proxy, "http"), PLAIN + b"\r\n")
--- a/tests/gateway/test_pinned_rpc.py
+++ b/tests/gateway/test_pinned_rpc.py
@@ -52,8 +52,8 @@
     await asgi.stream_response(send, status, headers, chunks)
 
 
-def others_begun(scope: dict) -> bool:
-    return scope[request_context.CONTEXT].others_begun()
+def later_requests_begun(scope: dict) -> bool:
+    return scope[request_context.CONTEXT].later_requests_begun()
 
 
 def early_response(scope: dict) -> Any:
@@ -96,8 +96,8 @@
     return await opened.exchange(method, target, headers, body, until, request["hold"], expected)
 
 
-async def read_on(opened: Any, until: float, hold: int) -> Any:
-    return await opened.read_on(until, hold)
+async def read_next_reply(opened: Any, until: float, hold: int) -> Any:
+    return await opened.read_next_reply(until, hold)
 
 
 async def reply_of(found: Any) -> dict:
@@ -169,7 +169,7 @@
         if kind == "sized":
             return await send_stream(send, 200, [(b"content-length", b"6")], self.chunks())
         if kind == "behind":
-            body = b"begun" if others_begun(scope) else b"alone"
+            body = b"begun" if later_requests_begun(scope) else b"alone"
             return await send_response(send, 200, [], body)
         if kind == "early":
             found = early_response(scope)
@@ -277,7 +277,7 @@
         for request in case["exchanges"]:
             until = loop.time() + request["within_s"]
             if request.get("read_on"):
-                found = await read_on(opened, until, request["hold"])
+                found = await read_next_reply(opened, until, request["hold"])
             else:
                 found = await exchange(opened, request, until)
             replies.append({**await reply_of(found), **state_of(opened)})
