--- a/honeywood/gateway/rpc/asgi.py
+++ b/honeywood/gateway/rpc/asgi.py
@@ -1,4 +1,4 @@
-"""Reading an ASGI request's body, and sending responses.
+"""Helpers for ASGI applications: reading a request body and sending a response.
 
 Source: the ASGI specification, HTTP message format 2.3.
 """
@@ -16,26 +16,26 @@
     from honeywood.gateway.configuration.model import Limits
     from honeywood.gateway.rpc.headers import HeaderField
 
-    Scope: TypeAlias = MutableMapping[str, Any]  # its values differ by key, as the specification says
+    Scope: TypeAlias = MutableMapping[str, Any]  # the specification gives each key its own type of value
     Receive: TypeAlias = ASGIReceiveCallable
     Send: TypeAlias = ASGISendCallable
 
     class Application(Protocol):
-        """What HttpServer serves: an ASGI application with two members more."""
+        """An ASGI application that HttpServer can serve; `limits` and `begin_early` are additions to ASGI."""
 
         @property
         def limits(self) -> Limits:
-            """What clients may send and how long they may take, at this moment."""
+            """The limits on clients' requests, and the time-outs, that are in force now."""
 
         def begin_early(self, scope: Scope) -> asyncio.Future[Any] | None:
-            """Begin with a request that stands behind another of its connection, or return None."""
+            """Start a pipelined request before earlier ones are answered; return None if it has to wait."""
 
         async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-            """Answer a request."""
+            """Handle a request and send its response."""
 
 
 async def read_body(receive: Receive, max_bytes: int) -> bytes | None:
-    """Return a request's complete body; None if it is over `max_bytes` or its sender has disconnected."""
+    """Return a request's complete body; None if it exceeds `max_bytes` or the client has disconnected."""
     chunks, size = [], 0
     while True:
         message = await receive()
@@ -53,7 +53,7 @@
 async def send_response(
     send: Send, status: int, headers: Sequence[HeaderField] = (), body: bytes = b""
 ) -> None:
-    """Send a complete response; `content-length` is added to its headers."""
+    """Send a complete response; a `content-length` header is added."""
     length = (b"content-length", str(len(body)).encode())
     await send({"type": "http.response.start", "status": status, "headers": [*headers, length]})
     await send({"type": "http.response.body", "body": body})
@@ -62,7 +62,7 @@
 async def stream_response(
     send: Send, status: int, headers: Sequence[HeaderField], chunks: AsyncIterable[bytes]
 ) -> None:
-    """Send a response while its body arrives."""
+    """Send a response whose body is sent chunk by chunk, as `chunks` yields it."""
     await send({"type": "http.response.start", "status": status, "headers": headers})
     async for chunk in chunks:
         await send({"type": "http.response.body", "body": chunk, "more_body": True})
--- a/honeywood/gateway/rpc/client.py
+++ b/honeywood/gateway/rpc/client.py
@@ -1,7 +1,8 @@
-"""Calls between programs: a JSON object to a path, a JSON object back.
+"""Calls between programs: each posts a JSON object to a path and receives a JSON object.
 
-Each call carries an id that its response repeats (protocol.py puts it there). A response without it, or with
-another call's, is none, and ends the connection; so does whoever cancels a call.
+Each call carries an id, which the peer's listener repeats in the response (protocol.py). If a response has no
+id or the id of another call, the call fails and the connection is closed. It is also closed if a call is
+cancelled.
 """
 
 from __future__ import annotations
@@ -29,70 +30,72 @@
 
     from honeywood.gateway.rpc.headers import HeaderFields
 
-    JsonObject: TypeAlias = dict[str, Any]  # whoever decodes a message checks each of its values
+    JsonObject: TypeAlias = dict[str, Any]  # the decoder of each message checks its values
 
-CONNECT_TIMEOUT_S = 0.3  # seconds for a connection to another program
-MIN_CONNECT_TIMEOUT_S = 0.001  # seconds that a connection is given, however late the call is
+CONNECT_TIMEOUT_S = 0.3  # seconds to establish a connection to another program
+MIN_CONNECT_TIMEOUT_S = 0.001  # seconds, even if the deadline of the call is nearer or has passed
 MAX_RESPONSE_BYTES = 8 << 20
-MAX_REASON_CHARACTERS = 200  # of a refusal's body
+MAX_REASON_CHARACTERS = 200  # characters of a refusal's body that its exception quotes
 
 
 @dataclass(frozen=True, slots=True)
 class CallRequest:
-    """One call as it is sent."""
+    """One call to a peer, with its encoded body."""
 
     ip: str
     port: int
     path: str
     call_id: bytes
     body: bytes
-    deadline: float  # on the loop's clock
+    deadline: float  # in seconds on the event loop's clock
     idempotent: bool
 
     @property
     def peer(self) -> str:
-        """The peer's address."""
+        """The peer's address as `ip:port`."""
         return f"{self.ip}:{self.port}"
 
     @property
     def headers(self) -> HeaderFields:
-        """The headers, in the order in which they are sent."""
+        """The request headers, in the order in which they are sent."""
         length = str(len(self.body)).encode()
         return [(b"host", self.peer.encode()), (CALL_ID, self.call_id), (b"content-length", length)]
 
-    def may_be_repeated(self, failure: ExchangeFailure, now: float) -> bool:
-        """Return whether the call may be sent once more after it failed on a kept connection."""
+    def may_be_retried(self, failure: ExchangeFailure, now: float) -> bool:
+        """Return whether the call may be sent again after `failure` on a reused connection."""
         if failure.timed_out or now >= self.deadline:
             return False
         return self.idempotent or not failure.sent
 
 
 class Caller:
-    """Makes calls, over a few connections that it keeps to each peer.
+    """Makes calls, and reuses idle connections to each peer.
 
-    `bytes_by_path` counts the bytes of bodies: "PATH asked" those that were sent, "PATH answered" those that
-    came back.
+    `bytes_by_path` counts the bytes of message bodies by path: "PATH asked" for sent requests, "PATH
+    answered" for received responses.
     """
 
     def __init__(self) -> None:
-        """Begin without connections; the name that the calls' ids begin with is drawn."""
+        """Start without connections, with a random `name` that all call ids begin with."""
         self.name = os.urandom(6).hex()
         self.idle = IdleConnections()
         self.bytes_by_path: Counter[str] = Counter()
-        self._numbers = count(1)
+        self._call_numbers = count(1)
 
     async def call(
         self, ip: str, port: int, path: str, body: JsonObject, timeout_s: float, idempotent: bool = False
     ) -> JsonObject:
-        """Return the response's object, after `timeout_s` seconds at the most.
+        """Make a call and return the JSON object of its response, within `timeout_s` seconds.
 
-        If a kept connection ends before the response, an `idempotent` call is made once more on another; any
-        other only if nothing of it has left. Raises CallFailed without a usable response, CallRefused for one
-        with another status than 200, and InvalidInput for one that is no JSON object.
+        If a reused connection ends before the response, an `idempotent` call is sent again on another
+        connection; any other call only if none of its bytes has been sent.
+
+        Raises CallFailed if no usable response arrives, CallRefused if its status is not 200, and
+        InvalidInput if its body is not a JSON object.
         """
         deadline = asyncio.get_running_loop().time() + timeout_s
         encoded = json.dumps(body, separators=(",", ":")).encode()
-        call_id = f"{self.name}-{next(self._numbers)}".encode()
+        call_id = f"{self.name}-{next(self._call_numbers)}".encode()
         request = CallRequest(ip, port, path, call_id, encoded, deadline, idempotent)
         self.bytes_by_path[f"{path} asked"] += len(encoded)
         connection, reply = await self._send(request)
@@ -105,11 +108,11 @@
         return decode_response(reply, request)
 
     async def _send(self, request: CallRequest) -> tuple[Connection, Reply]:
-        """Return the reply, and the connection it came on; raises CallFailed."""
+        """Return the reply and the connection that it was received on; raises CallFailed."""
         loop = asyncio.get_running_loop()
         while True:
             connection = self.idle.take((request.ip, request.port), loop.time())
-            was_kept = connection is not None
+            is_reused = connection is not None
             if connection is None:
                 connection = await connect(request, loop.time())
             reply = await connection.exchange(
@@ -122,12 +125,12 @@
             )
             if isinstance(reply, Reply):
                 return connection, reply
-            if not (was_kept and request.may_be_repeated(reply, loop.time())):
+            if not (is_reused and request.may_be_retried(reply, loop.time())):
                 raise CallFailed(request.path, reply.reason, request.peer)
 
 
 async def connect(request: CallRequest, now: float) -> Connection:
-    """Open a connection for a call; raises CallFailed."""
+    """Open a connection to the peer of a call; raises CallFailed."""
     timeout_s = max(MIN_CONNECT_TIMEOUT_S, min(CONNECT_TIMEOUT_S, request.deadline - now))
     try:
         return await Connection.open(request.ip, request.port, timeout_s)
--- a/honeywood/gateway/rpc/client_disconnect.py
+++ b/honeywood/gateway/rpc/client_disconnect.py
@@ -1,4 +1,4 @@
-"""Whether the client of a connection has disconnected, and who is notified of it. No socket, no clock."""
+"""Disconnect of a client, and the listeners that are notified of it. Accesses no socket and no clock."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class ClientDisconnect:
-    """The disconnect of one client, shared by all requests of its connection.
+    """Whether one client has disconnected, shared by all requests of its connection.
 
-    `probe` looks whether the client has disconnected without this process having been notified yet: the end
-    of a connection lies unread while its reading is paused, or while the process is late.
+    `probe` returns whether the client has disconnected although the event loop has not reported it yet: the
+    end of a connection stays unread while reading is paused, or while the process is busy.
     """
 
     __slots__ = ("_listeners", "disconnected_at", "probe")
 
     def __init__(self, probe: Callable[[], bool] = lambda: False) -> None:
-        """Begin with a client that is connected."""
-        self.disconnected_at: float | None = None  # seconds on the loop's clock
+        """Start with a connected client."""
+        self.disconnected_at: float | None = None  # in seconds on the event loop's clock
         self.probe = probe
         self._listeners: list[Callable[[], None]] = []
 
@@ -28,7 +28,7 @@
         return self.disconnected_at is not None
 
     def notify(self, now: float) -> None:
-        """Record the disconnect and call all listeners, the first time only."""
+        """Record the disconnect and call all listeners; later calls have no effect."""
         if self.happened:
             return
         self.disconnected_at = now
@@ -37,19 +37,22 @@
             listener()
 
     def check(self, now: float) -> bool:
-        """Return whether the client has disconnected, probing for an end that has not been read yet."""
+        """Return whether the client has disconnected; if that is not known yet, `probe` is called."""
         if not self.happened and self.probe():
             self.notify(now)
         return self.happened
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Call `listener` at the disconnect, once however often it subscribes; at once if it has happened."""
+        """Call `listener` once at the disconnect, even if it subscribes repeatedly.
+
+        If the client has already disconnected, `listener` is called immediately.
+        """
         if self.happened:
             listener()
         elif listener not in self._listeners:
             self._listeners.append(listener)
 
     def unsubscribe(self, listener: Callable[[], None]) -> None:
-        """Stop calling `listener`, if it is subscribed."""
+        """Remove `listener`, if it is subscribed."""
         if listener in self._listeners:
             self._listeners.remove(listener)
--- a/honeywood/gateway/rpc/connection.py
+++ b/honeywood/gateway/rpc/connection.py
@@ -1,4 +1,4 @@
-"""One exchange after the other on one connection to a peer, by httpcore."""
+"""Sequential HTTP/1.1 exchanges on one connection to a peer, using httpcore."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
     from honeywood.gateway.rpc.headers import HeaderField, HeaderFields
 
-MAX_BUFFERED_BYTES = 1 << 18  # of a response body; a longer one is passed on while it arrives
-MAX_SURPLUS_REPLIES = 2  # responses to other requests that one exchange reads past
+MAX_BUFFERED_BYTES = 1 << 18  # of a response body; the rest of a longer one is streamed
+MAX_SURPLUS_REPLIES = 2  # responses to other requests that are skipped on one connection
 HTTPCORE_ERRORS = (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError, OSError)
 
 
 class Connection:
     """A connection to a peer.
 
-    `idle_since` is when its last exchange ended (seconds on the loop's clock), `keep_alive_s` for how long
-    the peer says it keeps an idle one, if it does. `on_release` is called with it after a long response has
-    been passed on.
+    `idle_since` is when its last exchange ended, in seconds on the event loop's clock. `keep_alive_s` is for
+    how many seconds the peer keeps an idle connection open, None if it has not stated that. `on_release` is
+    called with the connection after a response with a `remainder` has been read completely.
     """
 
     __slots__ = (
@@ -44,16 +44,17 @@
         "stream",
     )
 
-    _request: httpcore.Request  # the one of the last exchange
+    _request: httpcore.Request  # of the latest exchange
 
     def __init__(self, stream: TcpStream, ip: str, port: int) -> None:
-        """Use a stream that is connected to `ip` and `port`; see `open`."""
+        """`stream` is connected to `ip` and `port`; use `open` to establish a connection."""
         self.stream, self._origin = stream, httpcore.Origin(b"http", ip.encode(), port)
         self._http = httpcore.AsyncHTTP11Connection(self._origin, stream)
         self.idle_since = 0.0
         self.keep_alive_s: int | None = None
         self.on_release: Callable[[Connection], None] = lambda connection: None
-        self._head_sent = False  # after a HEAD the end of a response depends on which request it answers
+        # After a HEAD request, the end of a response depends on which request it answers.
+        self._head_sent = False
         self._expected_header: HeaderField | None = None
         self._surplus_count = 0
 
@@ -67,7 +68,7 @@
     ) -> Connection:
         """Open a connection; raises httpcore.ConnectError, or ConnectTimeout after `timeout_s` seconds.
 
-        `on_count_change` is called with +1 when it opens and -1 when it ends.
+        `on_count_change` is called with +1 when the connection opens and -1 when it ends.
         """
         return cls(await TcpStream.connect(ip, port, timeout_s, on_count_change), ip, port)
 
@@ -81,11 +82,12 @@
         max_buffered_bytes: int = MAX_BUFFERED_BYTES,
         expected_header: HeaderField | None = None,
     ) -> Reply | ExchangeFailure:
-        """Send a request and return the reply, or the failure by `deadline` on the loop's clock.
+        """Send a request and return the reply, or a failure, by `deadline` on the event loop's clock.
 
-        Afterwards the connection is `reusable`, or it has ended; if this is cancelled, it ends. A body over
-        `max_buffered_bytes` is passed on while it arrives. `expected_header` is the field that replies to
-        this request repeat: one with another value is surplus.
+        After a complete reply the connection is either `reusable` or closed, unless the reply is surplus and
+        `read_next_reply` may be called. Failure and cancellation close the connection. If a body exceeds
+        `max_buffered_bytes`, its rest is read through the reply's `remainder`. `expected_header` is a header
+        that replies to this request repeat: a reply in which it has another value is surplus.
         """
         if not self.stream.usable:
             return ExchangeFailure("the connection had ended", sent=False)
@@ -94,15 +96,15 @@
         url = httpcore.URL(scheme=b"http", host=self._origin.host, port=self._origin.port, target=target)
         self._request = httpcore.Request(method, url, headers=headers, content=body)
         self._expected_header = expected_header
-        return await self._reply_by(deadline, max_buffered_bytes)
+        return await self._read_reply_before(deadline, max_buffered_bytes)
 
     async def read_next_reply(
         self, deadline: float, max_buffered_bytes: int = MAX_BUFFERED_BYTES
     ) -> Reply | ExchangeFailure:
-        """Return what follows a surplus reply, as `exchange` does; nothing is sent."""
-        return await self._reply_by(deadline, max_buffered_bytes)
+        """Return the reply that follows a surplus one, or a failure, like `exchange`; nothing is sent."""
+        return await self._read_reply_before(deadline, max_buffered_bytes)
 
-    async def _reply_by(self, deadline: float, max_buffered_bytes: int) -> Reply | ExchangeFailure:
+    async def _read_reply_before(self, deadline: float, max_buffered_bytes: int) -> Reply | ExchangeFailure:
         timer = asyncio.get_running_loop().call_at(deadline, self.stream.abort)
         try:
             reply = await self._read_reply(max_buffered_bytes, timer)
@@ -111,61 +113,62 @@
             self.close()
             timed_out = isinstance(error, httpcore.TimeoutException)
             return ExchangeFailure(f"{type(error).__name__}: {error}", self.stream.sent, timed_out)
-        except BaseException:  # cancelled: the response may still come, and must not meet another request
+        except BaseException:  # cancelled: a late response must not be taken for that to another request
             timer.cancel()
             self.close()
             raise
-        if reply.remainder is None:  # else whoever reads the remainder cancels it
+        if reply.remainder is None:  # otherwise _read_remainder cancels it
             timer.cancel()
         return reply
 
     async def _read_reply(self, max_buffered_bytes: int, timer: asyncio.TimerHandle) -> Reply:
-        """Return the reply to the request that is out."""
+        """Return the reply to the outstanding request."""
         response = await self._http.handle_async_request(self._request)
         headers = [(name.lower(), value) for name, value in response.headers]
         fields = dict(headers)
         if not is_self_delimited(self._request.method, response.status, fields):
             raise httpcore.RemoteProtocolError("nothing tells where the answer ends")
         chunks = aiter(cast("AsyncIterable[bytes]", response.stream))
-        body, is_complete = await read_at_most(chunks, max_buffered_bytes)
+        body, is_complete = await read_until_limit(chunks, max_buffered_bytes)
         if not is_complete:
             remainder = BodyRemainder(self, self._read_remainder(response, chunks, fields, timer))
             return Reply(response.status, headers, body, remainder, fields)
         is_surplus = self._is_surplus(fields)
         if is_surplus:
-            self._prepare_to_read_on()
+            self._prepare_next_reply()
         else:
             await self._finish(response, fields)
         return Reply(response.status, headers, body, None, fields, is_surplus)
 
     def _is_surplus(self, fields: dict[bytes, bytes]) -> bool:
-        """Return whether a complete response answers another request, and the right one may follow it."""
+        """Return whether a complete response answers another request and the expected one may follow."""
         if self._expected_header is None or self._head_sent or self._surplus_count >= MAX_SURPLUS_REPLIES:
             return False
         name, value = self._expected_header
         return fields.get(name, value) != value and not closes_connection(fields)
 
-    def _prepare_to_read_on(self) -> None:
-        """Make ready for what follows a surplus response. No other request is sent on this connection."""
+    def _prepare_next_reply(self) -> None:
+        """Prepare for reading the response after a surplus one, and prevent any further request."""
         self._surplus_count += 1
         self.stream.taint()
-        resumed = ResumedStream(self.stream, self._bytes_behind_response)
+        resumed = ResumedStream(self.stream, self._trailing_bytes)
         self._http = httpcore.AsyncHTTP11Connection(self._origin, resumed)
 
     @property
-    def _bytes_behind_response(self) -> bytes:
-        """What has been read behind a response.
+    def _trailing_bytes(self) -> bytes:
+        """Bytes that were received after the end of a response.
 
-        httpcore reports that after upgrades only, but its h11 state (of the pinned version) knows it.
+        httpcore exposes them only after an upgrade, so they are taken from the h11 state inside the pinned
+        version of httpcore.
         """
         unread, _ = self._http._h11_state.trailing_data
         return unread
 
     async def _finish(self, response: httpcore.Response, fields: dict[bytes, bytes]) -> None:
-        """End an exchange after its complete response, and the connection if anything came behind it."""
-        nothing_behind = not self._bytes_behind_response
+        """End an exchange after its complete response; close the connection unless it is reusable."""
+        no_trailing_bytes = not self._trailing_bytes
         await response.aclose()
-        self.stream.end_exchange(nothing_behind=nothing_behind)
+        self.stream.end_exchange(no_trailing_bytes=no_trailing_bytes)
         self.keep_alive_s = keep_alive_timeout_s(fields)
         self.idle_since = asyncio.get_running_loop().time()
         if not self.reusable:
@@ -190,25 +193,28 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another exchange may begin."""
+        """Whether another exchange may be started."""
         return self.stream.usable and self._http.is_idle()
 
     @property
     def ended(self) -> bool:
-        """Whether it has ended, or is about to."""
+        """Whether the connection has ended or is about to end."""
         return self.stream.eof
 
     def close(self) -> None:
-        """End the connection; an exchange that is under way on it fails."""
+        """Close the connection; an exchange in progress fails."""
         self.stream.abort("closed")
 
 
-async def read_at_most(chunks: AsyncIterator[bytes], max_bytes: int) -> tuple[bytes, bool]:
-    """Return the bytes of `chunks` and True, or those up to the chunk that exceeds `max_bytes` and False."""
-    taken, size = [], 0
+async def read_until_limit(chunks: AsyncIterator[bytes], max_bytes: int) -> tuple[bytes, bool]:
+    """Read `chunks` to their end, or up to the chunk with which they exceed `max_bytes`.
+
+    Returns the bytes read, and whether the end was reached.
+    """
+    buffered, size = [], 0
     async for chunk in chunks:
-        taken.append(chunk)
+        buffered.append(chunk)
         size += len(chunk)
         if size > max_bytes:
-            return b"".join(taken), False
-    return b"".join(taken), True
+            return b"".join(buffered), False
+    return b"".join(buffered), True
--- a/honeywood/gateway/rpc/flow_control.py
+++ b/honeywood/gateway/rpc/flow_control.py
@@ -1,4 +1,4 @@
-"""Flow control of a client's connection that notices the client's disconnect while reading is paused."""
+"""Flow control for a client's connection that detects a disconnect even while reading is paused."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 
     from honeywood.gateway.rpc.client_disconnect import ClientDisconnect
 
-DISCONNECT_CHECK_S = 0.1  # seconds between looks at whether a client has disconnected that isn't read
+DISCONNECT_CHECK_S = 0.1  # seconds between checks for a disconnect while reading is paused
 
 
 class DisconnectWatchingFlowControl(FlowControl):
-    """uvicorn's control of reading and writing on one transport.
+    """uvicorn's flow control of one transport, extended by checks for a disconnect.
 
-    While reading is paused the connection's end lies unread behind what the client has sent, so the socket is
-    looked at every `DISCONNECT_CHECK_S` until reading goes on; a connection that has ended is aborted.
+    While reading is paused, the end of the connection is queued unread behind the bytes that the client has
+    sent. The socket is therefore polled every `DISCONNECT_CHECK_S` seconds until reading resumes, and the
+    transport is aborted if the client has disconnected.
     """
 
     def __init__(
@@ -26,18 +27,18 @@
         loop: asyncio.AbstractEventLoop,
         disconnect: ClientDisconnect,
     ) -> None:
-        """`disconnect` is the one of the transport's client."""
+        """`disconnect` belongs to the client of `transport`."""
         super().__init__(transport)
         self._loop, self._disconnect = loop, disconnect
         self._timer: asyncio.TimerHandle | None = None
 
     def pause_reading(self) -> None:
-        """Read no more for now."""
+        """Pause reading, and start checking for a disconnect."""
         super().pause_reading()
         self._schedule_check()
 
     def stop_watching(self) -> None:
-        """Look at the socket no more: the client is known to have disconnected."""
+        """Stop checking, since the client is known to have disconnected."""
         if self._timer is not None:
             self._timer.cancel()
 
--- a/honeywood/gateway/rpc/idle_connections.py
+++ b/honeywood/gateway/rpc/idle_connections.py
@@ -1,4 +1,4 @@
-"""Connections to other programs that are kept between calls. No clock: times are handed in."""
+"""Idle connections to other programs that are kept for later calls. Reads no clock: callers pass the time."""
 
 from __future__ import annotations
 
@@ -8,29 +8,32 @@
 
     from honeywood.gateway.rpc.connection import Connection
 
-MAX_IDLE_S = 5.0  # seconds after which an idle connection isn't trusted any more
+MAX_IDLE_S = 5.0  # seconds after which an idle connection is not trusted to be open and is not reused
 
 
 class IdleConnections:
-    """Idle connections by peer; the one used last is taken first."""
+    """Idle connections by peer; the most recently used one is taken first."""
 
     __slots__ = ("_by_peer",)
 
     def __init__(self) -> None:
-        """Begin without connections."""
+        """Start without connections."""
         self._by_peer: dict[tuple[str, int], list[Connection]] = {}
 
     def __iter__(self) -> Iterator[Connection]:
-        """Yield all of them."""
+        """Yield all idle connections."""
         for connections in self._by_peer.values():
             yield from connections
 
     def put(self, peer: tuple[str, int], connection: Connection) -> None:
-        """Keep a connection to `peer`, which is (ip, port)."""
+        """Keep an idle connection to `peer`, an (ip, port) pair."""
         self._by_peer.setdefault(peer, []).append(connection)
 
     def take(self, peer: tuple[str, int], now: float) -> Connection | None:
-        """Return a connection that may be used, None if there is none; ends those that may not be."""
+        """Remove and return a reusable connection to `peer`, or None.
+
+        Connections found to be broken, or idle for `MAX_IDLE_S` seconds or more at `now`, are closed.
+        """
         connections = self._by_peer.get(peer, [])
         while connections:
             connection = connections.pop()
--- a/honeywood/gateway/rpc/protocol.py
+++ b/honeywood/gateway/rpc/protocol.py
@@ -1,9 +1,12 @@
-"""One client's connection to a listener: uvicorn's HTTP/1.1 protocol with bounds and pipelining.
+"""One client's connection to a listener: uvicorn's HTTP/1.1 protocol with limits and pipelining.
 
-Three things are added. The application's limits bound what a client may send and how long it may take
-(answered with 408 or 431, RFC 9110 and RFC 6585). Heads that another reader might read otherwise are
-rejected. The application may begin with requests that stand behind another of the connection (pipelining,
-RFC 9112, section 9.3.2); responses leave in order all the same.
+It adds three features to uvicorn's protocol:
+
+- The application's limits apply to the size of a head and to the time that a client takes to send a request.
+  Requests that exceed them are answered with 408 or 431 (RFC 9110 and RFC 6585).
+- Heads that another HTTP implementation may read differently are rejected.
+- The application may start pipelined requests before earlier requests of the connection are answered
+  (RFC 9112, section 9.3.2). Responses are still sent in the order of the requests.
 """
 
 from __future__ import annotations
@@ -28,7 +31,7 @@
 
     from honeywood.gateway.rpc.asgi import Application, Scope
 
-MAX_PIPELINED_REQUESTS = 16  # of one connection that are begun before the first is answered
+MAX_PIPELINED_REQUESTS = 16  # of one connection that may wait behind the request being answered
 EARLY_METHODS = ("GET", "HEAD")
 CLOSING_HEADERS = b"content-length: 0\r\nconnection: close\r\n\r\n"
 
@@ -37,10 +40,10 @@
     """One client's connection."""
 
     flow: DisconnectWatchingFlowControl
-    timeout_keep_alive: float  # type: ignore[assignment]  # uvicorn's own come in whole seconds
+    timeout_keep_alive: float  # type: ignore[assignment]  # uvicorn's has whole seconds
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """Begin with a client's connection, which is idle until its first byte."""
+        """Set up the connection, which is idle until its first byte is received."""
         super().connection_made(transport)
         self._application = cast("Application", self.config.app)
         self._head_size = HeadSize()
@@ -51,26 +54,26 @@
         self._timer = self.loop.call_later(self._application.limits.idle_s, self._on_timeout)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End what is open for the client: its connection has ended."""
+        """Stop the timer and notify all open requests that the connection has ended."""
         self._timer.cancel()
         self._client_disconnected()
         super().connection_lost(exc)
 
     def eof_received(self) -> None:
-        """Take the client for disconnected: it sends no more, and the connection ends."""
+        """Treat a client that sends nothing more as disconnected; the connection is closed."""
         self._client_disconnected()
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of requests."""
+        """Parse received bytes, and restart the time-out for what is expected next."""
         limits = self._application.limits
-        if self._is_idle and not self._head_size.size_bytes:  # a head begins
+        if self._is_idle and not self._head_size.size_bytes:  # the first bytes of a head
             self._restart_timer(limits.header_s)
         super().data_received(data)
         if self._is_reading_body and not self.transport.is_closing():
             self._restart_timer(limits.idle_s)
 
     def _client_disconnected(self) -> None:
-        """Tell everything that is open on this connection that nobody waits for its response."""
+        """Notify all open requests of this connection that the client has disconnected."""
         self.flow.stop_watching()
         for cycle in self._open_cycles:
             cycle.disconnected = True
@@ -80,36 +83,36 @@
 
     @property
     def _is_idle(self) -> bool:
-        """Whether no request is being answered."""
+        """Whether no request is in progress."""
         return self.cycle is None or self.cycle.response_complete
 
     @property
     def _is_reading_body(self) -> bool:
-        """Whether a request has begun whose body is incomplete, and whose response hasn't begun."""
+        """Whether the latest request's body is incomplete and its response has not been started."""
         return self.cycle is not None and self.cycle.more_body and not self.cycle.response_started
 
     # Time-outs
     def _restart_timer(self, timeout_s: float) -> None:
-        """Give the client so long for what is to come next."""
+        """Give the client `timeout_s` seconds to send the next part of a request."""
         self._timer.cancel()
         self._timer = self.loop.call_later(timeout_s, self._on_timeout)
 
     def _on_timeout(self) -> None:
-        """End the connection: no complete head or no more of a body came in time."""
+        """Close the connection: no complete head or no further part of a body was received in time."""
         if self._head_size.size_bytes or self._is_reading_body:
             self._reject(HTTPStatus.REQUEST_TIMEOUT)
         self.transport.close()
 
     def on_response_complete(self) -> None:
-        """Become idle, if no request stands behind, for as long as the limits in force allow."""
+        """Start the idle time-out of the limits in force, unless another pipelined request is waiting."""
         self._idle_since, self.timeout_keep_alive = self.loop.time(), self._application.limits.idle_s
         super().on_response_complete()
 
     def timeout_keep_alive_handler(self) -> None:
-        """End a connection that has been idle for long enough.
+        """Close a connection that has been idle for too long.
 
-        That is for as long as the limits allowed when it became idle and allow now, since clients may go by
-        either. It becomes idle when the response has left.
+        It is closed once both the `idle_s` in force when it became idle and the current `idle_s` have passed,
+        since clients may rely on either. A connection becomes idle when its response has been sent entirely.
         """
         now = self.loop.time()
         if self.transport.get_write_buffer_size():
@@ -122,32 +125,35 @@
 
     # Rejections
     def send_400_response(self, msg: str) -> None:
-        """Reject what can't be parsed or is over a limit; uvicorn calls this after a parser's error."""
+        """Reject a request that cannot be parsed or is too large; uvicorn calls this after a parser error."""
         too_large = self._head_size.is_exceeded
         self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE if too_large else HTTPStatus.BAD_REQUEST)
 
     def _reject(self, status: HTTPStatus) -> None:
-        """End the connection, with a response unless that would stand between those to other requests."""
+        """Close the connection; send a response only if no response to another request is due before it."""
         self._timer.cancel()
-        alone = self._is_idle or (self._is_reading_body and not self.pipeline)
-        if alone and not self.transport.is_closing():
+        may_respond = self._is_idle or (self._is_reading_body and not self.pipeline)
+        if may_respond and not self.transport.is_closing():
             self.transport.write(STATUS_LINE[status] + CLOSING_HEADERS)
         self.transport.close()
-        self._client_disconnected()  # no response to what is being answered reaches it any more
+        self._client_disconnected()  # the client can no longer receive the responses to open requests
 
-    # Callbacks of the parser, whose errors end up in send_400_response
+    # Callbacks of the parser; uvicorn calls send_400_response if one raises
     def on_url(self, url: bytes) -> None:
-        """Take a part of a request's target; raises RequestRejected."""
+        """Process a part of a request's target; raises RequestRejected if the head is too large."""
         self._head_size.add_target(url, self._application.limits.header_bytes)
         super().on_url(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; raises RequestRejected."""
+        """Process a header; raises RequestRejected if the head is too large."""
         self._head_size.add_header(name, value, self._application.limits.header_bytes)
         super().on_header(name, value)
 
     def on_headers_complete(self) -> None:
-        """Begin with a request, at once or behind others, as its head is complete; raises RequestRejected."""
+        """Start or queue a request whose head is complete.
+
+        Raises RequestRejected if its head is ambiguous.
+        """
         self._timer.cancel()
         self._head_size = HeadSize()
         reject_ambiguous(self.url, self.headers)
@@ -161,13 +167,13 @@
             self._begin_early(scope)
 
     def on_message_complete(self) -> None:
-        """Note when a request is complete: it may stand behind another while its client's time passes."""
+        """Record when a request is complete; its deadline counts from then, even while it is queued."""
         self._timer.cancel()
         context_of(self.cycle).received_at = self.loop.time()
         super().on_message_complete()
 
     def _echo_call_id(self) -> None:
-        """Put the id of a call between programs on its response: here, so that no application forgets it."""
+        """Add the id of a call between programs to its response, so that no application has to do it."""
         for name, value in self.headers:
             if name == CALL_ID:
                 self.cycle.default_headers = [*self.cycle.default_headers, (name, value)]
@@ -175,7 +181,7 @@
 
     # Pipelining
     def _begin_early(self, scope: Scope) -> None:
-        """Let the application begin with a request that stands behind another, if it wants to."""
+        """Let the application start a pipelined request before earlier ones are answered, if it wants to."""
         if scope["method"] not in EARLY_METHODS:
             return
         context_of(self.cycle).early_response = self._application.begin_early(scope)
@@ -183,19 +189,20 @@
             self.flow.resume_reading()
 
     def _has_begun_early(self) -> bool:
-        """Return whether a request that stands behind another has been begun.
+        """Return whether the application has started a pipelined request before earlier ones are answered.
 
-        It may be at an endpoint, and a response before it that ends the connection would cut it off.
+        An endpoint may already be processing it; if an earlier response closed the connection, its response
+        would be lost.
         """
         return any(context_of(cycle).early_response is not None for cycle, _ in self.pipeline)
 
     def shutdown(self) -> None:
-        """End the connection after the current response, or after those that have begun behind it."""
+        """Close the connection after the current response and those of pipelined requests already started."""
         if not self._has_begun_early():
             super().shutdown()
 
 
 def context_of(cycle: RequestResponseCycle) -> RequestContext:
-    """Return the context of the request that a cycle answers."""
+    """Return the context of the request that belongs to `cycle`."""
     context: RequestContext = cast("Scope", cycle.scope)[CONTEXT]
     return context
--- a/honeywood/gateway/rpc/reply.py
+++ b/honeywood/gateway/rpc/reply.py
@@ -1,7 +1,7 @@
-"""What an exchange with a peer comes to: a reply, or a failure.
+"""The result of an exchange with a peer: a reply or a failure.
 
-A failure is returned, not raised: every caller looks at `sent` before it decides whether the request may be
-sent again.
+A failure is returned instead of raised, since every caller needs its `sent` to decide whether the request may
+be sent again.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class BodyRemainder:
-    """What follows the buffered start of a long response body: an asynchronous iterator that is read once."""
+    """The rest of a long response body after its buffered start: an asynchronous iterator, read once."""
 
     __slots__ = ("_chunks", "_connection", "_is_complete")
 
     def __init__(self, connection: Connection, chunks: AsyncIterator[bytes]) -> None:
-        """`chunks` are read from `connection`, which is released after the last one."""
+        """`chunks` are read from `connection`, which is released after the last chunk."""
         self._connection, self._chunks, self._is_complete = connection, chunks, False
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
@@ -33,9 +33,9 @@
         self._connection.on_release(self._connection)
 
     def abandon(self) -> None:
-        """End the connection, and with it the reading, unless all has been read.
+        """Stop reading and close the connection, unless the body has been read completely.
 
-        After the last chunk the connection has been released, and others may use it.
+        After the last chunk the connection has been released, and other requests may be using it.
         """
         if not self._is_complete:
             self._connection.close()
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A complete response, or with `remainder` the start of a long one.
+    """A complete response, or the start of a long one if `remainder` is set.
 
-    `headers` are as they came, with names in lower case; `fields` has one value of each.
+    `headers` are in the order received, with names in lower case; `fields` maps each name to its last value.
     """
 
     status: int
@@ -58,9 +58,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeFailure:
-    """No complete response came.
+    """No complete response was received.
 
-    `sent` says that bytes of the request may have left, `timed_out` that the deadline passed.
+    `sent` is True if bytes of the request may have been sent, `timed_out` if the deadline passed.
     """
 
     reason: str
--- a/honeywood/gateway/rpc/request_context.py
+++ b/honeywood/gateway/rpc/request_context.py
@@ -1,4 +1,4 @@
-"""What a listener knows of a request beside its ASGI scope."""
+"""What a listener passes to the application about a request, in addition to the ASGI entries of the scope."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
     from collections.abc import Callable
     from typing import Any
 
-CONTEXT = "honeywood.context"  # the key of a scope's RequestContext
+CONTEXT = "honeywood.context"  # the key of the RequestContext in a scope
 
 
 @dataclass(slots=True)
 class RequestContext:
-    """What a listener knows of one request.
+    """What the listener knows about one request.
 
-    `target` is as sent, with its escapes. `disconnect` tells of its client's disconnect. `received_at` is
-    when the request was complete, in seconds on the loop's clock. `early_response` is what the application
-    has begun while the request stood behind another of its connection, None if it hasn't;
-    `later_requests_begun` returns whether any request behind this one has been begun.
+    `target` is the request target as sent, with its percent-encoding. `disconnect` reports the disconnect of
+    the client. `later_requests_begun` returns whether the application has started a later pipelined request
+    of the connection. `received_at` is when the request was complete, in seconds on the event loop's clock.
+    `early_response` is the response that the application started to prepare while earlier requests of the
+    connection were unanswered, None if it did not.
     """
 
     target: bytes
     disconnect: ClientDisconnect = field(default_factory=ClientDisconnect)
     later_requests_begun: Callable[[], bool] = lambda: False
     received_at: float | None = None
-    early_response: asyncio.Future[Any] | None = None  # of the application's own type
+    early_response: asyncio.Future[Any] | None = None  # its result has a type of the application's
--- a/honeywood/gateway/rpc/resumed_stream.py
+++ b/honeywood/gateway/rpc/resumed_stream.py
@@ -1,4 +1,4 @@
-"""Reading one more response on a connection whose last one answered another request."""
+"""Reading another response from a connection on which a response to a different request was received."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 
 
 class ResumedStream(httpcore.AsyncNetworkStream):
-    """A stream on which a request has been sent and a surplus response read.
+    """A stream on which a request has been sent and a surplus response has been read.
 
-    httpcore reads one response a request. A new httpcore connection over this stream reads what follows the
-    surplus response, while the request it writes is dropped, since it has left already.
+    httpcore reads one response per request. To read the next response, a new httpcore connection uses this
+    stream; the request that it writes again is dropped, since it has already been sent.
     """
 
     def __init__(self, stream: TcpStream, unread: bytes) -> None:
-        """`unread` are the bytes that were read behind the surplus response."""
+        """`unread` are bytes that were received after the surplus response but not parsed yet."""
         self._stream, self._unread = stream, unread
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Return what was read behind the surplus response, then what the stream reads."""
+        """Return the bytes in `unread` first, then bytes that are read from the stream."""
         if not self._unread:
             return await self._stream.read(max_bytes, timeout)
         data, self._unread = self._unread[:max_bytes], self._unread[max_bytes:]
         return data
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Drop the request: it isn't sent twice."""
+        """Drop the request, so that it is not sent twice."""
 
     async def aclose(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         await self._stream.aclose()
 
     def get_extra_info(self, info: str) -> object:
-        """Return what the stream returns."""
+        """Return the information of the underlying stream."""
         return self._stream.get_extra_info(info)
--- a/honeywood/gateway/rpc/server.py
+++ b/honeywood/gateway/rpc/server.py
@@ -1,4 +1,4 @@
-"""The listeners of a program, by uvicorn: one server for all of its addresses."""
+"""HTTP listeners of a program: one uvicorn server for all of its addresses."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
     from honeywood.gateway.rpc.asgi import Application
 
-BACKLOG = 1024  # connections that wait to be accepted
-CLOSE_CHECK_S = 0.05  # seconds between looks at what is left while a server closes
+BACKLOG = 1024  # connections waiting to be accepted, per listening socket
+CLOSE_CHECK_S = 0.05  # seconds between checks for open connections and requests while a server closes
 
 
 def listen(ip: str, port: int) -> socket.socket:
-    """Return a socket bound to an address; raises OSError if it is taken."""
+    """Return a non-blocking socket bound to an address; raises OSError if the address is in use."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((ip, port))
@@ -33,7 +33,7 @@
     """Listens on a program's addresses and serves one application on all of them."""
 
     def __init__(self, application: Application) -> None:
-        """`application.limits` bounds what clients may send."""
+        """`application.limits` are enforced on the requests of all clients."""
         config = Config(
             application,
             http=HttpProtocol,
@@ -51,9 +51,9 @@
         self._listeners: list[asyncio.base_events.Server] = []
 
     async def open(self, addresses: Iterable[tuple[str, int]]) -> None:
-        """Listen on addresses, besides those of earlier calls; raises OSError if one is taken.
+        """Listen on `addresses` in addition to those of earlier calls; raises OSError if one is in use.
 
-        uvicorn's own main loop is left out: it only keeps dates and limits that are off here.
+        uvicorn's main loop is not run: it only maintains dates and limits that are switched off here.
         """
         sockets = [listen(ip, port) for ip, port in addresses]
         config = self.uvicorn_server.config
@@ -64,10 +64,10 @@
         self._listeners += self.uvicorn_server.servers
 
     async def close(self, timeout_s: float) -> None:
-        """Accept no more, end idle connections, and wait until the open requests' responses have left.
+        """Stop accepting, close idle connections and wait until the responses to open requests are sent.
 
-        After `timeout_s` seconds what remains is given up: bytes that a program still buffers when it ends
-        are lost.
+        The wait matters because bytes that are still buffered when the program ends are lost. It ends after
+        `timeout_s` seconds.
         """
         for listener in self._listeners:
             listener.close()
--- a/honeywood/gateway/rpc/socket_state.py
+++ b/honeywood/gateway/rpc/socket_state.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a socket that asyncio has not read yet."""
+"""State of a socket in the kernel that asyncio has not read yet."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 def has_unread_input(sock: TransportSocket | None) -> bool:
-    """Return whether bytes or the connection's end lie unread."""
-    return _is_signalled(sock, select.POLLIN)
+    """Return whether received bytes, or the end of the connection, have not been read yet."""
+    return _has_poll_event(sock, select.POLLIN)
 
 
 def peer_has_closed(sock: TransportSocket | None) -> bool:
-    """Return whether the peer has ended its side of the connection, read or not."""
-    return _is_signalled(sock, select.POLLRDHUP)
+    """Return whether the peer has closed its side of the connection, even if that has not been read yet."""
+    return _has_poll_event(sock, select.POLLRDHUP)
 
 
-def _is_signalled(sock: TransportSocket | None, event: int) -> bool:
+def _has_poll_event(sock: TransportSocket | None, event: int) -> bool:
     if sock is None or sock.fileno() < 0:
         return False
     poll = select.poll()
--- a/honeywood/gateway/rpc/statuses.py
+++ b/honeywood/gateway/rpc/statuses.py
@@ -1,4 +1,4 @@
-"""The HTTP statuses with which operations end, by the type of the exception that ended them."""
+"""HTTP statuses of failed operations, by the type of the exception."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 INTERNAL_ERROR = 500
 
-# The first type that an exception is an instance of decides.
+# The first entry whose type matches an exception determines its status.
 STATUSES: tuple[tuple[type[errors.GatewayError], int], ...] = (
     (errors.InvalidInput, 400),
     (errors.NotFound, 404),
@@ -17,10 +17,10 @@
 
 
 def status_of(error: errors.GatewayError) -> int:
-    """Return the status that a caller is answered with; a refusal by another process keeps its status."""
+    """Return the response status for `error`; a refusal by another process keeps its original status."""
     if isinstance(error, errors.CallRefused):
         return error.status
-    for kind, status in STATUSES:
-        if isinstance(error, kind):
+    for error_type, status in STATUSES:
+        if isinstance(error, error_type):
             return status
     return INTERNAL_ERROR
--- a/honeywood/gateway/rpc/tcp_stream.py
+++ b/honeywood/gateway/rpc/tcp_stream.py
@@ -1,8 +1,8 @@
-"""One TCP connection under httpcore: its bytes, and what is known of its state.
+"""A TCP connection with its buffers and state, as a network stream for httpcore.
 
-What is written waits until something is read, so that a request leaves in one piece. Bytes that come while no
-request is out belong to none and make the connection unusable. What the kernel holds unread is looked at
-before a request leaves, since a program that was busy or suspended has not read it yet.
+Written bytes are buffered until the next read, so that a request is sent in one piece. Bytes received while
+no request is outstanding answer no request and make the connection unusable. Before a request is sent, the
+socket is checked for unread input, since a program that was busy or suspended has not read it yet.
 """
 
 from __future__ import annotations
@@ -18,26 +18,27 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-READ_HIGH_WATER_BYTES = 1 << 18  # held unread before reading is paused
-READ_LOW_WATER_BYTES = READ_HIGH_WATER_BYTES // 2  # held unread when reading is resumed
-WRITE_AT_ONCE_BYTES = READ_HIGH_WATER_BYTES // 4  # a longer write doesn't wait for a read
-# Unacknowledged for so long, the connection is dead: a machine that loses its power sends no reset.
+READ_HIGH_WATER_BYTES = 1 << 18  # buffered input above which reading is paused
+READ_LOW_WATER_BYTES = READ_HIGH_WATER_BYTES // 2  # buffered input below which reading resumes
+IMMEDIATE_WRITE_BYTES = READ_HIGH_WATER_BYTES // 4  # a longer write does not wait for the next read
+# The kernel drops a connection on which sent data stays unacknowledged for this long, since a machine that
+# loses power sends no reset.
 USER_TIMEOUT_MS = 2500
 
 
 class TcpStream(asyncio.Protocol, httpcore.AsyncNetworkStream):
-    """httpcore's network stream over an asyncio transport. `connect` opens one."""
+    """httpcore's network stream over an asyncio transport; created by `connect`."""
 
-    transport: asyncio.Transport  # set by connection_made, before anything else is called
+    transport: asyncio.Transport  # set by connection_made before any other method is called
 
     def __init__(self, on_count_change: Callable[[int], None] = lambda change: None) -> None:
-        """`on_count_change` is called with +1 when it opens and with -1 when it ends, whoever ends it."""
+        """`on_count_change` is called with +1 when the connection opens and -1 when either side ends it."""
         self._on_count_change = on_count_change
         self.error: httpcore.NetworkError | httpcore.TimeoutException | None = None
-        self.eof = False  # the peer sends no more, or the connection has ended
-        self.sent = False  # bytes of the exchange's request may have left
-        self._is_exchanging = False  # a request is out
-        self._is_tainted = False  # bytes came that belong to no request
+        self.eof = False  # the peer sends nothing more, or the connection has ended
+        self.sent = False  # bytes of the current exchange's request may have been sent
+        self._is_exchanging = False  # a request is outstanding
+        self._is_tainted = False  # no further exchange may begin, e.g. since unexpected bytes were received
         self._received = bytearray()
         self._unsent: list[bytes] = []
         self._is_reading_paused = False
@@ -68,12 +69,12 @@
 
     # asyncio.Protocol
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """Note that the connection is open."""
+        """Record that the connection is open."""
         self.transport = transport
         self._on_count_change(1)
 
     def data_received(self, data: bytes) -> None:
-        """Buffer bytes; those that belong to no exchange taint the connection."""
+        """Buffer received bytes; those received outside of an exchange taint the connection."""
         self._is_tainted = self._is_tainted or not self._is_exchanging
         self._received += data
         if len(self._received) > READ_HIGH_WATER_BYTES and not self._is_reading_paused:
@@ -82,12 +83,12 @@
         self._wake_waiters()
 
     def eof_received(self) -> None:
-        """Note that the peer sends no more."""
+        """Record that the peer sends nothing more."""
         self.eof = True
         self._wake_waiters()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that the connection has ended."""
+        """Record that the connection has ended."""
         self.eof = True
         self._on_count_change(-1)
         if exc is not None and self.error is None:
@@ -95,11 +96,11 @@
         self._wake_waiters()
 
     def pause_writing(self) -> None:
-        """Make the next long write wait: the transport holds too much unsent."""
+        """Make the next long write wait, because the transport has too many unsent bytes."""
         self._write_waiter = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
-        """Let writes go on."""
+        """Let a waiting write continue."""
         if self._write_waiter is not None and not self._write_waiter.done():
             self._write_waiter.set_result(None)
         self._write_waiter = None
@@ -111,7 +112,7 @@
 
     # httpcore.AsyncNetworkStream
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Send what was written and return the next bytes, b"" at the end; raises `error` if there is one."""
+        """Send the written bytes, and return received ones, b"" at the end; raises `error` if it is set."""
         self._flush()
         while not self._received:
             if self.error is not None:
@@ -128,11 +129,14 @@
         return data
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Take bytes that leave at the next read, or at once if they are many; raises httpcore.WriteError."""
+        """Buffer bytes until the next read, or send them immediately if they are many.
+
+        Raises httpcore.WriteError if the connection has ended.
+        """
         if self.error is not None or (self.eof and self.transport.is_closing()):
             raise httpcore.WriteError("the connection has ended")
         self._unsent.append(buffer)
-        if len(buffer) > WRITE_AT_ONCE_BYTES:
+        if len(buffer) > IMMEDIATE_WRITE_BYTES:
             self._flush()
             if self._write_waiter is not None:
                 await self._write_waiter
@@ -141,7 +145,7 @@
         if not self._unsent:
             return
         if not self._is_exchanging and not (self.usable and not self._has_unread_input):
-            self.error = self.error or httpcore.ReadError("it ended or spoke before the request")
+            self.error = self.error or httpcore.ReadError("the peer closed or sent bytes before the request")
             self._unsent = []
             raise self.error
         self.sent = self._is_exchanging = True
@@ -149,31 +153,31 @@
         self._unsent = []
 
     async def aclose(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         self.transport.abort()
 
     def get_extra_info(self, info: str) -> object:
-        """Return what the transport knows; for `is_readable` whether there is anything to read."""
+        """Return the transport's information; for `is_readable`, whether input or the end can be read."""
         if info == "is_readable":
             return bool(self.eof or self._received)
         return self.transport.get_extra_info(info)
 
     # Exchanges
     def begin_exchange(self) -> None:
-        """Begin a new exchange, of which nothing has left or come."""
+        """Begin a new exchange, of which no bytes have been sent or received."""
         self.sent = self._is_exchanging = False
 
-    def end_exchange(self, *, nothing_behind: bool) -> None:
-        """End the exchange after its response; `nothing_behind` if no other bytes were read with it."""
+    def end_exchange(self, *, no_trailing_bytes: bool) -> None:
+        """End the exchange after its response; unless `no_trailing_bytes`, taint the connection."""
         self._is_exchanging = False
-        self._is_tainted = self._is_tainted or not nothing_behind
+        self._is_tainted = self._is_tainted or not no_trailing_bytes
 
     def taint(self) -> None:
-        """Keep any further exchange from beginning."""
+        """Prevent any further exchange."""
         self._is_tainted = True
 
     def abort(self, reason: str = "time is up") -> None:
-        """End the connection; a read that waits raises httpcore.ReadTimeout with `reason`."""
+        """Close the connection; a waiting read raises httpcore.ReadTimeout with `reason`."""
         if self.error is None:
             self.error = httpcore.ReadTimeout(reason)
         self.eof = True
@@ -182,7 +186,7 @@
 
     @property
     def usable(self) -> bool:
-        """Whether an exchange may begin."""
+        """Whether a new exchange may begin."""
         return not (self.eof or self._is_tainted or self._received or self.error)
 
     @property
--- a/honeywood/gateway/rpc/text_chunks.py
+++ b/honeywood/gateway/rpc/text_chunks.py
@@ -1,25 +1,25 @@
-"""Long texts that are sent in chunks: cut by the sender, assembled and verified by the receiver. Pure.
+"""Splitting a long text into chunks, and reassembling and verifying it at the receiver. No I/O.
 
-All chunks of one text repeat its digest and length, so a receiver can continue at any sender with the same
-text. The messages that carry chunks encode them in their own ways.
+Every chunk carries the digest and the length of its text, so a receiver can get the next chunk from any
+sender that has the same text. Each kind of message that carries chunks has an encoding for them.
 """
 
 from __future__ import annotations
 
-from _blake2 import blake2b  # hashlib would load OpenSSL
+from _blake2 import blake2b  # importing hashlib would load OpenSSL
 from dataclasses import dataclass
 
 DIGEST_BYTES = 16
 
 
 def text_digest(text: str) -> str:
-    """The 128-bit digest by which the chunks of a text belong together."""
+    """Return the 128-bit digest, in hexadecimal, that identifies a text and its chunks."""
     return blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
 @dataclass(frozen=True, slots=True)
 class TextChunk:
-    """Some characters of a text, from `offset` on; the whole text has `length` of them."""
+    """The part of a text that begins at `offset`; `length` is that of the complete text, in characters."""
 
     digest: str
     length: int
@@ -28,26 +28,26 @@
 
     @classmethod
     def cut(cls, text: str, digest: str, offset: int, max_characters: int) -> TextChunk:
-        """The chunk of a text from `offset` on."""
+        """Return the chunk of `text` that begins at `offset`, with up to `max_characters`."""
         return cls(digest, len(text), offset, text[offset : offset + max_characters])
 
 
 @dataclass(frozen=True, slots=True)
 class PartialText:
-    """The beginning of a text, up to where it has been received."""
+    """The beginning of a text, as far as it has been received."""
 
     digest: str
     text: str = ""
 
     def is_continued_by(self, chunk: TextChunk) -> bool:
-        """Whether a chunk begins where this text ends."""
+        """Return whether `chunk` belongs to this text and begins where the received part ends."""
         return (chunk.digest, chunk.offset) == (self.digest, len(self.text))
 
     def extended(self, chunk: TextChunk) -> PartialText:
-        """The text with a chunk that continues it."""
+        """Return this text with `chunk` appended."""
         return PartialText(self.digest, self.text + chunk.text)
 
     @property
     def is_intact(self) -> bool:
-        """Whether it is a whole text, as the sender had it."""
+        """Whether the text is complete and equal to the sender's, by its digest."""
         return text_digest(self.text) == self.digest
