--- a/tests/gateway/ports.py
+++ b/tests/gateway/ports.py
@@ -1,16 +1,17 @@
-"""Ports of loopback for tests that listen."""
+"""Free loopback ports for tests that open listeners."""
 
 import random
 import socket
 
-# Below what Linux gives to outgoing connections (32768 and up): these come and go between a look and a bind.
-FIRST, LAST = 20_000, 32_000
+# Below the ports that Linux assigns to outgoing connections (32768 and up): one of those could be taken
+# between the check and the bind.
+FIRST_PORT, LAST_PORT = 20_000, 32_000
 
 
 def free_port():
-    """A TCP port that nothing listens on just now, nor on the one after it, where controllers listen too."""
+    """Returns a TCP port that is free together with the next one, on which controllers listen too."""
     while True:
-        port = random.randrange(FIRST, LAST)
+        port = random.randrange(FIRST_PORT, LAST_PORT)
         if _is_free(port) and _is_free(port + 1):
             return port
 
--- a/tests/gateway/rpc/test_client.py
+++ b/tests/gateway/rpc/test_client.py
@@ -1,4 +1,4 @@
-"""rpc/client.py: calls whose responses are cut at any byte, belong to other calls, or are given up."""
+"""rpc/client.py: calls whose response is truncated or belongs to another call, and cancelled calls."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 
 
 class CallerScenario:
-    """A caller and a peer that answers each call with its number; `script` plays call number `at`."""
+    """A caller, and a peer that answers each call with its number; `script` answers call number `at` once."""
 
     def __init__(self, script=None, at=2):
         self.loop, self.script, self.at, self.received = ScriptedLoop(self.serve), script, at, Counter()
@@ -36,7 +36,7 @@
         return await self.caller.call("b", 7000, "/p", {"n": n}, 0.5, idempotent)
 
     def play(self, idempotent, cancel_after_s=None):
-        """Make three calls, the second cancelled after so long; return what is wrong, and the results."""
+        """Make three calls, cancel the second after `cancel_after_s`; return the faults and the results."""
         results = {}
 
         async def work():
@@ -51,15 +51,15 @@
 
         self.loop.run_until_complete(work())
         self.loop.close()
-        kept = sum(one.reusable for one in self.caller.idle)
-        wrong = [n for n, reply in results.items() if isinstance(reply, dict) and reply != {"n": n}]
-        wrong += [] if isinstance(results[3], dict) else ["the next got no answer"]
-        wrong += [] if idempotent else [f"{n} twice" for n, came in self.received.items() if came > 1]
-        open_now = sum(not transport.closing for transport in self.loop.lines)
-        return wrong + ([] if open_now == kept else [f"{open_now} connections, {kept} kept"]), results
+        kept = sum(connection.reusable for connection in self.caller.idle)
+        faults = [n for n, reply in results.items() if isinstance(reply, dict) and reply != {"n": n}]
+        faults += [] if isinstance(results[3], dict) else ["the third call failed"]
+        faults += [] if idempotent else [f"{n} twice" for n, count in self.received.items() if count > 1]
+        open_now = sum(not transport.closing for transport in self.loop.transports)
+        return faults + ([] if open_now == kept else [f"{open_now} connections, {kept} kept"]), results
 
 
-@test("a call, idempotent: {idempotent}, whose response is cut at any byte gets its own or none")
+@test("a call (idempotent: {idempotent}) whose response is truncated at any byte gets its own one or fails")
 def _(idempotent=each(True, False)):
     response = RESPONSE % (b"X-Call-Id: 0123456789ab-2\r\n", 7, 2)
     for n in range(len(response)):
@@ -70,14 +70,14 @@
                 ending and transport.loop.call_later(STEP, getattr(transport, ending))
 
             scenario = CallerScenario(script)
-            wrong, results = scenario.play(idempotent)
+            faults, results = scenario.play(idempotent)
             answered = isinstance(results[2], dict)
-            assert not wrong and answered == (idempotent and ending is not None), (n, ending, wrong)
+            assert not faults and answered == (idempotent and ending is not None), (n, ending, faults)
             assert scenario.received[2] == 1 + (idempotent and ending is not None)
 
 
-@test("a response with {what} ends the connection and is none")
-def _(what=each("no id", "another call's id", "its id, of another call before")):
+@test("a response with {what} fails the call and closes the connection")
+def _(what=each("no id", "another call's id", "an earlier call's response before it")):
     ids = {"no id": b"", "another call's id": b"X-Call-Id: 1-1\r\n"}
 
     def script(transport, response, id):
@@ -85,19 +85,19 @@
         transport.say(early + response)
 
     scenario = CallerScenario(script)
-    wrong, results = scenario.play(True)
-    assert not wrong and isinstance(results[2], GatewayError)
-    assert scenario.received[2] == 1 and len(scenario.loop.lines) == 2
+    faults, results = scenario.play(True)
+    assert not faults and isinstance(results[2], GatewayError)
+    assert scenario.received[2] == 1 and len(scenario.loop.transports) == 2
 
 
-@test("a call that is cancelled at any moment leaves no connection on which its response could meet another")
+@test("a call cancelled at any moment leaves no connection on which another call could get its response")
 def _():
-    for quarter in range(0, 16):
-        for late in range(0, 4):
+    for quarter_steps in range(0, 16):
+        for delay_steps in range(0, 4):
 
-            def script(transport, response, id, late=late):
-                transport.say(response[: late * 10])
-                transport.loop.call_later(late * STEP, transport.say, response[late * 10 :])
+            def script(transport, response, id, delay_steps=delay_steps):
+                transport.say(response[: delay_steps * 10])
+                transport.loop.call_later(delay_steps * STEP, transport.say, response[delay_steps * 10 :])
 
-            wrong, _ = CallerScenario(script).play(False, cancel_after_s=quarter * STEP / 4)
-            assert not wrong, (quarter, late, wrong)
+            faults, _ = CallerScenario(script).play(False, cancel_after_s=quarter_steps * STEP / 4)
+            assert not faults, (quarter_steps, delay_steps, faults)
--- a/tests/gateway/rpc/test_flow_control.py
+++ b/tests/gateway/rpc/test_flow_control.py
@@ -1,4 +1,4 @@
-"""rpc/flow_control.py: a disconnect is noticed while reading is paused, on a clock that jumps."""
+"""rpc/flow_control.py: a disconnect is detected while reading is paused. Runs on a simulated clock."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 class RecordingTransport(asyncio.Transport):
-    """Records what is done to it."""
+    """Records the calls of its methods."""
 
     def __init__(self):
         super().__init__()
@@ -29,8 +29,11 @@
         return "abort" in self.actions
 
 
-def paused_for(periods, disconnected_at, resume_at=None, stop_at=None):
-    """The actions on a transport whose reading is paused for so many periods of checks."""
+def actions_while_paused(periods, disconnected_at, resume_at=None, stop_at=None):
+    """Return the actions on a transport whose reading is paused, and when the disconnect was detected.
+
+    All times are given in periods of DISCONNECT_CHECK_S.
+    """
     loop = Loop()
     transport, disconnected = RecordingTransport(), []
     disconnect = ClientDisconnect(lambda: bool(disconnected))
@@ -46,13 +49,13 @@
     return transport.actions, disconnect.disconnected_at
 
 
-@test("a client that disconnects in the period {period} is noticed at that period's end")
+@test("a disconnect in check period {period} is detected at the end of that period")
 def _(period=each(1, 2, 5)):
-    actions, at = paused_for(10, period - 0.5)
-    assert actions == ["pause", "abort"] and abs(at - period * DISCONNECT_CHECK_S) < 0.001
+    actions, detected_at = actions_while_paused(10, period - 0.5)
+    assert actions == ["pause", "abort"] and abs(detected_at - period * DISCONNECT_CHECK_S) < 0.001
 
 
-@test("nothing is looked at once reading goes on, or the watch has been stopped")
+@test("there are no checks after reading has resumed or watching has been stopped")
 def _():
-    assert paused_for(10, 2.5, resume_at=1.5) == (["pause", "resume"], None)
-    assert paused_for(10, 2.5, stop_at=1.5) == (["pause"], None)
+    assert actions_while_paused(10, 2.5, resume_at=1.5) == (["pause", "resume"], None)
+    assert actions_while_paused(10, 2.5, stop_at=1.5) == (["pause"], None)
--- a/tests/gateway/rpc/test_headers.py
+++ b/tests/gateway/rpc/test_headers.py
@@ -1,4 +1,4 @@
-"""rpc/headers.py: hop-by-hop headers, delimited responses, keep-alive."""
+"""rpc/headers.py: hop-by-hop headers, self-delimited responses, keep-alive."""
 
 from ward import each, test
 
@@ -10,13 +10,13 @@
 )
 
 
-@test("hop-by-hop headers, and those that connection names in any letters, are left out")
+@test("hop-by-hop headers and those listed by a connection header, in any case, are removed")
 def _():
     headers = [(b"connection", b"close, X-One"), (b"x-one", b"1"), (b"te", b"trailers"), (b"via", b"2")]
     assert end_to_end(headers) == [(b"via", b"2")]
 
 
-@test("headers are taken from any iterable, in their order, each as often as it stands there")
+@test("headers may be any iterable; their order and repetitions are kept")
 def _():
     headers = [(b"a", b"1"), (b"b", b"2"), (b"a", b"3")]
     assert end_to_end(iter(headers)) == headers
@@ -32,7 +32,7 @@
     assert is_self_delimited(method, status, fields) == expected
 
 
-@test("connection {value!r} closes: {expected}")
+@test("a response with connection {value!r} closes the connection: {expected}")
 def _(
     value=each(b"close", b"Close, x", b"keep-alive", b""),
     expected=each(True, True, False, False),
@@ -40,7 +40,7 @@
     assert closes_connection({b"connection": value}) == expected
 
 
-@test("keep-alive {value!r} is a time-out of {expected} s")
+@test("keep-alive {value!r} states a time-out of {expected} s")
 def _(
     value=each(
         b"timeout=5",
--- a/tests/gateway/rpc/test_idle_connections.py
+++ b/tests/gateway/rpc/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""rpc/idle_connections.py: which connection is taken, and which are ended."""
+"""rpc/idle_connections.py: which connection is reused, and which are closed."""
 
 from ward import test
 
@@ -8,7 +8,7 @@
 
 
 class StubConnection:
-    """What IdleConnections asks of a connection."""
+    """The members of Connection that IdleConnections uses."""
 
     def __init__(self, idle_since=0.0, reusable=True):
         self.idle_since, self.reusable, self.closed = idle_since, reusable, False
@@ -17,7 +17,7 @@
         self.closed = True
 
 
-@test("the connection used last is taken first, and only one to the same peer")
+@test("the most recently used connection to the same peer is taken first")
 def _():
     idle, first, second = IdleConnections(), StubConnection(), StubConnection()
     idle.put(PEER, first)
@@ -26,11 +26,11 @@
     assert [idle.take(PEER, 1.0) for _ in range(3)] == [second, first, None]
 
 
-@test("connections that are not reusable or were idle for too long are ended on the way")
+@test("take closes connections that are not reusable or were idle for too long")
 def _():
-    idle, fit = IdleConnections(), StubConnection(idle_since=1.0)
-    broken, old = StubConnection(idle_since=1.0, reusable=False), StubConnection()
-    for connection in (fit, broken, old):
+    idle, usable = IdleConnections(), StubConnection(idle_since=1.0)
+    broken, expired = StubConnection(idle_since=1.0, reusable=False), StubConnection()
+    for connection in (usable, broken, expired):
         idle.put(PEER, connection)
-    assert idle.take(PEER, MAX_IDLE_S) is fit and broken.closed and old.closed and not fit.closed
+    assert idle.take(PEER, MAX_IDLE_S) is usable and broken.closed and expired.closed and not usable.closed
     assert not list(idle)
--- a/tests/gateway/rpc/test_protocol.py
+++ b/tests/gateway/rpc/test_protocol.py
@@ -1,4 +1,4 @@
-"""rpc/protocol.py under a real proxy: pipelining, closing, idle connections, call ids."""
+"""rpc/protocol.py with a real proxy: pipelining, closing, idle connections, call ids."""
 
 from call_scenario import REQUEST, CallScenario, ScriptedClient, good
 from scripted_transport import STEP
@@ -7,7 +7,7 @@
 from honeywood.gateway.configuration.model import Limits
 
 
-@test("pipelined requests, split at any byte, are answered in order, each with its own response")
+@test("pipelined requests that arrive split at any byte are answered in order, each with its own response")
 def _():
     requests = b"".join(REQUEST % (b"GET", id, b"") for id in (b"a1", b"a2", b"a3"))
     for n in range(0, len(requests), 2):
@@ -21,8 +21,8 @@
         assert set(scenario.ran.values()) == {1}
 
 
-@test("what stands behind a response that closes the connection, {why}, has not run")
-def _(why=each("as the client wishes", "as the proxy stops", "as the proxy stops, idempotent")):
+@test("requests pipelined behind a response that closes the connection, {why}, are not run")
+def _(why=each("as the client asks", "as the proxy stops", "as the proxy stops, idempotent")):
     scenario = CallScenario("safe" if "idempotent" in why else "unsafe")
     client, method = ScriptedClient(scenario), b"GET" if "idempotent" in why else b"POST"
     if "proxy" in why:
@@ -33,13 +33,14 @@
     assert client.ids == [b"a1"] and scenario.ran == {b"a1": 1} and client.closing
 
 
-@test("requests begun behind another when the proxy stops, {how}, are answered before the connection ends")
+@test("pipelined requests started before the proxy stops, {how}, are answered before the connection closes")
 def _(how=each("signalled", "and closes its listeners")):
-    # The response in front closed the connection: what stood behind it was at endpoints, and was cut off.
-    def slowly(transport, id):
+    # The first response used to close the connection, so that later requests, which endpoints were already
+    # processing, lost their responses.
+    def answer_slowly(transport, id):
         transport.loop.call_later(0.1, transport.say, good(id))
 
-    scenario = CallScenario(script=slowly)
+    scenario = CallScenario(script=answer_slowly)
     client = ScriptedClient(scenario)
     requests = b"".join(REQUEST % (b"GET", id, b"") for id in (b"a1", b"a2", b"a3"))
     scenario.loop.call_soon(client.say, requests)
@@ -53,14 +54,14 @@
     assert scenario.ran == {b"a1": 1, b"a2": 1, b"a3": 1}
 
 
-@test("idle_s {before}, then {after}: an idle connection is open after {at} s: {is_open}")
+@test("idle_s changes from {before} to {after}: an idle connection is still open after {at} s: {is_open}")
 def _(
     before=each(5, 5, 5, 5, 15, 15),
     after=each(5, 5, 15, 15, 5, 5),
     at=each(4.9, 5.2, 14.8, 15.2, 14.8, 15.2),
     is_open=each(True, False, True, False, True, False),
 ):
-    # Clients take up connections after four fifths of idle_s, of the old or the new configuration's.
+    # Clients reuse connections for up to four fifths of idle_s, of either the old or the new configuration.
     scenario = CallScenario()
     scenario.proxy.configuration.limits = Limits(idle_s=before)
     client = ScriptedClient(scenario)
@@ -70,7 +71,7 @@
     assert client.run(at).closing != is_open
 
 
-@test("a request that came while the proxy was suspended is read before its connection is ended as idle")
+@test("a request received while the proxy was suspended is read before its connection is closed as idle")
 def _():
     scenario = CallScenario()
     scenario.proxy.configuration.limits = Limits(idle_s=5)
@@ -78,14 +79,14 @@
     client.say(REQUEST % (b"GET", b"a1", b""))
 
     def suspend():
-        scenario.loop.now += 3.0  # what came is read first, then all timers are due
+        scenario.loop.now += 3.0  # after the suspension, input is read before timers that are due
         client.say(REQUEST % (b"GET", b"a2", b""))
 
     scenario.loop.call_at(4.0, suspend)
     assert client.run(9.0).ids == [b"a1", b"a2"] and not client.closing
 
 
-@test("each response to a call between programs repeats its id, a rejection too")
+@test("each response to a call between programs repeats its id, including a rejection")
 def _():
     client = ScriptedClient(CallScenario(), port=7000)
     client.say(b"POST /news HTTP/1.1\r\nHost: f\r\nX-Call-Id: c-1\r\nContent-Length: 2\r\n\r\n{}")
--- a/tests/gateway/rpc/test_request_head.py
+++ b/tests/gateway/rpc/test_request_head.py
@@ -1,4 +1,4 @@
-"""rpc/request_head.py: the size of a head, and heads that another reader might read otherwise."""
+"""rpc/request_head.py: the size of a head, and heads that other implementations may read differently."""
 
 from ward import each, raises, test
 
@@ -8,7 +8,7 @@
 HOST = (b"host", b"h")
 
 
-@test("a head of exactly the limit is taken, one byte more is rejected")
+@test("a head of exactly the limit is accepted, a longer one is rejected")
 def _():
     size = HeadSize()
     size.add_target(b"/p", 20)  # 3
@@ -39,6 +39,6 @@
         reject_ambiguous(target, headers)
 
 
-@test("a head with one host, a path and {coding} is taken")
+@test("a head with one host, a path and the headers {coding} is accepted")
 def _(coding=each([], [(b"transfer-encoding", b" Chunked\t")])):
     assert reject_ambiguous(b"/p?q", [HOST, *coding]) is None
--- a/tests/gateway/rpc/test_server.py
+++ b/tests/gateway/rpc/test_server.py
@@ -1,16 +1,17 @@
-"""rpc/server.py: a server that closes waits for what is leaving."""
+"""rpc/server.py: a closing server waits for responses that are being sent."""
 
 from call_scenario import REQUEST, CallScenario, ScriptedClient
 from ward import test
 
 
-@test("a server that closes while a response is leaving ends once that has left, and waits no longer")
+@test("a server closed while a response is being sent waits until it has been sent, and no longer")
 def _():
-    # A response of up to 256 KB is handed over at once; its tail was lost with the process that ended.
+    # A response of up to 256 KB is handed to the transport at once. Its unsent end was lost when the process
+    # ended without waiting.
     scenario = CallScenario()
     client = ScriptedClient(scenario)
     server, unsent = client.server, [b"tail"]
-    # asyncio closes once all has left
+    # like asyncio, closes once all bytes have been sent
     client.close = lambda: None if unsent else ScriptedClient.abort(client)
     client.say(REQUEST % (b"GET", b"a1", b"Connection: close\r\n"))
     client.run(0.1)
--- a/tests/gateway/rpc/test_tcp_stream.py
+++ b/tests/gateway/rpc/test_tcp_stream.py
@@ -1,4 +1,4 @@
-"""rpc/tcp_stream.py between a connection's two ends."""
+"""rpc/tcp_stream.py: unread input of the socket prevents the sending of a request."""
 
 import asyncio
 import socket
@@ -9,15 +9,17 @@
 from honeywood.gateway.rpc.tcp_stream import TcpStream
 
 
-@test("the kernel holds {what} unread: a request leaves {leaves}")
-def _(what=each("nothing", "bytes", "the end"), leaves=each(True, False, False)):
-    # What a program that was suspended or busy has not read yet isn't taken for the next response.
+@test("while the kernel has {unread} unread, a request is sent: {sent}")
+def _(unread=each("nothing", "bytes", "the end"), sent=each(True, False, False)):
+    # Input that a suspended or busy program has not read yet must not be taken for the next response.
     loop, (own, peer) = ScriptedLoop(None), socket.socketpair()
     with own, peer:
         stream = TcpStream()
         stream.connection_made(ScriptedTransport(loop, stream))
         stream.transport._extra["socket"] = own
-        peer.send(b"x") if what == "bytes" else peer.shutdown(socket.SHUT_WR) if what == "the end" else None
+        peer.send(b"x") if unread == "bytes" else peer.shutdown(
+            socket.SHUT_WR
+        ) if unread == "the end" else None
 
         async def work():
             stream.begin_exchange()
@@ -28,5 +30,5 @@
             await asyncio.gather(task, return_exceptions=True)
 
         loop.run_until_complete(work())
-        assert stream.sent == leaves
+        assert stream.sent == sent
     loop.close()
--- a/tests/gateway/rpc/test_text_chunks.py
+++ b/tests/gateway/rpc/test_text_chunks.py
@@ -1,4 +1,4 @@
-"""Texts that are cut into chunks and assembled again."""
+"""rpc/text_chunks.py: texts that are split into chunks and reassembled."""
 
 from dataclasses import replace
 
@@ -11,7 +11,7 @@
 
 
 def assembled(chunks):
-    """The text of these chunks; None where one doesn't continue it."""
+    """Return the PartialText of these chunks; None if one of them does not continue the text."""
     partial = PartialText(DIGEST)
     for chunk in chunks:
         if not partial.is_continued_by(chunk):
@@ -20,7 +20,7 @@
     return partial
 
 
-@test("chunks of {size} characters are assembled to the text, and the last one is as long as it needs to be")
+@test("chunks of {size} characters are reassembled to the text, even if the last one is shorter")
 def _(size=each(1, 7, 100, 10_000)):
     chunks = [TextChunk.cut(TEXT, DIGEST, offset, size) for offset in range(0, len(TEXT), size)]
     assert {chunk.length for chunk in chunks} == {len(TEXT)}
@@ -28,7 +28,7 @@
     assert partial.text == TEXT and partial.is_intact
 
 
-@test("a chunk that is missing, twice there, of another text or damaged is noticed")
+@test("a chunk that is missing, duplicated, of another text or damaged is detected")
 def _():
     chunks = [TextChunk.cut(TEXT, DIGEST, offset, 100) for offset in range(0, len(TEXT), 100)]
     assert assembled([chunks[0], chunks[2]]) is None
--- a/tests/gateway/scripted_transport.py
+++ b/tests/gateway/scripted_transport.py
@@ -1,57 +1,61 @@
-"""Connections between a real caller, connection or listener and a scripted peer, on a clock that jumps."""
+"""Connections between a real caller, connection or listener and a scripted peer, on a simulated clock."""
 
 import asyncio
 
 from honeywood.lab.emulator.loop import Loop
 
-STEP = 0.001  # seconds one way
+STEP = 0.001  # seconds that bytes take in one direction
 
 
 class ScriptedLoop(Loop):
-    """A clock that jumps; connections go to scripted peers."""
+    """An event loop on a simulated clock whose connections lead to a scripted peer."""
 
     def __init__(self, peer):
         super().__init__()
-        self.peer, self.lines = peer, []
+        self.peer, self.transports = peer, []
 
     async def create_connection(self, factory, ip, port):
         await asyncio.sleep(STEP)
         protocol = factory()
-        self.lines.append(ScriptedTransport(self, protocol, self.peer))
-        protocol.connection_made(self.lines[-1])
-        return self.lines[-1], protocol
+        self.transports.append(ScriptedTransport(self, protocol, self.peer))
+        protocol.connection_made(self.transports[-1])
+        return self.transports[-1], protocol
 
 
 class ScriptedTransport(asyncio.Transport):
-    """One end's transport; `peer(line, request)` plays the other for each whole request."""
+    """The transport of one end; `peer(transport, request)` is called with each complete request.
+
+    If `max_write_bytes` is set, the next write is cut to that length and the connection is reset after it.
+    """
 
     def __init__(self, loop, protocol, peer=None):
         super().__init__({"sockname": ("f", 80), "peername": ("c", 1)})
         self.loop, self.protocol, self.peer = loop, protocol, peer
-        self.got, self.closing, self.max_write_bytes = b"", False, None
+        self.received, self.closing, self.max_write_bytes = b"", False, None
 
     def write(self, data):
         if self.closing:
             return
-        if self.max_write_bytes is not None:  # a reset within a request, or right behind it
+        if self.max_write_bytes is not None:  # reset within a request, or right after it
             data, self.max_write_bytes = data[: self.max_write_bytes], None
             self.loop.call_later(STEP, self.reset)
-        self.loop.call_later(STEP, self.arrive, data)
+        self.loop.call_later(STEP, self.deliver_to_peer, data)
 
-    def arrive(self, data):
-        self.got += data
+    def deliver_to_peer(self, data):
+        self.received += data
         while self.peer is not None:
-            head, end, body = self.got.partition(b"\r\n\r\n")
+            head, end, body = self.received.partition(b"\r\n\r\n")
             lines = head.lower().split(b"\r\n")
             if not end:
                 return
             size = sum(int(line[15:]) for line in lines if line.startswith(b"content-length"))
             if len(body) < size:
                 return
-            self.got = body[size:]
+            self.received = body[size:]
             self.peer(self, head + end + body[:size])
 
     def say(self, data):
+        """Delivers bytes that the peer sends to the protocol."""
         if data and not self.closing:
             self.protocol.data_received(data)
 
@@ -68,10 +72,10 @@
 
     abort = close
 
-    def end(self, why):
+    def end(self, error):
         if not self.closing:
             self.closing = True
-            self.loop.call_soon(self.protocol.connection_lost, why)
+            self.loop.call_soon(self.protocol.connection_lost, error)
 
     def is_closing(self):
         return self.closing
--- a/tests/gateway/slow_link.py
+++ b/tests/gateway/slow_link.py
@@ -1,4 +1,4 @@
-"""A world in which some controllers' links carry little, and changes of keys in it."""
+"""Controllers on emulated links with a low data rate, and changes of keys in their register."""
 
 import asyncio
 import json
@@ -11,47 +11,50 @@
 
 
 def large_value(length, seed=1):
-    """A value whose text has about so many characters."""
+    """Returns a value whose text has `length` characters."""
     return {"text": "".join(random.Random(seed).choices(string.ascii_letters, k=length))}
 
 
 class SlowLink(World):
-    """Links that carry `rate` bytes a second each way, one message behind the other, to and from `slow`."""
+    """A world in which the links of the nodes in `slow` carry `rate` bytes per second in each direction.
+
+    Messages in the same direction are sent one after the other. `longest` is the size of the largest one.
+    """
 
     slow, rate = "c", 1e5
 
-    def __init__(self, *given, **more):
-        super().__init__(*given, **more)
+    def __init__(self, *args, **kwargs):
+        super().__init__(*args, **kwargs)
         self.free_at, self.longest = {}, 0
 
-    def queue(self, way, size):
-        """Seconds until a message has come through."""
+    def queue(self, direction, size):
+        """Returns the seconds until a message of `size` bytes has been transmitted."""
         now = self.loop.time()
-        self.free_at[way] = max(now, self.free_at.get(way, 0.0)) + size / self.rate
-        return self.free_at[way] - now
+        self.free_at[direction] = max(now, self.free_at.get(direction, 0.0)) + size / self.rate
+        return self.free_at[direction] - now
 
     async def _carry(self, message, answer):
         source, target, size = message.source, message.target, len(message.body)
-        ends = [name for name in (source, target) if name in self.slow]
-        if message.path != "/register" or not ends:
+        slow_ends = [name for name in (source, target) if name in self.slow]
+        if message.path != "/register" or not slow_ends:
             return await super()._carry(message, answer)
         self.longest = max(self.longest, size)
-        await asyncio.sleep(max(self.queue((end, end == source), size) for end in ends))
+        await asyncio.sleep(max(self.queue((end, end == source), size) for end in slow_ends))
         if answer is not None and answer.done():
-            return  # whoever asked gave up and ended the connection: what had not come through never does
-        found = asyncio.get_running_loop().create_future()
-        await super()._carry(message, found)
-        if not found.done():
+            return  # the caller gave up and closed the connection, so the rest is never transmitted
+        reply = asyncio.get_running_loop().create_future()
+        await super()._carry(message, reply)
+        if not reply.done():
             return
-        if found.exception() is not None:
+        if reply.exception() is not None:
             size = 200
         else:
-            size = len(json.dumps(found.result()))
+            size = len(json.dumps(reply.result()))
         self.longest = max(self.longest, size)
-        await asyncio.sleep(max(self.queue((end, end == target), size) for end in ends))
+        await asyncio.sleep(max(self.queue((end, end == target), size) for end in slow_ends))
         if answer is not None and not answer.done():
-            answer.set_result(found.result()) if found.exception() is None else answer.set_exception(
-                found.exception()
+            answer.set_result(reply.result()) if reply.exception() is None else answer.set_exception(
+                reply.exception()
             )
 
 
@@ -66,16 +69,16 @@
 
 
 def change_key(world, name, key, value, outcomes):
-    """Has a controller change a key to a value; `told` gets (seconds, whether it succeeded)."""
+    """Makes a controller change a key; appends (seconds taken, whether it succeeded) to `outcomes`."""
 
     async def change():
-        began = world.loop.time()
+        started_at = world.loop.time()
         try:
             await world.nodes[name].register.change(key, lambda stored_value: value)
         except RegisterUnavailable:
-            outcomes.append((world.loop.time() - began, False))
+            outcomes.append((world.loop.time() - started_at, False))
         else:
-            outcomes.append((world.loop.time() - began, True))
+            outcomes.append((world.loop.time() - started_at, True))
 
     world.processes[name].run(change())
 
--- a/tests/gateway/socket_scene.py
+++ b/tests/gateway/socket_scene.py
@@ -1,4 +1,4 @@
-"""A real proxy on loopback between a raw client and scripted machines, for tests."""
+"""A real proxy on loopback sockets between a raw client and machines with scripted responses."""
 
 import asyncio
 import json
@@ -19,7 +19,11 @@
 
 
 class Machine:
-    """Answers by a script: one function of (try id, writer) a request, the last for all that follow."""
+    """A machine that answers by script: one function of (attempt id, writer) per request.
+
+    The last function answers all further requests. `seen` lists the requests received, `accepted` counts the
+    connections.
+    """
 
     def __init__(self, *script):
         self.script, self.seen, self.accepted = list(script), [], 0
@@ -122,7 +126,10 @@
 
 
 class Scene:
-    """A proxy with a configuration of one `kind`, and machines that know their scripts."""
+    """A proxy and its machines, one per script; its route has the given `kind` and `timeout` in seconds.
+
+    At the end, the invariants of the proxy are checked.
+    """
 
     def __init__(self, *scripts, kind="safe", timeout=0.6):
         self.scripts, self.kind, self.timeout = scripts, kind, timeout
@@ -144,20 +151,21 @@
         return self
 
     def configuration(self):
-        """What operators send before anything else."""
-        sent = config(5, kind=self.kind)
-        sent["res"][0]["spec"]["timeout_s"] = self.timeout
-        return sent
+        """Returns the initial configuration."""
+        configuration = config(5, kind=self.kind)
+        configuration["res"][0]["spec"]["timeout_s"] = self.timeout
+        return configuration
 
-    def configure(self, sent):
-        """Brings a configuration into force as operators send it."""
-        self.proxy.records.apply("config", pack_for_proxies(json.dumps(sent)))
+    def configure(self, configuration):
+        """Activates a configuration, given in the form that operators send."""
+        self.proxy.records.apply("config", pack_for_proxies(json.dumps(configuration)))
 
     def machine(self, script):
-        """The machine that plays a script."""
+        """Returns a machine that answers by a script."""
         return Machine(*script)
 
     def set_machine_state(self, n, state):
+        """Publishes the record of machine `n` to the proxy."""
         value = {
             "svc": "s",
             "ip": "127.0.0.1",
@@ -168,7 +176,7 @@
         }
         self.proxy.records.apply(f"machine/i-{n}", {**value, "state": state, "cold": 0})
 
-    async def __aexit__(self, *wrong):
+    async def __aexit__(self, *exception_info):
         for _ in range(2):
             self.proxy.invariants.check(self.proxy.clock())
             await asyncio.sleep(0.01)
@@ -177,23 +185,31 @@
         for machine in self.machines:
             machine.server.close()
 
-    async def raw(self, sent):
-        """All that comes back on one connection until it closes or nothing more is to come."""
+    async def raw(self, request):
+        """Sends bytes on a new connection and returns all that is received.
+
+        Reading ends when the connection is closed, when as many complete responses as requests have been
+        received, or after a second without data.
+        """
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        writer.write(sent)
-        writer.write_eof() if not sent.endswith(b"\r\n\r\n") else None
-        found = b""
+        writer.write(request)
+        writer.write_eof() if not request.endswith(b"\r\n\r\n") else None
+        received = b""
         while True:
             try:
                 async with asyncio.timeout(1.0):
-                    part = await reader.read(65536)
+                    chunk = await reader.read(65536)
             except (TimeoutError, ConnectionError):
                 break
-            found += part
-            if not part or found.count(b"HTTP/1.1 ") >= sent.count(b" HTTP/1.1") and whole(found):
+            received += chunk
+            if (
+                not chunk
+                or received.count(b"HTTP/1.1 ") >= request.count(b" HTTP/1.1")
+                and is_complete(received)
+            ):
                 break
         writer.close()
-        return found
+        return received
 
     async def get(self, id=b"id1"):
         return await self.raw(GET % id)
@@ -202,19 +218,20 @@
         head = b"POST /p0/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: %s\r\nContent-Length: 4\r\n\r\n" % id
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(head + b"body")
-        found = await reader.readuntil(b"\r\n\r\n")
+        response_head = await reader.readuntil(b"\r\n\r\n")
         writer.close()
-        return found
+        return response_head
 
 
-def whole(found):
-    head, _, body = found.rpartition(b"HTTP/1.1 ")[2].partition(b"\r\n\r\n")
+def is_complete(received):
+    """Returns whether the last response in `received` has the length that its header states."""
+    head, _, body = received.rpartition(b"HTTP/1.1 ")[2].partition(b"\r\n\r\n")
     length = [line for line in head.lower().split(b"\r\n") if line.startswith(b"content-length")]
     return bool(length) and len(body) >= int(length[0].split(b":")[1])
 
 
-def status(found):
-    return int(found[9:12]) if found.startswith(b"HTTP/1.1 ") else None
+def status(response):
+    return int(response[9:12]) if response.startswith(b"HTTP/1.1 ") else None
 
 
 def play(work):
