--- a/tests/gateway/test_pinned_rpc.py
+++ b/tests/gateway/test_pinned_rpc.py
@@ -1,8 +1,8 @@
-"""Bytes on sockets that must stay: a listener's answers and refusals, the calls of a caller, and exchanges.
+"""Regression tests of the bytes on sockets: a listener's responses, a caller's calls, and exchanges.
 
-Every case is played over loopback with the real server, caller or connection against a raw socket, and
-compared with what commit ae67546 sent and reported (recorded/rpc_*.json, bytes as Latin-1 text). Names that
-a refactoring changes stand in the section of accessors only.
+Every case runs the real server, caller or connection over loopback against a raw socket. The result is
+compared with what commit ae67546 sent and reported (recorded/rpc_*.json, bytes as Latin-1 text). Only the
+section of accessors uses names of the code that a refactoring may change.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 from honeywood.lab.emulator.silent_log import SilentLog
 
 RECORDED = Path(__file__).resolve().parent / "recorded"
-SAFETY_S = 10.0  # far beyond any exchange here; a hung one fails
-BODY_LIMIT = 64  # bytes of a request's body that the scripted application takes
+TEST_TIMEOUT_S = 10.0  # far longer than any exchange here; one that hangs fails the test
+MAX_BODY_BYTES = 64  # of a request's body that the scripted application accepts
 CALLER_NAME = "0123456789ab"
 IP = "127.0.0.1"
 
@@ -40,8 +40,8 @@
     return server.HttpServer(application)
 
 
-async def read_body(receive: Any, limit: int) -> bytes | None:
-    return await asgi.read_body(receive, limit)
+async def read_body(receive: Any, max_bytes: int) -> bytes | None:
+    return await asgi.read_body(receive, max_bytes)
 
 
 async def send_response(send: Any, status: int, headers: list, body: bytes) -> None:
@@ -65,64 +65,64 @@
 
 
 def make_caller() -> Any:
-    made = client.Caller()
-    made.name = CALLER_NAME
-    return made
+    caller = client.Caller()
+    caller.name = CALLER_NAME
+    return caller
 
 
 def bytes_by_path(caller: Any) -> dict[str, int]:
     return dict(caller.bytes_by_path)
 
 
-async def call(caller: Any, port: int, path: str, body: Any, within_s: float, idempotent: bool) -> dict:
-    """What a call came to: a value, or the failure's operation, reason, peer and status."""
+async def call(caller: Any, port: int, path: str, body: Any, timeout_s: float, idempotent: bool) -> dict:
+    """Return the result of a call: its value, or the failure's operation, reason, peer and status."""
     try:
-        return {"value": await caller.call(IP, port, path, body, within_s, idempotent)}
+        return {"value": await caller.call(IP, port, path, body, timeout_s, idempotent)}
     except GatewayError as error:
         peer = error.peer.replace(str(port), "PORT")
-        found = {"operation": error.operation, "reason": error.reason, "peer": peer}
-        return {**found, "status": status_of(error)}
+        failure = {"operation": error.operation, "reason": error.reason, "peer": peer}
+        return {**failure, "status": status_of(error)}
 
 
 async def open_connection(port: int) -> Any:
     return await connection.Connection.open(IP, port, 1.0)
 
 
-async def exchange(opened: Any, request: dict, until: float) -> Any:
-    """The reply to a request of the recorded form, or the failure."""
-    headers = [(latin(name), latin(value)) for name, value in request["headers"]]
-    expected = tuple(latin(part) for part in request["expected"]) if "expected" in request else None
-    method, target, body = (latin(request[key]) for key in ("method", "target", "body"))
-    return await opened.exchange(method, target, headers, body, until, request["hold"], expected)
+async def exchange(peer_connection: Any, request: dict, deadline: float) -> Any:
+    """Return the reply to a request of the recorded form, or the failure."""
+    headers = [(latin1_bytes(name), latin1_bytes(value)) for name, value in request["headers"]]
+    expected = tuple(latin1_bytes(part) for part in request["expected"]) if "expected" in request else None
+    method, target, body = (latin1_bytes(request[key]) for key in ("method", "target", "body"))
+    return await peer_connection.exchange(method, target, headers, body, deadline, request["hold"], expected)
 
 
-async def read_next_reply(opened: Any, until: float, hold: int) -> Any:
-    return await opened.read_next_reply(until, hold)
+async def read_next_reply(peer_connection: Any, deadline: float, max_buffered_bytes: int) -> Any:
+    return await peer_connection.read_next_reply(deadline, max_buffered_bytes)
 
 
-async def reply_of(found: Any) -> dict:
-    """A reply, read to its end, or what is known of the failure."""
-    if isinstance(found, reply.ExchangeFailure):
-        return {"reason": found.reason, "sent": found.sent, "timed_out": found.timed_out}
+async def describe_reply(result: Any) -> dict:
+    """Read a reply to its end and return it in the recorded form, or the details of a failure."""
+    if isinstance(result, reply.ExchangeFailure):
+        return {"reason": result.reason, "sent": result.sent, "timed_out": result.timed_out}
     rest = None
-    if found.remainder is not None:
-        rest = (b"".join([chunk async for chunk in found.remainder])).decode("latin-1")
-    headers = [[name.decode("latin-1"), value.decode("latin-1")] for name, value in found.headers]
-    body = found.body.decode("latin-1")
+    if result.remainder is not None:
+        rest = (b"".join([chunk async for chunk in result.remainder])).decode("latin-1")
+    headers = [[name.decode("latin-1"), value.decode("latin-1")] for name, value in result.headers]
+    body = result.body.decode("latin-1")
     return {
-        "status": found.status,
+        "status": result.status,
         "headers": headers,
         "body": body if rest is None else len(body + rest),
         "passed_on": rest is not None,
-        "surplus": found.surplus,
+        "surplus": result.surplus,
     }
 
 
-def state_of(opened: Any) -> dict:
+def state_of(peer_connection: Any) -> dict:
     return {
-        "reusable": opened.reusable,
-        "ended": opened.ended,
-        "keep_alive_s": opened.keep_alive_s,
+        "reusable": peer_connection.reusable,
+        "ended": peer_connection.ended,
+        "keep_alive_s": peer_connection.keep_alive_s,
     }
 
 
@@ -131,22 +131,22 @@
 
 
 def make_program(role: str, folder: str) -> tuple[Any, dict[str, int]]:
-    """A controller or proxy that runs no loops, and its ports by what comes in there."""
+    """Return a controller or proxy without its background tasks, and its ports by their purpose."""
     ports = [free_port() for _ in range(4)]
     settings = read_settings(boot("127.0.0.1", data=folder, ports=(*ports, ports[3] + 3)))
-    program = {"controller": Controller, "proxy": Proxy}[role]
-    made = program(settings, log=SilentLog())
-    inside = settings.controller_port if role == "controller" else settings.proxy_port
-    return made, {"http": ports[0], "ready": ports[1], "operators": ports[2], "inside": inside}
+    program_type = {"controller": Controller, "proxy": Proxy}[role]
+    program = program_type(settings, log=SilentLog())
+    internal_port = settings.controller_port if role == "controller" else settings.proxy_port
+    return program, {"http": ports[0], "ready": ports[1], "operators": ports[2], "inside": internal_port}
 
 
-# What plays the cases.
-def latin(text: str) -> bytes:
+# Running of the cases.
+def latin1_bytes(text: str) -> bytes:
     return text.encode("latin-1")
 
 
 class Application:
-    """Answers by path: a status, the body, a stream; begins early with what stands behind another."""
+    """Responds as the request's path says; starts pipelined requests to /early before their turn."""
 
     def __init__(self, limits: dict) -> None:
         self.limits = Limits(**limits)
@@ -172,11 +172,11 @@
             body = b"begun" if later_requests_begun(scope) else b"alone"
             return await send_response(send, 200, [], body)
         if kind == "early":
-            found = early_response(scope)
-            return await send_response(send, 200, [], b"late" if found is None else await found)
+            early = early_response(scope)
+            return await send_response(send, 200, [], b"late" if early is None else await early)
         if kind == "target":
             return await send_response(send, 200, [], raw_target(scope))
-        body = await read_body(receive, BODY_LIMIT)
+        body = await read_body(receive, MAX_BODY_BYTES)
         if body is None:
             return await send_response(send, 413, [], b"")
         return await send_response(send, 200, [(b"content-type", b"application/json")], body)
@@ -186,36 +186,36 @@
         yield b"two"
 
 
-async def received(case: dict) -> list[str]:
-    """What a client gets for each step of a case: up to `until`, the last until the connection ends."""
-    found, port = [], free_port()
+async def received_by_client(case: dict) -> list[str]:
+    """Return what a client receives in each step: up to the step's `until`, or until the connection ends."""
+    received, port = [], free_port()
     listening = make_server(Application(case.get("limits", {})))
     await listening.open([(IP, port)])
     reader, writer = await asyncio.open_connection(IP, port)
     try:
-        async with asyncio.timeout(SAFETY_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             for step in case["steps"]:
-                writer.write(latin(step["send"]))
+                writer.write(latin1_bytes(step["send"]))
                 if "until" in step:
-                    found.append(await reader.readuntil(latin(step["until"])))
+                    received.append(await reader.readuntil(latin1_bytes(step["until"])))
                 else:
-                    found.append(await reader.read(-1))
+                    received.append(await reader.read(-1))
     finally:
         writer.close()
         await listening.close(1.0)
-    return [part.decode("latin-1") for part in found]
+    return [part.decode("latin-1") for part in received]
 
 
-async def answered(case: dict) -> str:
-    """What a program that has just started, without a configuration, answers to a case's request."""
+async def program_response(case: dict) -> str:
+    """Return the response of a newly started program without a configuration to a case's request."""
     with tempfile.TemporaryDirectory() as folder:
         program, ports = make_program(case["role"], folder)
         listening, port = make_server(program.app), ports[case["port"]]
         await listening.open([(IP, port)])
         reader, writer = await asyncio.open_connection(IP, port)
         try:
-            async with asyncio.timeout(SAFETY_S):
-                writer.write(latin(case["send"]))
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                writer.write(latin1_bytes(case["send"]))
                 return (await reader.read(-1)).decode("latin-1")
         finally:
             writer.close()
@@ -223,7 +223,7 @@
 
 
 class RawPeer:
-    """Reads whole requests and answers each with the next script, over all of its connections."""
+    """Answers each complete request with the next script, whichever connection it arrives on."""
 
     def __init__(self, scripts: list[dict]) -> None:
         self.scripts, self.requests, self.connections, self.ended = list(scripts), [], 0, asyncio.Event()
@@ -235,10 +235,10 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 lines = [line.lower() for line in head.split(b"\r\n")]
                 size = sum(int(line[15:]) for line in lines if line.startswith(b"content-length:"))
-                whole = head + await reader.readexactly(size)
-                self.requests.append({"connection": number, "bytes": self.hide_port(whole)})
+                request = head + await reader.readexactly(size)
+                self.requests.append({"connection": number, "bytes": self.hide_port(request)})
                 script = self.scripts.pop(0)
-                writer.write(latin(script["write"]) + b"x" * script.get("filled", 0))
+                writer.write(latin1_bytes(script["write"]) + b"x" * script.get("filled", 0))
                 if script.get("end"):
                     return
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -246,78 +246,78 @@
         finally:
             writer.close()
 
-    def hide_port(self, whole: bytes) -> str:
-        return whole.decode("latin-1").replace(f"{IP}:{self.port}", f"{IP}:PORT")
+    def hide_port(self, request: bytes) -> str:
+        return request.decode("latin-1").replace(f"{IP}:{self.port}", f"{IP}:PORT")
 
     @asynccontextmanager
     async def listening(self) -> Any:
         self.port = free_port()
-        opened = await asyncio.start_server(self.serve, IP, self.port)
+        listener = await asyncio.start_server(self.serve, IP, self.port)
         try:
             yield self
         finally:
-            opened.close()
+            listener.close()
 
 
-async def calls(case: dict) -> dict:
-    """What a peer gets of a case's calls, and what the calls come to."""
+async def run_calls(case: dict) -> dict:
+    """Make a case's calls; return the requests that the peer receives, and the results."""
     caller, results = make_caller(), []
     async with RawPeer(case["answers"]).listening() as peer:
-        for one in case["calls"]:
-            given = one["path"], one["body"], one["within_s"], one["again"]
-            results.append(await call(caller, peer.port, *given))
+        for entry in case["calls"]:
+            arguments = entry["path"], entry["body"], entry["within_s"], entry["again"]
+            results.append(await call(caller, peer.port, *arguments))
     return {"requests": peer.requests, "results": results, "bytes": bytes_by_path(caller)}
 
 
-async def exchanges(case: dict) -> dict:
-    """What a peer gets of a case's exchanges on one connection, and what these come to."""
+async def run_exchanges(case: dict) -> dict:
+    """Make a case's exchanges on one connection; return the requests the peer receives, and the replies."""
     loop, replies = asyncio.get_running_loop(), []
     async with RawPeer(case["answers"]).listening() as peer:
-        opened = await open_connection(peer.port)
+        peer_connection = await open_connection(peer.port)
         for request in case["exchanges"]:
-            until = loop.time() + request["within_s"]
+            deadline = loop.time() + request["within_s"]
             if request.get("read_on"):
-                found = await read_next_reply(opened, until, request["hold"])
+                result = await read_next_reply(peer_connection, deadline, request["hold"])
             else:
-                found = await exchange(opened, request, until)
-            replies.append({**await reply_of(found), **state_of(opened)})
-        opened.close()
+                result = await exchange(peer_connection, request, deadline)
+            replies.append({**await describe_reply(result), **state_of(peer_connection)})
+        peer_connection.close()
     return {"requests": peer.requests, "replies": replies}
 
 
-def recorded(name: str) -> list[dict]:
+def recorded_cases(name: str) -> list[dict]:
     return json.loads((RECORDED / f"{name}.json").read_text())
 
 
-def named(name: str) -> dict:
-    """A test's parameters: each case under its name."""
-    cases = recorded(name)
+def parameters(name: str) -> dict:
+    """Return a test's parameters: the recorded cases and their names."""
+    cases = recorded_cases(name)
     return {"case": each(*cases), "name": each(*[case["name"] for case in cases])}
 
 
-@test("a listener's bytes stay: {name}")
-def _(case=named("rpc_server")["case"], name=named("rpc_server")["name"]):
-    assert asyncio.run(received(case)) == case["received"]
+@test("a listener sends the recorded bytes: {name}")
+def _(case=parameters("rpc_server")["case"], name=parameters("rpc_server")["name"]):
+    assert asyncio.run(received_by_client(case)) == case["received"]
 
 
-@test("a program's answer stays: {name}")
-def _(case=named("rpc_programs")["case"], name=named("rpc_programs")["name"]):
-    assert asyncio.run(answered(case)) == case["received"]
+@test("a program sends the recorded response: {name}")
+def _(case=parameters("rpc_programs")["case"], name=parameters("rpc_programs")["name"]):
+    assert asyncio.run(program_response(case)) == case["received"]
 
 
-@test("a call's bytes and result stay: {name}")
-def _(case=named("rpc_calls")["case"], name=named("rpc_calls")["name"]):
-    assert asyncio.run(calls(case)) == case["expected"]
+@test("a call has the recorded bytes and result: {name}")
+def _(case=parameters("rpc_calls")["case"], name=parameters("rpc_calls")["name"]):
+    assert asyncio.run(run_calls(case)) == case["expected"]
 
 
-@test("an exchange's bytes and reply stay: {name}")
-def _(case=named("rpc_exchanges")["case"], name=named("rpc_exchanges")["name"]):
-    assert asyncio.run(exchanges(case)) == case["expected"]
+@test("an exchange has the recorded bytes and reply: {name}")
+def _(case=parameters("rpc_exchanges")["case"], name=parameters("rpc_exchanges")["name"]):
+    assert asyncio.run(run_exchanges(case)) == case["expected"]
 
 
-@test("headers that concern one connection are left out as they were: {number}")
-def _(number=each(*range(len(recorded("rpc_headers"))))):
-    case = recorded("rpc_headers")[number]
-    headers = [(latin(name), latin(value)) for name, value in case["headers"]]
+@test("hop-by-hop headers are removed as recorded: {number}")
+def _(number=each(*range(len(recorded_cases("rpc_headers"))))):
+    case = recorded_cases("rpc_headers")[number]
+    headers = [(latin1_bytes(name), latin1_bytes(value)) for name, value in case["headers"]]
     kept = [[name.decode("latin-1"), value.decode("latin-1")] for name, value in end_to_end(headers)]
     assert kept == case["kept"]
