--- a/honeywood/gateway/rpc/request_context.py
+++ b/honeywood/gateway/rpc/request_context.py
@@ -30,4 +30,4 @@
     disconnect: ClientDisconnect = field(default_factory=ClientDisconnect)
     later_requests_begun: Callable[[], bool] = lambda: False
     received_at: float | None = None
-    early_response: asyncio.Future[Any] | None = None  # its result has a type of the application's
+    early_response: asyncio.Future[Any] | None = None  # the application chooses its type
--- a/honeywood/gateway/rpc/server.py
+++ b/honeywood/gateway/rpc/server.py
@@ -66,8 +66,7 @@
     async def close(self, timeout_s: float) -> None:
         """Stop accepting, close idle connections and wait until the responses to open requests are sent.
 
-        The wait matters because bytes that are still buffered when the program ends are lost. It ends after
-        `timeout_s` seconds.
+        Waiting ends after `timeout_s` seconds. Bytes that are still buffered when the program ends are lost.
         """
         for listener in self._listeners:
             listener.close()
