--- a/honeywood/gateway/proxy/controller_poller.py
+++ b/honeywood/gateway/proxy/controller_poller.py
@@ -105,10 +105,10 @@
         """A controller in quorum has answered a poll that was sent at `polled_at`."""
         if response.is_complete:  # else the end of a rollout's stage may be among what was not sent
             out_of_contact_s = polled_at - self.stage.controller_contact_at
-            if self.readiness.met_quorum and out_of_contact_s > MAX_DISCONNECTED_S:
+            if self.readiness.quorum_contacted and out_of_contact_s > MAX_DISCONNECTED_S:
                 self.revalidation.start()
             self.stage.controller_contact_at = polled_at
-        self.readiness.met_quorum = True
+        self.readiness.quorum_contacted = True
 
     def _interval_s(self) -> float:
         return poll_interval_s(
--- a/honeywood/gateway/proxy/readiness.py
+++ b/honeywood/gateway/proxy/readiness.py
@@ -16,8 +16,8 @@
 class Readiness:
     """A proxy is ready once it has a confirmed configuration and endpoints for it, until it stops.
 
-    `met_quorum` says whether a controller in contact with a majority of the others has answered: without
-    one the configuration may be that of a controller that is partitioned from the others.
+    `quorum_contacted` says whether a controller in contact with a majority of the others has answered:
+    without one the configuration may be that of a controller that is partitioned from the others.
     """
 
     def __init__(
@@ -34,14 +34,14 @@
         self.stopping = stopping
         self.contact_timeout_s = contact_timeout_s
         self.on_unconfirmed = on_unconfirmed
-        self.met_quorum = False
+        self.quorum_contacted = False
 
     def is_ready(self) -> bool:
         """Whether clients may be sent here."""
         table = self.configuration.table
         if self.stopping.is_set() or table is None:
             return False
-        if not self.met_quorum:
+        if not self.quorum_contacted:
             if self.configuration.age_s() < self.contact_timeout_s:
                 return False
             self.on_unconfirmed()
--- a/tests/gateway/controller/test_operator_calls.py
+++ b/tests/gateway/controller/test_operator_calls.py
@@ -517,7 +517,7 @@
         assert world.nodes["g"].ready
         world.heal()
         world.run(12.0)
-        assert world.version("g") == 6 and world.nodes["g"].readiness.met_quorum
+        assert world.version("g") == 6 and world.nodes["g"].readiness.quorum_contacted
     finally:
         world.close()
 
--- a/tests/gateway/dissemination/test_programs.py
+++ b/tests/gateway/dissemination/test_programs.py
@@ -184,7 +184,7 @@
         world.start("f")
         world.run(106.0)
         again = world.nodes["f"]
-        assert doubted is None and again.readiness.met_quorum and again.revalidation.started_at is None
+        assert doubted is None and again.readiness.quorum_contacted and again.revalidation.started_at is None
     finally:
         world.close()
 
--- a/tests/gateway/test_pinned_proxy.py
+++ b/tests/gateway/test_pinned_proxy.py
@@ -84,7 +84,7 @@
 
 
 def meet_quorum(proxy: Proxy) -> None:
-    proxy.readiness.met_quorum = True
+    proxy.readiness.quorum_contacted = True
 
 
 async def poll_once(proxy: Proxy) -> None:
