--- a/tests/gateway/call_scenario.py
+++ b/tests/gateway/call_scenario.py
@@ -43,14 +43,14 @@
         self.served = False  # whether nothing keeps a request from being served
         asyncio.set_event_loop(self.loop)
         given = settings("f", tolerated_failures=0), None, self.loop.time, self.loop.time
-        self.proxy, self.ran, self.answers = Proxy(*given, random=Random(1), log=SilentLog()), Counter(), {}
+        self.proxy, self.runs, self.answers = Proxy(*given, random=Random(1), log=SilentLog()), Counter(), {}
         self.proxy.records.apply("config", json.dumps(config(5, kind=kind)))
         for id in "mn":
             self.proxy.records.apply(f"machine/{id}", machine(id))
 
     def serve(self, line, request):
         id = id_of(request)
-        self.ran[id] += 1
+        self.runs[id] += 1
         script, self.script = self.script, self.script if self.every else None
         if script is not None:
             script(line, id)
@@ -92,13 +92,13 @@
         self.proxy.invariants.check(self.loop.time())
         found = [f"{count} x {what}" for what, count in self.proxy.invariants.violations.items()]
         for id, (status, body, took) in self.answers.items():
-            if self.kind == "unsafe" and self.ran[id] > 1:
-                found.append(f"{id} ran {self.ran[id]} times")
-            if self.served and (status != 200 or self.ran[id] != 1):
+            if self.kind == "unsafe" and self.runs[id] > 1:
+                found.append(f"{id} ran {self.runs[id]} times")
+            if self.served and (status != 200 or self.runs[id] != 1):
                 found.append(f"{id} got {status} though nothing of it was lost")
             if status == 200 and body != id[-2:]:
                 found.append(f"{id} got {body}")
-            if status in NOT_RUN_STATUSES and self.ran[id]:
+            if status in NOT_RUN_STATUSES and self.runs[id]:
                 found.append(f"{id} was refused and ran")
             if id in self.still_out:
                 found.append(f"{id} was refused with a machine at work")
--- a/tests/gateway/proxy/test_attempt_sender.py
+++ b/tests/gateway/proxy/test_attempt_sender.py
@@ -17,13 +17,13 @@
         own_after and line.loop.call_later(own_after * STEP, line.say, good(id))
 
     def once(line, id):
-        script(line, id) if scenario.ran[id] == 1 else line.loop.call_later(9 * STEP, line.say, good(id))
+        script(line, id) if scenario.runs[id] == 1 else line.loop.call_later(9 * STEP, line.say, good(id))
 
     scenario = CallScenario(kind, once, every=True)
     scenario.method = method
     broken = scenario.play(b"a1", b"a2", b"a3")
     status, _, took = scenario.answers[b"a2"]
-    return broken, status, round(took / STEP), scenario.ran[b"a2"]
+    return broken, status, round(took / STEP), scenario.runs[b"a2"]
 
 
 @test("{count} surplus responses, a {kind} request's own after {own} steps: {status} after {steps} steps")
--- a/tests/gateway/proxy/test_forwarding_enumeration.py
+++ b/tests/gateway/proxy/test_forwarding_enumeration.py
@@ -24,7 +24,7 @@
 
             def script(line, id, n=n, how=how, scenario=scenario):
                 if n == len(whole) and b"X-Not-Run" in whole:
-                    scenario.ran[id] -= 1
+                    scenario.runs[id] -= 1
                 line.say(whole[:n])
                 if how:
                     line.loop.call_later(STEP, getattr(line, how))
@@ -136,10 +136,10 @@
             scenario = CallScenario(kind)
 
             def script(line, id, late=late, first=first, scenario=scenario):
-                if id == b"a1" or scenario.ran[id] > 1:
-                    scenario.ran[id] -= id != b"a1"
+                if id == b"a1" or scenario.runs[id] > 1:
+                    scenario.runs[id] -= id != b"a1"
                     return line.say(good(id) if id == b"a1" else FULL % id)
-                scenario.ran[id] -= first not in (good, None)
+                scenario.runs[id] -= first not in (good, None)
                 return first and line.loop.call_later(late / 1000, line.say, first(id))
 
             scenario.script, scenario.every = script, True
--- a/tests/gateway/proxy/test_forwarding_limits.py
+++ b/tests/gateway/proxy/test_forwarding_limits.py
@@ -24,7 +24,7 @@
             scenario.loop.call_soon(client.say, whole[:n])
             scenario.loop.call_later(3 * STEP, client.close)
             client.run(3.0)
-            assert scenario.ran == Counter({b"a1": 1} if n >= len(whole) // 2 else {})
+            assert scenario.runs == Counter({b"a1": 1} if n >= len(whole) // 2 else {})
             assert not scenario.broken()
 
 
@@ -36,7 +36,7 @@
     body = b"POST /p0/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: %s\r\nContent-Length: 2\r\n\r\nok"
     client.say(body % b"a1" + body % b"a2")
     assert client.run(TIMEOUT + 0.2).out.count(b"HTTP/1.1 ") == 2
-    assert b"a2" not in scenario.ran
+    assert b"a2" not in scenario.runs
 
 
 @test("a long answer that trickles is ended within a quarter of a second of its route's timeout_s")
@@ -101,7 +101,7 @@
     def forgetful(line, id):
         now, rested = line.loop.time(), line.loop.time() - getattr(line, "last", line.loop.time())
         line.last = now
-        scenario.ran[id] -= rested > 0.3
+        scenario.runs[id] -= rested > 0.3
         line.reset() if rested > 0.3 else line.say(good(id))
 
     scenario.script, scenario.every = forgetful, True
@@ -149,4 +149,4 @@
     brief = config(6, kind="unsafe")
     brief["res"][0]["spec"]["timeout_s"] = 0.15
     scenario.proxy.records.apply("config", json.dumps(brief))
-    assert not scenario.play(b"a1") and scenario.answers[b"a1"][0] == 503 and not scenario.ran
+    assert not scenario.play(b"a1") and scenario.answers[b"a1"][0] == 503 and not scenario.runs
--- a/tests/gateway/rpc/test_protocol.py
+++ b/tests/gateway/rpc/test_protocol.py
@@ -18,7 +18,7 @@
         client.run(1.0)
         assert client.ids == [b"a1", b"a2", b"a3"] and client.out.count(b"200 OK") == 3
         assert all(b"\r\n\r\n" + id in client.out for id in client.ids)
-        assert set(scenario.ran.values()) == {1}
+        assert set(scenario.runs.values()) == {1}
 
 
 @test("what stands behind a response that closes the connection, {why}, has not run")
@@ -30,7 +30,7 @@
     close = b"" if "proxy" in why else b"Connection: close\r\n"
     scenario.loop.call_soon(client.say, REQUEST % (method, b"a1", close) + REQUEST % (method, b"a2", b""))
     client.run(1.0)
-    assert client.ids == [b"a1"] and scenario.ran == {b"a1": 1} and client.closing
+    assert client.ids == [b"a1"] and scenario.runs == {b"a1": 1} and client.closing
 
 
 @test("requests begun behind another when the proxy stops, {how}, are answered before the connection ends")
@@ -50,7 +50,7 @@
     client.say(REQUEST % (b"GET", b"a4", b""))
     client.run(1.0)
     assert client.ids == [b"a1", b"a2", b"a3"] and client.closing
-    assert scenario.ran == {b"a1": 1, b"a2": 1, b"a3": 1}
+    assert scenario.runs == {b"a1": 1, b"a2": 1, b"a3": 1}
 
 
 @test("idle_s {before}, then {after}: an idle connection is open after {at} s: {is_open}")
