--- a/honeywood/gateway/proxy/controller_poller.py
+++ b/honeywood/gateway/proxy/controller_poller.py
@@ -53,7 +53,7 @@
     subscription: UpdateSubscription
     peers: KnownPeers
     fleet: FleetSize
-    stage: RolloutTrafficPolicy
+    traffic_policy: RolloutTrafficPolicy
     reports: RolloutReports
     readiness: Readiness
     revalidation: MachineRevalidation
@@ -104,15 +104,15 @@
     def _record_contact(self, polled_at: float, response: PollResponse) -> None:
         """A controller in quorum has answered a poll that was sent at `polled_at`."""
         if response.is_complete:  # else the end of a rollout's stage may be among what was not sent
-            out_of_contact_s = polled_at - self.stage.controller_contact_at
+            out_of_contact_s = polled_at - self.traffic_policy.controller_contact_at
             if self.readiness.quorum_contacted and out_of_contact_s > MAX_DISCONNECTED_S:
                 self.revalidation.start()
-            self.stage.controller_contact_at = polled_at
+            self.traffic_policy.controller_contact_at = polled_at
         self.readiness.quorum_contacted = True
 
     def _interval_s(self) -> float:
         return poll_interval_s(
-            self.stage.has_active_rollout,
+            self.traffic_policy.has_active_rollout,
             self.fleet.count(),
             len(self.peers.controllers),
             self.random.random(),
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -91,7 +91,7 @@
         self.configuration = ActiveConfiguration(self.clock)
         self.endpoints = EndpointTable()
         self.fleet = FleetSize(self.clock)
-        self.stage = RolloutTrafficPolicy(
+        self.traffic_policy = RolloutTrafficPolicy(
             self.endpoints, bounds.canary_share, bounds.canary_slack, self.fleet.count
         )
         self.readiness = Readiness(
@@ -108,9 +108,11 @@
         budgets = RetryBudgets(bounds.retry_ratio, bounds.retry_slack, bounds.retry_win_s)
         self.counters = RequestCounters()
         self.pool = ConnectionPool(self.clock, connect)
-        self.policy = AttemptPolicy(budgets.of, self.fleet.count, self.stage, self.endpoints.max_connections)
+        self.policy = AttemptPolicy(
+            budgets.of, self.fleet.count, self.traffic_policy, self.endpoints.max_connections
+        )
         self.selector = EndpointSelector(
-            self.clock, self.random, self.settings.zone, self.endpoints, self.policy, self.stage
+            self.clock, self.random, self.settings.zone, self.endpoints, self.policy, self.traffic_policy
         )
         self.invariants = InvariantChecks(self, self._log_violation)
         self.forwarder = Forwarder(
@@ -119,7 +121,7 @@
             self.selector,
             self.endpoints,
             self.policy,
-            self.stage,
+            self.traffic_policy,
             self.pool,
             budgets.of,
             self.counters,
@@ -140,12 +142,12 @@
             self.configuration,
             self.endpoints,
             self.pool,
-            self.stage,
+            self.traffic_policy,
             self.retired_machines,
             self.peers,
             lambda: self.log.info("configuration"),
         )
-        self.reports = RolloutReports(self.stage, self.clock, s.node, self.incarnation, store)
+        self.reports = RolloutReports(self.traffic_policy, self.clock, s.node, self.incarnation, store)
         self.assembler = ChunkAssembler()
         subscriber = Subscriber(
             store,
@@ -174,7 +176,7 @@
             self.subscription,
             self.peers,
             self.fleet,
-            self.stage,
+            self.traffic_policy,
             self.reports,
             self.readiness,
             self.revalidation,
--- a/honeywood/gateway/proxy/record_handler.py
+++ b/honeywood/gateway/proxy/record_handler.py
@@ -32,7 +32,7 @@
         configuration: ActiveConfiguration,
         endpoints: EndpointTable,
         pool: ConnectionPool,
-        stage: RolloutTrafficPolicy,
+        traffic_policy: RolloutTrafficPolicy,
         retired_machines: RetiredMachines,
         peers: KnownPeers,
         on_configuration: Callable[[], None],
@@ -42,7 +42,7 @@
         self.configuration = configuration
         self.endpoints = endpoints
         self.pool = pool
-        self.stage = stage
+        self.traffic_policy = traffic_policy
         self.retired_machines = retired_machines
         self.peers = peers
         self.on_configuration = on_configuration
@@ -55,7 +55,7 @@
         elif kind == RecordKind.MACHINE:
             self._apply_machine(name, value)
         elif kind == RecordKind.ROLLOUT:
-            self.stage.update(self.clock(), rollout_record.decode(value))
+            self.traffic_policy.update(self.clock(), rollout_record.decode(value))
         elif kind == RecordKind.CONTROLLER:
             self.peers.add_controllers([name])
 
--- a/honeywood/gateway/proxy/rollout_reports.py
+++ b/honeywood/gateway/proxy/rollout_reports.py
@@ -21,14 +21,14 @@
 
     def __init__(
         self,
-        stage: RolloutTrafficPolicy,
+        traffic_policy: RolloutTrafficPolicy,
         clock: Callable[[], float],
         node: str,
         incarnation: str,
         store: Store,
     ) -> None:
         """`store` supplies the epoch that each record carries."""
-        self.stage = stage
+        self.traffic_policy = traffic_policy
         self.clock = clock
         self.store = store
         self.key = RecordKind.PROXY_COUNTS.key(node, incarnation)
@@ -40,7 +40,7 @@
 
     def records_for(self, controller: str) -> list[Record]:
         """The record that a controller lacks, in a list; an empty list where it has the newest."""
-        encoded = report.encode(self.stage.report(self.clock()))
+        encoded = report.encode(self.traffic_policy.report(self.clock()))
         self._number(encoded)
         if self.acknowledged.get(controller, 0) >= self.number:
             return []
--- a/tests/gateway/dissemination/test_epochs.py
+++ b/tests/gateway/dissemination/test_epochs.py
@@ -255,7 +255,7 @@
 
     def count(name):
         told = ProxyReport((OutcomeCounts("s", "r", "v1", 0, 9, ()),), {})
-        world.nodes[name].stage.report = lambda now: told
+        world.nodes[name].traffic_policy.report = lambda now: told
 
     try:
         for name in "abcf":
--- a/tests/gateway/dissemination/test_programs.py
+++ b/tests/gateway/dissemination/test_programs.py
@@ -67,7 +67,7 @@
         assert sum(12 <= at < 14 for at in calls) < 40, "without backoff 400 and more"
         refuse[0] = False
         world.run(15.2)
-        assert world.loop.time() - world.nodes["f"].stage.controller_contact_at < 0.6
+        assert world.loop.time() - world.nodes["f"].traffic_policy.controller_contact_at < 0.6
     finally:
         world.close()
 
@@ -115,7 +115,7 @@
     try:
         front = world.nodes["f"]
         told = ProxyReport((OutcomeCounts("s", "r", "v1", 0, 9, ()),), {"s": RolloutStatus(1, 0, None, 2.0)})
-        front.stage.report = lambda now: told
+        front.traffic_policy.report = lambda now: told
         world.run(6.0)
         held = {name: world.nodes[name].store.get(f"count/f/{front.incarnation}") for name in "abc"}
         assert all(note and note["rows"][0][4] == 9 for note in held.values()), held
@@ -170,7 +170,7 @@
     world = met("f", until=100.0)
     try:
         front = world.nodes["f"]
-        before, doubted = front.stage.controller_contact_at, front.revalidation.started_at
+        before, doubted = front.traffic_policy.controller_contact_at, front.revalidation.started_at
 
         async def call(*given, **more):
             await asyncio.sleep(0.01)
@@ -179,7 +179,7 @@
 
         front.caller.call = call
         world.run(104.0)
-        assert (front.stage.controller_contact_at > before + 3.0) == renewed
+        assert (front.traffic_policy.controller_contact_at > before + 3.0) == renewed
         world.kill("f")
         world.start("f")
         world.run(106.0)
