--- a/honeywood/gateway/proxy/__init__.py
+++ b/honeywood/gateway/proxy/__init__.py
@@ -1,4 +1,4 @@
-"""The program on edge machines: takes clients' requests, passes them to machines, and answers.
+"""The program on edge machines: forwards clients' requests to service machines, and relays the responses.
 
-Start reading at program.py, then forwarding.py (the life of a request).
+Start reading at program.py, then forwarder.py (how a request is forwarded).
 """
--- a/honeywood/gateway/proxy/active_configuration.py
+++ b/honeywood/gateway/proxy/active_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that a proxy goes by."""
+"""The configuration that is in effect at a proxy."""
 
 from __future__ import annotations
 
@@ -13,20 +13,22 @@
 
 
 class ActiveConfiguration:
-    """The newest configuration received.
+    """The newest configuration that the proxy has received.
 
-    `table` is None until there is one; `limits` bound what clients may send.
+    `table` holds its routes and is None until a configuration has been received. `limits` are the limits on
+    clients' requests and connections. `first_activated_at` is when the first one took effect, None
+    before.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """No configuration has been received."""
+        """Starts without a configuration; `clock` returns monotonic seconds."""
         self.clock = clock
         self.table: RouteTable | None = None
         self.limits = Limits()
         self.first_activated_at: float | None = None
 
     def activate(self, configuration: Configuration) -> None:
-        """Another version takes effect."""
+        """Puts another version of the configuration into effect."""
         self.table = RouteTable(configuration)
         self.limits = configuration.limits
         if self.first_activated_at is None:
@@ -34,14 +36,14 @@
 
     @property
     def version(self) -> int | None:
-        """The version in effect, or None."""
+        """The version in effect, or None without a configuration."""
         return None if self.table is None else self.table.version
 
     @property
     def version_text(self) -> str | None:
-        """The version in hexadecimal digits, as operators write it."""
+        """The version as eight hexadecimal digits, the form that operators use, or None."""
         return None if self.version is None else f"{self.version:08x}"
 
     def age_s(self) -> float:
-        """The seconds since the first configuration took effect; 0 where there is none."""
+        """Returns the seconds since the first configuration took effect, 0 without one."""
         return 0.0 if self.first_activated_at is None else self.clock() - self.first_activated_at
--- a/honeywood/gateway/proxy/app.py
+++ b/honeywood/gateway/proxy/app.py
@@ -1,4 +1,4 @@
-"""The proxy's ASGI application: hands each request to the handler of its listener."""
+"""The proxy's ASGI application: passes each request to the handler of its listener."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class App:
-    """What the HTTP server calls for each request on any of the proxy's listeners.
+    """The application that the HTTP server calls for each request on any of the proxy's listeners.
 
-    `ready_port` and `peer_port` are those of the platform's readiness checks and of other proxies; what comes
-    neither there nor to the metrics endpoint is a client's.
+    `ready_port` receives the platform's readiness checks and `peer_port` the polls of other proxies. Requests
+    that come neither there nor to the metrics endpoint are those of clients.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         ready_port: int,
         peer_port: int,
     ) -> None:
-        """The application of one proxy."""
+        """Builds the application of one proxy."""
         self.configuration = configuration
         self.clients = clients
         self.peers = peers
@@ -55,7 +55,7 @@
 
     @property
     def limits(self) -> Limits:
-        """The limits on clients in effect; the server reads them."""
+        """The limits on clients that are in effect; the HTTP server reads them."""
         return self.configuration.limits
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -74,14 +74,15 @@
         context = scope[CONTEXT]
         early = context.early_response
         response = await (early if early is not None else self.clients.handle(scope, receive))
-        # Pipelined requests that have begun are answered before a stopping proxy closes the connection.
+        # A stopping proxy answers the pipelined requests that it has started before it closes the connection.
         close = self.stopping.is_set() and not context.others_begun()
         await self.writer.write(send, response, context.disconnect, close)
 
     def begin_early(self, scope: Scope) -> asyncio.Task[ClientResponse] | None:
-        """Starts a pipelined request early; None where it has to wait for its turn.
+        """Starts a pipelined request early; returns None if it has to wait for its turn.
 
-        A stopping proxy starts none: what follows a response that closes the connection isn't read.
+        A stopping proxy starts none, because requests behind a response that closes the connection are not
+        read.
         """
         if self.stopping.is_set() or scope["server"][1] in (self.ready_port, self.peer_port):
             return None
--- a/honeywood/gateway/proxy/attempt_in_flight.py
+++ b/honeywood/gateway/proxy/attempt_in_flight.py
@@ -1,4 +1,4 @@
-"""An attempt from the choice of its endpoint to its result."""
+"""The state of an attempt while it is in flight, and its result."""
 
 from __future__ import annotations
 
@@ -20,9 +20,15 @@
 class AttemptInFlight:
     """An attempt that has not ended.
 
-    `connection_reused`: the connection was kept from an earlier exchange. `record` is the Attempt that the
-    request lists, None while nothing has been sent. `reply` is the exchange's latest result. `continues`:
-    a task goes on reading after `AttemptSender.send` has returned.
+    Attributes:
+        request: The request that is attempted.
+        endpoint: The endpoint that was selected for the attempt.
+        connection: The connection in use, None until one is available.
+        connection_reused: Whether the connection was kept from an earlier exchange.
+        record: The entry in `request.attempts`, None while nothing has been sent.
+        sent_at: When the exchange started, in seconds on the sender's clock.
+        reply: The latest result of the exchange.
+        continues: Whether a task continues to read after `AttemptSender.send` has returned.
     """
 
     request: PendingRequest
@@ -36,17 +42,17 @@
 
     @property
     def was_abandoned(self) -> bool:
-        """Whether it was ended since its client has left."""
+        """Whether the attempt was ended because its client disconnected."""
         return self.record is not None and self.record.outcome is AttemptOutcome.ABANDONED
 
     def record_outcome(self, outcome: AttemptOutcome) -> None:
-        """Sets the outcome that the request's list shows."""
+        """Sets the outcome in the request's list of attempts, if the attempt has an entry there."""
         if self.record is not None:
             self.record.outcome = outcome
 
     @property
     def holds_connection(self) -> bool:
-        """Whether it has a connection that has not ended."""
+        """Whether the attempt has a connection that has not ended."""
         return self.connection is not None and not self.connection.ended
 
 
@@ -54,7 +60,8 @@
 class AttemptResult:
     """How an attempt ended, with the endpoint's response if there is one.
 
-    With `continuation` it has not ended: that task's result is the AttemptResult, and `outcome` is None.
+    If `continuation` is set, the attempt is still in flight: `outcome` is None, and the task's result will be
+    the final AttemptResult.
     """
 
     outcome: AttemptOutcome | None
--- a/honeywood/gateway/proxy/attempt_sender.py
+++ b/honeywood/gateway/proxy/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Carries out attempts: one exchange of a request with one endpoint."""
+"""Carries out attempts. An attempt is one exchange of a request with one endpoint."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     from honeywood.gateway.rpc.connection import Connection
 
     class OutcomeObserver(Protocol):
-        """The part of a rollout's stage that counts outcomes."""
+        """The part of the rollout traffic policy that counts outcomes."""
 
         def record_outcome(
             self,
@@ -37,16 +37,18 @@
             outcome: AttemptOutcome,
             latency_s: float,
         ) -> None:
-            """An attempt has ended."""
+            """Records that an attempt ended with `outcome` after `latency_s` seconds."""
 
 
-LATE_RESPONSE_S = 0.05  # after the deadline, in which an endpoint's own 504 still saves its connection
+# After the deadline, in which a response is still read. Otherwise an endpoint's own 504 that is sent at the
+# deadline would cost its connection.
+LATE_RESPONSE_GRACE_S = 0.05
 RUN_OUTCOMES = (AttemptOutcome.SUCCESS, AttemptOutcome.FAILURE)
-OWN_RESPONSE_OUTCOMES = (*RUN_OUTCOMES, AttemptOutcome.NOT_RUN)
+MATCHING_RESPONSE_OUTCOMES = (*RUN_OUTCOMES, AttemptOutcome.NOT_RUN)
 
 
 class AttemptSender:
-    """Makes attempts, and reports their results to the endpoint, the pool, the rollout and the counters."""
+    """Makes attempts and records their results at the endpoint, the pool, the rollout and the counters."""
 
     def __init__(
         self,
@@ -56,25 +58,29 @@
         observer: OutcomeObserver,
         pool: ConnectionPool,
         counters: RequestCounters,
-        on_idle: Callable[[PendingRequest], None],
+        on_last_attempt_ended: Callable[[PendingRequest], None],
         on_attempt: Callable[[PendingRequest], None],
     ) -> None:
-        """`on_attempt` is called before each attempt, `on_idle` when a request's last one in flight ends."""
+        """Builds the sender.
+
+        `on_attempt` is called before each attempt, `on_last_attempt_ended` when a request has no attempt in
+        flight any more.
+        """
         self.clock = clock
         self.endpoints = endpoints
         self.policy = policy
         self.observer = observer
         self.pool = pool
         self.counters = counters
-        self.on_idle = on_idle
+        self.on_last_attempt_ended = on_last_attempt_ended
         self.on_attempt = on_attempt
         self.in_flight: dict[PendingRequest, list[AttemptInFlight]] = {}
-        self._tasks: set[asyncio.Task[AttemptResult]] = set()  # the loop itself keeps weak references only
+        self._tasks: set[asyncio.Task[AttemptResult]] = set()  # the event loop has only weak references
 
     def start(
         self, request: PendingRequest, endpoint: Endpoint, outgoing: OutgoingRequest
     ) -> asyncio.Task[AttemptResult]:
-        """A task that runs `send`."""
+        """Starts a task that runs `send`."""
         return self._start_task(self.send(request, endpoint, outgoing))
 
     def _start_task(self, work: Coroutine[Any, Any, AttemptResult]) -> asyncio.Task[AttemptResult]:
@@ -84,9 +90,10 @@
         return task
 
     def abandon(self, request: PendingRequest) -> None:
-        """Ends the attempts of an idempotent request whose client has left.
+        """Ends the attempts of an idempotent request whose client has disconnected.
 
-        An attempt that waits for its connection is ended by the policy instead, and the connection is kept.
+        An attempt that still waits for its connection is not ended here: the policy rejects it once the
+        connection is established, and the connection is kept.
         """
         for attempt in self.in_flight.get(request, ()):
             if attempt.record is None or attempt.record.outcome is not None:
@@ -99,7 +106,10 @@
     async def send(
         self, request: PendingRequest, endpoint: Endpoint, outgoing: OutgoingRequest
     ) -> AttemptResult:
-        """Makes one attempt. Nothing is sent if the policy rejects it once the connection is established."""
+        """Makes one attempt.
+
+        Nothing is sent if the policy rejects the attempt after its connection was established.
+        """
         attempt = AttemptInFlight(request, endpoint)
         self.in_flight.setdefault(request, []).append(attempt)
         endpoint.attempt_started(self.clock())
@@ -114,18 +124,18 @@
                 self._finish(attempt)
 
     async def _exchange(self, attempt: AttemptInFlight, outgoing: OutgoingRequest) -> bool:
-        """Whether anything was sent.
+        """Exchanges the request with the endpoint; returns whether anything was sent.
 
-        A kept connection that ended before anything was sent on it is no part of the attempt, which goes on
-        with the next.
+        If a kept connection turns out to have ended before anything was sent on it, the attempt continues
+        with the next connection.
         """
         request, endpoint = attempt.request, attempt.endpoint
         while (connection := await self._connect(attempt)) is not None:
             now = self.clock()
-            if not request.route.idempotent:  # can't be taken back once sent
+            if not request.route.idempotent:  # it can't be withdrawn once it has been sent
                 request.disconnect.check(now)
             if self.policy.rejection(now, request, endpoint, connected=True) is not None:
-                return False  # by what has changed while the connection was established
+                return False  # the state changed while the connection was established
             self.on_attempt(request)
             record = attempt.record = self.policy.record_attempt(now, request, endpoint)
             attempt.sent_at, idle_s = now, now - connection.idle_since
@@ -134,7 +144,7 @@
                 outgoing.target,
                 outgoing.headers_for(endpoint, request.deadline - now),
                 outgoing.body,
-                request.deadline + LATE_RESPONSE_S,
+                request.deadline + LATE_RESPONSE_GRACE_S,
                 expected_header=(TRY_ID_HEADER, request.try_id),
             )
             if not (attempt.connection_reused and isinstance(reply, ExchangeFailure)):
@@ -148,38 +158,41 @@
         return False
 
     async def _connect(self, attempt: AttemptInFlight) -> Connection | None:
-        """Gives the attempt a kept connection or a new one; None where the endpoint is unreachable."""
+        """Returns the attempt's connection, a kept one or a new one; None if the endpoint is unreachable."""
         endpoint = attempt.endpoint
         attempt.connection, attempt.connection_reused = self.pool.take_idle(endpoint), True
         if attempt.connection is None:
-            until = connect_deadline(self.clock(), attempt.request)
-            attempt.connection, attempt.connection_reused = await self.pool.open(endpoint, until), False
+            deadline = connect_deadline(self.clock(), attempt.request)
+            attempt.connection, attempt.connection_reused = await self.pool.open(endpoint, deadline), False
         if attempt.connection is None:
             endpoint.eject(self.clock())
             attempt.request.unreachable.append(endpoint)
         return attempt.connection
 
     def _continue_reading(self, attempt: AttemptInFlight) -> AttemptResult:
-        """A response to another request came first. The endpoint has this one, so its own may follow."""
+        """Continues to read after a response to another request.
+
+        The endpoint has received this request, so the response to it may still follow.
+        """
         attempt.continues = True
         self.counters.surplus_response()
         attempt.endpoint.eject(self.clock())
         return AttemptResult(None, None, self._start_task(self._read_past_surplus(attempt)))
 
     async def _read_past_surplus(self, attempt: AttemptInFlight) -> AttemptResult:
-        """The AttemptResult by the response that follows surplus ones."""
-        until = attempt.request.deadline + LATE_RESPONSE_S
+        """Reads past surplus responses; returns the result by the response that follows them."""
+        deadline = attempt.request.deadline + LATE_RESPONSE_GRACE_S
         try:
             while isinstance(attempt.reply, Reply) and attempt.reply.surplus and attempt.connection:
-                attempt.reply = await attempt.connection.read_on(until)
+                attempt.reply = await attempt.connection.read_on(deadline)
             result = self._conclude(attempt)
-            self.counters.attempt_after_surplus_ended(result.outcome in OWN_RESPONSE_OUTCOMES)
+            self.counters.attempt_after_surplus_ended(result.outcome in MATCHING_RESPONSE_OUTCOMES)
             return result
         finally:
             self._finish(attempt)
 
     def _conclude(self, attempt: AttemptInFlight) -> AttemptResult:
-        """The AttemptResult by the exchange's last result."""
+        """Returns the attempt's result by the last reply or failure of its exchange."""
         now = self.clock()
         elapsed_s = now - attempt.sent_at
         if attempt.was_abandoned:
@@ -189,14 +202,14 @@
         attempt.record_outcome(outcome)
         self.observer.record_outcome(now, attempt.request, attempt.endpoint, outcome, elapsed_s)
         if outcome is AttemptOutcome.INVALID and attempt.connection is not None:
-            attempt.connection.close()  # the response to this request may still come, and must meet no other
+            attempt.connection.close()  # a late response must not be taken for another request's
         reply = attempt.reply if isinstance(attempt.reply, Reply) else None
         if attempt.request.finished and reply is not None and reply.remainder is not None:
-            reply.remainder.abandon()  # the client has got another attempt's response
+            reply.remainder.abandon()  # the client was sent another attempt's response
         return AttemptResult(outcome, reply)
 
     def _evaluate(self, attempt: AttemptInFlight, now: float) -> AttemptOutcome:
-        """The outcome by the exchange's last result; the endpoint's health and latency are updated by it."""
+        """Returns the outcome, and updates the endpoint's health and latency by it."""
         reply, endpoint = attempt.reply, attempt.endpoint
         if not isinstance(reply, Reply):
             if reply is not None and not reply.timed_out:
@@ -211,7 +224,7 @@
         return outcome
 
     def _finish(self, attempt: AttemptInFlight) -> None:
-        """An attempt is over, however it ended."""
+        """Releases what the attempt holds, whichever way it ended."""
         self._remove(attempt)
         self._count_work_after_disconnect(attempt)
         if attempt.record is not None and attempt.record.outcome is None:
@@ -226,16 +239,16 @@
         attempts.remove(attempt)
         if not attempts:
             del self.in_flight[attempt.request]
-            self.on_idle(attempt.request)
+            self.on_last_attempt_ended(attempt.request)
 
     def _count_work_after_disconnect(self, attempt: AttemptInFlight) -> None:
-        """Counts for how long an endpoint had an attempt after its client had left."""
+        """Counts how long the attempt stayed at the endpoint after the client's disconnect."""
         left_at = attempt.request.disconnect.disconnected_at
         if left_at is not None and attempt.record is not None:
             self.counters.attempt_outlived_client(attempt.request, self.clock() - left_at)
 
     def progress_of(self, request: PendingRequest) -> RequestProgress:
-        """How far a request has come."""
+        """Returns how far a request has come."""
         if any(attempt.record is not None for attempt in self.in_flight.get(request, ())):
             return RequestProgress.AT_ENDPOINT
         return RequestProgress.ATTEMPTED if request.attempts else RequestProgress.WAITING
--- a/honeywood/gateway/proxy/client_handler.py
+++ b/honeywood/gateway/proxy/client_handler.py
@@ -1,4 +1,4 @@
-"""Clients' requests: route, tenant and body are checked, then the request is forwarded."""
+"""Handles clients' requests: checks route, API key and body, then forwards the request."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     from honeywood.gateway.routing.route_table import RouteTable
     from honeywood.gateway.rpc.asgi import Receive, Scope
 
-CHALLENGE = (b"www-authenticate", b"ApiKey")  # 401 names how to authenticate (RFC 9110, 15.5.2)
+CHALLENGE = (b"www-authenticate", b"ApiKey")  # required in a 401 response (RFC 9110, 15.5.2)
 
 
 class ClientHandler:
@@ -40,14 +40,14 @@
     def __init__(
         self, configuration: ActiveConfiguration, forwarder: Forwarder, counters: RequestCounters
     ) -> None:
-        """`counters` count what is rejected here."""
+        """Builds the handler; `counters` count the requests that it rejects."""
         self.configuration = configuration
         self.forwarder = forwarder
         self.counters = counters
-        self._tasks: set[asyncio.Task[ClientResponse]] = set()  # the loop itself keeps weak references only
+        self._tasks: set[asyncio.Task[ClientResponse]] = set()  # the event loop has only weak references
 
     async def handle(self, scope: Scope, receive: Receive) -> ClientResponse:
-        """The response to a request whose body may still have to be read."""
+        """Returns the response to a request, whose body is read first."""
         table = self.configuration.table
         if table is None:
             return self._reject(UNAVAILABLE, "no configuration yet", NO_CONFIGURATION_RETRY_AFTER_S)
@@ -68,9 +68,9 @@
         return await self._forward(scope, fields, route, admission, body)
 
     def begin_early(self, scope: Scope) -> asyncio.Task[ClientResponse] | None:
-        """Starts a pipelined request before those in front of it are answered.
+        """Starts a pipelined request before the requests in front of it are answered.
 
-        Only an idempotent request without a body; None for any other.
+        Returns None for a request that is not idempotent or has a body, or that would be rejected.
         """
         fields, table = dict(scope["headers"]), self.configuration.table
         if fields.get(b"content-length", b"0") != b"0" or b"transfer-encoding" in fields or table is None:
@@ -88,7 +88,7 @@
         return task
 
     def _reject(self, status: int, reason: str, retry_after_s: float | None = None) -> ClientResponse:
-        """The response to a request that is not forwarded, counted by its reason."""
+        """Returns the response to a request that is not forwarded, and counts the request by `reason`."""
         self.counters.not_forwarded(reason)
         return local_response(status, reason, retry_after_s)
 
@@ -107,7 +107,7 @@
             admission,
         )
         response = await self.forwarder.forward(route, request)
-        if response.remainder is not None and route.idempotent:  # may wait long for pipelined predecessors
+        if response.remainder is not None and route.idempotent:  # it may wait for pipelined responses
             context.disconnect.subscribe(response.remainder.abandon)
         return response
 
@@ -117,7 +117,7 @@
 
 
 def _admit(table: RouteTable, route: Route, scope: Scope) -> Admission | None:
-    """The Admission of a request on `route`; None where it lacks a known key."""
+    """Returns the Admission of a request on `route`, None if it needs a known key and has none."""
     if table.tenants is None:
         return ADMITTED_WITHOUT_TENANTS
     return table.tenants.admit(scope["headers"], route.public)
--- a/honeywood/gateway/proxy/client_request.py
+++ b/honeywood/gateway/proxy/client_request.py
@@ -1,4 +1,4 @@
-"""A client's complete request, and the form in which it is forwarded to endpoints."""
+"""A client's complete request, and the request that is forwarded to endpoints."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 DEADLINE_HEADER = b"x-deadline-ms"
 INSTANCE_HEADER = b"x-want-instance"
 NO_DEADLINE_MS = b"86400000"  # a day, far beyond any route's time-out
-REWRITTEN_HEADERS = (DEADLINE_HEADER, INSTANCE_HEADER, b"content-length")  # an endpoint gets the proxy's own
-ANSWERED_HEADERS = (b"expect",)  # the proxy has sent 100 Continue itself
+REWRITTEN_HEADERS = (DEADLINE_HEADER, INSTANCE_HEADER, b"content-length")  # replaced by the proxy's values
+ANSWERED_HEADERS = (b"expect",)  # the proxy itself has answered 100 Continue
 BODILESS_METHODS = (b"GET", b"HEAD")
 MS_PER_S = 1000
 
 
 @dataclass(slots=True)
 class OutgoingRequest:
-    """A request as endpoints get it, without the headers that differ from attempt to attempt."""
+    """A request as it is sent to endpoints, without the headers that differ between attempts."""
 
     method: bytes
     target: bytes
@@ -35,7 +35,10 @@
     body: bytes
 
     def headers_for(self, endpoint: Endpoint, remaining_s: float) -> list[tuple[bytes, bytes]]:
-        """All headers of an attempt: with the time to the deadline and the instance that is meant."""
+        """Returns the headers of an attempt, with the remaining time and the endpoint's id added.
+
+        `remaining_s` is the time to the request's deadline in seconds; at least 1 ms is sent.
+        """
         remaining_ms = max(1, int(remaining_s * MS_PER_S))
         deadline = (DEADLINE_HEADER, str(remaining_ms).encode())
         return [*self.headers, deadline, (INSTANCE_HEADER, endpoint.id.encode())]
@@ -45,8 +48,16 @@
 class ClientRequest:
     """A complete request of a client.
 
-    `target` has its raw escapes, `headers` lower-case names, `fields` the last value of each. `received_at`
-    is when it was complete, on the loop's clock; None: when it is forwarded.
+    Attributes:
+        method: The HTTP method.
+        target: The request target as received, with its percent-encoding.
+        headers: All headers in order, with names in lower case.
+        fields: The last value of each header.
+        body: The complete body.
+        disconnect: The disconnect of the client that sent the request.
+        received_at: When the request was complete, in seconds on the loop's clock. None means the time at
+            which it is forwarded.
+        admission: The result of the check of the client's API key.
     """
 
     method: bytes
@@ -60,19 +71,23 @@
 
     @property
     def try_id(self) -> bytes:
-        """The id that the client gave the request, empty where it gave none."""
+        """The client's id for the request (X-Try-Id), empty if it sent none."""
         return self.fields.get(TRY_ID_HEADER, b"")
 
     def client_timeout_s(self) -> float:
-        """The seconds that the client waits for the answer; InvalidDeadline where it gave no number."""
+        """Returns the seconds for which the client waits for a response, a day if it sent no deadline.
+
+        Raises:
+            InvalidDeadline: X-Deadline-Ms is not a number.
+        """
         deadline_ms = self.fields.get(DEADLINE_HEADER, NO_DEADLINE_MS)
         try:
             return int(deadline_ms) / MS_PER_S
         except ValueError:
-            raise InvalidDeadline(DEADLINE_HEADER.decode(), f"{deadline_ms!r} is no number") from None
+            raise InvalidDeadline(DEADLINE_HEADER.decode(), f"{deadline_ms!r} is not a number") from None
 
     def outgoing(self) -> OutgoingRequest:
-        """As endpoints get it: without hop-by-hop headers (RFC 9110, 7.6.1) and those that are rewritten."""
+        """Returns the request for endpoints, without hop-by-hop (RFC 9110, 7.6.1) and rewritten headers."""
         dropped = REWRITTEN_HEADERS + ANSWERED_HEADERS
         headers = [one for one in end_to_end(self.headers) if one[0] not in dropped]
         headers = self.admission.forwarded_headers(headers)
--- a/honeywood/gateway/proxy/client_response.py
+++ b/honeywood/gateway/proxy/client_response.py
@@ -1,4 +1,4 @@
-"""What a client gets: an endpoint's response, or one that the proxy generates."""
+"""Responses to clients: an endpoint's response, or one that the proxy generates."""
 
 from __future__ import annotations
 
@@ -15,15 +15,18 @@
 BAD_REQUEST, UNAUTHORIZED, NOT_FOUND, BODY_TOO_LARGE = 400, 401, 404, 413
 BAD_GATEWAY, UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
 REASON_HEADER = b"x-gateway"
-RETRY_AFTER_S = 0.1  # for a client that met no free endpoint
-# For a client that met a proxy without a configuration. One comes within seconds, and each rejection until
-# then costs the client a try.
+RETRY_AFTER_S = 0.1  # for a request that found no available endpoint
+# For a request to a proxy without a configuration. The proxy receives one within seconds, and each rejection
+# until then uses up one of the client's attempts.
 NO_CONFIGURATION_RETRY_AFTER_S = 1.0
 
 
 @dataclass(slots=True)
 class ClientResponse:
-    """What a client gets; `remainder` is what follows the start of a long body."""
+    """A response to a client.
+
+    A long body is not complete in `body`: `remainder` is the rest, which is relayed while it arrives.
+    """
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -32,7 +35,7 @@
 
 
 def local_response(status: int, reason: str, retry_after_s: float | None = None) -> ClientResponse:
-    """A response that the proxy generates, with its reason in X-Gateway."""
+    """Returns a response that the proxy generates, with `reason` in X-Gateway."""
     headers = [(REASON_HEADER, reason.encode())]
     if retry_after_s is not None:
         headers.append((b"retry-after", b"%.3f" % retry_after_s))
@@ -40,7 +43,7 @@
 
 
 def relayed_response(reply: Reply) -> ClientResponse:
-    """An endpoint's response as it came, or 502 where its status must not be relayed."""
+    """Returns an endpoint's response to relay, or a 502 if its status must not be relayed."""
     if reply.status >= FIRST_FAILURE and not may_relay(reply.status):
         return local_response(BAD_GATEWAY, "the machine's answer makes no promise")
     headers = [one for one in end_to_end(reply.headers) if one[0] != b"content-length"]
--- a/honeywood/gateway/proxy/connection_pool.py
+++ b/honeywood/gateway/proxy/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints, kept between requests. How many there may be is the attempt policy's."""
+"""Connections to endpoints, kept between requests. The attempt policy limits their number."""
 
 from __future__ import annotations
 
@@ -17,36 +17,36 @@
     Connect = Callable[[str, int, float, Callable[[int], None]], Awaitable[Connection]]
 
 CONNECT_TIMEOUT_S = 0.25
-MIN_CONNECT_TIMEOUT_S = 0.001  # however late the request is
-DEFAULT_KEEP_ALIVE_S = 8.0  # where the endpoint doesn't say for how long it keeps an idle connection
-KEEP_ALIVE_MARGIN_S = 1.0  # before the end that it says
+MIN_CONNECT_TIMEOUT_S = 0.001  # even if the deadline has passed
+DEFAULT_KEEP_ALIVE_S = 8.0  # if the endpoint doesn't announce how long it keeps an idle connection
+KEEP_ALIVE_MARGIN_S = 1.0  # before the announced end of an idle connection, in which it is no longer used
 
 
 class ConnectionPool:
-    """Opens connections to endpoints, keeps idle ones and gives them out again."""
+    """Opens connections to endpoints, and keeps idle connections for reuse."""
 
     def __init__(self, clock: Callable[[], float], connect: Connect) -> None:
-        """`connect(ip, port, timeout_s, on_change)` opens a connection, as Connection.open does."""
+        """Starts without connections; `connect` has the parameters and result of `Connection.open`."""
         self.clock = clock
         self.connect = connect
-        self.opened = 0  # since the start
+        self.opened = 0  # connections opened or attempted since the start
         self.idle_limits = IdleLimits()
 
     def take_idle(self, endpoint: Endpoint) -> Connection | None:
-        """An idle connection that may be used, or None."""
+        """Takes an idle connection out of the pool; None if none may be used."""
         now = self.clock()
         while endpoint.idle_connections:
             connection = endpoint.idle_connections.pop()
-            if self.is_trusted(now, endpoint, connection):
+            if self.is_usable(now, endpoint, connection):
                 return connection
             connection.close()
         return None
 
-    def is_trusted(self, now: float, endpoint: Endpoint, connection: Connection) -> bool:
-        """Whether an idle connection may be used.
+    def is_usable(self, now: float, endpoint: Endpoint, connection: Connection) -> bool:
+        """Returns whether an idle connection may be used.
 
-        Endpoints may drop connections sooner than they say, without closing them. The next request on such a
-        connection is lost, and fails if it may not be sent again.
+        Endpoints may drop idle connections sooner than they announce, without closing them. The next request
+        on a dropped connection is lost, and fails if it may not be sent again.
         """
         if not connection.reusable:
             return False
@@ -55,14 +55,17 @@
         return now - connection.idle_since < min(announced_s, learned_s)
 
     def record_break(self, endpoint: Endpoint, idle_s: float, elapsed_s: float) -> None:
-        """A connection that had been idle broke `elapsed_s` after a request was sent on it."""
+        """Records that a connection, idle for `idle_s` before, broke `elapsed_s` after a request was sent."""
         self.idle_limits.record_break(self.clock(), endpoint.service, idle_s, elapsed_s)
 
-    async def open(self, endpoint: Endpoint, until: float) -> Connection | None:
-        """A new connection, or None where it could not be established in time."""
+    async def open(self, endpoint: Endpoint, deadline: float) -> Connection | None:
+        """Opens a connection; returns None if it could not be established in time.
+
+        `deadline` is in seconds on the pool's clock.
+        """
         self.opened += 1
         endpoint.opening_connections += 1
-        timeout_s = max(MIN_CONNECT_TIMEOUT_S, min(CONNECT_TIMEOUT_S, until - self.clock()))
+        timeout_s = max(MIN_CONNECT_TIMEOUT_S, min(CONNECT_TIMEOUT_S, deadline - self.clock()))
         try:
             connection = await self.connect(
                 endpoint.ip, endpoint.port, timeout_s, endpoint.connection_changed
@@ -75,7 +78,7 @@
         return connection
 
     def release(self, endpoint: Endpoint, connection: Connection) -> None:
-        """Keeps a connection for later, unless it has ended or its endpoint takes no new requests."""
+        """Keeps a connection for reuse, or closes it if it is not reusable or its endpoint is not ready."""
         if connection.reusable and endpoint.state is EndpointState.READY:
             endpoint.idle_connections.append(connection)
         else:
@@ -88,11 +91,11 @@
         endpoint.idle_connections.clear()
 
     def close_expired(self, endpoints: Iterable[Endpoint]) -> None:
-        """Closes idle connections that may not be used any more."""
+        """Closes the idle connections that may no longer be used."""
         now = self.clock()
         for endpoint in endpoints:
             idle = endpoint.idle_connections
-            kept = [one for one in idle if self.is_trusted(now, endpoint, one)]
+            kept = [one for one in idle if self.is_usable(now, endpoint, one)]
             for connection in idle:
                 if connection not in kept:
                     connection.close()
--- a/honeywood/gateway/proxy/controller_poller.py
+++ b/honeywood/gateway/proxy/controller_poller.py
@@ -1,4 +1,4 @@
-"""Polls controllers in turn, for what long polling has missed, and reports this proxy's counts to them."""
+"""Polls controllers in turn for updates that long polling missed, and sends them this proxy's reports."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     from honeywood.gateway.proxy.update_subscription import UpdateSubscription
     from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 
-MAX_POLLS_IN_A_ROW = 8  # of one controller while it has more to send
+MAX_CONSECUTIVE_POLLS = 8  # of one controller while it has more to send
 
 
 @dataclass(frozen=True, slots=True)
 class PollResult:
-    """A controller's last response, None where there was none, and when it was polled."""
+    """When a controller was last polled, and its response, None if there was none."""
 
     polled_at: float
     response: PollResponse | None
@@ -40,10 +40,10 @@
 
 @dataclass(slots=True, eq=False)
 class ControllerPoller:
-    """Polls one controller after the other, and the next one if the one polled is not in quorum.
+    """Polls the controllers in turn, and at once the next one if a controller is not in quorum.
 
-    So a controller that is partitioned from the others is never the only one polled for long.
-    `on_no_answer` is called where no controller in quorum answers.
+    This way a controller that is partitioned from the others is never the only one polled for long.
+    `on_no_answer` is called if no controller in quorum responds.
     """
 
     clock: Callable[[], float]
@@ -58,11 +58,11 @@
     readiness: Readiness
     revalidation: MachineRevalidation
     on_no_answer: Callable[[], None]
-    polls: int = 0  # since the start
+    poll_count: int = 0  # calls of `poll_once` since the start
 
     async def poll_once(self) -> None:
-        """Polls until a controller in quorum has answered, then waits for the interval."""
-        self.polls += 1
+        """Polls until a controller in quorum has responded, then waits for the poll interval."""
+        self.poll_count += 1
         for ip in self._candidates():
             result = await self._poll(ip)
             if result.response is not None and result.response.in_quorum:
@@ -73,16 +73,16 @@
         await asyncio.sleep(INITIAL_DELAY_S)
 
     def _candidates(self) -> list[str]:
-        """The controllers that are not in backoff, another one first with each call."""
+        """Returns the controllers that are not in backoff, beginning with another one at each call."""
         ring = rank(self.peers.controllers, self.settings.node)
-        start = self.polls % len(ring)
+        start = self.poll_count % len(ring)
         found: list[str] = self.subscriber.backoff.available(ring[start:] + ring[:start], self.clock())
         return found
 
     async def _poll(self, ip: str) -> PollResult:
-        """Polls a controller, again while it has more to send."""
-        for _ in range(MAX_POLLS_IN_A_ROW):
-            # Taken before: an answer may have been unread for long while this process was suspended.
+        """Polls a controller, and again while it has more to send."""
+        for _ in range(MAX_CONSECUTIVE_POLLS):
+            # Taken before the poll: a response may have waited long while this process was suspended.
             polled_at = self.clock()
             try:
                 response = await self.subscriber.poll(ip, self.settings.controller_port, 0.0)
@@ -94,7 +94,7 @@
         return PollResult(polled_at, response)
 
     def _record_fleet(self, ip: str, response: PollResponse) -> None:
-        """Takes what a controller says of the proxies, and which counts it has."""
+        """Records what a controller reports about the fleet, and which of this proxy's reports it has."""
         if response.fleet is None:
             return
         self.peers.relays = response.fleet.relays
@@ -102,8 +102,8 @@
         self.fleet.report(ip, response.fleet.proxy_count)
 
     def _record_contact(self, polled_at: float, response: PollResponse) -> None:
-        """A controller in quorum has answered a poll that was sent at `polled_at`."""
-        if response.is_complete:  # else the end of a rollout's stage may be among what was not sent
+        """Records that a controller in quorum responded to a poll that was sent at `polled_at`."""
+        if response.is_complete:  # otherwise the end of a rollout's stage may not have been sent yet
             out_of_contact_s = polled_at - self.traffic_policy.controller_contact_at
             if self.readiness.quorum_contacted and out_of_contact_s > MAX_DISCONNECTED_S:
                 self.revalidation.start()
--- a/honeywood/gateway/proxy/endpoint_selector.py
+++ b/honeywood/gateway/proxy/endpoint_selector.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoint of a request's next attempt."""
+"""Selects the endpoint of a request's next attempt."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
     from honeywood.gateway.routing.pending_request import PendingRequest
 
     class EndpointGrouping(Protocol):
-        """The part of a rollout's stage that orders endpoints by their versions."""
+        """The part of the rollout traffic policy that orders endpoints by their versions."""
 
         def preference_groups(
             self, now: float, request: PendingRequest, endpoints: Sequence[Endpoint]
         ) -> Sequence[Sequence[Endpoint]]:
-            """The endpoints in groups, the first to be tried first."""
+            """Returns the permitted endpoints in groups, the preferred group first."""
 
 
 class EndpointSelector:
-    """Combines the rollout's groups, the attempt policy and the load balancer."""
+    """Combines the rollout's preference groups, the attempt policy and the load balancer."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         policy: AttemptPolicy,
         grouping: EndpointGrouping,
     ) -> None:
-        """`zone` is the proxy's own."""
+        """Builds the selector; `zone` is the zone of this proxy."""
         self.clock = clock
         self.random = random
         self.zone = zone
@@ -45,7 +45,7 @@
         self.grouping = grouping
 
     def select(self, request: PendingRequest) -> Endpoint | None:
-        """The endpoint for an attempt now, or None."""
+        """Returns the endpoint for an attempt that starts now, or None if no endpoint is eligible."""
         now, service = self.clock(), request.service
         typical_s = self.endpoints.typical_latency(service)
         for group in self.grouping.preference_groups(now, request, self.endpoints.of(service)):
--- a/honeywood/gateway/proxy/errors.py
+++ b/honeywood/gateway/proxy/errors.py
@@ -4,4 +4,4 @@
 
 
 class InvalidDeadline(InvalidMessage):
-    """A client's X-Deadline-Ms that is no number."""
+    """Raised for a client's X-Deadline-Ms that is not a number."""
--- a/honeywood/gateway/proxy/failure_responses.py
+++ b/honeywood/gateway/proxy/failure_responses.py
@@ -1,4 +1,4 @@
-"""The final response to a request that no attempt has answered."""
+"""The final response to a request for which no attempt got a response to relay."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     from honeywood.gateway.routing.pending_request import PendingRequest
     from honeywood.gateway.rpc.reply import Reply
 
-RESPONSE_MARGIN_S = 0.004  # before its client's deadline that a request is answered by the proxy
-NOT_SELECTED = "left alone"  # nothing kept the request from the endpoint when it was looked at again
+RESPONSE_MARGIN_S = 0.004  # before a request's deadline, at which the proxy itself responds
+NOT_SELECTED = "left alone"  # for an endpoint that is no longer rejected when the reasons are collected
 NONE_KNOWN = "none known"
 
 
 class FailureResponses:
-    """Chooses between 502, 503 and 504; only a request that has not run may get a 503."""
+    """Chooses between 502, 503 and 504; only a request that has not run gets a 503."""
 
     def __init__(
         self,
@@ -39,20 +39,21 @@
         policy: AttemptPolicy,
         counters: RequestCounters,
     ) -> None:
-        """Of one proxy."""
+        """Builds the responses of one proxy."""
         self.clock = clock
         self.endpoints = endpoints
         self.policy = policy
         self.counters = counters
 
     def is_due(self, request: PendingRequest) -> bool:
-        """Whether a request must be answered now to reach its client in time."""
+        """Returns whether a request must be answered now for the response to arrive in time."""
         return self.clock() >= request.deadline - RESPONSE_MARGIN_S
 
     def timed_out(self, request: PendingRequest) -> ClientResponse:
-        """The response at the deadline.
+        """Returns the response at the deadline.
 
-        Finishes the request: nothing of it is sent any more, so a 503's promise that it has not run holds.
+        Marks the request as finished, so that no further attempt is sent: a 503 promises the client that the
+        request has not run.
         """
         request.finished = True
         if request.may_have_run:
@@ -60,21 +61,21 @@
         return local_response(UNAVAILABLE, "no machine in time", RETRY_AFTER_S)
 
     def no_endpoint(self, request: PendingRequest, failure: Reply | None) -> ClientResponse:
-        """The response where no endpoint may be asked any more; `failure` is the last failed one, if any."""
+        """Returns the response if no endpoint may be tried any more; `failure` is the last failed reply."""
         if request.disconnect.happened:
-            return local_response(BAD_GATEWAY, "its client has left")  # which nobody reads
+            return local_response(BAD_GATEWAY, "its client has left")  # nobody reads this response
         if failure is not None:
             return relayed_response(failure)
         if self.is_due(request):
             return self.timed_out(request)
         if request.may_have_run:
             return local_response(BAD_GATEWAY, "no whole answer came")
-        reason = self._commonest_rejection(request)
+        reason = self._most_common_rejection(request)
         self.counters.no_endpoint(request, reason)
         return local_response(UNAVAILABLE, f"no machine free: {reason}", RETRY_AFTER_S)
 
-    def _commonest_rejection(self, request: PendingRequest) -> str:
-        """What keeps the request from most of its service's endpoints."""
+    def _most_common_rejection(self, request: PendingRequest) -> str:
+        """Returns the reason for which most endpoints of the service reject the request."""
         now = self.clock()
         reasons = Counter(
             str(self.policy.rejection(now, request, endpoint) or NOT_SELECTED)
--- a/honeywood/gateway/proxy/fleet_size.py
+++ b/honeywood/gateway/proxy/fleet_size.py
@@ -1,4 +1,4 @@
-"""How many proxies there are, as controllers report."""
+"""The number of proxies in the fleet, as controllers report it."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-INITIAL_COUNT = 32  # proxies assumed to share quotas, until controllers have reported how many there are
-DECREASE_DELAY_S = 3.0  # after which a lower count is used
-REPORT_VALID_S = 3.0  # for which one controller's report counts beside newer ones of others
+INITIAL_COUNT = 32  # proxies assumed to share quotas for DECREASE_DELAY_S after the start
+DECREASE_DELAY_S = 3.0  # after which a lower count takes effect
+REPORT_VALID_S = 3.0  # for which a controller's report is used beside newer reports of other controllers
 
 
 @dataclass(frozen=True, slots=True)
 class FleetReport:
-    """A count of proxies, and when it was received."""
+    """A count of proxies, and the time at which it was received, in seconds on the clock."""
 
     received_at: float
     count: int
@@ -24,27 +24,30 @@
 class FleetSize:
     """The number of proxies that share quotas.
 
-    It is the highest number that controllers reported lately: a controller that has just started knows few
-    proxies, and a proxy that has just started knows none. Decreases take effect with a delay.
+    It is the highest number that controllers have reported recently, since a controller that has just started
+    knows few proxies. A proxy that has just started knows none, and assumes INITIAL_COUNT at first. Decreases
+    take effect after DECREASE_DELAY_S.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """`clock` gives monotonic seconds."""
+        """Starts without reports; `clock` returns monotonic seconds."""
         self.clock = clock
         self.reports: dict[str, FleetReport] = {}
         self.reported_count = 1
-        self.previous = FleetReport(clock(), INITIAL_COUNT)  # a higher count that applied until then
+        self.previous = FleetReport(clock(), INITIAL_COUNT)  # the higher count that was used until then
 
     def count(self) -> int:
-        """How many proxies share quotas now."""
+        """Returns the number of proxies that share quotas now, at least 1."""
         recent = self.clock() - self.previous.received_at < DECREASE_DELAY_S
         return max(1, self.reported_count, self.previous.count if recent else 1)
 
     def report(self, controller: str, count: int) -> None:
-        """Takes a controller's report."""
+        """Records the number of proxies that a controller reports."""
         now, before = self.clock(), self.count()
         self.reports[controller] = FleetReport(now, count)
-        self.reports = {ip: one for ip, one in self.reports.items() if now - one.received_at < REPORT_VALID_S}
-        self.reported_count = max(one.count for one in self.reports.values())
+        self.reports = {
+            ip: report for ip, report in self.reports.items() if now - report.received_at < REPORT_VALID_S
+        }
+        self.reported_count = max(report.count for report in self.reports.values())
         if self.count() < before:
             self.previous = FleetReport(now, before)
--- a/honeywood/gateway/proxy/forwarder.py
+++ b/honeywood/gateway/proxy/forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards a request: attempts at endpoints, retries and a hedged attempt, until there is one response."""
+"""Forwards a request: an attempt, retries and a hedged attempt until there is a final response."""
 
 from __future__ import annotations
 
@@ -34,19 +34,19 @@
     from honeywood.gateway.rpc.reply import Reply
 
     class Rollouts(RolloutRules, EndpointGrouping, OutcomeObserver, Protocol):
-        """One proxy's view of rollouts."""
+        """The part of the rollout traffic policy that the proxy uses."""
 
         def record_request(self, request: PendingRequest) -> None:
-            """A client's request has come."""
+            """Records that a client's request was received."""
 
 
-HEDGE_AFTER = 2.0  # typical latencies after which an idempotent request is sent to a second endpoint too
+HEDGE_AFTER_LATENCIES = 2.0  # typical latencies after which a hedged attempt of an idempotent request starts
 MIN_HEDGE_DELAY_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptWait:
-    """How long to wait for the attempts in flight, and whether a hedged one may start then."""
+    """How long to wait for the attempts in flight, and whether a hedged attempt may start after that."""
 
     timeout_s: float
     hedge_after: bool
@@ -68,7 +68,7 @@
         counters: RequestCounters,
         on_attempt: Callable[[PendingRequest], None],
     ) -> None:
-        """`on_attempt` is called with a request before each of its attempts."""
+        """Builds the forwarder; `on_attempt` is called with a request before each of its attempts."""
         self.clock = clock
         self.random = random
         self.selector = selector
@@ -83,7 +83,7 @@
         )
 
     async def forward(self, route: Route, client_request: ClientRequest) -> ClientResponse:
-        """The response to a request on `route`."""
+        """Returns the response to a client's request on `route`."""
         try:
             client_timeout_s = client_request.client_timeout_s()
         except InvalidDeadline:
@@ -102,7 +102,7 @@
         return response
 
     def _accept(self, route: Route, client_request: ClientRequest, timeout_s: float) -> PendingRequest:
-        """The PendingRequest, which earns its share of the retry budget and of a version's trial."""
+        """Returns the PendingRequest, and counts it for the retry budget and for rollouts."""
         now, received_at = self.clock(), client_request.received_at
         received_at = now if received_at is None else received_at
         service = choose_service(route.split, self.random.random())
@@ -120,10 +120,10 @@
         return request
 
     def _on_disconnect(self, request: PendingRequest) -> None:
-        """The client of a request has left: an idempotent request's attempts are ended.
+        """Handles the disconnect of a request's client: ends the attempts of an idempotent request.
 
-        That includes a hedged attempt beside the one whose response was taken. Other requests are finished:
-        their client may rely on it.
+        These include a hedged attempt that is still in flight after the other one's response was relayed. A
+        non-idempotent request is carried through, because its client may rely on that.
         """
         if not request.finished:
             self.counters.client_left(request, self.sender.progress_of(request))
@@ -131,16 +131,17 @@
             self.sender.abandon(request)
 
     def _unsubscribe(self, request: PendingRequest) -> None:
-        """A request that is finished and has no attempt in flight doesn't depend on its client any more."""
+        """Ignores the client's disconnect from now on if the request is finished and nothing is in flight."""
         if request.finished and request not in self.sender.in_flight and request.on_disconnect is not None:
             request.disconnect.unsubscribe(request.on_disconnect)
 
     async def _attempt_until_answered(
         self, request: PendingRequest, outgoing: OutgoingRequest
     ) -> ClientResponse:
-        """The response of the first attempt that succeeds, or a failure.
+        """Returns the response of the first attempt that succeeds, or a failure response.
 
-        Attempts follow one another; an idempotent request may have a hedged one beside one that is slow.
+        Attempts are made one after the other. An idempotent request may also have a hedged attempt while a
+        slow one is in flight.
         """
         failure: Reply | None = None
         running: set[asyncio.Task[AttemptResult]] = set()
@@ -156,7 +157,7 @@
             )
             for task in done:
                 result = task.result()
-                if result.continuation is not None:  # an idempotent request is sent elsewhere meanwhile
+                if result.continuation is not None:  # meanwhile another endpoint may be tried
                     running.add(result.continuation)
                 elif result.reply is not None and is_final(request, result.outcome):
                     return relayed_response(result.reply)
@@ -166,18 +167,18 @@
                 return self.failures.timed_out(request)
 
     def _next_wait(self, request: PendingRequest, running: int) -> AttemptWait:
-        """How to wait while so many attempts are running."""
-        now, until = self.clock(), request.deadline - RESPONSE_MARGIN_S
+        """Returns how to wait while `running` attempts are in flight."""
+        now, wait_until = self.clock(), request.deadline - RESPONSE_MARGIN_S
         typical_s = self.endpoints.typical_latency(request.service)
-        hedge_delay_s = max(MIN_HEDGE_DELAY_S, HEDGE_AFTER * typical_s)
+        hedge_delay_s = max(MIN_HEDGE_DELAY_S, HEDGE_AFTER_LATENCIES * typical_s)
         may_hedge = request.route.idempotent and running == 1 and request.route.max_attempts > 1
-        if may_hedge and now + hedge_delay_s < until:
+        if may_hedge and now + hedge_delay_s < wait_until:
             return AttemptWait(hedge_delay_s, hedge_after=True)
-        return AttemptWait(max(0.0, until - now), hedge_after=False)
+        return AttemptWait(max(0.0, wait_until - now), hedge_after=False)
 
 
 def is_final(request: PendingRequest, outcome: AttemptOutcome | None) -> bool:
-    """Whether a response with this outcome is the request's: a success, or a failure without a retry."""
+    """Returns whether a response is final: a success, or a failure of a request that isn't retried."""
     if outcome is AttemptOutcome.SUCCESS:
         return True
     return outcome is AttemptOutcome.FAILURE and not request.route.idempotent
--- a/honeywood/gateway/proxy/invariants.py
+++ b/honeywood/gateway/proxy/invariants.py
@@ -1,15 +1,16 @@
-"""Invariants of a running proxy, checked while it runs. Violations are counted and reported, nothing else.
-
-- No idempotent request is at an endpoint ABANDONED_WITHIN_S after its client's disconnect was noticed.
-- No attempt starts for a client that has left, and none of a non-idempotent request while an earlier attempt
-  may have run.
-- The attempts in flight are those that endpoints count.
-- An endpoint's connections are at least those that are idle or in use; while no request is open they are
-  exactly these.
-- The configuration in effect is the newest that has been received.
-
-Sums of several parts don't change in one step. So what the periodic check finds counts once two checks in a
-row have found it.
+"""Invariants of a proxy that are checked while it runs. Violations are only counted and reported.
+
+- ABANDONED_WITHIN_S after a client's disconnect was noticed, no attempt of its idempotent requests is in
+  flight at an endpoint.
+- No attempt starts for a client that has disconnected. No attempt of a non-idempotent request starts while an
+  earlier attempt may have run.
+- Each endpoint counts as many attempts in flight as the sender has in flight there.
+- Each endpoint counts at least as many open connections as are idle or in use. While no request is open, the
+  two numbers are equal.
+- The configuration in effect is the newest one that has been received.
+
+Counts that are kept in several objects don't change in one step. A violation that the periodic check finds is
+therefore reported only if two checks in a row find it.
 """
 
 from __future__ import annotations
@@ -26,34 +27,34 @@
     from honeywood.gateway.proxy.program import Proxy
     from honeywood.gateway.routing.pending_request import PendingRequest
 
-    Finding = tuple["Violation", str]  # and its details
+    Finding = tuple["Violation", str]  # a violation and its details
 
 ABANDONED_WITHIN_S = 0.25
 
 
 class Violation(StrEnum):
-    """An invariant that does not hold. The values stand in logs and in counters."""
+    """An invariant that does not hold. The values appear in logs and in counters."""
 
     WORK_AFTER_DISCONNECT = "work for a client that left"
     ATTEMPT_AFTER_DISCONNECT = "attempt begun for a client that left"
     UNSAFE_RETRY = "unsafe attempt repeated"
-    ATTEMPTS = "attempts out of balance"
-    CONNECTIONS = "connections out of balance"
+    ATTEMPT_COUNT = "attempts out of balance"
+    CONNECTION_COUNT = "connections out of balance"
     CONFIGURATION = "configuration not in force"
 
 
 class InvariantChecks:
-    """The checks of one proxy; `violations` counts what did not hold."""
+    """The checks of one proxy; `violations` counts the violations that were reported."""
 
     def __init__(self, proxy: Proxy, on_violation: Callable[[Violation, str], None]) -> None:
-        """`on_violation` gets each violation with its details."""
+        """Starts without violations; `on_violation` is called with each violation and its details."""
         self.proxy = proxy
         self.on_violation = on_violation
         self.violations: Counter[Violation] = Counter()
         self._suspected: set[Finding] = set()
 
-    def attempt_starts(self, request: PendingRequest) -> None:
-        """Checks a request whose next attempt is about to start."""
+    def check_attempt(self, request: PendingRequest) -> None:
+        """Checks that the next attempt of a request may start; called right before each attempt."""
         if request.disconnect.happened:
             self._report(Violation.ATTEMPT_AFTER_DISCONNECT, _describe(request))
         if not request.route.idempotent and request.may_have_run:
@@ -61,7 +62,7 @@
 
     def check(self, now: float) -> None:
         """Checks the proxy's state; called periodically."""
-        found = {*self._work_after_disconnect(now), *self._balances(), *self._configuration()}
+        found = {*self._work_after_disconnect(now), *self._count_mismatches(), *self._stale_configuration()}
         for violation, details in found & self._suspected:
             self._report(violation, details)
         self._suspected = found - self._suspected
@@ -78,26 +79,26 @@
             if any(attempt.record is not None for attempt in attempts):
                 yield Violation.WORK_AFTER_DISCONNECT, _describe(request)
 
-    def _balances(self) -> Iterator[Finding]:
+    def _count_mismatches(self) -> Iterator[Finding]:
         in_flight = self.proxy.forwarder.sender.in_flight
-        attempts = [attempt for some in in_flight.values() for attempt in some]
+        attempts = [attempt for of_request in in_flight.values() for attempt in of_request]
         open_attempts = Counter(attempt.endpoint for attempt in attempts)
         in_use = Counter(attempt.endpoint for attempt in attempts if attempt.holds_connection)
-        quiet = not (attempts or self.proxy.forwarder.open_requests or self.proxy.writer.relaying)
+        is_quiescent = not (attempts or self.proxy.forwarder.open_requests or self.proxy.writer.relaying)
         for endpoint in {*self.proxy.endpoints.by_id.values(), *open_attempts}:
             if open_attempts[endpoint] != endpoint.in_flight:
                 details = f"{endpoint.id}: {open_attempts[endpoint]} known, {endpoint.in_flight} counted"
-                yield Violation.ATTEMPTS, details
+                yield Violation.ATTEMPT_COUNT, details
             idle = sum(connection.reusable for connection in endpoint.idle_connections)
             known, counted = idle + in_use[endpoint], endpoint.open_connections
-            if known > counted or quiet and known != counted:
-                yield Violation.CONNECTIONS, f"{endpoint.id}: {known} known, {counted} counted"
+            if known > counted or is_quiescent and known != counted:
+                yield Violation.CONNECTION_COUNT, f"{endpoint.id}: {known} known, {counted} counted"
 
-    def _configuration(self) -> Iterator[Finding]:
+    def _stale_configuration(self) -> Iterator[Finding]:
         stamp = self.proxy.publisher.store.stamp(RecordKind.CONFIGURATION)
         current = self.proxy.configuration.version
         if stamp is not None and stamp[0] != current:
-            yield Violation.CONFIGURATION, f"{stamp[0]:08x} was heard"
+            yield Violation.CONFIGURATION, f"{stamp[0]:08x} was received"
 
 
 def _describe(request: PendingRequest) -> str:
--- a/honeywood/gateway/proxy/known_peers.py
+++ b/honeywood/gateway/proxy/known_peers.py
@@ -1,4 +1,4 @@
-"""The controllers and relays from which a proxy gets updates."""
+"""The controllers and relays that a proxy polls for updates."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class KnownPeers:
-    """Addresses of `controllers`, seeds first, and of `relays`, the nearest first."""
+    """The addresses of `controllers`, with the seeds first, and of `relays`, with the nearest first."""
 
     def __init__(self, seeds: Iterable[str]) -> None:
-        """`seeds` are the controllers of the settings file; they are never removed."""
+        """Starts with `seeds`, the controllers of the settings file, which are never removed."""
         self.seeds = tuple(seeds)
         self.controllers = list(self.seeds)
         self.relays: list[str] = []
 
     def add_controllers(self, ips: Iterable[str]) -> None:
-        """Takes controllers that are not known yet."""
+        """Adds the controllers that are not known yet."""
         self.controllers += [ip for ip in ips if ip not in self.controllers]
 
     def remove_controllers(self, ips: Iterable[str]) -> set[str]:
-        """Removes controllers that are not seeds; those of `ips` that are none."""
+        """Removes controllers unless they are seeds; returns those of `ips` that are no seeds."""
         removed = set(ips) - set(self.seeds)
         self.controllers = [ip for ip in self.controllers if ip not in removed]
         return removed
--- a/honeywood/gateway/proxy/load_report.py
+++ b/honeywood/gateway/proxy/load_report.py
@@ -1,4 +1,4 @@
-"""The load that a machine reports in its responses (X-Load)."""
+"""The load that an endpoint reports in its responses (X-Load)."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 def record_load_report(now: float, endpoint: Endpoint, report: bytes | None) -> None:
-    """Takes the report `running,queued,slots`; one that can't be read is ignored.
+    """Records the report `running,queued,slots` at the endpoint; an invalid report is ignored.
 
-    The request whose response carries it is among those running, and has ended by now.
+    `running` includes the request whose response carries the report. That request has ended, so it is
+    subtracted.
     """
     if report is None:
         return
--- a/honeywood/gateway/proxy/machine_revalidation.py
+++ b/honeywood/gateway/proxy/machine_revalidation.py
@@ -1,4 +1,4 @@
-"""Revalidates machine records after the proxy was out of contact for long."""
+"""Revalidates machine records after the proxy was out of contact with controllers for a long time."""
 
 from __future__ import annotations
 
@@ -13,33 +13,34 @@
     from honeywood.gateway.dissemination.store import Store
     from honeywood.gateway.dissemination.subscriber import Subscriber
 
-TIMEOUT_S = 10.0  # within which controllers have repeated all that they know
+REVALIDATION_TIMEOUT_S = 10.0  # within which controllers have sent all their records again
 
 
 class MachineRevalidation:
     """Finds machines that left while the proxy was out of contact.
 
-    Controllers forget machines that left some time after, so a long partition may hide their departure.
-    Everything is then requested anew, and machines of which no one has told again are taken for lost.
+    Controllers drop the records of machines some time after they left, so after a long partition a proxy may
+    never be notified of their departure. It then requests all records again, and marks the machines whose
+    records no one has sent again as lost.
     """
 
     def __init__(self, clock: Callable[[], float], store: Store, subscribers: Sequence[Subscriber]) -> None:
-        """`subscribers` repeat their requests from the start."""
+        """Builds the revalidation; `subscribers` are those that request all records again."""
         self.clock = clock
         self.store = store
         self.subscribers = subscribers
         self.started_at: float | None = None
 
     def start(self) -> None:
-        """Marks all machine records as stale and requests everything anew."""
+        """Marks all machine records as stale and requests all records again."""
         self.store.mark_stale(RecordKind.MACHINE)
         for subscriber in self.subscribers:
             subscriber.positions.clear()
         self.started_at = self.clock()
 
     def check(self) -> None:
-        """After the time-out: takes machines with stale records for lost."""
-        if self.started_at is None or self.clock() - self.started_at <= TIMEOUT_S:
+        """Marks machines with stale records as lost once the time-out is over; called periodically."""
+        if self.started_at is None or self.clock() - self.started_at <= REVALIDATION_TIMEOUT_S:
             return
         self.started_at = None
         for key in self.store.stale_keys(RecordKind.MACHINE):
--- a/honeywood/gateway/proxy/peer_handler.py
+++ b/honeywood/gateway/proxy/peer_handler.py
@@ -1,4 +1,4 @@
-"""Answers the polls of other proxies, for which this one is the relay."""
+"""Answers the polls of other proxies, for which this proxy is the relay."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class PeerHandler:
-    """Serves the proxy's own listener."""
+    """Handles the requests on the listener for other proxies."""
 
     def __init__(self, publisher: Publisher) -> None:
-        """`publisher` has the records."""
+        """Builds the handler; `publisher` supplies the records."""
         self.publisher = publisher
 
     async def handle(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -52,7 +52,13 @@
     async def answer_poll(
         self, raw: bytes, peer: str, has_left: Callable[[], bool] = lambda: False
     ) -> dict[str, Any]:
-        """The encoded answer to a poll of `peer`; `has_left` says whether it has gone meanwhile."""
+        """Returns the encoded response to a poll.
+
+        `peer` is the address of the proxy that polls, `has_left` returns whether it has disconnected.
+
+        Raises:
+            GatewayError: The poll can't be decoded.
+        """
         request = PollRequest.decode(read_json(raw, PATH, peer), peer)
         response = await self.publisher.serve(request, has_left)
         encoded: dict[str, Any] = response.encode()
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -1,4 +1,4 @@
-"""The proxy's process: its parts, how they are connected, and its life cycle."""
+"""The proxy's process: its parts, their connections, and its life cycle."""
 
 from __future__ import annotations
 
@@ -51,12 +51,12 @@
     from honeywood.gateway.proxy.record_handler import JsonValue
     from honeywood.gateway.rpc.client import Caller
 
-MAX_BACKOFF_S = 1.0  # for which a peer that doesn't answer isn't polled
-SUBSCRIPTION_PAUSE_S, POLL_PAUSE_S = 0.01, 0.05  # between turns of the loops, besides what they wait inside
-MAINTENANCE_S = 0.5  # between turns of the maintenance loop
-UNREADY_NOTICED_S = 2.2  # in which the platform notices a proxy that isn't ready: two checks, 1 s apart
-STOP_MARGIN_S = 0.5  # of the grace period, left for the end of the process
-LOG_INTERVAL_S = 5.0  # between lines about one condition
+MAX_BACKOFF_S = 1.0  # the longest time for which a peer that doesn't respond is not polled
+SUBSCRIPTION_PAUSE_S, POLL_PAUSE_S = 0.01, 0.05  # between rounds of the loops, beside the waits inside them
+MAINTENANCE_INTERVAL_S = 0.5
+UNREADY_DETECTION_S = 2.2  # in which the platform detects a proxy that isn't ready: two checks, 1 s apart
+STOP_MARGIN_S = 0.5  # of the grace period, reserved for ending the process
+LOG_INTERVAL_S = 5.0  # the shortest time between two log lines about one condition
 
 
 class Proxy(Program):
@@ -73,10 +73,10 @@
         connect: Connect = Connection.open,
         log: EventLog | None = None,
     ) -> None:
-        """Builds the parts; nothing runs yet.
+        """Builds the parts without starting any.
 
-        Without `settings` they are read from the settings file. `caller` calls other programs, `connect`
-        opens connections to endpoints. `clock` gives monotonic seconds, `wall_clock` those since 1970.
+        Without `settings` the settings file is read. `caller` calls other programs, `connect` opens
+        connections to endpoints. `clock` returns monotonic seconds, `wall_clock` the seconds since 1970.
         """
         super().__init__(settings, caller, clock, wall_clock, log, random)
         self.server: HttpServer | None = None
@@ -86,7 +86,7 @@
         self._build_app()
 
     def _build_state(self) -> None:
-        """What the proxy knows: configuration, endpoints, rollouts and the number of proxies."""
+        """Builds the state: configuration, endpoints, rollouts, the number of proxies, and readiness."""
         bounds = self.settings.bounds
         self.configuration = ActiveConfiguration(self.clock)
         self.endpoints = EndpointTable()
@@ -103,7 +103,7 @@
         )
 
     def _build_data_plane(self, connect: Connect) -> None:
-        """What carries requests."""
+        """Builds the parts that forward requests."""
         bounds = self.settings.bounds
         budgets = RetryBudgets(bounds.retry_ratio, bounds.retry_slack, bounds.retry_win_s)
         self.counters = RequestCounters()
@@ -125,11 +125,11 @@
             self.pool,
             budgets.of,
             self.counters,
-            self.invariants.attempt_starts,
+            self.invariants.check_attempt,
         )
 
     def _build_updates(self) -> None:
-        """What keeps the state up to date."""
+        """Builds the parts that receive updates and send reports."""
         s = self.settings
         self.publisher = Publisher(
             self.store_incarnation(), self._apply_record, link_bytes_per_s=s.link_bytes_per_s
@@ -184,7 +184,7 @@
         )
 
     def _build_app(self) -> None:
-        """What answers on the proxy's listeners."""
+        """Builds the application that serves the proxy's listeners."""
         self.writer = ResponseWriter()
         self.app = App(
             self.configuration,
@@ -199,12 +199,12 @@
         )
 
     def _requester(self) -> Requester:
-        """How this proxy introduces itself in polls."""
+        """Returns the identity that this proxy sends in polls."""
         s = self.settings
         return Requester(s.node, s.ip, s.zone, self.incarnation, is_proxy=True)
 
     def _max_poll_bytes(self) -> int:
-        """The limit on the response to a poll of a controller."""
+        """Returns the limit on the response to a poll of the controller poller."""
         limit = self.publisher.max_response_bytes
         return min(limit, self.subscription.max_poll_bytes() or limit)
 
@@ -212,24 +212,24 @@
         self.records.apply(key, value)
 
     def _log_violation(self, violation: Violation, details: str) -> None:
-        """An invariant doesn't hold: a defect of this program, which operators have to see."""
+        """Logs an invariant that doesn't hold: a defect of this program that operators have to see."""
         what = violation.value
         self.log.info("invariant violated", min_interval_s=LOG_INTERVAL_S, what=what, details=details)
 
     def _log_unconfirmed(self) -> None:
-        """The proxy is ready, and no controller in quorum has confirmed its configuration."""
+        """Logs that the proxy is ready although no controller in quorum has confirmed its configuration."""
         self.log.info("ready without a controller that hears a majority", min_interval_s=LOG_INTERVAL_S)
 
     def _log_no_controller(self) -> None:
-        """No controller in quorum answers polls."""
+        """Logs that no controller in quorum responds to polls."""
         self.log.info("no controller answers", min_interval_s=LOG_INTERVAL_S)
 
     def configuration_version(self) -> str | None:
-        """The configuration version in effect, in hexadecimal digits."""
+        """Returns the configuration version in effect, in hexadecimal digits."""
         return self.configuration.version_text
 
     def discover_controllers(self, controllers: Iterable[str]) -> None:
-        """The settings file names controllers."""
+        """Adds the controllers that the settings file names."""
         self.peers.add_controllers(controllers)
 
     @property
@@ -238,15 +238,15 @@
         return self.readiness.is_ready()
 
     def metrics(self) -> Metrics:
-        """The metrics page's figures."""
+        """Returns the current metrics."""
         return status.metrics(self)
 
     async def log_counts(self) -> None:
-        """Logs sums since the start, and what stands now."""
+        """Logs counts since the start, and the current state."""
         self.log.info("counts", **status.log_fields(self))
 
     async def maintain(self) -> None:
-        """Checks invariants and drops what has expired."""
+        """Checks invariants, and drops expired connections and records."""
         now, store = self.clock(), self.publisher.store
         self.invariants.check(now)
         self.pool.close_expired(self.endpoints.by_id.values())
@@ -255,14 +255,14 @@
         self.revalidation.check()
 
     def _forget_controllers(self, keys: Iterable[str]) -> None:
-        """Records of controllers have lapsed: those that are not seeds are polled no more."""
+        """Stops polling the controllers whose records have expired, unless they are seeds."""
         for ip in self.peers.remove_controllers(name_of(key) for key in keys):
             self.reports.forget(ip)
             self.subscription.subscriber.forget(ip)
             self.poller.subscriber.forget(ip)
 
     async def run(self) -> None:
-        """Serves until the platform says to stop; then finishes open requests within the grace period."""
+        """Serves until the platform stops the proxy, then finishes open requests within the grace period."""
         s = self.settings
         self.server = HttpServer(self.app)
         await self.server.open([s.listen.http, s.listen.ready, (s.ip, s.proxy_port)])
@@ -271,13 +271,13 @@
         self.begin()
         await self.wait_until_stopped()
         self.log.info("stopping")
-        await asyncio.sleep(UNREADY_NOTICED_S)
-        await self.server.close(s.bounds.grace_s - UNREADY_NOTICED_S - STOP_MARGIN_S)
+        await asyncio.sleep(UNREADY_DETECTION_S)
+        await self.server.close(s.bounds.grace_s - UNREADY_DETECTION_S - STOP_MARGIN_S)
         self.log.info("stopped")
 
     def begin(self) -> None:
         """Starts the loops."""
         self.periodic_tasks.start(self.subscription.poll_once, SUBSCRIPTION_PAUSE_S)
         self.periodic_tasks.start(self.poller.poll_once, POLL_PAUSE_S)
-        self.periodic_tasks.start(self.maintain, MAINTENANCE_S)
+        self.periodic_tasks.start(self.maintain, MAINTENANCE_INTERVAL_S)
         self.periodic_tasks.start(self.log_counts, COUNTS_INTERVAL_S)
--- a/honeywood/gateway/proxy/readiness.py
+++ b/honeywood/gateway/proxy/readiness.py
@@ -10,14 +10,16 @@
     from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
     from honeywood.gateway.routing.endpoint_table import EndpointTable
 
-ENDPOINTS_TIMEOUT_S = 2.0  # for which a proxy with a configuration waits until each service has an endpoint
+ENDPOINTS_TIMEOUT_S = 2.0  # after which a proxy is ready even if some services have no endpoint
 
 
 class Readiness:
-    """A proxy is ready once it has a confirmed configuration and endpoints for it, until it stops.
+    """Decides whether the proxy is ready.
 
-    `quorum_contacted` says whether a controller in contact with a majority of the others has answered:
-    without one the configuration may be that of a controller that is partitioned from the others.
+    A proxy is ready from the time at which it has a confirmed configuration and endpoints for it until it
+    stops. `quorum_contacted` is whether a controller in quorum, which is in contact with a majority of the
+    controllers, has answered. Until then the configuration is unconfirmed: it may come from a controller that
+    is partitioned from the others.
     """
 
     def __init__(
@@ -28,7 +30,11 @@
         contact_timeout_s: float,
         on_unconfirmed: Callable[[], None],
     ) -> None:
-        """Without a majority it is ready after `contact_timeout_s`, and `on_unconfirmed` is called."""
+        """Builds the decision of one proxy.
+
+        With an unconfirmed configuration the proxy is ready after `contact_timeout_s`. `on_unconfirmed` is
+        then called at each check.
+        """
         self.configuration = configuration
         self.endpoints = endpoints
         self.stopping = stopping
@@ -37,7 +43,7 @@
         self.quorum_contacted = False
 
     def is_ready(self) -> bool:
-        """Whether clients may be sent here."""
+        """Returns whether the platform may send clients to this proxy."""
         table = self.configuration.table
         if self.stopping.is_set() or table is None:
             return False
--- a/honeywood/gateway/proxy/record_handler.py
+++ b/honeywood/gateway/proxy/record_handler.py
@@ -1,4 +1,4 @@
-"""Applies records that have come to the proxy's store."""
+"""Applies records that were added to the proxy's store."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class RecordHandler:
-    """Brings the proxy's state up to date, a record at a time."""
+    """Updates the proxy's state by one record at a time."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         peers: KnownPeers,
         on_configuration: Callable[[], None],
     ) -> None:
-        """`on_configuration` is called after another configuration has taken effect."""
+        """Builds the handler; `on_configuration` is called after another configuration has taken effect."""
         self.clock = clock
         self.configuration = configuration
         self.endpoints = endpoints
@@ -48,7 +48,11 @@
         self.on_configuration = on_configuration
 
     def apply(self, key: str, value: JsonValue) -> None:
-        """A record is new or has changed. Raises InvalidInput where it can't be read."""
+        """Applies a record that is new or has changed.
+
+        Raises:
+            InvalidInput: The value can't be decoded.
+        """
         kind, name = kind_of(key), name_of(key)
         if kind == RecordKind.CONFIGURATION:
             self._apply_configuration(value)
@@ -69,7 +73,7 @@
         self.on_configuration()
 
     def _apply_machine(self, id: str, value: dict[str, Any]) -> None:
-        """Idle connections to an endpoint that is out of service are closed."""
+        """Updates an endpoint, and closes its idle connections if it is out of service."""
         now = self.clock()
         record = EndpointRecord.decode(value)
         self.retired_machines.observe(now, id, record.state)
--- a/honeywood/gateway/proxy/request_counters.py
+++ b/honeywood/gateway/proxy/request_counters.py
@@ -1,6 +1,6 @@
-"""Counters of requests and attempts, under the names that the log's `counts` and /metrics show.
+"""Counters of requests and attempts, by the names that appear in the log event `counts` and in /metrics.
 
-docs/operate/system.md explains each name to operators.
+docs/operate/system.md explains each name.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class RequestProgress(StrEnum):
-    """How far a request has come when its client leaves."""
+    """How far a request has come when its client disconnects. The values are parts of counter names."""
 
     WAITING = "before any attempt"
     AT_ENDPOINT = "at a machine"
@@ -26,14 +26,17 @@
 
 
 class RequestCounters:
-    """Sums since the proxy's start, by name."""
+    """Counts since the proxy's start, by name."""
 
     def __init__(self) -> None:
-        """All are zero."""
+        """Starts with all counts at zero."""
         self.counts: Counter[str] = Counter()
 
     def request_finished(self, request: PendingRequest, status: int, now: float) -> None:
-        """A request has its final response; it isn't counted by status where nobody waits for it."""
+        """Counts a request that has its final response.
+
+        It is not counted by status or latency if its client has disconnected.
+        """
         self.counts["requests"] += 1
         if request.disconnect.happened:
             return
@@ -44,32 +47,32 @@
         self.counts[f"answered {status}"] += 1
 
     def not_forwarded(self, reason: str) -> None:
-        """A request was rejected before an endpoint was chosen."""
+        """Counts a request that was rejected before an endpoint was selected."""
         self.counts[f"not forwarded: {reason}"] += 1
 
     def no_endpoint(self, request: PendingRequest, reason: str) -> None:
-        """No endpoint could take a request."""
+        """Counts a request for which no endpoint was eligible."""
         self.counts[f"no machine: {reason}"] += 1
         self.counts[f"no machine, priority {request.priority}"] += 1
 
     def client_left(self, request: PendingRequest, progress: RequestProgress) -> None:
-        """The client of an unfinished request has left."""
+        """Counts an unfinished request whose client has disconnected."""
         self.counts[f"client left: {request.route.kind} {progress}"] += 1
 
     def attempt_abandoned(self) -> None:
-        """An attempt was ended since its client has left."""
+        """Counts an attempt that was ended because its client had disconnected."""
         self.counts["attempts abandoned"] += 1
 
-    def attempt_outlived_client(self, request: PendingRequest, for_s: float) -> None:
-        """An attempt ended `for_s` after its client had left."""
+    def attempt_outlived_client(self, request: PendingRequest, duration_s: float) -> None:
+        """Counts an attempt that ended `duration_s` after its client had disconnected."""
         kind = request.route.kind
         self.counts[f"{kind} attempts ended after their client"] += 1
-        self.counts[f"{kind} ms after their client"] += int(MS_PER_S * for_s)
+        self.counts[f"{kind} ms after their client"] += int(MS_PER_S * duration_s)
 
     def surplus_response(self) -> None:
-        """A response to another request came while one was in flight."""
+        """Counts a response to another request that arrived while an attempt was in flight."""
         self.counts["surplus answers"] += 1
 
     def attempt_after_surplus_ended(self, answered: bool) -> None:
-        """An attempt that read past surplus responses has ended, with its own response or without."""
+        """Counts an attempt that read past surplus responses, if it got the response to its request."""
         self.counts["answers after a surplus one"] += answered
--- a/honeywood/gateway/proxy/response_writer.py
+++ b/honeywood/gateway/proxy/response_writer.py
@@ -1,4 +1,4 @@
-"""Writes responses to clients, long ones as they come from the endpoint."""
+"""Writes responses to clients, and relays long responses while they arrive from the endpoint."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 class ResponseWriter:
-    """`relaying` counts the long responses that are being relayed."""
+    """Writes responses; `relaying` is the number of long responses that are being relayed."""
 
     def __init__(self) -> None:
-        """Nothing is being relayed."""
+        """Starts with no response being relayed."""
         self.relaying = 0
 
     async def write(
         self, send: Send, response: ClientResponse, disconnect: ClientDisconnect, close: bool
     ) -> None:
-        """Writes a response; `close`: the client's connection ends with it."""
+        """Writes a response; with `close` it announces that the connection is closed after it."""
         headers = [*response.headers, CLOSE_CONNECTION] if close else response.headers
         if response.remainder is None:
             await send_response(send, response.status, headers, response.body)
@@ -46,7 +46,7 @@
         self.relaying += 1
         try:
             await stream_response(send, response.status, headers, _chunks(response.body, remainder))
-        except httpcore.ReadTimeout:  # raised by `abandon`, which ends the reading
+        except httpcore.ReadTimeout:  # what the iteration raises after `abandon` has closed the connection
             if not disconnect.happened:
                 raise
         finally:
--- a/honeywood/gateway/proxy/retry_budgets.py
+++ b/honeywood/gateway/proxy/retry_budgets.py
@@ -6,17 +6,17 @@
 
 
 class RetryBudgets:
-    """A RetryBudget for each service, made when it is first needed."""
+    """A RetryBudget for each service, created when it is first used."""
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
-        """The configured bounds, for each service at all proxies together."""
+        """Takes the configured limits, which apply to each service at all proxies together."""
         self.ratio = ratio
         self.slack = slack
         self.window_s = window_s
         self._budgets: dict[str, RetryBudget] = {}
 
     def of(self, service: str) -> RetryBudget:
-        """A service's budget."""
+        """Returns a service's budget."""
         budget = self._budgets.get(service)
         if budget is None:
             budget = self._budgets[service] = RetryBudget(self.ratio, self.slack, self.window_s)
--- a/honeywood/gateway/proxy/rollout_reports.py
+++ b/honeywood/gateway/proxy/rollout_reports.py
@@ -1,4 +1,4 @@
-"""Outcome counts of versions on trial at one proxy, as records for the controllers."""
+"""One proxy's reports on versions on trial, as records for the controllers."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     from honeywood.gateway.dissemination.store import Store
     from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 
-KNOWN_FOR_STEP_S = 0.5  # after which a report differs only by the time for which a trial has been known
+REVISION_AGE_STEP_S = 0.5  # a rollout's age makes a report differ from the last one only in these steps
 
 
 class RolloutReports:
-    """Numbers each changed report, and gives it to controllers that have not acknowledged it."""
+    """Numbers each changed report, and supplies it to the controllers that have not acknowledged it."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         incarnation: str,
         store: Store,
     ) -> None:
-        """`store` supplies the epoch that each record carries."""
+        """Starts with an empty report; `store` supplies the epoch that each record contains."""
         self.traffic_policy = traffic_policy
         self.clock = clock
         self.store = store
@@ -35,22 +35,22 @@
         self.incarnation = incarnation
         self.number = 0
         self.epoch = 0
-        self.acknowledged: dict[str, int] = {}  # the number that each controller has
+        self.acknowledged: dict[str, int] = {}  # by controller, the number of the newest report that it has
         self._last: dict[str, object] = {"rows": [], "votes": {}, "left": {}, "known": {}}
 
     def records_for(self, controller: str) -> list[Record]:
-        """The record that a controller lacks, in a list; an empty list where it has the newest."""
+        """Returns the newest record in a list, or an empty list if the controller has it already."""
         encoded = report.encode(self.traffic_policy.report(self.clock()))
-        self._number(encoded)
+        self._update_number(encoded)
         if self.acknowledged.get(controller, 0) >= self.number:
             return []
         value = {"life": self.incarnation, **encoded}
         return [Record(self.key, Stamp.of(self.number, self.epoch), value)]
 
-    def _number(self, encoded: dict[str, dict[str, list[float]]]) -> None:
-        """Gives the report a new number if it differs from the last, or another epoch has begun since."""
+    def _update_number(self, encoded: dict[str, dict[str, list[float]]]) -> None:
+        """Assigns a new number if the report differs from the last one or a new epoch has begun since."""
         known = {
-            service: [revision, int(seconds / KNOWN_FOR_STEP_S)]
+            service: [revision, int(seconds / REVISION_AGE_STEP_S)]
             for service, (revision, seconds) in encoded["known"].items()
         }
         current: dict[str, object] = {**encoded, "known": known}
@@ -61,9 +61,9 @@
             self.epoch = epoch
 
     def acknowledge(self, controller: str, number: int) -> None:
-        """A controller has reports up to `number`."""
+        """Records that a controller has the reports up to `number`."""
         self.acknowledged[controller] = number
 
     def forget(self, controller: str) -> None:
-        """A controller is polled no more."""
+        """Forgets the acknowledgement of a controller that is no longer polled."""
         self.acknowledged.pop(controller, None)
--- a/honeywood/gateway/proxy/status.py
+++ b/honeywood/gateway/proxy/status.py
@@ -1,4 +1,4 @@
-"""What a proxy says of itself: the log's line `counts`, and the metrics page."""
+"""The proxy's status for operators: the log event `counts` and the metrics page."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def events(proxy: Proxy) -> dict[str, int]:
-    """Sums since the start by name."""
+    """Returns counts since the start, by name."""
     violations = proxy.invariants.violations
     return {
         **proxy.counters.counts,
@@ -21,7 +21,7 @@
 
 
 def log_fields(proxy: Proxy) -> dict[str, Any]:
-    """The fields of `counts`; docs/operate/system.md explains them."""
+    """Returns the fields of the log event `counts`; docs/operate/system.md explains them."""
     endpoints = proxy.endpoints.by_id.values()
     return {
         **events(proxy),
@@ -36,7 +36,7 @@
 
 
 def metrics(proxy: Proxy) -> Metrics:
-    """A reading of the metrics."""
+    """Returns the current metrics."""
     endpoints = proxy.endpoints.by_id.values()
     gauges = {
         "ready": proxy.ready,
--- a/honeywood/gateway/proxy/update_subscription.py
+++ b/honeywood/gateway/proxy/update_subscription.py
@@ -1,4 +1,4 @@
-"""Gets updates as soon as there are any, by long polling of a relay or a controller."""
+"""Receives updates without delay, by long polling of a relay or a controller."""
 
 from __future__ import annotations
 
@@ -18,11 +18,13 @@
     from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
     from honeywood.gateway.proxy.known_peers import KnownPeers
 
-CONTROLLERS_ONLY_S = 1.0  # after the start, without a configuration: relays may just have started too
+# After the start, in which only controllers are polled while there is no configuration: the relays may have
+# just started too.
+CONTROLLERS_ONLY_S = 1.0
 
 
 class UpdateSubscription:
-    """Polls the nearest relay that answers, else a controller; each poll is held until there are updates."""
+    """Polls the nearest relay that responds, or else a controller. A poll is held until there are updates."""
 
     def __init__(
         self,
@@ -32,7 +34,7 @@
         peers: KnownPeers,
         configuration: ActiveConfiguration,
     ) -> None:
-        """Of a proxy that starts now."""
+        """Builds the subscription of a proxy that starts now."""
         self.clock = clock
         self.settings = settings
         self.subscriber = subscriber
@@ -41,7 +43,7 @@
         self.started_at = self.answered_at = clock()
 
     async def poll_once(self) -> None:
-        """Polls one peer after the other until one answers."""
+        """Polls one peer after the other until one responds."""
         for ip, port in self._candidates():
             try:
                 response = await self.subscriber.poll(ip, port, MAX_HOLD_S)
@@ -53,7 +55,7 @@
         await asyncio.sleep(INITIAL_DELAY_S)
 
     def _candidates(self) -> list[tuple[str, int]]:
-        """The addresses to poll, in order: relays, then controllers, without those in backoff."""
+        """Returns the addresses to poll, in order: relays, then controllers, without peers in backoff."""
         now, backoff = self.clock(), self.subscriber.backoff
         starting = self.configuration.table is None and now - self.started_at < CONTROLLERS_ONLY_S
         relays = [] if starting else [ip for ip in self.peers.relays if not backoff.remaining_s(ip, now)]
@@ -62,10 +64,10 @@
         return found + [(ip, self.settings.controller_port) for ip in controllers]
 
     def max_poll_bytes(self) -> int | None:
-        """The limit on answers to other polls, None where there is none.
+        """Returns the limit on the response to a poll of another loop, None for no limit.
 
-        It is small while this subscription receives the first configuration: each controller that is polled
-        besides would send all that it has once more.
+        The limit is small while this subscription receives the first configuration. Otherwise each controller
+        that is polled at the same time would send all its records as well.
         """
         is_answered = self.clock() - self.answered_at < MAX_HOLD_S
         return UNPACED_BYTES if self.configuration.table is None and is_answered else None
--- a/tests/gateway/proxy/test_forwarding_enumeration.py
+++ b/tests/gateway/proxy/test_forwarding_enumeration.py
@@ -10,7 +10,7 @@
 from ward import each, test
 
 from honeywood.gateway.proxy import attempt_sender, client_response
-from honeywood.gateway.proxy.attempt_sender import LATE_RESPONSE_S
+from honeywood.gateway.proxy.attempt_sender import LATE_RESPONSE_GRACE_S
 from honeywood.gateway.routing.outcomes import AttemptOutcome, classify_response
 from honeywood.gateway.routing.pending_request import PendingRequest
 from honeywood.gateway.rpc import connection, tcp_stream
@@ -96,7 +96,7 @@
                 loop.call_at(TIMEOUT - SPARE + late / 1000 + 0.02, line.say, whole[n:])
 
             yield CallScenario(kind, script), (b"a1", b"a2")
-        for still in (0.3, TIMEOUT - SPARE, TIMEOUT, TIMEOUT + LATE_RESPONSE_S, 2.0):
+        for still in (0.3, TIMEOUT - SPARE, TIMEOUT, TIMEOUT + LATE_RESPONSE_GRACE_S, 2.0):
 
             def frozen(line, id, n=n, still=still):
                 line.loop.now += still  # then what came is heard, and all timers are due
--- a/tests/gateway/proxy/test_idle_limits.py
+++ b/tests/gateway/proxy/test_idle_limits.py
@@ -4,7 +4,7 @@
 
 from ward import each, test
 
-from honeywood.gateway.proxy.idle_limits import SAFETY_FACTOR, VALID_S, IdleLimits
+from honeywood.gateway.proxy.idle_limits import LIMIT_VALID_S, SAFETY_FACTOR, IdleLimits
 
 
 @test("a connection idle for {idle_s} s that broke {elapsed_s} s after a request sets a limit: {learned}")
@@ -25,4 +25,4 @@
     limits.record_break(1.0, "s", 0.4, 0.001)
     limits.record_break(2.0, "s", 4.0, 0.001)
     assert limits.limit_s(2.0, "s") == 0.4 * SAFETY_FACTOR
-    assert limits.limit_s(2.0 + VALID_S, "s") == inf
+    assert limits.limit_s(2.0 + LIMIT_VALID_S, "s") == inf
