--- a/honeywood/gateway/proxy/controller_poller.py
+++ b/honeywood/gateway/proxy/controller_poller.py
@@ -76,8 +76,8 @@
         """Returns the controllers that are not in backoff, beginning with another one at each call."""
         ring = rank(self.peers.controllers, self.settings.node)
         start = self.poll_count % len(ring)
-        found: list[str] = self.subscriber.backoff.available(ring[start:] + ring[:start], self.clock())
-        return found
+        candidates: list[str] = self.subscriber.backoff.available(ring[start:] + ring[:start], self.clock())
+        return candidates
 
     async def _poll(self, ip: str) -> PollResult:
         """Polls a controller, and again while it has more to send."""
--- a/honeywood/gateway/proxy/peer_handler.py
+++ b/honeywood/gateway/proxy/peer_handler.py
@@ -43,11 +43,11 @@
             return
         disconnect = scope[CONTEXT].disconnect
         try:
-            found = await self.answer_poll(raw, scope["client"][0], lambda: disconnect.happened)
+            response = await self.answer_poll(raw, scope["client"][0], lambda: disconnect.happened)
         except GatewayError as error:
             await send_response(send, BAD_REQUEST, (), str(error).encode())
             return
-        await send_response(send, OK, [JSON_CONTENT], json.dumps(found, separators=(",", ":")).encode())
+        await send_response(send, OK, [JSON_CONTENT], json.dumps(response, separators=(",", ":")).encode())
 
     async def answer_poll(
         self, raw: bytes, peer: str, has_left: Callable[[], bool] = lambda: False
--- a/honeywood/gateway/proxy/program.py
+++ b/honeywood/gateway/proxy/program.py
@@ -130,12 +130,12 @@
 
     def _build_updates(self) -> None:
         """Builds the parts that receive updates and send reports."""
-        s = self.settings
+        settings = self.settings
         self.publisher = Publisher(
-            self.store_incarnation(), self._apply_record, link_bytes_per_s=s.link_bytes_per_s
+            self.store_incarnation(), self._apply_record, link_bytes_per_s=settings.link_bytes_per_s
         )
         store, backoff = self.publisher.store, Backoff(self.random, MAX_BACKOFF_S)
-        self.peers = KnownPeers(ip for ip, _ in s.seeds)
+        self.peers = KnownPeers(ip for ip, _ in settings.seeds)
         self.retired_machines = RetiredMachines(store)
         self.records = RecordHandler(
             self.clock,
@@ -147,7 +147,7 @@
             self.peers,
             lambda: self.log.info("configuration"),
         )
-        self.reports = RolloutReports(self.traffic_policy, self.clock, s.node, self.incarnation, store)
+        self.reports = RolloutReports(self.traffic_policy, self.clock, settings.node, self.incarnation, store)
         self.assembler = ChunkAssembler()
         subscriber = Subscriber(
             store,
@@ -157,7 +157,9 @@
             backoff,
             lambda: self.publisher.max_response_bytes,
         )
-        self.subscription = UpdateSubscription(self.clock, s, subscriber, self.peers, self.configuration)
+        self.subscription = UpdateSubscription(
+            self.clock, settings, subscriber, self.peers, self.configuration
+        )
         poll_subscriber = Subscriber(
             store,
             self.assembler,
@@ -171,7 +173,7 @@
         self.poller = ControllerPoller(
             self.clock,
             self.random,
-            s,
+            settings,
             poll_subscriber,
             self.subscription,
             self.peers,
@@ -200,8 +202,8 @@
 
     def _requester(self) -> Requester:
         """Returns the identity that this proxy sends in polls."""
-        s = self.settings
-        return Requester(s.node, s.ip, s.zone, self.incarnation, is_proxy=True)
+        settings = self.settings
+        return Requester(settings.node, settings.ip, settings.zone, self.incarnation, is_proxy=True)
 
     def _max_poll_bytes(self) -> int:
         """Returns the limit on the response to a poll of the controller poller."""
@@ -263,16 +265,18 @@
 
     async def run(self) -> None:
         """Serves until the platform stops the proxy, then finishes open requests within the grace period."""
-        s = self.settings
+        settings = self.settings
         self.server = HttpServer(self.app)
-        await self.server.open([s.listen.http, s.listen.ready, (s.ip, s.proxy_port)])
+        await self.server.open(
+            [settings.listen.http, settings.listen.ready, (settings.ip, settings.proxy_port)]
+        )
         await self.metrics_endpoint.open(self.server)
-        self.log.info("started", role=s.role)
+        self.log.info("started", role=settings.role)
         self.begin()
         await self.wait_until_stopped()
         self.log.info("stopping")
         await asyncio.sleep(UNREADY_DETECTION_S)
-        await self.server.close(s.bounds.grace_s - UNREADY_DETECTION_S - STOP_MARGIN_S)
+        await self.server.close(settings.bounds.grace_s - UNREADY_DETECTION_S - STOP_MARGIN_S)
         self.log.info("stopped")
 
     def begin(self) -> None:
--- a/honeywood/gateway/proxy/update_subscription.py
+++ b/honeywood/gateway/proxy/update_subscription.py
@@ -60,8 +60,8 @@
         starting = self.configuration.table is None and now - self.started_at < CONTROLLERS_ONLY_S
         relays = [] if starting else [ip for ip in self.peers.relays if not backoff.remaining_s(ip, now)]
         controllers = backoff.available(rank(self.peers.controllers, self.settings.node), now)
-        found = [(ip, self.settings.proxy_port) for ip in relays]
-        return found + [(ip, self.settings.controller_port) for ip in controllers]
+        candidates = [(ip, self.settings.proxy_port) for ip in relays]
+        return candidates + [(ip, self.settings.controller_port) for ip in controllers]
 
     def max_poll_bytes(self) -> int | None:
         """Returns the limit on the response to a poll of another loop, None for no limit.
