--- a/tests/gateway/call_scenario.py
+++ b/tests/gateway/call_scenario.py
@@ -1,4 +1,4 @@
-"""A real proxy with two scripted endpoints, and scripted clients of its listener, on a clock that jumps."""
+"""A real proxy with two scripted endpoints and scripted clients, on the emulator's simulated clock."""
 
 import asyncio
 import json
@@ -19,11 +19,12 @@
 
 HEAD = b"HTTP/1.1 %s\r\nX-Try-Id: %s\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\n%s"
 FULL = b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Try-Id: %s\r\nContent-Length: 0\r\n\r\n"
-NOBODYS = b"HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"
-TIMEOUT, SPARE = 0.6, RESPONSE_MARGIN_S
+MISDIRECTED = b"HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"  # without the id of any request
+TIMEOUT_S, MARGIN_S = 0.6, RESPONSE_MARGIN_S
 
 
 def good(id):
+    """A valid response to the request `id`."""
     return HEAD % (b"200 OK", id, id[-2:])
 
 
@@ -32,83 +33,103 @@
 
 
 class CallScenario:
-    """A proxy with a route of one `kind` and machines m and n; `script(line, id)` plays the first arrival,
-    all others are answered at once, unless `every`."""
-
-    def __init__(self, kind="safe", script=None, every=False):
-        self.loop, self.kind, self.script, self.every = ScriptedLoop(self.serve), kind, script, every
-        self.still = 0.0  # seconds for which the proxy stood still
-        self.still_out = []  # ids refused while a machine had them
+    """A proxy with one route and the machines m and n.
+
+    `kind` is "safe" for a route of idempotent requests, or else "unsafe".
+
+    `script(transport, id)` plays the machine for the first request that arrives, or for each request with
+    `scripts_all`. Without a script a machine answers after STEP.
+    """
+
+    def __init__(self, kind="safe", script=None, scripts_all=False):
+        self.loop, self.kind, self.script, self.scripts_all = (
+            ScriptedLoop(self.serve),
+            kind,
+            script,
+            scripts_all,
+        )
+        self.suspended_s = 0.0  # seconds for which the script suspends the proxy
+        self.rejected_in_flight = []  # ids that were rejected while an attempt was in flight
         self.method = b"POST"
-        self.served = False  # whether nothing keeps a request from being served
+        self.must_succeed = False  # whether each request has to be answered 200
         asyncio.set_event_loop(self.loop)
-        given = settings("f", tolerated_failures=0), None, self.loop.time, self.loop.time
-        self.proxy, self.runs, self.answers = Proxy(*given, random=Random(1), log=SilentLog()), Counter(), {}
+        arguments = settings("f", tolerated_failures=0), None, self.loop.time, self.loop.time
+        self.proxy, self.runs, self.responses = (
+            Proxy(*arguments, random=Random(1), log=SilentLog()),
+            Counter(),
+            {},
+        )
         self.proxy.records.apply("config", json.dumps(config(5, kind=kind)))
         for id in "mn":
             self.proxy.records.apply(f"machine/{id}", machine(id))
 
-    def serve(self, line, request):
+    def serve(self, transport, request):
+        """Plays a machine that has received a request."""
         id = id_of(request)
         self.runs[id] += 1
-        script, self.script = self.script, self.script if self.every else None
+        script, self.script = self.script, self.script if self.scripts_all else None
         if script is not None:
-            script(line, id)
+            script(transport, id)
         else:
-            line.loop.call_later(STEP, line.say, good(id))
+            transport.loop.call_later(STEP, transport.say, good(id))
 
-    async def ask(self, id):
-        """One request of a client on its own."""
+    async def forward(self, id):
+        """Forwards one request of a client; returns the status of the response."""
         proxy = self.proxy
         fields = {b"host": b"h.example", b"x-try-id": id}
         route = proxy.configuration.table.find(b"h.example", b"/p0/x")
-        began = self.loop.time()
+        started_at = self.loop.time()
         request = ClientRequest(self.method, b"/p0/x", list(fields.items()), fields, b"body")
-        answer = await proxy.forwarder.forward(route, request)
-        self.answers[id] = answer.status, answer.body, self.loop.time() - began
-        at_work = sum(one.in_flight - one.opening_connections for one in proxy.endpoints.by_id.values())
-        if answer.status in NOT_RUN_STATUSES and at_work:  # what is still being dialled gets nothing
-            self.still_out.append(id)
-        return answer.status
+        response = await proxy.forwarder.forward(route, request)
+        self.responses[id] = response.status, response.body, self.loop.time() - started_at
+        in_flight = sum(one.in_flight - one.opening_connections for one in proxy.endpoints.by_id.values())
+        if response.status in NOT_RUN_STATUSES and in_flight:  # nothing is sent while a connection opens
+            self.rejected_in_flight.append(id)
+        return response.status
 
-    def play(self, *ids, every=0.0):
-        """The requests one after the other, then three seconds in which nothing may come of them."""
+    def play(self, *ids, pause_s=0.0):
+        """Forwards the requests one after the other; returns the violations after three further seconds."""
 
         async def work():
             for id in ids:
-                await self.ask(id)
-                await asyncio.sleep(every)
+                await self.forward(id)
+                await asyncio.sleep(pause_s)
             await asyncio.sleep(3.0)
             await self.proxy.maintain()
             await asyncio.sleep(STEP)
 
         self.loop.run_until_complete(work())
-        broken = self.broken()
+        violations = self.violations()
         self.loop.close()
-        return broken
+        return violations
+
+    def violations(self):
+        """Returns what violates the rules for responses, or the invariants of the proxy.
 
-    def broken(self):
-        """What doesn't hold of TWICE, MIXED, REFUSED, and of what was given up."""
+        No non-idempotent request runs twice, each success has the response to its own request, a request that
+        was rejected as not run has not run and is at no machine, and no request takes longer than its
+        time-out. In the end no attempt is in flight, and all open connections are reusable.
+        """
         self.proxy.invariants.check(self.loop.time())
-        found = [f"{count} x {what}" for what, count in self.proxy.invariants.violations.items()]
-        for id, (status, body, took) in self.answers.items():
+        found = [f"{count} x {violation}" for violation, count in self.proxy.invariants.violations.items()]
+        for id, (status, body, elapsed_s) in self.responses.items():
             if self.kind == "unsafe" and self.runs[id] > 1:
                 found.append(f"{id} ran {self.runs[id]} times")
-            if self.served and (status != 200 or self.runs[id] != 1):
-                found.append(f"{id} got {status} though nothing of it was lost")
+            if self.must_succeed and (status != 200 or self.runs[id] != 1):
+                found.append(f"{id} got {status} and ran {self.runs[id]} times")
             if status == 200 and body != id[-2:]:
-                found.append(f"{id} got {body}")
+                found.append(f"{id} got the body {body}")
             if status in NOT_RUN_STATUSES and self.runs[id]:
-                found.append(f"{id} was refused and ran")
-            if id in self.still_out:
-                found.append(f"{id} was refused with a machine at work")
-            if took > max(TIMEOUT, self.still + 3 * STEP) + 0.001:
-                found.append(f"{id} was held for {took}")
-        for held in self.proxy.endpoints.by_id.values():
-            kept = sum(one.reusable for one in held.idle_connections)
-            if held.in_flight or held.opening_connections or held.open_connections != kept:
-                counted = f"{held.in_flight} open, {held.open_connections} connections, {kept} kept"
-                found.append(f"{held.id}: {counted}")
+                found.append(f"{id} got {status} and ran")
+            if id in self.rejected_in_flight:
+                found.append(f"{id} got {status} while an attempt was in flight")
+            if elapsed_s > max(TIMEOUT_S, self.suspended_s + 3 * STEP) + 0.001:
+                found.append(f"{id} took {elapsed_s} s")
+        for endpoint in self.proxy.endpoints.by_id.values():
+            idle = sum(connection.reusable for connection in endpoint.idle_connections)
+            if endpoint.in_flight or endpoint.opening_connections or endpoint.open_connections != idle:
+                counts = f"{endpoint.in_flight} in flight, {endpoint.open_connections} open, {idle} idle"
+                found.append(f"{endpoint.id}: {counts}")
         return found
 
 
@@ -116,11 +137,11 @@
 
 
 class ScriptedClient(ScriptedTransport):
-    """A client's connection to the proxy's listener."""
+    """A client's connection to the proxy's listener; `out` is what the proxy has written to it."""
 
     def __init__(self, scenario, port=80):
-        self.out, listening = b"", HttpServer(scenario.proxy.app)
-        self.server, uvicorn_server = listening, listening.uvicorn_server
+        self.out, server = b"", HttpServer(scenario.proxy.app)
+        self.server, uvicorn_server = server, server.uvicorn_server
         uvicorn_server.config.load()
         protocol = HttpProtocol(uvicorn_server.config, uvicorn_server.server_state, {}, scenario.loop)
         super().__init__(scenario.loop, protocol)
@@ -131,9 +152,11 @@
         self.out += b"" if self.closing else data
 
     def run(self, until):
+        """Runs the loop until the time `until` in seconds; returns this client."""
         self.loop.run_until_complete(asyncio.sleep(until - self.loop.time()))
         return self
 
     @property
     def ids(self):
+        """The X-Try-Id of each response, in the order in which they were written."""
         return [part.partition(b"\r\n")[0] for part in self.out.lower().split(b"x-try-id: ")[1:]]
--- a/tests/gateway/proxy/test_attempt_sender.py
+++ b/tests/gateway/proxy/test_attempt_sender.py
@@ -1,32 +1,37 @@
-"""Responses to other requests that come while an attempt is in flight."""
+"""Responses to other requests that arrive while an attempt is in flight."""
 
 from call_scenario import CallScenario, good
 from scripted_transport import STEP
 from ward import each, test
 
 
-def under_way(kind, count, own_after, method=b"POST"):
-    """A request on a kept connection on which `count` answers to others come once it has left, and its own
-    after so many steps, or never: its status, steps, sends, and the connections that were opened."""
+def play_surplus(kind, count, own_after, method=b"POST"):
+    """Sends a request on a kept connection that then carries `count` responses to other requests.
 
-    def script(line, id):
+    The response to the request itself follows after `own_after` steps, or never if that is None. Returns the
+    violations, the request's status, the steps that it took, and how often it was sent.
+    """
+
+    def script(transport, id):
         if id == b"a1":
-            return line.say(good(id))
+            return transport.say(good(id))
         for n in range(count):
-            line.loop.call_later((2 + n / 4) * STEP, line.say, good(b"zz"))
-        own_after and line.loop.call_later(own_after * STEP, line.say, good(id))
+            transport.loop.call_later((2 + n / 4) * STEP, transport.say, good(b"zz"))
+        own_after and transport.loop.call_later(own_after * STEP, transport.say, good(id))
 
-    def once(line, id):
-        script(line, id) if scenario.runs[id] == 1 else line.loop.call_later(9 * STEP, line.say, good(id))
+    def script_first(transport, id):
+        script(transport, id) if scenario.runs[id] == 1 else transport.loop.call_later(
+            9 * STEP, transport.say, good(id)
+        )
 
-    scenario = CallScenario(kind, once, every=True)
+    scenario = CallScenario(kind, script_first, scripts_all=True)
     scenario.method = method
-    broken = scenario.play(b"a1", b"a2", b"a3")
-    status, _, took = scenario.answers[b"a2"]
-    return broken, status, round(took / STEP), scenario.runs[b"a2"]
+    violations = scenario.play(b"a1", b"a2", b"a3")
+    status, _, elapsed_s = scenario.responses[b"a2"]
+    return violations, status, round(elapsed_s / STEP), scenario.runs[b"a2"]
 
 
-@test("{count} surplus responses, a {kind} request's own after {own} steps: {status} after {steps} steps")
+@test("{count} surplus responses, then the one to a {kind} request after {own} steps: {status} after {steps}")
 def _(
     kind=each("unsafe", "unsafe", "unsafe", "unsafe", "safe", "safe"),
     count=each(1, 2, 3, 1, 1, 1),
@@ -35,11 +40,12 @@
     steps=each(10, 10, 3, 596, 10, 14),
     sends=each(1, 1, 1, 1, 2, 2),
 ):
-    # Without reading on, an unsafe request got 502 though its machine was running it and answered in time.
-    assert under_way(kind, count, own) == ([], status, steps, sends)
+    # Without reading past surplus responses, an unsafe request got 502 although its machine was running it
+    # and answered in time.
+    assert play_surplus(kind, count, own) == ([], status, steps, sends)
 
 
-@test("after {method} a surplus response ends the connection where its end can't be known")
+@test("after {method} a surplus response closes the connection if the end of the response is ambiguous")
 def _(method=each(b"HEAD", b"GET")):
-    _, status, *_ = under_way("unsafe", 1, 9, method)
+    _, status, *_ = play_surplus("unsafe", 1, 9, method)
     assert status == (200 if method == b"GET" else 502)
