--- a/tests/gateway/call_scenario.py
+++ b/tests/gateway/call_scenario.py
@@ -116,15 +116,15 @@
             if self.kind == "unsafe" and self.runs[id] > 1:
                 found.append(f"{id} ran {self.runs[id]} times")
             if self.must_succeed and (status != 200 or self.runs[id] != 1):
-                found.append(f"{id} got {status} and ran {self.runs[id]} times")
+                found.append(f"{id} got {status}, or did not run exactly once")
             if status == 200 and body != id[-2:]:
                 found.append(f"{id} got the body {body}")
             if status in NOT_RUN_STATUSES and self.runs[id]:
-                found.append(f"{id} got {status} and ran")
+                found.append(f"{id} was rejected as not run, and ran")
             if id in self.rejected_in_flight:
-                found.append(f"{id} got {status} while an attempt was in flight")
+                found.append(f"{id} was rejected while an attempt was in flight")
             if elapsed_s > max(TIMEOUT_S, self.suspended_s + 3 * STEP) + 0.001:
-                found.append(f"{id} took {elapsed_s} s")
+                found.append(f"{id} took too long, in seconds: {elapsed_s}")
         for endpoint in self.proxy.endpoints.by_id.values():
             idle = sum(connection.reusable for connection in endpoint.idle_connections)
             if endpoint.in_flight or endpoint.opening_connections or endpoint.open_connections != idle:
--- a/tests/gateway/proxy/test_client_handler.py
+++ b/tests/gateway/proxy/test_client_handler.py
@@ -1,4 +1,4 @@
-"""Which requests are admitted, and what endpoints get to know of their tenants."""
+"""Which requests are admitted, and what is forwarded to endpoints about their tenants."""
 
 import asyncio
 
@@ -6,10 +6,10 @@
 from tenant_fixtures import KEYS, with_tenants
 from ward import each, test
 
-LINE = b"GET /p0/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: id1\r\nX-Deadline-Ms: 48000\r\n"
+REQUEST_START = b"GET /p0/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: id1\r\nX-Deadline-Ms: 48000\r\n"
 
 
-AMPLE_TARGET_S, AMPLE_TIMEOUT_S = 20.0, 48.0  # in the proportion of other scenes
+AMPLE_TARGET_S, AMPLE_TIMEOUT_S = 20.0, 48.0  # in the same proportion as in other scenes
 
 
 class TenantScene(Scene):
@@ -22,7 +22,7 @@
     def configuration(self):
         sent = with_tenants(public=self.public)
         for item in sent["res"]:
-            if item["type"] == "routes":  # these tests are of keys: a busy machine must not let time run out
+            if item["type"] == "routes":  # these tests are about keys and must not time out on a busy machine
                 item["spec"] |= {"timeout_s": AMPLE_TIMEOUT_S, "target_s": AMPLE_TARGET_S}
         return sent
 
@@ -32,7 +32,7 @@
     async def work():
         async with TenantScene([ok]) as scene:
             key = KEYS["cuka620"][1].encode()
-            assert status(await scene.raw(LINE + b"X-Api-Key: %s\r\n\r\n" % key)) == 200
+            assert status(await scene.raw(REQUEST_START + b"X-Api-Key: %s\r\n\r\n" % key)) == 200
             head, fields, _ = scene.machines[0].seen[0]
             assert fields[b"x-tenant"] == b"cuka620"
             assert key not in head.lower() and b"x-api-key" not in head.lower()
@@ -40,13 +40,13 @@
     play(work)
 
 
-A, B, MOVED = (KEYS["cuka620"][0], KEYS["seje681"][0], KEYS["cuka620"][1])
+KEY_A, KEY_B, MOVED_KEY = (KEYS["cuka620"][0], KEYS["seje681"][0], KEYS["cuka620"][1])
 
 
 def get(*headers, id=b"id1"):
-    """A request with headers beside its own."""
-    line = LINE.replace(b"id1", id)
-    return line + b"".join(b"%s\r\n" % header for header in headers) + b"\r\n"
+    """A request with the id `id` and additional headers."""
+    start = REQUEST_START.replace(b"id1", id)
+    return start + b"".join(b"%s\r\n" % header for header in headers) + b"\r\n"
 
 
 def key_header(key, name=b"X-Api-Key"):
@@ -59,12 +59,12 @@
         (),
         (key_header("unknown"),),
         (key_header(""),),
-        (key_header(A + ", " + A),),
-        (key_header(A), key_header(B)),
-        (key_header(A), key_header(A)),
+        (key_header(KEY_A + ", " + KEY_A),),
+        (key_header(KEY_A), key_header(KEY_B)),
+        (key_header(KEY_A), key_header(KEY_A)),
         (b"X-Tenant: cuka620",),
-        (key_header(A),),
-        (key_header(A, b"x-ApI-kEy"),),
+        (key_header(KEY_A),),
+        (key_header(KEY_A, b"x-ApI-kEy"),),
     ),
     expected=each(*[401] * 7, 200, 200),
     public=each(*[200] * 9),
@@ -74,8 +74,8 @@
             found = await scene.raw(get(*headers))
             assert status(found) == expected
             assert bool(scene.machines[0].seen) == (expected == 200)
-            refused = scene.proxy.counters.counts["not forwarded: no known key"]
-            assert refused == (expected == 401)
+            rejected = scene.proxy.counters.counts["not forwarded: no known key"]
+            assert rejected == (expected == 401)
         async with TenantScene([ok], public=True) as scene:
             assert status(await scene.raw(get(*headers))) == public
             head, fields, _ = scene.machines[0].seen[0]
@@ -85,7 +85,7 @@
     play(work)
 
 
-@test("whatever a client says of tenants, the machine gets its key's tenant, once: {headers}")
+@test("whatever tenant headers a client sends, the machine gets the tenant of its key, once: {headers}")
 def _(
     headers=each(
         (b"X-Tenant: seje681",),
@@ -98,24 +98,24 @@
 ):
     async def work():
         async with TenantScene([ok]) as scene:
-            assert status(await scene.raw(get(key_header(A), *headers))) == 200
+            assert status(await scene.raw(get(key_header(KEY_A), *headers))) == 200
             head, fields, _ = scene.machines[0].seen[0]
             assert head.lower().count(b"x-tenant:") == 1 and fields[b"x-tenant"] == b"cuka620"
 
     play(work)
 
 
-@test("a folded header of tenants is rejected before anything is forwarded")
+@test("a folded X-Tenant header is rejected before anything is forwarded")
 def _():
     async def work():
         async with TenantScene([ok]) as scene:
-            assert status(await scene.raw(get(key_header(A), b"X-Tenant:\r\n seje681"))) == 400
+            assert status(await scene.raw(get(key_header(KEY_A), b"X-Tenant:\r\n seje681"))) == 400
             assert not scene.machines[0].seen
 
     play(work)
 
 
-@test("without tenants in the configuration both headers are forwarded as they came")
+@test("without tenants in the configuration both headers are forwarded unchanged")
 def _():
     async def work():
         async with Scene([ok]) as scene:
@@ -132,18 +132,18 @@
         async with TenantScene([ok]) as scene:
             reader, writer = await asyncio.open_connection("127.0.0.1", scene.port)
 
-            async def ask(id):
-                writer.write(get(key_header(MOVED), id=id))
+            async def send(id):
+                writer.write(get(key_header(MOVED_KEY), id=id))
                 head = await reader.readuntil(b"\r\n\r\n")
                 if b" 200 " in head:
                     await reader.readexactly(2)
                 return status(head)
 
-            assert await ask(b"a") == 200
-            scene.configure(with_tenants(6, {"cuka620": [A], "seje681": [B, MOVED]}))
-            assert await ask(b"b") == 200
-            scene.configure(with_tenants(7, {"cuka620": [A], "seje681": [B]}))
-            assert await ask(b"c") == 401
+            assert await send(b"a") == 200
+            scene.configure(with_tenants(6, {"cuka620": [KEY_A], "seje681": [KEY_B, MOVED_KEY]}))
+            assert await send(b"b") == 200
+            scene.configure(with_tenants(7, {"cuka620": [KEY_A], "seje681": [KEY_B]}))
+            assert await send(b"c") == 401
             owners = [fields[b"x-tenant"] for _, fields, _ in scene.machines[0].seen]
             assert owners == [b"cuka620", b"seje681"]
             writer.close()
@@ -156,9 +156,9 @@
     async def work():
         async with TenantScene([ok]) as scene:
             reader, writer = await asyncio.open_connection("127.0.0.1", scene.port)
-            writer.write(get(key_header(A), b"Content-Length: 4").replace(b"GET", b"POST") + b"bo")
+            writer.write(get(key_header(KEY_A), b"Content-Length: 4").replace(b"GET", b"POST") + b"bo")
             await asyncio.sleep(0.05)
-            scene.configure(with_tenants(6, {"seje681": [B]}))
+            scene.configure(with_tenants(6, {"seje681": [KEY_B]}))
             writer.write(b"dy")
             assert status(await reader.readuntil(b"\r\n\r\n")) == 200
             assert scene.machines[0].seen[0][1][b"x-tenant"] == b"cuka620"
@@ -174,8 +174,8 @@
             writer.write(HEAD % id + b"ok")
 
         async with TenantScene([with_id]) as scene:
-            shown = {b"a": A, b"b": "unknown", b"c": B}
-            sent = b"".join(get(key_header(key), id=id) for id, key in shown.items())
+            keys = {b"a": KEY_A, b"b": "unknown", b"c": KEY_B}
+            sent = b"".join(get(key_header(key), id=id) for id, key in keys.items())
             reader, writer = await asyncio.open_connection("127.0.0.1", scene.port)
             writer.write(sent)
             found = b""
--- a/tests/gateway/proxy/test_client_request.py
+++ b/tests/gateway/proxy/test_client_request.py
@@ -1,4 +1,4 @@
-"""What of a client's request reaches an endpoint."""
+"""Which parts of a client's request are forwarded to an endpoint."""
 
 from ward import each, raises, test
 
@@ -8,18 +8,18 @@
 
 
 def request(method=b"GET", body=b"", *headers):
-    """A request with headers beside Host."""
-    found = [(b"host", b"h"), *headers]
-    return ClientRequest(method, b"/p", found, dict(found), body)
+    """A request with Host and the given headers."""
+    all_headers = [(b"host", b"h"), *headers]
+    return ClientRequest(method, b"/p", all_headers, dict(all_headers), body)
 
 
-@test("a client that names the deadline {value} waits {timeout_s} s")
+@test("a client that sends the deadline {value} waits {timeout_s} s")
 def _(value=each(None, b"1500", b"0"), timeout_s=each(86400.0, 1.5, 0.0)):
     headers = [] if value is None else [(b"x-deadline-ms", value)]
     assert request(b"GET", b"", *headers).client_timeout_s() == timeout_s
 
 
-@test("a deadline that is no number is an error")
+@test("a deadline that is not a number is an error")
 def _():
     with raises(InvalidDeadline):
         request(b"GET", b"", (b"x-deadline-ms", b"soon")).client_timeout_s()
@@ -39,7 +39,7 @@
     assert request(method, body).outgoing().headers == [(b"host", b"h"), header]
 
 
-@test("each attempt names its endpoint and the time that is left, at least a millisecond")
+@test("each attempt has its endpoint's id and the remaining time, at least a millisecond, in its headers")
 def _(remaining_s=each(0.25, 0.0001), remaining_ms=each(b"250", b"1")):
     outgoing = request(b"POST", b"").outgoing()
     added = outgoing.headers_for(Endpoint("m", "s", 0.0), remaining_s)[len(outgoing.headers) :]
--- a/tests/gateway/proxy/test_connection_pool.py
+++ b/tests/gateway/proxy/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Which connections are used again."""
+"""Which connections are reused."""
 
 from socket_scene import Scene, chunked, chunked_twice, close, ok, play, status, twice
 from ward import each, test
@@ -21,7 +21,7 @@
             assert status(await scene.post(b"a")) == 200
             kept = scene.proxy.endpoints.by_id["i-0"].idle_connections[0]
             scene.machines[0].script = [close]
-            kept.stream.eof_received()  # its end has come
+            kept.stream.eof_received()  # the end of stream has been read
             scene.machines[0].script = [ok]
             assert status(await scene.post(b"b")) == 200 and scene.machines[0].accepted == 2
 
--- a/tests/gateway/proxy/test_failure_responses.py
+++ b/tests/gateway/proxy/test_failure_responses.py
@@ -1,4 +1,4 @@
-"""The responses to requests that no machine has answered."""
+"""The responses to requests for which no attempt got a response to relay."""
 
 from socket_scene import Scene, ok, play, status
 from ward import test
@@ -17,7 +17,7 @@
     play(work)
 
 
-@test("a rejection gives its reason and Retry-After, and is counted")
+@test("a rejection has its reason and Retry-After in its headers, and is counted")
 def _():
     async def work():
         async with Scene([ok]) as scene:
@@ -27,10 +27,10 @@
             assert status(found.upper()) == 503 and b"no machine free: state" in found
             assert b"retry-after: 0.1" in found
             logged = []
-            scene.proxy.log.info = lambda event, **more: logged.append((event, more))
+            scene.proxy.log.info = lambda event, **fields: logged.append((event, fields))
             await scene.proxy.log_counts()
-            (event, more), counts = logged[0], scene.proxy.counters.counts
-            assert event == "counts" and more["answered 200"] == more["answered 503"] == 1
-            assert counts["requests"] == 2 and counts["no machine: state"] == 1 and more["machines"] == 1
+            (event, fields), counts = logged[0], scene.proxy.counters.counts
+            assert event == "counts" and fields["answered 200"] == fields["answered 503"] == 1
+            assert counts["requests"] == 2 and counts["no machine: state"] == 1 and fields["machines"] == 1
 
     play(work)
--- a/tests/gateway/proxy/test_fleet_size.py
+++ b/tests/gateway/proxy/test_fleet_size.py
@@ -1,4 +1,4 @@
-"""How many proxies a proxy reckons with."""
+"""The number of proxies that a proxy assumes to share quotas."""
 
 from ward import test
 
@@ -6,7 +6,7 @@
 
 
 class Clock:
-    """Seconds that a test sets."""
+    """A clock that the test sets, in seconds."""
 
     def __init__(self):
         self.now = 100.0
@@ -15,7 +15,7 @@
         return self.now
 
 
-@test("many proxies are assumed until controllers have reported, and for a while after")
+@test("INITIAL_COUNT proxies are assumed for a while after the start, even if controllers report fewer")
 def _():
     clock = Clock()
     fleet = FleetSize(clock)
@@ -40,7 +40,7 @@
     assert fleet.count() == 2
 
 
-@test("the highest of the controllers' recent reports counts")
+@test("the highest of the controllers' recent reports is used")
 def _():
     clock = Clock()
     fleet = FleetSize(clock)
--- a/tests/gateway/proxy/test_forwarder.py
+++ b/tests/gateway/proxy/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Requests forwarded over real connections, and what becomes of attempts that fail."""
+"""Requests that are forwarded over real connections, and the results of failed attempts."""
 
 import asyncio
 
@@ -69,9 +69,10 @@
     expected=each(*[200] * 10, *[502] * 2, 504, 502, *[504] * 2, 502, 200, 200, 500, 502),
     attempts=each(*[2] * 10, *[1] * 7, 2, 2, 1, 1),
 ):
-    # No invalid response reaches a client, nothing unsafe that may have run is sent again, and only what a
-    # machine declared not run is promised not to have. After a response to another request (stranger,
-    # full_late, other_late) its own may follow: an unsafe request waits for it until its deadline.
+    # No invalid response reaches a client, and no unsafe request that may have run is sent again. A response
+    # promises that a request has not run only if the machine said so. After a response to another request
+    # (stranger, full_late, other_late) the response to this one may follow: an unsafe request waits for it
+    # until its deadline.
     async def work():
         async with Scene([first, ok], [first, ok], kind=kind) as scene:
             for machine in scene.machines:
@@ -87,33 +88,33 @@
 @test("pipelined requests run at the same time, and are answered in order")
 def _():
     async def work():
-        gate = asyncio.Event()
+        second_arrived = asyncio.Event()
 
-        async def by_turns(id, writer):
+        async def respond_after_second(id, writer):
             if id == b"a":
-                await gate.wait()  # until the one behind it is at work
-            gate.set()
+                await second_arrived.wait()
+            second_arrived.set()
             writer.write(HEAD % id + b"ok")
 
-        async with Scene([by_turns], [by_turns]) as scene:
+        async with Scene([respond_after_second], [respond_after_second]) as scene:
             found = await scene.raw(GET % b"a" + GET % b"b")
             assert found.count(b"200 OK") == 2 and found.index(b"x-try-id: a") < found.index(b"x-try-id: b")
 
     play(work)
 
 
-@test("a machine that starts to drain while a connection to it is established gets nothing")
+@test("a machine that starts draining while a connection to it is opened gets no request")
 def _():
     async def work():
         async with Scene([ok]) as scene:
-            opened = scene.proxy.pool.open
+            original_open = scene.proxy.pool.open
 
-            async def late(machine, until):
-                connection = await opened(machine, until)
+            async def open_then_drain(endpoint, deadline):
+                connection = await original_open(endpoint, deadline)
                 scene.note(0, "draining")
                 return connection
 
-            scene.proxy.pool.open = late
+            scene.proxy.pool.open = open_then_drain
             found = await scene.get()
             assert status(found) == 503 and b"retry-after" in found and scene.machines[0].seen == []
 
--- a/tests/gateway/proxy/test_idle_limits.py
+++ b/tests/gateway/proxy/test_idle_limits.py
@@ -1,4 +1,4 @@
-"""What is learned from idle connections that break."""
+"""Limits on idle time that are learned from connections that break."""
 
 from math import inf
 
@@ -19,7 +19,7 @@
     assert limits.limit_s(1.0, "other") == inf
 
 
-@test("the lowest limit applies, until it is out of date")
+@test("the lowest limit applies until it expires")
 def _():
     limits = IdleLimits()
     limits.record_break(1.0, "s", 0.4, 0.001)
--- a/tests/gateway/proxy/test_invariants.py
+++ b/tests/gateway/proxy/test_invariants.py
@@ -1,4 +1,4 @@
-"""Each invariant of a running proxy is violated once the code that ensures it is taken away."""
+"""Each invariant of a running proxy is violated once the code that ensures it is disabled."""
 
 import asyncio
 from contextlib import suppress
@@ -13,7 +13,7 @@
 from honeywood.gateway.proxy.invariants import ABANDONED_WITHIN_S, Violation
 from honeywood.gateway.routing.attempt_policy import AttemptPolicy
 
-CHECKS, CHECK_INTERVAL_S = 150, 0.02  # a busy machine may take long until the fault shows
+CHECKS, CHECK_INTERVAL_S = 150, 0.02  # on a busy machine the violation may take long to appear
 
 
 async def no_answer(id, writer):
@@ -24,8 +24,8 @@
     writer.transport.abort()
 
 
-async def leave(scene, after_s):
-    """A client asks, and leaves after a while."""
+async def send_and_disconnect(scene, after_s):
+    """Sends a client's request, and closes its connection after `after_s` seconds."""
     _, writer = await asyncio.open_connection("127.0.0.1", scene.port)
     writer.write(GET % b"a")
     await asyncio.sleep(after_s)
@@ -35,29 +35,29 @@
 
 async def attempt_is_not_abandoned(scene, patch):
     patch(AttemptSender, "abandon", lambda self, request: None)
-    await leave(scene, 0.05)
+    await send_and_disconnect(scene, 0.05)
     await asyncio.sleep(ABANDONED_WITHIN_S)
 
 
 async def disconnect_is_ignored(scene, patch):
     patch(AttemptPolicy, "request_rejection", lambda self, now, request: None)
-    opened = scene.proxy.pool.open
+    original_open = scene.proxy.pool.open
 
-    async def late(endpoint, until):
+    async def open_late(endpoint, deadline):
         await asyncio.sleep(0.1)
-        return await opened(endpoint, until)
+        return await original_open(endpoint, deadline)
 
-    scene.proxy.pool.open = late
-    await leave(scene, 0.02)
+    scene.proxy.pool.open = open_late
+    await send_and_disconnect(scene, 0.02)
     await asyncio.sleep(0.15)
 
 
 async def unsafe_request_is_retried(scene, patch):
     patch(AttemptPolicy, "request_rejection", lambda self, now, request: None)
     patch(AttemptPolicy, "_repeat_rejection", lambda self, request, endpoint: None)
-    asked = asyncio.ensure_future(scene.post())
+    response = asyncio.ensure_future(scene.post())
     await asyncio.sleep(0.1)
-    asked.cancel()
+    response.cancel()
 
 
 async def attempt_is_not_finished(scene, patch):
@@ -71,7 +71,7 @@
 
 
 async def configuration_is_not_activated(scene, patch):
-    with suppress(GatewayError):  # it is kept, and can't be read here
+    with suppress(GatewayError):  # the store keeps the record, but the configuration can't be read
         scene.proxy.publisher.store.put("config", Stamp.of(9), "{}")
 
 
@@ -96,11 +96,11 @@
     script=each(no_answer, no_answer, reset, ok, ok, ok),
     kind=each("safe", "safe", "unsafe", "safe", "safe", "safe"),
 ):
-    undo = []
+    originals = []
 
-    def patch(place, name, value):
-        undo.append((place, name, place.__dict__.get(name)))
-        setattr(place, name, value)
+    def patch(owner, name, value):
+        originals.append((owner, name, owner.__dict__.get(name)))
+        setattr(owner, name, value)
 
     async def work():
         async with Scene([script], kind=kind) as scene:
@@ -113,17 +113,17 @@
                     break
                 await asyncio.sleep(CHECK_INTERVAL_S)
             assert invariants.violations[violation] and violation in reported
-            # for the scene's own checks
+            # The scene checks the invariants at its end and must not find this violation.
             scene.proxy.invariants = SimpleNamespace(check=lambda now: None, violations={})
 
     try:
         play(work)
     finally:
-        for place, name, value in reversed(undo):
-            setattr(place, name, value) if value is not None else delattr(place, name)
+        for owner, name, value in reversed(originals):
+            setattr(owner, name, value) if value is not None else delattr(owner, name)
 
 
-@test("what a single check finds is no violation")
+@test("a mismatch that only one check finds is not reported")
 def _():
     async def work():
         async with Scene([ok]) as scene:
--- a/tests/gateway/proxy/test_response_writer.py
+++ b/tests/gateway/proxy/test_response_writer.py
@@ -1,10 +1,10 @@
-"""Responses that are relayed while they come."""
+"""Responses that are relayed while they arrive."""
 
 from socket_scene import Scene, long, play, status
 from ward import test
 
 
-@test("a long response that ends early doesn't look complete")
+@test("a long response that ends early is not complete for the client either")
 def _():
     async def work():
         async with Scene([long]) as scene:
