--- a/tests/gateway/call_scenario.py
+++ b/tests/gateway/call_scenario.py
@@ -73,7 +73,7 @@
         else:
             transport.loop.call_later(STEP, transport.say, good(id))
 
-    async def forward(self, id):
+    async def send_request(self, id):
         """Forwards one request of a client; returns the status of the response."""
         proxy = self.proxy
         fields = {b"host": b"h.example", b"x-try-id": id}
@@ -92,18 +92,18 @@
 
         async def work():
             for id in ids:
-                await self.forward(id)
+                await self.send_request(id)
                 await asyncio.sleep(pause_s)
             await asyncio.sleep(3.0)
             await self.proxy.maintain()
             await asyncio.sleep(STEP)
 
         self.loop.run_until_complete(work())
-        violations = self.violations()
+        violations = self.find_violations()
         self.loop.close()
         return violations
 
-    def violations(self):
+    def find_violations(self):
         """Returns what violates the rules for responses, or the invariants of the proxy.
 
         No non-idempotent request runs twice, each success has the response to its own request, a request that
--- a/tests/gateway/proxy/test_forwarding_enumeration.py
+++ b/tests/gateway/proxy/test_forwarding_enumeration.py
@@ -1,6 +1,6 @@
 """Requests and responses that scripted peers cut at every byte and at every step of the event loop.
 
-`CallScenario.violations` checks what must hold.
+`CallScenario.find_violations` checks what must hold.
 """
 
 from unittest.mock import patch
--- a/tests/gateway/proxy/test_forwarding_limits.py
+++ b/tests/gateway/proxy/test_forwarding_limits.py
@@ -25,7 +25,7 @@
             scenario.loop.call_later(3 * STEP, client.close)
             client.run(3.0)
             assert scenario.runs == Counter({b"a1": 1} if n >= len(whole) // 2 else {})
-            assert not scenario.violations()
+            assert not scenario.find_violations()
 
 
 @test("a pipelined request with a body takes no longer than its route's timeout_s")
--- a/tests/gateway/test_pinned_proxy.py
+++ b/tests/gateway/test_pinned_proxy.py
@@ -1,9 +1,10 @@
-"""What a proxy puts on the wire, compared byte by byte with what ae67546 put there.
+"""The bytes that a proxy sends, compared with those that commit ae67546 sent.
 
-Covered: answers to clients, requests to machines, the calls of one proxy to another and to controllers, and
-the metrics page. A proxy has no data folder, so nothing stored is pinned here. Figures that depend on time or
-chance are masked, the rest of each message is compared as it is. `recorded/proxy.json` holds the recorded
-bytes as Latin-1 text, long bodies as their length and hash.
+Covered are responses to clients, requests to machines, calls between proxies and to controllers, and the
+metrics page. A proxy has no data folder, so there is no stored data to compare. Values that depend on time or
+chance are masked, and the rest of each message is compared byte by byte. `recorded/proxy.json` contains the
+recorded bytes as Latin-1 text, and long bodies as their length and hash. The names of the cases are those of
+the recorded file.
 """
 
 import asyncio
@@ -45,7 +46,7 @@
 from honeywood.lab.emulator.silent_log import SilentLog
 
 RECORDED = json.loads((Path(__file__).parent / "recorded" / "proxy.json").read_text())
-LONGEST_BODY = 2000  # bytes that are recorded as they are
+MAX_RECORDED_BYTES = 2000  # of a body; a longer one is recorded as its length and hash
 MASKS = (
     (re.compile(rb"(?<=x-deadline-ms: )\d+"), b"MS"),
     (re.compile(rb"(?<=x-call-id: )[0-9a-f]+-\d+"), b"CALL"),
@@ -55,9 +56,9 @@
 )
 
 
-# Accessors: everything below that depends on names of the code, besides the imports.
+# Accessors: apart from the imports, only these use names of the program's code.
 def make_proxy(text: str, frozen: bool) -> Proxy:
-    """A proxy with these settings that logs nothing; its incarnation is always the same."""
+    """A proxy with the settings `text` and a fixed incarnation, which logs nothing."""
     now = asyncio.get_running_loop().time
     began_at = now()
     clock = (lambda: began_at) if frozen else now
@@ -68,14 +69,14 @@
 
 async def listen(proxy: Proxy) -> None:
     """Opens all listeners of a proxy."""
-    s = proxy.settings
+    settings = proxy.settings
     proxy.metrics_endpoint.port = free_port()
-    await proxy.server.open([s.listen.http, s.listen.ready, (s.ip, s.proxy_port)])
+    await proxy.server.open([settings.listen.http, settings.listen.ready, (settings.ip, settings.proxy_port)])
     await proxy.metrics_endpoint.open(proxy.server)
 
 
 def deliver(proxy: Proxy, key: str, value: object) -> None:
-    """A record reaches the proxy's store."""
+    """Puts a record into the proxy's store."""
     proxy.publisher.store.put(key, Stamp.of(1), value)
 
 
@@ -83,7 +84,7 @@
     proxy.stopping.set()
 
 
-def meet_quorum(proxy: Proxy) -> None:
+def confirm_quorum(proxy: Proxy) -> None:
     proxy.readiness.quorum_contacted = True
 
 
@@ -91,15 +92,15 @@
     await proxy.poller._poll("127.0.0.1")
 
 
-async def listen_once(proxy: Proxy) -> None:
+async def long_poll_once(proxy: Proxy) -> None:
     await proxy.subscription.poll_once()
 
 
 def values_of(enumeration: type[RejectionReason] | type[AttemptOutcome]) -> list[str]:
-    return sorted(str(one) for one in enumeration)
+    return sorted(str(member) for member in enumeration)
 
 
-# What is played.
+# Scripts of the machine.
 async def not_found(id, writer):
     writer.write(
         b"HTTP/1.1 404 Not Found\r\nX-Try-Id: %s\r\nX-Seal: s\r\nConnection: keep-alive, X-Hop\r\n"
@@ -130,23 +131,23 @@
     writer.write(HEAD % id)
 
 
-async def silence(id, writer):
+async def no_response(id, writer):
     pass
 
 
-async def late_stranger(id, writer):
+async def stranger_then_ok(id, writer):
     await stranger(id, writer)
     await ok(id, writer)
 
 
-LINE = b"%s /p0/a%%2Fb/../c?d=%%20e HTTP/1.1\r\nHost: H.example:80\r\n"
-PLAIN = LINE % b"GET" + b"X-Try-Id: id1\r\n"
-POSTED = LINE % b"POST" + b"X-Try-Id: id1\r\nContent-Length: 4\r\n\r\nbody"
+REQUEST_START = b"%s /p0/a%%2Fb/../c?d=%%20e HTTP/1.1\r\nHost: H.example:80\r\n"
+PLAIN = REQUEST_START % b"GET" + b"X-Try-Id: id1\r\n"
+POSTED = REQUEST_START % b"POST" + b"X-Try-Id: id1\r\nContent-Length: 4\r\n\r\nbody"
 HOP_BY_HOP = (
     b"Connection: close, X-Mine\r\nX-Mine: 1\r\nKeep-Alive: 5\r\nProxy-Connection: 1\r\nTE: trailers\r\n"
     b"Trailer: t\r\nProxy-Authenticate: a\r\nProxy-Authorization: b\r\n"
 )
-CLIENTS_OWN = (
+END_TO_END = (
     b"X-Deadline-Ms: 5000\r\nX-Want-Instance: i-7\r\nAccept-Encoding: gzip\r\nCookie: a=1\r\nCookie: b=2\r\n"
     b"X-Tenant: t\r\nX-Api-Key: k\r\nAuthorization: c\r\nUser-Agent: u\r\nX-Forwarded-For: 1.2.3.4\r\n"
 )
@@ -154,15 +155,19 @@
 TENANT = {"type": "tenants", "hdr": {"name": "cuka620"}, "spec": {"apikeys": [KEY], "prio": 3}}
 KNOWN_KEY = b"X-Api-Key: %s\r\nX-Tenant: other\r\n" % KEY.encode()
 LIMITS = {"type": "limits", "hdr": {"name": ""}, "spec": {"body_bytes": 8, "hdr_s": 0.05, "hdr_bytes": 256}}
-CHUNKED_POST = LINE % b"POST" + b"X-Try-Id: id1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"
+CHUNKED_POST = (
+    REQUEST_START % b"POST" + b"X-Try-Id: id1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"
+)
 
 
 @dataclass(frozen=True)
 class Case:
-    """One exchange: what a client sends, and the script of the proxy's only machine (None: no machine).
+    """One exchange: the bytes that a client sends, and the script of the proxy's only machine.
 
-    `extra` is added to the configuration; `changes` overrides fields of its route; `prepare` gets the proxy
-    before the client comes; `port` names the listener that is asked.
+    If `script` is None, there is no machine. `extra` is added to the configuration, `changes` overrides
+    fields of its route, and `bounds` overrides bounds of the settings. `prepare` is called with the proxy
+    before the client connects. `port` is the name of the listener that the client connects to. `answers` is
+    the number of responses that are read.
     """
 
     sent: bytes
@@ -187,21 +192,21 @@
     )
 
 
-ASK = {
+POLL = {
     "who": {"node": "f2", "ip": "127.0.0.1", "zone": "z", "life": "1", "front": True, "epoch": 0},
     "rev": 0,
 }
 SMUGGLED = b"POST /p0/ HTTP/1.1\r\nHost: h.example\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
 CASES = {
     "GET": Case(PLAIN + b"\r\n"),
-    "GET without an id": Case(LINE % b"GET" + b"\r\n"),
-    "GET with headers of its own": Case(PLAIN + CLIENTS_OWN + b"\r\n"),
+    "GET without an id": Case(REQUEST_START % b"GET" + b"\r\n"),
+    "GET with headers of its own": Case(PLAIN + END_TO_END + b"\r\n"),
     "GET with hop-by-hop headers": Case(PLAIN + HOP_BY_HOP + b"\r\n"),
     "GET with a deadline": Case(PLAIN + b"X-Deadline-Ms: 400\r\n\r\n"),
     "GET with a body": Case(PLAIN + b"Content-Length: 2\r\n\r\nab"),
-    "HEAD": Case(LINE % b"HEAD" + b"X-Try-Id: id1\r\n\r\n", (head_only,)),
-    "OPTIONS": Case(LINE % b"OPTIONS" + b"X-Try-Id: id1\r\n\r\n"),
-    "DELETE without a body": Case(LINE % b"DELETE" + b"X-Try-Id: id1\r\n\r\n", kind="unsafe"),
+    "HEAD": Case(REQUEST_START % b"HEAD" + b"X-Try-Id: id1\r\n\r\n", (head_only,)),
+    "OPTIONS": Case(REQUEST_START % b"OPTIONS" + b"X-Try-Id: id1\r\n\r\n"),
+    "DELETE without a body": Case(REQUEST_START % b"DELETE" + b"X-Try-Id: id1\r\n\r\n", kind="unsafe"),
     "POST": Case(POSTED, kind="unsafe"),
     "POST in chunks": Case(CHUNKED_POST, kind="unsafe"),
     "POST that expects 100": Case(POSTED.replace(b"X-Try", b"Expect: 100-continue\r\nX-Try"), kind="unsafe"),
@@ -214,11 +219,11 @@
     "a machine's 503 without promise": Case(PLAIN + b"\r\n", (silent_503,), kind="unsafe"),
     "an answer after a refusal": Case(PLAIN + b"\r\n", (full, ok)),
     "an answer after a 421": Case(PLAIN + b"\r\n", (other, ok), kind="unsafe"),
-    "an answer after another's": Case(PLAIN + b"\r\n", (stranger, silence)),
+    "an answer after another's": Case(PLAIN + b"\r\n", (stranger, no_response)),
     "no answer": Case(POSTED, (close,), kind="unsafe"),
     "half an answer": Case(POSTED, (cut,), kind="unsafe"),
     "noise": Case(POSTED, (noise,), kind="unsafe"),
-    "silence": Case(POSTED, (silence,), kind="unsafe", changes=(("timeout_s", 0.05),)),
+    "silence": Case(POSTED, (no_response,), kind="unsafe", changes=(("timeout_s", 0.05),)),
     "always refused": Case(PLAIN + b"\r\n", (full,), bounds=(("retry_slack", 6400),)),
     "no budget": Case(
         PLAIN + b"\r\n",
@@ -247,10 +252,10 @@
     "an absolute target": Case(b"GET http://h.example/p0/ HTTP/1.1\r\nHost: h.example\r\n\r\n"),
     "a proxy that stops": Case(PLAIN + b"\r\n", prepare=stop),
     "a proxy that stops refuses": Case(b"GET /q/ HTTP/1.1\r\nHost: h.example\r\n\r\n", prepare=stop),
-    "ready": Case(b"GET /v1/readyz HTTP/1.1\r\nHost: h\r\n\r\n", prepare=meet_quorum, port="ready"),
+    "ready": Case(b"GET /v1/readyz HTTP/1.1\r\nHost: h\r\n\r\n", prepare=confirm_quorum, port="ready"),
     "not ready": Case(b"GET /v1/readyz HTTP/1.1\r\nHost: h\r\n\r\n", port="ready"),
     "not ready as it stops": Case(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", prepare=stop, port="ready"),
-    "another proxy's call": Case(call(b"/news", json.dumps(ASK).encode()), port="proxies"),
+    "another proxy's call": Case(call(b"/news", json.dumps(POLL).encode()), port="proxies"),
     "a call without its fields": Case(call(b"/news", b"{}"), port="proxies"),
     "a call that is no JSON": Case(call(b"/news", b"{"), port="proxies"),
     "a call to another path": Case(call(b"/else", b"{}"), port="proxies"),
@@ -260,7 +265,7 @@
 
 
 async def begin(stack: AsyncExitStack, case: Case, frozen: bool = False, controller: int | None = None):
-    """A proxy that listens, with its configuration and its machine: (the proxy, its machine or None)."""
+    """Starts a proxy with its configuration and its machine; returns the proxy, and the machine or None."""
     first = controller - 1 if controller else free_port()
     ports = free_port(), free_port(), free_port(), first, 65535
     seeds = (f"127.0.0.1:{ports[2]}",) if controller else ()
@@ -279,38 +284,38 @@
         return proxy, None
     machine = await Machine(*case.script).open()
     stack.callback(machine.server.close)
-    place = {"svc": "s", "ip": "127.0.0.1", "port": machine.port, "zone": "z", "ver": "v1", "slots": 4}
+    record = {"svc": "s", "ip": "127.0.0.1", "port": machine.port, "zone": "z", "ver": "v1", "slots": 4}
     if case.configured:
-        deliver(proxy, "machine/i-0", {**place, "state": case.state, "cold": 0})
+        deliver(proxy, "machine/i-0", {**record, "state": case.state, "cold": 0})
     case.prepare(proxy)
     return proxy, machine
 
 
 async def read_answer(reader: asyncio.StreamReader, method: bytes) -> bytes:
-    """One answer, with those of status 100 before it; of a long one in chunks the head alone."""
+    """Returns one response after any 1xx responses before it; of a chunked response only the head."""
     head = b""
     while not head or head.startswith(b"HTTP/1.1 1"):
-        head += (part := await reader.readuntil(b"\r\n\r\n"))
-        if not part.startswith(b"HTTP/1.1 1"):
+        head += (response_head := await reader.readuntil(b"\r\n\r\n"))
+        if not response_head.startswith(b"HTTP/1.1 1"):
             break
-    length = re.search(rb"\r\ncontent-length: (\d+)", part)
+    length = re.search(rb"\r\ncontent-length: (\d+)", response_head)
     if length is None or method == b"HEAD":
         return head
     return head + await reader.readexactly(int(length[1]))
 
 
 def compact(message: bytes) -> str:
-    """A message as it is recorded: masked, and a long body as its length and hash."""
-    for mask, by in MASKS:
-        message = mask.sub(by, message)
-    head, end, body = message.partition(b"\r\n\r\n")
-    if len(body) > LONGEST_BODY:
+    """Returns a message as it is recorded: masked, and a long body as its length and hash."""
+    for mask, replacement in MASKS:
+        message = mask.sub(replacement, message)
+    head, separator, body = message.partition(b"\r\n\r\n")
+    if len(body) > MAX_RECORDED_BYTES:
         body = b"<%d bytes, %s>" % (len(body), blake2b(body, digest_size=8).hexdigest().encode())
-    return (head + end + body).decode("latin-1")
+    return (head + separator + body).decode("latin-1")
 
 
 async def exchange(port: int, sent: bytes, answers: int = 1) -> list[str]:
-    """What comes back for bytes that a client sends."""
+    """Returns the responses to the bytes that a client sends."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(sent)
     async with asyncio.timeout(5.0):
@@ -320,9 +325,9 @@
 
 
 def port_of(proxy: Proxy, name: str) -> int:
-    s = proxy.settings
-    ports = {"proxies": s.proxy_port, "metrics": proxy.metrics_endpoint.port}
-    return ports.get(name) or s.listen.addresses[name].port
+    settings = proxy.settings
+    ports = {"proxies": settings.proxy_port, "metrics": proxy.metrics_endpoint.port}
+    return ports.get(name) or settings.listen.addresses[name].port
 
 
 async def play(case: Case) -> dict[str, list[str]]:
@@ -351,21 +356,24 @@
 
 
 async def metrics_of_answers() -> str:
-    """After requests that were served at once, after a refusal and after another's answer, that failed, that
-    no machine took, and that were refused for want of a key or a route."""
-    case = Case(b"", (ok, full, ok, late_stranger, sick, full), extra=(TENANT,))
+    """Returns the metrics page after requests with different results.
+
+    Some requests are served at once, after a rejection, or after a surplus response. Others fail, find no
+    machine, or are rejected because they have no known key or no route.
+    """
+    case = Case(b"", (ok, full, ok, stranger_then_ok, sick, full), extra=(TENANT,))
     async with AsyncExitStack() as stack:
         proxy, _ = await begin(stack, case)
-        known = PLAIN + KNOWN_KEY + b"\r\n"
-        for sent in (*[known] * 5, PLAIN + b"\r\n", b"GET /q/ HTTP/1.1\r\nHost: h.example\r\n\r\n"):
+        with_key = PLAIN + KNOWN_KEY + b"\r\n"
+        for sent in (*[with_key] * 5, PLAIN + b"\r\n", b"GET /q/ HTTP/1.1\r\nHost: h.example\r\n\r\n"):
             await exchange(port_of(proxy, "http"), sent)
         return await metrics_page(proxy)
 
 
 async def metrics_of_departure() -> str:
-    """After a request that was served late, and one whose client leaves while a machine has it."""
+    """Returns the metrics page after a late response and a disconnect while a machine had the request."""
     async with AsyncExitStack() as stack:
-        case = Case(b"", (ok, silence), changes=(("target_s", 0), ("timeout_s", 5)))
+        case = Case(b"", (ok, no_response), changes=(("target_s", 0), ("timeout_s", 5)))
         proxy, machine = await begin(stack, case)
         await exchange(port_of(proxy, "http"), PLAIN + b"\r\n")
         _, writer = await asyncio.open_connection("127.0.0.1", port_of(proxy, "http"))
@@ -376,7 +384,7 @@
             writer.close()
             while "honeywood_open_requests 0" not in (page := await metrics_page(proxy)):
                 await asyncio.sleep(0.005)
-        return page.partition("\r\n\r\n")[2]  # its length depends on the masked figure
+        return page.partition("\r\n\r\n")[2]  # the length of the page depends on the masked value
 
 
 @test("the metrics page is as recorded")
@@ -401,7 +409,7 @@
     "past": [],
     "back": [],
 }
-TOLD = [
+POLL_RESPONSES = [
     {
         "life": "c",
         "rev": 4,
@@ -416,10 +424,10 @@
 
 
 class Controller:
-    """A scripted controller: repeats each call's id and tells one item of TOLD after the other."""
+    """A scripted controller that answers calls with POLL_RESPONSES in order, each with its call's id."""
 
     def __init__(self):
-        self.seen, self.left = [], list(TOLD)
+        self.seen, self.responses = [], list(POLL_RESPONSES)
 
     async def open(self, stack: AsyncExitStack) -> "Controller":
         self.port = free_port() + 1
@@ -434,18 +442,23 @@
                 fields = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:] if line)
                 body = await reader.readexactly(int(fields[b"content-length"]))
                 self.seen.append(compact(head + body))
-                told = json.dumps(self.left.pop(0) if len(self.left) > 1 else self.left[0]).encode()
+                response = json.dumps(
+                    self.responses.pop(0) if len(self.responses) > 1 else self.responses[0]
+                ).encode()
                 writer.write(
                     b"HTTP/1.1 200 OK\r\nX-Call-Id: %s\r\nContent-Length: %d\r\n\r\n%s"
-                    % (fields[b"x-call-id"], len(told), told)
+                    % (fields[b"x-call-id"], len(response), response)
                 )
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
 
 async def calls_to_controllers() -> list[str]:
-    """Polls before a rollout, during it with counts of requests, and after these have been taken; then the
-    call that is held."""
+    """Returns a proxy's polls of a controller.
+
+    The proxy polls before a rollout, during it with outcome counts, and after these were acknowledged. The
+    last call is a long poll.
+    """
     async with AsyncExitStack() as stack:
         controller = await Controller().open(stack)
         proxy, _ = await begin(stack, Case(b"", (ok, sick)), frozen=True, controller=controller.port)
@@ -454,16 +467,16 @@
             await exchange(port_of(proxy, "http"), PLAIN + b"\r\n")
         for _ in range(3):
             await poll_once(proxy)
-        await listen_once(proxy)
+        await long_poll_once(proxy)
         return controller.seen
 
 
-@test("calls to controllers, with counts, are as recorded")
+@test("calls to controllers, with outcome counts, are as recorded")
 def _():
     assert asyncio.run(calls_to_controllers()) == RECORDED["calls to controllers"]
 
 
-@test("what stands in X-Gateway and in counts keeps its names")
+@test("the reasons in X-Gateway and the outcomes in counts keep their names")
 def _():
     found = {"refusals": values_of(RejectionReason), "outcomes": values_of(AttemptOutcome)}
     assert found == RECORDED["names"]
