--- a/honeywood/gateway/proxy/attempt_sender.py
+++ b/honeywood/gateway/proxy/attempt_sender.py
@@ -202,7 +202,7 @@
         attempt.record_outcome(outcome)
         self.observer.record_outcome(now, attempt.request, attempt.endpoint, outcome, elapsed_s)
         if outcome is AttemptOutcome.INVALID and attempt.connection is not None:
-            attempt.connection.close()  # a late response must not be taken for another request's
+            attempt.connection.close()  # a late response must not be matched to another request
         reply = attempt.reply if isinstance(attempt.reply, Reply) else None
         if attempt.request.finished and reply is not None and reply.remainder is not None:
             reply.remainder.abandon()  # the client was sent another attempt's response
@@ -224,7 +224,7 @@
         return outcome
 
     def _finish(self, attempt: AttemptInFlight) -> None:
-        """Releases what the attempt holds, whichever way it ended."""
+        """Counts the attempt as ended and releases its connection, whatever its outcome."""
         self._remove(attempt)
         self._count_work_after_disconnect(attempt)
         if attempt.record is not None and attempt.record.outcome is None:
--- a/honeywood/gateway/proxy/client_handler.py
+++ b/honeywood/gateway/proxy/client_handler.py
@@ -107,7 +107,7 @@
             admission,
         )
         response = await self.forwarder.forward(route, request)
-        if response.remainder is not None and route.idempotent:  # it may wait for pipelined responses
+        if response.remainder is not None and route.idempotent:  # it may wait for earlier responses
             context.disconnect.subscribe(response.remainder.abandon)
         return response
 
--- a/honeywood/gateway/proxy/forwarder.py
+++ b/honeywood/gateway/proxy/forwarder.py
@@ -122,8 +122,8 @@
     def _on_disconnect(self, request: PendingRequest) -> None:
         """Handles the disconnect of a request's client: ends the attempts of an idempotent request.
 
-        These include a hedged attempt that is still in flight after the other one's response was relayed. A
-        non-idempotent request is carried through, because its client may rely on that.
+        These include a hedged attempt that is still in flight after the response of another attempt was
+        relayed. The attempt of a non-idempotent request continues, because the client may rely on that.
         """
         if not request.finished:
             self.counters.client_left(request, self.sender.progress_of(request))
--- a/honeywood/gateway/proxy/machine_revalidation.py
+++ b/honeywood/gateway/proxy/machine_revalidation.py
@@ -21,7 +21,7 @@
 
     Controllers drop the records of machines some time after they left, so after a long partition a proxy may
     never be notified of their departure. It then requests all records again, and marks the machines whose
-    records no one has sent again as lost.
+    records were not received again as lost.
     """
 
     def __init__(self, clock: Callable[[], float], store: Store, subscribers: Sequence[Subscriber]) -> None:
--- a/tests/gateway/call_scenario.py
+++ b/tests/gateway/call_scenario.py
@@ -106,9 +106,10 @@
     def find_violations(self):
         """Returns what violates the rules for responses, or the invariants of the proxy.
 
-        No non-idempotent request runs twice, each success has the response to its own request, a request that
-        was rejected as not run has not run and is at no machine, and no request takes longer than its
-        time-out. In the end no attempt is in flight, and all open connections are reusable.
+        No non-idempotent request may run twice. A success must be the response to its request. A request that
+        is rejected with a status that promises "not run" must not have run, nor be in flight at a machine. No
+        request may take longer than its time-out. At the end no attempt may be in flight, and all open
+        connections must be reusable.
         """
         self.proxy.invariants.check(self.loop.time())
         found = [f"{count} x {violation}" for violation, count in self.proxy.invariants.violations.items()]
--- a/tests/gateway/proxy/test_client_departure.py
+++ b/tests/gateway/proxy/test_client_departure.py
@@ -72,7 +72,7 @@
         return await asyncio.open_connection("127.0.0.1", self.port)
 
     async def wait_for(self, condition, within_s=1.0):
-        """Returns whether `condition()` becomes true within so many seconds."""
+        """Returns whether `condition()` becomes true within `within_s` seconds."""
         deadline = asyncio.get_running_loop().time() + within_s
         while not condition() and asyncio.get_running_loop().time() < deadline:
             await asyncio.sleep(0.005)
