--- a/tests/gateway/controller/test_operator_calls.py
+++ b/tests/gateway/controller/test_operator_calls.py
@@ -361,7 +361,7 @@
           3.5  |             | says v1 200 done v1, order v2 14
           4.5  |             | says v2 200 active v2
         """)
-        stage = world.nodes["f"].stage
+        stage = world.nodes["f"].traffic_policy
         assert [stage.version_status("s", ver) for ver in ("v1", "v2")] == ["established", "trial"]
     finally:
         world.close()
@@ -488,7 +488,7 @@
         assert not controller.in_quorum
         now = world.loop.now
         world.loop.run_until_complete(front.poller.poll_once())
-        assert front.stage.controller_contact_at == now
+        assert front.traffic_policy.controller_contact_at == now
     finally:
         world.close()
 
