--- a/honeywood/gateway/proxy/client_response.py
+++ b/honeywood/gateway/proxy/client_response.py
@@ -17,7 +17,7 @@
 REASON_HEADER = b"x-gateway"
 RETRY_AFTER_S = 0.1  # for a request that found no available endpoint
 # For a request to a proxy without a configuration. The proxy receives one within seconds, and each rejection
-# until then uses up one of the client's attempts.
+# until then costs the client an attempt.
 NO_CONFIGURATION_RETRY_AFTER_S = 1.0
 
 
--- a/honeywood/gateway/proxy/forwarder.py
+++ b/honeywood/gateway/proxy/forwarder.py
@@ -157,7 +157,7 @@
             )
             for task in done:
                 result = task.result()
-                if result.continuation is not None:  # meanwhile another endpoint may be tried
+                if result.continuation is not None:  # an idempotent request may be retried meanwhile
                     running.add(result.continuation)
                 elif result.reply is not None and is_final(request, result.outcome):
                     return relayed_response(result.reply)
--- a/honeywood/gateway/proxy/readiness.py
+++ b/honeywood/gateway/proxy/readiness.py
@@ -10,7 +10,7 @@
     from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
     from honeywood.gateway.routing.endpoint_table import EndpointTable
 
-ENDPOINTS_TIMEOUT_S = 2.0  # after which a proxy is ready even if some services have no endpoint
+ENDPOINTS_TIMEOUT_S = 2.0  # from the first configuration, in which a proxy waits for endpoints of all services
 
 
 class Readiness:
