--- a/honeywood/gateway/proxy/readiness.py
+++ b/honeywood/gateway/proxy/readiness.py
@@ -10,7 +10,7 @@
     from honeywood.gateway.proxy.active_configuration import ActiveConfiguration
     from honeywood.gateway.routing.endpoint_table import EndpointTable
 
-ENDPOINTS_TIMEOUT_S = 2.0  # from the first configuration, in which a proxy waits for endpoints of all services
+ENDPOINTS_TIMEOUT_S = 2.0  # after the first configuration, to wait for an endpoint of each service
 
 
 class Readiness:
