--- a/honeywood/gateway/proxy/failure_responses.py
+++ b/honeywood/gateway/proxy/failure_responses.py
@@ -24,7 +24,7 @@
     from honeywood.gateway.routing.pending_request import PendingRequest
     from honeywood.gateway.rpc.reply import Reply
 
-RESPONSE_MARGIN_S = 0.004  # before a request's deadline, at which the proxy itself responds
+RESPONSE_MARGIN_S = 0.004  # before a request's deadline; the proxy itself responds then
 NOT_SELECTED = "left alone"  # for an endpoint that is no longer rejected when the reasons are collected
 NONE_KNOWN = "none known"
 
--- a/honeywood/gateway/proxy/idle_limits.py
+++ b/honeywood/gateway/proxy/idle_limits.py
@@ -37,7 +37,7 @@
         """Learns a limit from a connection that broke.
 
         The connection broke `elapsed_s` after a request was sent on it, and had been idle for `idle_s` before
-        that. A lower limit that is still valid remains.
+        that. A lower limit that is still valid is kept.
         """
         if elapsed_s < IMMEDIATE_BREAK_S and idle_s > MIN_IDLE_S:
             limit_s = min(idle_s * SAFETY_FACTOR, self.limit_s(now, service))
--- a/honeywood/gateway/proxy/rollout_reports.py
+++ b/honeywood/gateway/proxy/rollout_reports.py
@@ -13,7 +13,7 @@
     from honeywood.gateway.dissemination.store import Store
     from honeywood.gateway.rollout.traffic_policy import RolloutTrafficPolicy
 
-REVISION_AGE_STEP_S = 0.5  # a rollout's age makes a report differ from the last one only in these steps
+REVISION_AGE_STEP_S = 0.5  # the age of a revision makes a report differ from the last one only in these steps
 
 
 class RolloutReports:
--- a/tests/gateway/proxy/test_forwarding_enumeration.py
+++ b/tests/gateway/proxy/test_forwarding_enumeration.py
@@ -18,14 +18,14 @@
 
 def cut_responses(whole, kind):
     """Scenarios with a response that is cut at every byte: by end of stream, by a reset or by silence."""
-    for n in range(len(whole) + 1):
+    for offset in range(len(whole) + 1):
         for how in ("eof", "reset", None):
             scenario = CallScenario(kind)
 
-            def script(transport, id, n=n, how=how, scenario=scenario):
-                if n == len(whole) and b"X-Not-Run" in whole:
+            def script(transport, id, offset=offset, how=how, scenario=scenario):
+                if offset == len(whole) and b"X-Not-Run" in whole:
                     scenario.runs[id] -= 1
-                transport.say(whole[:n])
+                transport.say(whole[:offset])
                 if how:
                     transport.loop.call_later(STEP, getattr(transport, how))
 
@@ -35,12 +35,12 @@
 
 def cut_requests(kind):
     """Scenarios with a request on a new and on a kept connection that is reset after every third byte."""
-    for n in range(0, 210, 3):
+    for offset in range(0, 210, 3):
         for kept in (False, True):
             scenario = CallScenario(kind)
 
-            def reset_next(transport, id, n=n):
-                transport.most = n
+            def reset_next(transport, id, offset=offset):
+                transport.most = offset
                 transport.say(good(id))
 
             if kept:
@@ -49,9 +49,9 @@
             else:
                 connect = scenario.loop.create_connection
 
-                async def connect_cut(factory, ip, port, scenario=scenario, connect=connect, n=n):
+                async def connect_cut(factory, ip, port, scenario=scenario, connect=connect, offset=offset):
                     connected = await connect(factory, ip, port)
-                    connected[0].most, scenario.loop.create_connection = n, connect
+                    connected[0].most, scenario.loop.create_connection = offset, connect
                     return connected
 
                 scenario.loop.create_connection = connect_cut
@@ -87,21 +87,21 @@
 def late_responses(kind):
     """Scenarios with a response about the deadline, complete or in two parts, or with a suspended proxy."""
     whole = good(b"a1")
-    for n in (0, 1, len(whole) // 2, len(whole) - 1, len(whole)):
+    for offset in (0, 1, len(whole) // 2, len(whole) - 1, len(whole)):
         for late_ms in range(-12, 64, 4):
 
-            def script(transport, id, n=n, late_ms=late_ms):
+            def script(transport, id, offset=offset, late_ms=late_ms):
                 loop = transport.loop
-                loop.call_at(TIMEOUT_S - MARGIN_S + late_ms / 1000, transport.say, whole[:n])
-                loop.call_at(TIMEOUT_S - MARGIN_S + late_ms / 1000 + 0.02, transport.say, whole[n:])
+                loop.call_at(TIMEOUT_S - MARGIN_S + late_ms / 1000, transport.say, whole[:offset])
+                loop.call_at(TIMEOUT_S - MARGIN_S + late_ms / 1000 + 0.02, transport.say, whole[offset:])
 
             yield CallScenario(kind, script), (b"a1", b"a2")
         for suspended_s in (0.3, TIMEOUT_S - MARGIN_S, TIMEOUT_S, TIMEOUT_S + LATE_RESPONSE_GRACE_S, 2.0):
 
-            def suspend(transport, id, n=n, suspended_s=suspended_s):
+            def suspend(transport, id, offset=offset, suspended_s=suspended_s):
                 transport.loop.now += suspended_s  # then the response is read, and all timers are due
-                transport.say(whole[:n])
-                transport.loop.call_later(STEP, transport.say, whole[n:])
+                transport.say(whole[:offset])
+                transport.loop.call_later(STEP, transport.say, whole[offset:])
 
             scenario = CallScenario(kind, suspend)
             scenario.suspended_s = suspended_s
@@ -156,12 +156,12 @@
     """
     own_after_s = 6 * STEP
     for before in (good(b"a1"), FULL % b"zz", good(b"zz") * 2, CLOSING):
-        for n in range(0, len(before) + 1, 2):
+        for offset in range(0, len(before) + 1, 2):
             for follows in (True, False):
 
-                def script(transport, id, before=before, n=n, follows=follows):
-                    transport.loop.call_later(STEP, transport.say, before[:n])
-                    transport.loop.call_later(2 * STEP, transport.say, before[n:])
+                def script(transport, id, before=before, offset=offset, follows=follows):
+                    transport.loop.call_later(STEP, transport.say, before[:offset])
+                    transport.loop.call_later(2 * STEP, transport.say, before[offset:])
                     follows and transport.loop.call_later(own_after_s, transport.say, good(id))
 
                 yield CallScenario(kind, script), (b"a1", b"a2")
