--- a/tests/gateway/controller/test_operator_calls.py
+++ b/tests/gateway/controller/test_operator_calls.py
@@ -373,7 +373,7 @@
           3.5 |                       | expect v1 200 done v1, order v2 14
           4.5 |                       | expect v2 200 active v2
         """)
-        stage = world.nodes["f"].stage
+        stage = world.nodes["f"].traffic_policy
         assert [stage.version_status("s", ver) for ver in ("v1", "v2")] == ["established", "trial"]
     finally:
         world.close()
@@ -501,7 +501,7 @@
         assert not controller.in_quorum
         now = world.loop.now
         world.loop.run_until_complete(proxy.poller.poll_once())
-        assert proxy.stage.controller_contact_at == now
+        assert proxy.traffic_policy.controller_contact_at == now
     finally:
         world.close()
 
@@ -530,7 +530,7 @@
         assert world.nodes["g"].ready
         world.heal()
         world.run(12.0)
-        assert world.version("g") == 6 and world.nodes["g"].readiness.met_quorum
+        assert world.version("g") == 6 and world.nodes["g"].readiness.quorum_contacted
     finally:
         world.close()
 
--- a/tests/gateway/dissemination/test_programs.py
+++ b/tests/gateway/dissemination/test_programs.py
@@ -67,7 +67,7 @@
         assert sum(12 <= at < 14 for at in calls) < 40, "without backoff there are 400 or more"
         refuse[0] = False
         world.run(15.2)
-        assert world.loop.time() - world.nodes["f"].stage.controller_contact_at < 0.6
+        assert world.loop.time() - world.nodes["f"].traffic_policy.controller_contact_at < 0.6
     finally:
         world.close()
 
@@ -119,7 +119,7 @@
         report = ProxyReport(
             (OutcomeCounts("s", "r", "v1", 0, 9, ()),), {"s": RolloutStatus(1, 0, None, 2.0)}
         )
-        proxy.stage.report = lambda now: report
+        proxy.traffic_policy.report = lambda now: report
         world.run(6.0)
         counts = {name: world.nodes[name].store.get(f"count/f/{proxy.incarnation}") for name in "abc"}
         assert all(record and record["rows"][0][4] == 9 for record in counts.values()), counts
@@ -174,7 +174,7 @@
     world = connected_world("f", until=100.0)
     try:
         proxy = world.nodes["f"]
-        before, revalidated_at = proxy.stage.controller_contact_at, proxy.revalidation.started_at
+        before, revalidated_at = proxy.traffic_policy.controller_contact_at, proxy.revalidation.started_at
 
         async def call(*arguments, **options):
             await asyncio.sleep(0.01)
@@ -183,12 +183,16 @@
 
         proxy.caller.call = call
         world.run(104.0)
-        assert (proxy.stage.controller_contact_at > before + 3.0) == renewed
+        assert (proxy.traffic_policy.controller_contact_at > before + 3.0) == renewed
         world.kill("f")
         world.start("f")
         world.run(106.0)
         again = world.nodes["f"]
-        assert revalidated_at is None and again.readiness.met_quorum and again.revalidation.started_at is None
+        assert (
+            revalidated_at is None
+            and again.readiness.quorum_contacted
+            and again.revalidation.started_at is None
+        )
     finally:
         world.close()
 
--- a/tests/gateway/proxy/test_idle_limits.py
+++ b/tests/gateway/proxy/test_idle_limits.py
@@ -1,10 +1,10 @@
-"""What is learned from idle connections that break."""
+"""Limits on idle time that are learned from connections that break."""
 
 from math import inf
 
 from ward import each, test
 
-from honeywood.gateway.proxy.idle_limits import SAFETY_FACTOR, VALID_S, IdleLimits
+from honeywood.gateway.proxy.idle_limits import LIMIT_VALID_S, SAFETY_FACTOR, IdleLimits
 
 
 @test("a connection idle for {idle_s} s that broke {elapsed_s} s after a request sets a limit: {learned}")
@@ -19,10 +19,10 @@
     assert limits.limit_s(1.0, "other") == inf
 
 
-@test("the lowest limit applies, until it is out of date")
+@test("the lowest limit applies until it expires")
 def _():
     limits = IdleLimits()
     limits.record_break(1.0, "s", 0.4, 0.001)
     limits.record_break(2.0, "s", 4.0, 0.001)
     assert limits.limit_s(2.0, "s") == 0.4 * SAFETY_FACTOR
-    assert limits.limit_s(2.0 + VALID_S, "s") == inf
+    assert limits.limit_s(2.0 + LIMIT_VALID_S, "s") == inf
