--- a/tests/gateway/controller/test_machine_table.py
+++ b/tests/gateway/controller/test_machine_table.py
@@ -22,11 +22,11 @@
     world = started_world()
     try:
         for name, state in zip("abc", ("ready", "ready", "draining")):
-            world.say(name, f"beat m {state}")
+            world.execute(name, f"beat m {state}")
             world.run(world.loop.time() + 1.0)
-        world.beats["m"] = 0  # the first two come once more, late
+        world.heartbeat_sequences["m"] = 0  # the first two come once more, late
         for name in "bc":
-            world.say(name, "beat m ready")
+            world.execute(name, "beat m ready")
             world.run(world.loop.time() + 1.0)
             assert all(world.state(one, "m") == "draining" for one in "abcf")
     finally:
@@ -37,11 +37,11 @@
 def _():
     world, seen = started_world(), []
     try:
-        world.say("a", "beat m ready")
-        world.say("a", "beat n ready")
+        world.execute("a", "beat m ready")
+        world.execute("a", "beat n ready")
         world.run(2.5)
         world.kill("a")
-        world.say("b", "beat m draining")
+        world.execute("b", "beat m draining")
         leave(world, "b", "n")
         world.run(4.0)
         world.fresh = False
@@ -57,13 +57,13 @@
 def _():
     world = started_world()
     try:
-        world.say("a", "beat m ready")
+        world.execute("a", "beat m ready")
         world.run(2.0)
         world.kill("a")
         world.fresh, world.clock_offsets_s["a"] = False, -3600.0
         world.start("a")
         world.run(4.0)
-        world.say("a", "beat m draining")
+        world.execute("a", "beat m draining")
         world.run(5.0)
         assert "m/draining" in world.acked and all(world.state(one, "m") == "draining" for one in "abcf")
     finally:
--- a/tests/gateway/controller/test_operator_calls.py
+++ b/tests/gateway/controller/test_operator_calls.py
@@ -28,7 +28,7 @@
         super().__init__(*given, **more)
         self.answers = {}
 
-    def say(self, name, cell):
+    def execute(self, name, cell):
         word, *more = cell.split()
         if word == "send":
             body = config(int(more[0][:-1]), CONTENTS[more[0][-1]])
@@ -47,7 +47,7 @@
             found = " ".join([str(status), *self.shown(told)][: len(more) - 1])
             assert found == " ".join(more[1:]), f"{name} says {found} to {more[0]} at {self.loop.time():.2f}"
         else:
-            super().say(name, cell)
+            super().execute(name, cell)
 
     def shown(self, told):
         """The words of an answer that are looked at."""
@@ -197,21 +197,21 @@
         """)
         world.run(3.0)
         world.latency_s = 0.05
-        world.say("a", "send 7x")
+        world.execute("a", "send 7x")
         world.run(3.0 + 0.075 * share)
         world.partition("a", "bc")
-        world.say("b", "send 7y")
+        world.execute("b", "send 7y")
         world.run(5.0)
         world.latency_s = 0.001
-        world.say("c", "send 7x")
-        world.say("b", "send 7y")
+        world.execute("c", "send 7x")
+        world.execute("b", "send 7y")
         world.run(6.0)
         first = world.answers["a", "7x"][0]
         told = world.answers["c", "7x"][0], world.answers["b", "7y"][0]
         assert told in ((200, 412), (412, 200)) and first in (0, 503, told[0]) and first != 412, (first, told)
         world.heal()
         world.run(9.0)
-        world.say("a", "send 7x")
+        world.execute("a", "send 7x")
         world.run(10.0)
         assert world.answers["a", "7x"][0] == told[0]
     finally:
@@ -232,12 +232,12 @@
             world.loss_share, statuses = 0.1, []
             for _turn in range(3):
                 for name in "abcabcab":
-                    world.say(name, order)
+                    world.execute(name, order)
                 world.run(world.loop.time() + 1.2)
                 statuses += [world.answers[name, word][0] for name in "abc"]
             world.loss_share = 0.0
             world.run(world.loop.time() + 2.0)
-            world.say("b", order)
+            world.execute("b", order)
             world.run(world.loop.time() + 1.0)
             assert set(statuses) <= {0, 200, 503} and world.answers["b", word][0] == 200, statuses
             if word == "v2":  # never twice in force: one start, and no stage since
@@ -257,12 +257,12 @@
           1   | send 5x |       |
         """)
         world.run(2.0)
-        world.say("a", "order v2 14")
+        world.execute("a", "order v2 14")
         world.loop.now += 20.0  # all stand still, with the order in a's socket
         world.run(22.5)
         assert world.answers["a", "v2"][0] == 503 and not world.nodes["b"].store.get("rollout/s")
         world.run(24.0)
-        world.say("a", "order v2 14")
+        world.execute("a", "order v2 14")
         world.run(25.0)
         assert world.answers["a", "v2"][0] == 200
     finally:
@@ -392,7 +392,7 @@
             world.heal()
         known = {value["ver"] for _, value in world.nodes["a"].store.items_of(RecordKind.MACHINE)}
         assert known == (set() if what == "no machines" else {"v1"})
-        world.say("a", "order v1 14")
+        world.execute("a", "order v1 14")
         world.run(world.loop.time() + 1.0)
         told = world.answers["a", "v1"]
         assert told[0] == status and (status != 200 or told[1]["state"] == state), told
@@ -451,12 +451,12 @@
           2    | slow                   |       |
         """)
         for turn in range(8):
-            world.say("b", f"send {6 + turn}x")
-            world.say("b", f"order v{2 + turn} 14")
+            world.execute("b", f"send {6 + turn}x")
+            world.execute("b", f"order v{2 + turn} 14")
             world.run(3.5 + 3 * turn)
             assert world.answers["b", f"{6 + turn}x"][0] == 200 == world.answers["b", f"v{2 + turn}"][0]
-            world.say("a", "read")
-            world.say("a", "state")
+            world.execute("a", "read")
+            world.execute("a", "state")
             world.run(5.0 + 3 * turn)
             for word, newest in (("read", f"{6 + turn:08x}"), ("state", f"v{2 + turn}")):
                 status, found = world.answers["a", word]
@@ -501,14 +501,14 @@
         for name in "abcf":
             world.start(name)
         world.run(1.0)
-        world.say("a", "send 5x")
+        world.execute("a", "send 5x")
         world.run(2.0)
-        world.say("a", "beat m ready")
+        world.execute("a", "beat m ready")
         world.run(3.0)
         assert world.nodes["f"].ready  # with a majority: as soon as it has heard
         world.partition("a", "bc")
         world.partition("g", "bc")
-        world.say("b", "send 6x")
+        world.execute("b", "send 6x")
         world.run(6.0)
         world.start("g")
         world.run(7.0)
--- a/tests/gateway/dissemination/test_convergence.py
+++ b/tests/gateway/dissemination/test_convergence.py
@@ -37,8 +37,8 @@
 def _():
     world = met()
     try:
-        world.say("a", "put 5")
-        world.say(top(world), "kill")
+        world.execute("a", "put 5")
+        world.execute(top(world), "kill")
         world.run(3.0 + APPLY)
         assert "5" in world.acked
         assert {world.version(name) for name in world.nodes} == {5}
@@ -52,7 +52,7 @@
     try:
         for name in world.proxies.replace(top(world), ""):
             world.partition(name, top(world))
-        world.say("a", "put 5")
+        world.execute("a", "put 5")
         world.run(3.0 + APPLY)
         assert {world.version(name) for name in world.nodes} == {5}
     finally:
@@ -121,7 +121,7 @@
                 return found
 
             world.nodes[name].publisher.feed.since = counted
-        world.say("a", "put 5")
+        world.execute("a", "put 5")
         world.run(6.0)
         assert {world.version(name) for name in world.nodes} == {5}
         assert sum(told.values()) <= 2 * len(world.nodes), told
@@ -141,7 +141,7 @@
 
     try:
         for at in range(30):
-            world.say("abc"[at % 3], f"put {1 + (at * 7) % 31}")
+            world.execute("abc"[at % 3], f"put {1 + (at * 7) % 31}")
             world.run(3.0 + at * 0.05, look)
         world.run(7.0, look)
         newest = max(int(version) for version in world.acked)
@@ -176,14 +176,14 @@
           3.1 | beat m draining |              |
           4   |                 |              | sees m draining
         """)
-        world.beats["m"] = 0
+        world.heartbeat_sequences["m"] = 0
         world.play("""
           at  | a               | b            | f
           4.1 |                 | beat m ready |
           5   | sees m draining |              | sees m draining
           10  | sees m silent   |              | sees m silent
         """)
-        world.beats["m"] = 5
+        world.heartbeat_sequences["m"] = 5
         world.play("""
           at   | a             | b             | f
           10.1 |               | beat m ready  |
@@ -244,7 +244,7 @@
     try:
         world.loop.create_task(world.ask("a", "config.replace", body=config(5, routes=400)))
         for n in range(40):
-            world.say("abc"[n % 3], f"beat m{n} ready")
+            world.execute("abc"[n % 3], f"beat m{n} ready")
         world.run(6.0)
         stores = [world.nodes[name].publisher for name in world.controllers]
         before = [store.sent_bytes["config"] + store.sent_bytes["machine"] for store in stores]
--- a/tests/gateway/dissemination/test_programs.py
+++ b/tests/gateway/dissemination/test_programs.py
@@ -96,8 +96,8 @@
             calm[n] = sum(after.values()) - sum(before.values())
             assert "count" not in after, after
             assert all(program.fleet.count() == n for name, program in world.nodes.items() if name in fronts)
-            world.say("a", "put 5")
-            world.say("b", "beat m ready")
+            world.execute("a", "put 5")
+            world.execute("b", "beat m ready")
             world.run(12.0)
             each_front[n] = (sum(told(world, world.nodes).values()) - sum(after.values())) / n
             assert {world.version(name) for name in world.nodes} == {5}
--- a/tests/gateway/dissemination/test_retired_machines.py
+++ b/tests/gateway/dissemination/test_retired_machines.py
@@ -36,7 +36,7 @@
     # Both kinds of notes stood on every store for ever.
     world = begun()
     try:
-        world.say("a", "beat m ready")
+        world.execute("a", "beat m ready")
         world.run(1.5)
         held = world.nodes["b"].publisher.store.records["machine/m"]
         late = [Record("machine/m", held.stamp, held.value), Record("beat/m", Stamp.of(9, 0), None)]
@@ -44,12 +44,12 @@
         leave(world, "a", "m")
         world.run(3.0)
         assert all(told(world, name, "m") == ["machine/"] for name in "abcf")
-        world.say("b", "beat m ready")  # within the time: its note says that it has left
+        world.execute("b", "beat m ready")  # within the time: its note says that it has left
         world.run(4.0)
         assert all(world.state(name, "m") == "gone" for name in "abcf")
         world.run(RETENTION_S + 5.0)
         assert not any(told(world, name, "m") for name in "abcf")
-        world.say("b", "beat m ready")  # and after it
+        world.execute("b", "beat m ready")  # and after it
         world.nodes["c"].publisher.store.merge(late)
         world.run(RETENTION_S + 7.0)
         assert not any(told(world, name, "m") for name in "abcf")
@@ -64,12 +64,12 @@
 def _():
     world = begun()
     try:
-        world.say("a", "beat m ready")
+        world.execute("a", "beat m ready")
         world.run(8.0)
         assert all(world.state(name, "m") == "silent" for name in "abcf")
         world.run(RETENTION_S + 12.0)
         assert not any(told(world, name, "m") for name in "abcf")
-        world.say("b", "beat m ready")
+        world.execute("b", "beat m ready")
         world.run(RETENTION_S + 13.0)
         assert all(world.state(name, "m") == "ready" for name in "abcf")
     finally:
@@ -97,19 +97,19 @@
     # Nobody tells of a note that was dropped: it would have kept the machine for ever.
     world = begun()
     try:
-        world.say("a", "beat m ready")
-        world.say("a", "beat n ready")
+        world.execute("a", "beat m ready")
+        world.execute("a", "beat n ready")
         world.run(1.5)
         world.partition("f", "abc")
         leave(world, "a", "m")
         for second in range(2, int(RETENTION_S) + 30):
             world.run(float(second))
-            world.say("a", "beat n ready")
+            world.execute("a", "beat n ready")
         assert world.state("f", "m") == "ready" and not told(world, "a", "m")
         world.heal()
         for second in range(int(RETENTION_S) + 30, int(RETENTION_S) + 45):
             world.run(float(second))
-            world.say("a", "beat n ready")
+            world.execute("a", "beat n ready")
         assert world.state("f", "m") == "silent" and world.state("f", "n") == "ready"
         assert set(world.nodes["f"].endpoints.by_id) == {"n"}
     finally:
--- a/tests/gateway/dissemination/test_tombstones.py
+++ b/tests/gateway/dissemination/test_tombstones.py
@@ -63,7 +63,7 @@
         for name in "abcf":
             world.start(name)
         world.run(1.0)
-        world.say("a", "beat m ready")
+        world.execute("a", "beat m ready")
         world.run(1.5)
         world.loop.create_task(world.ask("a", "instances.leave", "m"))
         world.run(130.0)
@@ -75,8 +75,8 @@
             if name not in world.nodes:
                 world.start(name)
         world.run(133.0)
-        world.beats["m"] = 0
-        world.say("b", "beat m ready")
+        world.heartbeat_sequences["m"] = 0
+        world.execute("b", "beat m ready")
         world.run(136.0)
         assert [world.state(name, "m") for name in "abcf"] == ["unknown"] * 4
         assert all(world.nodes[name].store.tombstone_count == 1 for name in "abc")
--- a/tests/gateway/register_histories.py
+++ b/tests/gateway/register_histories.py
@@ -49,7 +49,7 @@
             world.run(world.loop.time() + wait, look)
             if what == "put":
                 version += 1
-                world.say(name, f"put {version}")
+                world.execute(name, f"put {version}")
             elif what == "start" and name not in world.nodes:
                 world.start(name)
             elif what == "cut":
--- a/tests/gateway/rollout/test_rollout_days.py
+++ b/tests/gateway/rollout/test_rollout_days.py
@@ -46,7 +46,7 @@
             for name in "abc":
                 world.start(name)
             world.run(1.0)
-            world.say("a", "order v2 14")
+            world.execute("a", "order v2 14")
             world.run(2.0)
             held = world.nodes["a"].store.get("rollout/s")
             for name, state in (("a", DONE), ("b", REVERTED)):
@@ -59,7 +59,7 @@
                     )
                 )
             world.run(2.0 + seed / 500)
-            world.say("ab"[seed % 2], "kill")
+            world.execute("ab"[seed % 2], "kill")
             world.run(6.0)
             told = {world.nodes[name].store.get("rollout/s")["state"] for name in world.nodes}
             assert len(told) == 1, f"seed {seed}: {told}"
--- a/tests/gateway/timeline.py
+++ b/tests/gateway/timeline.py
@@ -1,7 +1,7 @@
 """Timelines drawn as text: a column a front (or controller, machine, operator), a row a moment.
 
 The world is the emulator's (honeywood/lab/emulator/world.py): real programs, one clock that jumps. Cells are
-words of World.say.
+words of World.execute.
 """
 
 from honeywood.lab.emulator import world
@@ -14,10 +14,10 @@
 
     def __init__(self, *given, **more):
         super().__init__(*given, **more)
-        self.acked, self.beats = {}, {}
+        self.acked, self.heartbeat_sequences = {}, {}
 
     # what is drawn
-    def say(self, name, cell):
+    def execute(self, name, cell):
         """Does what a cell says. `=` cells look: `= 7` that a node has that version."""
         word, *more = cell.split()
         if word in ("start", "kill", "wipe"):
@@ -46,7 +46,7 @@
             )
         elif word == "beat":
             id, state = more
-            self.beats[id] = self.beats.get(id, 0) + 1
+            self.heartbeat_sequences[id] = self.heartbeat_sequences.get(id, 0) + 1
             self.loop.create_task(self._beat(name, id, state))
         elif word == "=":
             held = self.version(name)
@@ -76,7 +76,7 @@
             "slots": 4,
             "state": state,
             "cold_left_s": 0,
-            "seq": self.beats[id],
+            "seq": self.heartbeat_sequences[id],
         }
         status, _ = await self.ask(name, "instances.heartbeat", id, body)
         if status == 200:
@@ -93,7 +93,7 @@
             for name, cell in zip(names, cells):
                 for part in cell.split(","):
                     if part.strip():
-                        self.say(name, part.strip())
+                        self.execute(name, part.strip())
         return self
 
 
