--- a/honeywood/gateway/configuration/__init__.py
+++ b/honeywood/gateway/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Input from outside, read and checked by hand: settings files and configurations, as typed values.
+"""Parses and validates external input: settings files and configurations become typed values.
 
 Start reading at settings.py, model.py and reader.py.
 """
--- a/honeywood/gateway/configuration/addresses.py
+++ b/honeywood/gateway/configuration/addresses.py
@@ -1,4 +1,4 @@
-"""Numeric addresses in settings and messages. Host names are refused: nothing resolves them."""
+"""Parses numeric addresses in settings and messages. Host names are rejected: the gateway resolves none."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from honeywood.gateway.errors import InvalidInput
 
 PORT_END = 1 << 16
-MAX_PORT_DIGITS = 6  # read of a port, however long its text is
+MAX_PORT_DIGITS = 6  # bounds the check of a port, however long its text is
 
 
 class Address(NamedTuple):
@@ -19,9 +19,9 @@
 
 
 def parse_ipv4(text: str, where: str, peer: str = "") -> str:
-    """Return a numeric IPv4 address as it came.
+    """Return `text` unchanged if it is a numeric IPv4 address.
 
-    Raises InvalidInput, which names `where` it stands and the peer that sent it.
+    Raises InvalidInput, which names the place in the input (`where`) and the peer that sent it.
     """
     try:
         socket.inet_pton(socket.AF_INET, text)
@@ -31,9 +31,9 @@
 
 
 def parse_address(text: object, where: str, peer: str = "") -> Address:
-    """Return the address in a text "ip:port".
+    """Return the address in a text of the form "ip:port".
 
-    Raises InvalidInput, which names `where` it stands and the peer that sent it.
+    Raises InvalidInput, which names the place in the input (`where`) and the peer that sent it.
     """
     ip, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     is_port = port.isascii() and port.isdecimal() and 0 < int(port[:MAX_PORT_DIGITS]) < PORT_END
--- a/honeywood/gateway/configuration/check.py
+++ b/honeywood/gateway/configuration/check.py
@@ -1,4 +1,4 @@
-"""Checks of plain values out of JSON and TOML. Each raises InvalidInput, which names the key."""
+"""Reads typed values from parsed JSON and TOML. Every function raises InvalidInput, which names the key."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     Default = TypeVar("Default")
 
 MISSING = object()
-HALF_SURROGATE_ESCAPES = ("\\ud", "\\uD")
+SURROGATE_ESCAPE_PREFIXES = ("\\ud", "\\uD")
 
 
 @overload
 def need(
     table: Mapping[str, Any],
     key: str,
-    kind: type[Value],
+    expected_type: type[Value],
     where: str,
     *,
     least: float | None = None,
@@ -34,7 +34,7 @@
 def need(
     table: Mapping[str, Any],
     key: str,
-    kind: type[Value],
+    expected_type: type[Value],
     where: str,
     default: Default,
     least: float | None = None,
@@ -44,36 +44,37 @@
 def need(
     table: Mapping[str, Any],
     key: str,
-    kind: type,
+    expected_type: type,
     where: str,
     default: object = MISSING,
     least: float | None = None,
     most: float | None = None,
     peer: str = "",
 ) -> object:
-    """Return the value under `key`, or `default` where the key is missing.
+    """Return the value under `key`, or `default` if the key is missing.
 
-    The value is of `kind` (a float may be a whole number; a boolean is no number), finite, and from `least`
-    to `most`. Raises InvalidInput, which names the key, `where` it stands and the peer that sent it.
+    The value has `expected_type`, is finite, and lies between `least` and `most` inclusive. An int is
+    accepted as a float; a bool is never accepted as a number. Raises InvalidInput, which names the key, the
+    place in the input (`where`) and the peer that sent it.
     """
     value = table.get(key, default)
     if value is MISSING:
         raise InvalidInput(where, f"{key} is missing", peer)
     if value is default:
         return value
-    if not _is_of_kind(value, kind):
-        raise InvalidInput(where, f"{key} must be {kind.__name__}, not {type(value).__name__}", peer)
+    if not _has_type(value, expected_type):
+        raise InvalidInput(where, f"{key} must be {expected_type.__name__}, not {type(value).__name__}", peer)
     if isinstance(value, float) and not isfinite(value):
         raise InvalidInput(where, f"{key} must be finite", peer)
-    if kind in (int, float):
+    if expected_type in (int, float):
         _check_bounds(value, key, where, least, most, peer)
     return value
 
 
-def _is_of_kind(value: object, kind: type) -> bool:
+def _has_type(value: object, expected_type: type) -> bool:
     if isinstance(value, bool):
-        return kind is bool
-    return isinstance(value, (int, float) if kind is float else kind)
+        return expected_type is bool
+    return isinstance(value, (int, float) if expected_type is float else expected_type)
 
 
 def _check_bounds(
@@ -83,27 +84,27 @@
         raise InvalidInput(where, f"{key} is out of bounds: {value}", peer)
 
 
-def _unique_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _table_with_unique_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     table = dict(pairs)
     if len(table) != len(pairs):
         raise ValueError("a key stands twice")
     return table
 
 
-def _refuse_constant(text: str) -> NoReturn:
+def _reject_constant(text: str) -> NoReturn:
     raise ValueError(f"{text} is no number")
 
 
 def read_json(raw: bytes, where: str, peer: str = "") -> dict[str, Any]:
-    """Return the JSON object in `raw`: complete, without a key twice, NaN or infinity.
+    """Return the JSON object in `raw`.
 
-    Raises InvalidInput, also where the nesting is too deep to be read, or a text holds half of a surrogate
-    pair, which can't be written again.
+    Raises InvalidInput if `raw` is not one complete JSON object, repeats a key, holds NaN or infinity, is
+    nested too deeply to be parsed, or holds an unpaired surrogate, which could not be encoded again.
     """
     try:
         text = raw.decode()
-        value = json.loads(text, object_pairs_hook=_unique_keys, parse_constant=_refuse_constant)
-        if any(escape in text for escape in HALF_SURROGATE_ESCAPES):
+        value = json.loads(text, object_pairs_hook=_table_with_unique_keys, parse_constant=_reject_constant)
+        if any(prefix in text for prefix in SURROGATE_ESCAPE_PREFIXES):
             json.dumps(value, ensure_ascii=False).encode()
     except (ValueError, RecursionError) as error:
         raise InvalidInput(where, f"no JSON: {error}", peer) from None
--- a/honeywood/gateway/configuration/model.py
+++ b/honeywood/gateway/configuration/model.py
@@ -1,4 +1,4 @@
-"""A configuration and its parts, as the gateway uses them."""
+"""The parsed form of a configuration, as proxies and controllers use it."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class RequestKind(StrEnum):
-    """Whether requests of a route may run twice; the values are those of `kind` in a configuration."""
+    """Whether a request may be executed more than once; the values are those of `kind` in a configuration."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
 
 
-_SAFE = RequestKind.SAFE  # Python 3.11 looks members up slowly, and this is compared for each attempt
+_SAFE = RequestKind.SAFE  # enum member lookup is slow in Python 3.11, and each attempt compares with this
 
 
 class WeightedService(NamedTuple):
-    """A service that gets a part of a route's requests, by its weight among all."""
+    """A service and the weight that sets its share of a route's requests."""
 
     service: str
     weight: float
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of a host and a path prefix go."""
+    """Routes requests for a host and a path prefix to services."""
 
     name: str
     host: str
@@ -41,17 +41,17 @@
     priority: int  # 0 is the highest
     max_attempts: int
     split: tuple[WeightedService, ...]
-    public: bool = False  # whether requests need no tenant's key
+    public: bool = False  # whether requests are accepted without a tenant's key
 
     @property
     def idempotent(self) -> bool:
-        """Whether a request may run twice."""
+        """Whether a request may be executed more than once."""
         return self.kind is _SAFE
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service; `max_connections` is how many one of its endpoints takes from all proxies together."""
+    """A service; `max_connections` limits the connections of all proxies together to one endpoint."""
 
     name: str
     health_check_path: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Limits on clients: sizes of a request in bytes, times to send its header and to be idle in seconds."""
+    """Limits on clients: sizes of a request in bytes; seconds to send its header, and to stay idle."""
 
     header_bytes: int = 16384
     body_bytes: int = 1 << 26
@@ -72,7 +72,7 @@
 class Configuration:
     """A complete configuration.
 
-    Where there are tenants, a request needs the key of one, unless its route is public.
+    If there are tenants, a request must carry the key of one of them, unless its route is public.
     """
 
     version: int
--- a/honeywood/gateway/configuration/reader.py
+++ b/honeywood/gateway/configuration/reader.py
@@ -1,7 +1,7 @@
-"""Reads a configuration as operators send it, or as controllers pass it on to proxies.
+"""Parses a configuration, as operators send it or as controllers pass it on to proxies.
 
-It is checked completely before any of it is used. A configuration is {"ver": eight hexadecimal digits, "res":
-[{"type", "hdr": {"name"}, "spec"}]}; fields that are not known are skipped.
+The whole configuration is checked before any of it is used. Its form is {"ver": eight hexadecimal digits,
+"res": [{"type", "hdr": {"name"}, "spec"}]}; unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 
     from honeywood.gateway.configuration.tenants import Tenant
 
-OPERATION = "config.replace"  # named in errors
-ROUTES, SERVICES, LIMITS = "routes", "svcs", "limits"  # types of items
+OPERATION = "config.replace"  # the operation that errors name
+ROUTES, SERVICES, LIMITS = "routes", "svcs", "limits"  # values of an item's `type`
 VERSION_DIGITS = 8
 HEX_DIGITS = "0123456789abcdef"
-MAX_ROUTE_TIME_S = 86400.0  # longer times in a route are taken for a slip
+MAX_ROUTE_TIME_S = 86400.0  # longer times are rejected as mistakes
 MIN_HEADER_BYTES = 256
 MIN_CLIENT_TIME_S = 0.001
 PROTOCOL = "h1"
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class _Items:
-    """The items of a configuration that have been read, by name."""
+    """The items of a configuration that have been parsed, by type and name."""
 
     routes: dict[str, Route] = field(default_factory=dict)
     services: dict[str, Service] = field(default_factory=dict)
@@ -52,10 +52,10 @@
 
 
 def read_configuration(raw: bytes, peer: str = "", hashed_keys: bool = False) -> Configuration:
-    """Return the configuration in bytes that came from `peer`.
+    """Return the configuration parsed from the bytes that `peer` sent.
 
-    With `hashed_keys` it is one that controllers pass on to proxies. Raises InvalidInput, which names the
-    item and the key, where it can't be used.
+    `hashed_keys` means that it has the form in which controllers pass it on to proxies. Raises InvalidInput,
+    which names the item and the key, if the configuration is invalid.
     """
     table = read_json(raw, OPERATION, peer)
     version = read_version(table.get("ver"), peer)
@@ -70,7 +70,7 @@
 
 
 def read_version(text: object, peer: str = "") -> int:
-    """Return the number of a version's eight hexadecimal digits; raises InvalidConfiguration."""
+    """Return the version that eight hexadecimal digits encode; raises InvalidConfiguration."""
     digits = text.lower() if isinstance(text, str) else ""
     if len(digits) != VERSION_DIGITS or not all(digit in HEX_DIGITS for digit in digits):
         raise InvalidConfiguration(OPERATION, f"ver: {text!r} is not eight hexadecimal digits", peer)
@@ -78,7 +78,7 @@
 
 
 def _read_item(entry: object, where: str, items: _Items, hashed_keys: bool, peer: str) -> None:
-    """Read one item of a configuration into `items`."""
+    """Parse one item of a configuration and add it to `items`."""
     if not isinstance(entry, dict):
         raise InvalidConfiguration(where, "must be an object", peer)
     kind = need(entry, "type", str, where)
@@ -183,17 +183,20 @@
 
 
 def _check_routes(items: _Items, peer: str) -> None:
-    """Check that routes name known services, and no two have the same host and prefix."""
+    """Check that limits occur once at most, and that routes name known services.
+
+    No two routes may have the same host and prefix.
+    """
     if len(items.limits) > 1:
         raise InvalidConfiguration(OPERATION, "limits stand twice", peer)
-    places = set()
+    seen_prefixes = set()
     for route in items.routes.values():
         unknown = [backend.service for backend in route.split if backend.service not in items.services]
         if unknown:
             raise InvalidConfiguration(
                 OPERATION, f"route {route.name} names the unknown service {unknown[0]!r}", peer
             )
-        if (route.host, route.prefix) in places:
+        if (route.host, route.prefix) in seen_prefixes:
             reason = f"route {route.name}: {route.host}{route.prefix} is taken by another"
             raise InvalidConfiguration(OPERATION, reason, peer)
-        places.add((route.host, route.prefix))
+        seen_prefixes.add((route.host, route.prefix))
--- a/honeywood/gateway/configuration/record.py
+++ b/honeywood/gateway/configuration/record.py
@@ -1,10 +1,13 @@
-"""The configuration as the register keeps it, and the outcome of orders to replace it. Pure functions.
+"""The configuration's record in the register, and the outcome of operators' orders to replace it.
 
-The stored form is {"ver", "text", "digest", "past"}. The text is packed, the digest is that of the bytes as
-they were sent, and `past` lists [version, digest] of the other orders with the MAX_HISTORY highest versions.
+An order is one `config.replace` call. All functions here are pure.
 
-A version stands for one content: the first that a majority has noted, in force or superseded. So of two
-contents under one version one is acknowledged, and a copy of an order is known however often it arrives.
+The stored form is {"ver", "text", "digest", "past"}. `text` is packed, `digest` is that of the bytes that the
+operator sent, and `past` lists [version, digest] of the other orders with the MAX_HISTORY highest versions.
+
+A version is bound to one content: the first that a majority has recorded under it, whether in force or
+superseded. Therefore only one of two contents under the same version is acknowledged, and a repeated order is
+recognized however often it arrives.
 """
 
 from __future__ import annotations
@@ -21,10 +24,9 @@
 if TYPE_CHECKING:
     from typing import Any
 
-OPERATION = "config"  # named in errors
-MAX_HISTORY = (
-    128  # orders remembered; those below them are acknowledged as superseded, whatever their content
-)
+OPERATION = "config"  # the operation that errors name
+# Orders that are kept. One below all of them is acknowledged as superseded, whatever its content.
+MAX_HISTORY = 128
 DIGEST_BYTES = 8
 
 
@@ -32,12 +34,12 @@
     """The outcome of an order to replace the configuration; the values are shown to operators."""
 
     ACCEPTED = "taken"  # in force
-    SUPERSEDED = "overtaken"  # acknowledged, below the one in force
-    CONFLICT = "other content"  # refused: its version stands for another content
+    SUPERSEDED = "overtaken"  # acknowledged, but a higher version is in force
+    CONFLICT = "other content"  # rejected: its version is bound to another content
 
 
 class PastOrder(NamedTuple):
-    """The version and the content's digest of an order that is not in force."""
+    """The version and the content digest of an order that is not in force."""
 
     version: int
     digest: str
@@ -45,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRecord:
-    """The configuration in force and the orders besides it, by ascending version."""
+    """The configuration in force, and the other orders by ascending version."""
 
     version: int
     text: str
@@ -64,9 +66,9 @@
 
 
 def decode(value: dict[str, Any], peer: str = "") -> ConfigurationRecord:
-    """Return the record of a stored form.
+    """Return the record that a stored form encodes.
 
-    Raises InvalidMessage, which names the field, where it can't be used.
+    Raises InvalidInput, which names the field, if the stored form is invalid.
     """
     history = need(value, "past", list, OPERATION, peer=peer)
     try:
@@ -82,46 +84,46 @@
 
 
 def content_digest(raw: bytes) -> str:
-    """Return the digest of a configuration's bytes, by which copies of an order are known."""
+    """Return the digest of a configuration's bytes, which identifies repeated orders."""
     return blake2b(raw, digest_size=DIGEST_BYTES).hexdigest()
 
 
 def order_outcome(current: ConfigurationRecord | None, version: int, digest: str) -> OrderOutcome | None:
-    """Return the outcome of an order by the current record, or None where the order has not been noted."""
+    """Return the outcome of an order according to the current record, or None if it is not recorded."""
     if current is None or version > current.version:
         return None
     if version == current.version:
         return OrderOutcome.ACCEPTED if digest == current.digest else OrderOutcome.CONFLICT
     history = dict(current.history)
-    noted = history.get(version)
-    if noted is None:
+    recorded_digest = history.get(version)
+    if recorded_digest is None:
         is_forgotten = len(history) >= MAX_HISTORY and version < min(history)
         return OrderOutcome.SUPERSEDED if is_forgotten else None
-    return OrderOutcome.SUPERSEDED if noted == digest else OrderOutcome.CONFLICT
+    return OrderOutcome.SUPERSEDED if recorded_digest == digest else OrderOutcome.CONFLICT
 
 
-def after_order(
+def apply_order(
     current: ConfigurationRecord | None, version: int, text: str, digest: str
 ) -> ConfigurationRecord:
-    """Return the record after an order; the same object where the order was noted before."""
+    """Return the record after an order; the same object if the order was already recorded."""
     if current is None:
         return ConfigurationRecord(version, text, digest)
     if order_outcome(current, version, digest) is not None:
         return current
     if version < current.version:
-        return replace(current, history=_extended(current.history, PastOrder(version, digest)))
-    history = _extended(current.history, PastOrder(current.version, current.digest))
+        return replace(current, history=_extend_history(current.history, PastOrder(version, digest)))
+    history = _extend_history(current.history, PastOrder(current.version, current.digest))
     return ConfigurationRecord(version, text, digest, history)
 
 
-def _extended(history: tuple[PastOrder, ...], order: PastOrder) -> tuple[PastOrder, ...]:
+def _extend_history(history: tuple[PastOrder, ...], order: PastOrder) -> tuple[PastOrder, ...]:
     return tuple(sorted((*history, order))[-MAX_HISTORY:])
 
 
 def update_stored(stored: dict[str, Any] | None, version: int, text: str, digest: str) -> dict[str, Any]:
-    """Return the stored form after an order; the same object where the order was noted before."""
+    """Return the stored form after an order; the same object if the order was already recorded."""
     if stored is None:
-        return encode(after_order(None, version, text, digest))
+        return encode(apply_order(None, version, text, digest))
     current = decode(stored)
-    after = after_order(current, version, text, digest)
-    return stored if after is current else encode(after)
+    updated = apply_order(current, version, text, digest)
+    return stored if updated is current else encode(updated)
--- a/honeywood/gateway/configuration/settings.py
+++ b/honeywood/gateway/configuration/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process, read and checked. Fields that are not known are skipped."""
+"""Parses and validates the settings file of a process. Unknown fields are ignored."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from typing import Any
 
-OPERATION = "settings"  # named in errors
+OPERATION = "settings"  # the operation that errors name
 DEFAULT_MAX_OPEN_FILES = 1024
 DEFAULT_MEMORY_MB = 256.0
 DEFAULT_HEARTBEAT_INTERVAL_S = 1.5
@@ -23,7 +23,7 @@
 
 
 class PortRange(NamedTuple):
-    """The ports for traffic between processes of ours, from the first to the last."""
+    """The first and the last port for traffic between processes of the gateway."""
 
     first: int
     last: int
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenAddresses:
-    """The addresses at which a process is called from outside, by their names in the file.
+    """The addresses at which a process accepts calls from outside the gateway, by their names in the file.
 
-    Each property raises InvalidSettings where the file has no such address.
+    Each property raises InvalidSettings if the file does not give that address.
     """
 
     addresses: dict[str, Address]
@@ -41,19 +41,19 @@
     @property
     def http(self) -> Address:
         """The address for clients."""
-        return self._of("http")
+        return self._get("http")
 
     @property
     def ready(self) -> Address:
-        """The address at which the platform asks whether the process is ready."""
-        return self._of("ready")
+        """The address for the platform's readiness checks."""
+        return self._get("ready")
 
     @property
     def ctl(self) -> Address:
         """The address for machines and operators."""
-        return self._of("ctl")
+        return self._get("ctl")
 
-    def _of(self, name: str) -> Address:
+    def _get(self, name: str) -> Address:
         try:
             return self.addresses[name]
         except KeyError:
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The figures of the rules that are in force, named as in the file; `_s` are seconds."""
+    """Time limits, ratios and thresholds of the gateway's rules, named as in the file; `_s` means seconds."""
 
     reuse_s: float
     contact_s: float
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """One process's settings; `seeds` are addresses of controllers."""
+    """The settings of one process; `seeds` are addresses of controllers."""
 
     node: str
     role: str
@@ -97,25 +97,25 @@
     port_range: PortRange
     listen: ListenAddresses
     bounds: Bounds
-    tolerated_failures: int  # counted machines that may be lost at once
+    tolerated_failures: int  # f: how many of the register's 2 f + 1 members may fail at once
     max_open_files: int
     memory_mb: float
     heartbeat_interval_s: float
-    link_bytes_per_s: float  # that the machine's link carries
+    link_bytes_per_s: float  # capacity of the machine's network link
 
     @property
     def proxy_port(self) -> int:
-        """The port at which proxies listen for each other."""
+        """The port at which proxies accept calls from each other."""
         return self.port_range.first
 
     @property
     def controller_port(self) -> int:
-        """The port at which controllers listen for each other and for proxies."""
+        """The port at which controllers accept calls from each other and from proxies."""
         return self.port_range.first + 1
 
 
 def read_settings(text: str) -> Settings:
-    """Return the settings in a file's text; raises InvalidInput, which names the key."""
+    """Return the settings parsed from a file's text; raises InvalidInput, which names the key."""
     try:
         table = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as error:
--- a/honeywood/gateway/configuration/tenants.py
+++ b/honeywood/gateway/configuration/tenants.py
@@ -1,8 +1,8 @@
-"""Tenants of a configuration, and the form in which their keys leave the controllers.
+"""Parses the tenants of a configuration and hashes their keys.
 
-Operators send keys in plain text, and `config.read` returns the configuration as it was sent; so the
-register's disks hold them. Everything else knows a key by its hash only: `with_hashed_keys` rewrites a
-configuration before proxies get it, and a proxy hashes the key that a client shows.
+Operators send keys in plain text, and `config.read` returns the configuration as it was sent, so the disks
+of the register hold the keys. All other parts use hashes only: `with_hashed_keys` rewrites a configuration
+before it is sent to proxies, and a proxy hashes the key that a client presents.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
     from collections.abc import Iterable
     from typing import Any
 
-TENANTS = "tenants"  # type of the items
-QUOTED_TENANTS = b'"tenants"'  # the type as it stands in a text, unless its letters are escaped
+TENANTS = "tenants"  # value of a tenant item's `type`
+QUOTED_TENANTS = b'"tenants"'  # the type in JSON, unless its letters are escaped
 ESCAPE = b"\\u"
-KEYS, KEY_HASHES, PRIORITY = "apikeys", "key_hashes", "prio"  # keys of an item's `spec`
-HASH_BYTES = 16  # keys are drawn at random by their issuer: two with one hash of 128 bits don't occur
+KEYS, KEY_HASHES, PRIORITY = "apikeys", "key_hashes", "prio"  # fields of an item's `spec`
+HASH_BYTES = 16  # issuers draw keys at random, so no two have the same 128-bit hash
 MAX_PRIORITY = 1 << 30
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant: its keys' hashes, HASH_BYTES each, and its priority (0 is the highest).
+    """A tenant: the hashes of its keys, of HASH_BYTES bytes each, and its priority (0 is the highest).
 
-    A priority takes the place of its requests' routes', where there is one.
+    A priority, if set, replaces that of the route for requests of the tenant.
     """
 
     name: str
@@ -40,12 +40,12 @@
 
 
 def hash_key(key: bytes) -> bytes:
-    """Return the hash by which a key is known."""
+    """Return the hash that identifies a key."""
     return blake2b(key, digest_size=HASH_BYTES).digest()
 
 
 def read_tenant(name: str, spec: dict[str, Any], where: str) -> Tenant:
-    """Return a tenant as operators send it; raises InvalidInput, which never holds a key."""
+    """Return a tenant from the form that operators send; raises InvalidInput, which never holds a key."""
     keys = need(spec, KEYS, list, where)
     if not all(isinstance(key, str) and _is_header_value(key) for key in keys):
         raise InvalidConfiguration(where, f"{KEYS} holds what can't stand in a header")
@@ -53,12 +53,12 @@
 
 
 def read_hashed_tenant(name: str, spec: dict[str, Any], where: str) -> Tenant:
-    """Return a tenant as controllers pass it on to proxies; raises InvalidInput."""
+    """Return a tenant from the form that controllers send to proxies; raises InvalidInput."""
     try:
         hashes = [bytes.fromhex(text) for text in need(spec, KEY_HASHES, list, where)]
     except (TypeError, ValueError):
         raise InvalidConfiguration(where, f"{KEY_HASHES} holds what is no hash") from None
-    if any(len(one) != HASH_BYTES for one in hashes):
+    if any(len(key_hash) != HASH_BYTES for key_hash in hashes):
         raise InvalidConfiguration(where, f"{KEY_HASHES} holds a hash of another length")
     return _build_tenant(name, spec, where, hashes)
 
@@ -71,12 +71,12 @@
 
 
 def _is_header_value(text: str) -> bool:
-    """Return whether a text can be a header's value: visible ASCII, without a space at either end."""
+    """Return whether a text can be a header value: visible ASCII, without a space at either end."""
     return text.isascii() and text.isprintable() and text == text.strip() and text != ""
 
 
 def check_keys_differ(tenants: Iterable[Tenant], where: str, peer: str = "") -> None:
-    """Raise InvalidConfiguration where two tenants share a key."""
+    """Raise InvalidConfiguration if two tenants share a key."""
     owners: dict[bytes, str] = {}
     for tenant in tenants:
         for key_hash in tenant.key_hashes:
@@ -86,8 +86,8 @@
 
 
 def with_hashed_keys(raw: bytes) -> bytes:
-    """Return a valid configuration as proxies get it; the same object where it has no tenants."""
-    if QUOTED_TENANTS not in raw and ESCAPE not in raw:  # most need not be parsed again
+    """Return a valid configuration with hashed keys, for proxies; the same object if it has no tenants."""
+    if QUOTED_TENANTS not in raw and ESCAPE not in raw:  # spares most configurations a second parse
         return raw
     table = json.loads(raw)
     items = [item for item in table["res"] if item["type"] == TENANTS]
--- a/tests/gateway/configuration/test_reader.py
+++ b/tests/gateway/configuration/test_reader.py
@@ -1,4 +1,4 @@
-"""Configurations that can't be used are refused completely; errors name the key, the item and the peer."""
+"""Invalid configurations are rejected as a whole; errors name the key, the item and the peer."""
 
 import copy
 import json
@@ -13,73 +13,86 @@
 
 
 def refused(raw):
+    """The text of the error that rejects a configuration, or None if it is accepted."""
     try:
         read_configuration(raw if isinstance(raw, bytes) else json.dumps(raw).encode(), "op")
-    except InvalidInput as wrong:
-        return str(wrong)
+    except InvalidInput as error:
+        return str(error)
     return None
 
 
-def changed(change):
+def modified_configuration(change):
+    """A valid configuration after `change` was applied to it and the specs of its two routes."""
     sent = config(7, routes=2)
     change(sent, sent["res"][0]["spec"], sent["res"][1]["spec"])
     return sent
 
 
-def service(sent, spec, _):
+def unknown_service(sent, spec, _):
     spec["svc"] = "nowhere"
 
 
-def place(sent, spec, other):
+def duplicate_prefix(sent, spec, other):
     spec["pfx"] = other["pfx"]
 
 
-def weight(sent, spec, _):
+def negative_weight(sent, spec, _):
     spec["split"] = [{"svc": "s", "wt": -1}]
     del spec["svc"]
 
 
-def no_weight(sent, spec, _):
+def zero_weight(sent, spec, _):
     spec["split"] = [{"svc": "s", "wt": 0}]
     del spec["svc"]
 
 
-def kind(sent, spec, _):
+def unknown_kind(sent, spec, _):
     spec["kind"] = "harmless"
 
 
-def timeout(sent, spec, _):
+def missing_timeout(sent, spec, _):
     del spec["timeout_s"]
 
 
-def text(sent, spec, _):
+def text_for_a_number(sent, spec, _):
     spec["tries"] = "2"
 
 
-def truth(sent, spec, _):
+def bool_for_a_number(sent, spec, _):
     spec["timeout_s"] = True
 
 
-def nested(sent, spec, _):
+def list_for_an_item(sent, spec, _):
     sent["res"][0] = [sent["res"][0]]
 
 
-def twins(sent, spec, _):
+def duplicate_name(sent, spec, _):
     sent["res"][1]["hdr"]["name"] = sent["res"][0]["hdr"]["name"]
 
 
-def odd_type(sent, spec, _):
-    sent["res"][0]["type"] = "dreams"
+def unknown_type(sent, spec, _):
+    sent["res"][0]["type"] = "widgets"
 
 
-def digits(sent, spec, _):
+def number_for_a_version(sent, spec, _):
     sent["ver"] = 7
 
 
-@test("a configuration with {change.__name__} is refused, and the error names {named}")
+@test("a configuration with {change.__name__} is rejected, and the error names {named}")
 def _(
     change=each(
-        service, place, weight, no_weight, kind, timeout, text, truth, nested, twins, odd_type, digits
+        unknown_service,
+        duplicate_prefix,
+        negative_weight,
+        zero_weight,
+        unknown_kind,
+        missing_timeout,
+        text_for_a_number,
+        bool_for_a_number,
+        list_for_an_item,
+        duplicate_name,
+        unknown_type,
+        number_for_a_version,
     ),
     named=each(
         "nowhere",
@@ -92,16 +105,16 @@
         "timeout_s",
         "res[0]",
         "r0",
-        "dreams",
+        "widgets",
         "ver",
     ),
 ):
-    why = refused(changed(change))
-    assert why and named in why and "config.replace" in why
+    reason = refused(modified_configuration(change))
+    assert reason and named in reason and "config.replace" in reason
     assert refused(config(7, routes=2)) is None
 
 
-@test("bytes that are no whole JSON object are refused: {raw!r}")
+@test("bytes that hold no complete configuration are rejected: {raw!r}")
 def _(
     raw=each(
         b"",
@@ -118,19 +131,19 @@
     assert refused(raw)
 
 
-@test("half of a pair of code units is no text, however it is written: {how}")
-def _(how=each("escaped", "escaped in capitals", "raw")):
-    # Found by review: such a host was read, agreed on and acknowledged; no front could build its table, each
-    # went by the older version for good. A whole pair, and an escaped backslash, are text.
-    def hosted(text):
+@test("an unpaired surrogate is rejected however it is written: {notation}")
+def _(notation=each("escaped", "escaped in capitals", "raw")):
+    # A host with an unpaired surrogate was once accepted and acknowledged; no proxy could build its route
+    # table from it, and all kept the older version. A complete pair and an escaped backslash are valid text.
+    def with_host(text):
         return json.dumps(config(7, routes=1)).encode().replace(b'"vhost": "', b'"vhost": "' + text)
 
-    halves = {"escaped": rb"\ud800", "escaped in capitals": rb"\uD800", "raw": b"\xed\xa0\x80"}
-    assert refused(hosted(halves[how]))
-    assert refused(hosted(rb"\ud83d\ude00")) is None and refused(hosted(rb"\\ud800")) is None
+    unpaired_surrogates = {"escaped": rb"\ud800", "escaped in capitals": rb"\uD800", "raw": b"\xed\xa0\x80"}
+    assert refused(with_host(unpaired_surrogates[notation]))
+    assert refused(with_host(rb"\ud83d\ude00")) is None and refused(with_host(rb"\\ud800")) is None
 
 
-@test("a hundred thousand routes are read whole or refused, never half")
+@test("100,000 routes are rejected as a whole if the last one is invalid")
 def _():
     sent = config(7, routes=100000)
     sent["res"][99999]["spec"]["kind"] = "harmless"
@@ -142,7 +155,7 @@
 )
 
 
-@test("whatever stands in place of a part, it is refused by an InvalidInput or read; nothing else is raised")
+@test("with junk in place of any part, a configuration is accepted or raises InvalidInput, nothing else")
 def _():
     @settings(max_examples=300, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6), JUNK)
--- a/tests/gateway/configuration/test_settings.py
+++ b/tests/gateway/configuration/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files that can't be used are refused; errors name the key."""
+"""Invalid settings files are rejected; errors name the key."""
 
 from ward import each, test
 
@@ -9,9 +9,9 @@
 GOOD = boot("n", seeds=["10.0.0.1:82"], ip="10.0.0.9")
 
 
-@test("settings with {was!r} as {made!r} are refused, and the error names {named}")
+@test("settings with {old!r} replaced by {new!r} are rejected, and the error names {named}")
 def _(
-    was=each(
+    old=each(
         "drain_s = 2\n",
         "[7000, 7010]",
         '"10.0.0.1:82"',
@@ -22,7 +22,7 @@
         'ip = "10.0.0.9"',
         'ready = "10.0.0.9:81"',
     ),
-    made=each(
+    new=each(
         "",
         "[7010, 7000]",
         '"10.0.0.1"',
@@ -47,13 +47,13 @@
 ):
     assert read_settings(GOOD).tolerated_failures == 1
     try:
-        read_settings(GOOD.replace(was, made))
-    except InvalidInput as wrong:
-        assert named in str(wrong) and "settings" in str(wrong)
+        read_settings(GOOD.replace(old, new))
+    except InvalidInput as error:
+        assert named in str(error) and "settings" in str(error)
     else:
-        raise AssertionError("it was taken")
+        raise AssertionError("it was accepted")
 
 
-@test("fields of settings that are not known are skipped")
+@test("unknown fields of settings are ignored")
 def _():
     assert read_settings(GOOD + "\n[news]\nx = 1\n").node == "n"
--- a/tests/gateway/configuration/test_tenants.py
+++ b/tests/gateway/configuration/test_tenants.py
@@ -11,19 +11,19 @@
 from honeywood.gateway.configuration.tenants import hash_key
 from honeywood.gateway.errors import InvalidInput
 
-A = KEYS["cuka620"][0]
+FIRST_KEY = KEYS["cuka620"][0]
 
 
-@test("a configuration with tenants is read: their names, priorities and the routes that are public")
+@test("tenants' names, their priorities and the routes that are public are parsed")
 def _():
     read = read_configuration(json.dumps(with_tenants(public=True)).encode())
     assert {tenant.name: tenant.priority for tenant in read.tenants} == dict.fromkeys(KEYS, 1)
     assert [route.public for route in read.routes] == [True]
 
 
-@test("refused, and never with a key in what is told: {why}")
+@test("rejected with an error that never contains a key: {reason}")
 def _(
-    why=each(
+    reason=each(
         "tenants cuka620 and seje681 share a key",
         "apikeys is missing",
         "apikeys must be list, not str",
@@ -36,10 +36,10 @@
         "public must be bool, not int",
     ),
     change=each(
-        lambda sent: sent["res"][3]["spec"]["apikeys"].append(A),
+        lambda sent: sent["res"][3]["spec"]["apikeys"].append(FIRST_KEY),
         lambda sent: sent["res"][3]["spec"].pop("apikeys"),
-        lambda sent: sent["res"][3]["spec"].update(apikeys=A),
-        lambda sent: sent["res"][3]["spec"]["apikeys"].append(A + "\n"),
+        lambda sent: sent["res"][3]["spec"].update(apikeys=FIRST_KEY),
+        lambda sent: sent["res"][3]["spec"]["apikeys"].append(FIRST_KEY + "\n"),
         lambda sent: sent["res"][3]["spec"]["apikeys"].append(7),
         lambda sent: sent["res"][3]["spec"]["apikeys"].append(""),
         lambda sent: sent["res"][3]["spec"].update(prio=-1),
@@ -50,40 +50,40 @@
 ):
     sent = with_tenants()
     change(sent)
-    with raises(InvalidInput) as refused:
+    with raises(InvalidInput) as rejection:
         read_configuration(json.dumps(sent).encode())
-    assert why in str(refused.raised)
-    assert not any(key in str(refused.raised) for keys in KEYS.values() for key in keys)
+    assert reason in str(rejection.raised)
+    assert not any(key in str(rejection.raised) for keys in KEYS.values() for key in keys)
 
 
-@test("one tenant may hold a key twice, or none; fields that are not known are skipped")
+@test("a tenant may have a key twice, or no key; unknown fields are ignored")
 def _():
-    sent = with_tenants(keys={"cuka620": [A, A], "seje681": []})
+    sent = with_tenants(keys={"cuka620": [FIRST_KEY, FIRST_KEY], "seje681": []})
     sent["res"][2]["spec"]["quota"] = {"per_s": 5}
     read = read_configuration(json.dumps(sent).encode())
-    assert [tenant.key_hashes for tenant in read.tenants] == [(hash_key(A.encode()),), ()]
+    assert [tenant.key_hashes for tenant in read.tenants] == [(hash_key(FIRST_KEY.encode()),), ()]
 
 
-@test("operators read their configuration back with its keys; what proxies hold of it has hashes only")
+@test("operators read their configuration back with its keys; copies for proxies hold only hashes")
 def _():
     world = World("abc", "f")
     for name in ("a", "b", "c", "f"):
         world.start(name)
     try:
         world.run(2.0)
-        sent, told = with_tenants(7), {}
+        sent, responses = with_tenants(7), {}
 
         async def operate():
-            told["put"] = await world.ask("a", "config.replace", body=sent)
-            told["read"] = await world.ask("b", "config.read")
+            responses["put"] = await world.ask("a", "config.replace", body=sent)
+            responses["read"] = await world.ask("b", "config.read")
 
         world.loop.create_task(operate())
         world.run(4.0)
-        assert (told["put"][0], told["read"][0]) == (200, 200), told
-        assert json.loads(told["read"][1]) == sent
+        assert (responses["put"][0], responses["read"][0]) == (200, 200), responses
+        assert json.loads(responses["read"][1]) == sent
         proxy = world.nodes["f"]
         table = proxy.configuration.table
-        assert table.version == 7 and table.tenants.find(A.encode()).name == b"cuka620"
+        assert table.version == 7 and table.tenants.find(FIRST_KEY.encode()).name == b"cuka620"
         stores = [world.nodes[name].publisher.store.get("config") for name in ("a", "b", "c", "f")]
         for text in map(unpack, stores):
             assert not any(key.encode() in text for keys in KEYS.values() for key in keys)
@@ -91,9 +91,9 @@
         world.close()
 
 
-@test("a kind of item whose letters are escaped is told to proxies without its keys too")
+@test("keys are also hashed for proxies if the letters of the item's type are escaped")
 def _():
     escaped = json.dumps(with_tenants()).replace('"tenants"', '"\\u0074enants"')
-    told = unpack(pack_for_proxies(pack(escaped.encode())))
-    assert not any(key.encode() in told for keys in KEYS.values() for key in keys)
-    assert {tenant.name for tenant in read_configuration(told, hashed_keys=True).tenants} == set(KEYS)
+    unpacked = unpack(pack_for_proxies(pack(escaped.encode())))
+    assert not any(key.encode() in unpacked for keys in KEYS.values() for key in keys)
+    assert {tenant.name for tenant in read_configuration(unpacked, hashed_keys=True).tenants} == set(KEYS)
--- a/tests/gateway/test_pinned_configuration.py
+++ b/tests/gateway/test_pinned_configuration.py
@@ -1,7 +1,7 @@
-"""Settings, configurations and their stored records, compared with what revision ae67546 made of them.
+"""Settings, configurations and their stored records, compared with recordings of revision ae67546.
 
-The recordings under recorded/ are never edited: they are the form of files and records that exist. Only the
-accessors below follow when a name in the code changes.
+The recordings under recorded/ are never edited, because files and records in their form exist. When a name in
+the code changes, only the accessors below change with it.
 """
 
 import json
@@ -21,24 +21,24 @@
 RECORDED = json.loads((Path(__file__).parent / "recorded" / "configuration.json").read_text())
 
 
-# Accessors: the only place that names what the code is called.
+# Accessors: all uses of names from the code under test.
 
 
 def error_fields(error):
-    """An error as [operation, reason, peer, status, text]."""
+    """The fields of an error: [operation, reason, peer, status, text]."""
     return [error.operation, error.reason, error.peer, status_of(error), str(error)]
 
 
-def result_or_error(function, *given):
-    """{"result": value} or {"error": its fields} of a call."""
+def result_or_error(function, *args):
+    """The outcome of a call: {"result": value} or {"error": its fields}."""
     try:
-        return {"result": function(*given)}
+        return {"result": function(*args)}
     except GatewayError as error:
         return {"error": error_fields(error)}
 
 
 def settings_fields(text):
-    """The fields of a settings file by their keys in it; those worked out stand under `derived`."""
+    """The fields of a settings file by their keys in it; computed ones are under `derived`."""
     found = read_settings(text)
     return {
         "node": found.node,
@@ -49,7 +49,7 @@
         "fresh": found.fresh,
         "datadir": found.data_directory,
         "port_range": list(found.port_range),
-        "listen": {key: list(at) for key, at in found.listen.addresses.items()},
+        "listen": {key: list(address) for key, address in found.listen.addresses.items()},
         "bounds": {name: getattr(found.bounds, name) for name in BOUND_NAMES},
         "tolerate.machines": found.tolerated_failures,
         "limits.nofile": found.max_open_files,
@@ -71,11 +71,14 @@
         "ver": found.version,
         "routes": [_route_fields(route) for route in found.routes],
         "svcs": [
-            [name, one.name, one.health_check_path, one.max_connections]
-            for name, one in found.services.items()
+            [name, service.name, service.health_check_path, service.max_connections]
+            for name, service in found.services.items()
         ],
         "limits": [limits.header_bytes, limits.body_bytes, limits.header_s, limits.idle_s],
-        "tenants": [[one.name, [key.hex() for key in one.key_hashes], one.priority] for one in found.tenants],
+        "tenants": [
+            [tenant.name, [key.hex() for key in tenant.key_hashes], tenant.priority]
+            for tenant in found.tenants
+        ],
     }
 
 
@@ -96,17 +99,17 @@
 
 
 def pack(raw):
-    """A configuration's bytes as the text that is stored."""
+    """The stored text of a configuration's bytes."""
     return packing.pack(raw)
 
 
 def unpack(text):
-    """The bytes of a stored text, as text."""
+    """The bytes of a stored text, one character per byte."""
     return packing.unpack(text, "192.0.2.7").decode("latin-1")
 
 
 def packed_for_proxies(text):
-    """What proxies get of a stored text."""
+    """The packed text that proxies receive for a stored text."""
     return packing.pack_for_proxies(text)
 
 
@@ -116,7 +119,7 @@
 
 
 def order_outcome(stored, version, digest):
-    """What an order has come to, as operators read it, or None."""
+    """The outcome of an order as operators read it, or None."""
     current = None if stored is None else record.decode(stored)
     return record.order_outcome(current, version, digest)
 
@@ -126,47 +129,47 @@
     return record.update_stored(stored, version, text, digest)
 
 
-def plain(value):
-    """A value as it comes back from JSON, or the same: whole numbers stay whole, order of keys too."""
+def to_json(value):
+    """A value as JSON text, which distinguishes 1 from 1.0 and keeps the order of keys."""
     return json.dumps(value)
 
 
-def raw_of(case):
-    """The bytes of a case, which stand in its JSON as text, one character a byte."""
+def raw_bytes(case):
+    """The bytes of a case, recorded as text with one character per byte."""
     return case["raw"].encode("latin-1")
 
 
 # Tests
 
 
-def numbered(kind):
-    """The numbers of a kind's cases."""
+def case_numbers(kind):
+    """The numbers of the recorded cases of a kind."""
     return each(*range(len(RECORDED[kind])))
 
 
-@test("settings file {number} gives the recorded fields, or the recorded refusal")
-def _(number=numbered("settings")):
+@test("settings file {number} gives the recorded fields, or the recorded error")
+def _(number=case_numbers("settings")):
     case = RECORDED["settings"][number]
-    assert plain(result_or_error(settings_fields, case["text"])) == plain(case["found"])
+    assert to_json(result_or_error(settings_fields, case["text"])) == to_json(case["found"])
 
 
-@test("configuration {number} gives the recorded parts, or the recorded refusal")
-def _(number=numbered("configurations")):
+@test("configuration {number} gives the recorded parts, or the recorded error")
+def _(number=case_numbers("configurations")):
     case = RECORDED["configurations"][number]
-    found = result_or_error(configuration_fields, raw_of(case), case["hashed"])
-    assert plain(found) == plain(case["found"])
+    found = result_or_error(configuration_fields, raw_bytes(case), case["hashed"])
+    assert to_json(found) == to_json(case["found"])
 
 
-@test("stored text {number} is unpacked to the recorded bytes, or refused as recorded")
-def _(number=numbered("packed")):
+@test("stored text {number} is unpacked to the recorded bytes, or rejected as recorded")
+def _(number=case_numbers("packed")):
     case = RECORDED["packed"][number]
-    assert plain(result_or_error(unpack, case["text"])) == plain(case["found"])
+    assert to_json(result_or_error(unpack, case["text"])) == to_json(case["found"])
 
 
 @test("configuration {number} is packed, digested and passed to proxies as recorded")
-def _(number=numbered("stored")):
+def _(number=case_numbers("stored")):
     case = RECORDED["stored"][number]
-    raw = raw_of(case)
+    raw = raw_bytes(case)
     assert pack(raw) == case["packed"]
     assert unpack(case["packed"]).encode("latin-1") == raw
     assert content_digest(raw) == case["digest"]
@@ -175,32 +178,32 @@
 
 
 @test("order {number} has the recorded outcome, and leaves the recorded stored record")
-def _(number=numbered("orders")):
+def _(number=case_numbers("orders")):
     case = RECORDED["orders"][number]
     stored, version, text, digest = (case[key] for key in ("stored", "version", "text", "digest"))
     before = None if stored is None else json.loads(stored)
     assert order_outcome(before, version, digest) == case["outcome before"]
     after = stored_after_order(before, version, text, digest)
-    assert plain(after) == case["stored after"]
-    assert order_outcome(json.loads(plain(after)), version, digest) == case["outcome after"]
-    assert stored is None or plain(before) == stored
+    assert to_json(after) == case["stored after"]
+    assert order_outcome(json.loads(to_json(after)), version, digest) == case["outcome after"]
+    assert stored is None or to_json(before) == stored
 
 
-@test("address {number} is read, or refused, as recorded")
-def _(number=numbered("addresses")):
+@test("address {number} is parsed, or rejected, as recorded")
+def _(number=case_numbers("addresses")):
     case = RECORDED["addresses"][number]
     found = result_or_error(lambda: list(parse_address(case["text"], "settings: seeds", "192.0.2.7")))
-    assert plain(found) == plain(case["found"])
+    assert to_json(found) == to_json(case["found"])
 
 
-@test("JSON text {number} is read, or refused, as recorded")
-def _(number=numbered("json")):
+@test("JSON text {number} is parsed, or rejected, as recorded")
+def _(number=case_numbers("json")):
     case = RECORDED["json"][number]
-    found = result_or_error(read_json, raw_of(case), "some call", "192.0.2.7")
-    assert plain(found) == plain(case["found"])
+    found = result_or_error(read_json, raw_bytes(case), "some call", "192.0.2.7")
+    assert to_json(found) == to_json(case["found"])
 
 
 @test("key {number} has the recorded hash")
-def _(number=numbered("keys")):
+def _(number=case_numbers("keys")):
     case = RECORDED["keys"][number]
     assert hash_key(case["key"].encode()).hex() == case["hash"]
