--- a/honeywood/gateway/configuration/reader.py
+++ b/honeywood/gateway/configuration/reader.py
@@ -81,7 +81,7 @@
     """Parse one item of a configuration and add it to `items`."""
     if not isinstance(entry, dict):
         raise InvalidConfiguration(where, "must be an object", peer)
-    kind = need(entry, "type", str, where)
+    item_type = need(entry, "type", str, where)
     header = need(entry, "hdr", dict, where)
     items_by_type: dict[str, dict[str, Any]] = {
         ROUTES: items.routes,
@@ -89,18 +89,18 @@
         LIMITS: items.limits,
         TENANTS: items.tenants,
     }
-    if kind not in items_by_type:
-        raise InvalidConfiguration(where, f"type {kind!r} is not known", peer)
-    name = need(header, "name", str, where, "" if kind == LIMITS else None)
-    if name is None or name in items_by_type[kind]:
+    if item_type not in items_by_type:
+        raise InvalidConfiguration(where, f"type {item_type!r} is not known", peer)
+    name = need(header, "name", str, where, "" if item_type == LIMITS else None)
+    if name is None or name in items_by_type[item_type]:
         raise InvalidConfiguration(where, f"name {name!r} is missing or stands twice", peer)
     spec = need(entry, "spec", dict, where)
     where_in_item = f"{where} {name}"
-    if kind == ROUTES:
+    if item_type == ROUTES:
         items.routes[name] = _read_route(name, spec, where_in_item)
-    elif kind == SERVICES:
+    elif item_type == SERVICES:
         items.services[name] = _read_service(name, spec, where_in_item)
-    elif kind == LIMITS:
+    elif item_type == LIMITS:
         items.limits[name] = _read_limits(spec, where_in_item)
     elif hashed_keys:
         items.tenants[name] = read_hashed_tenant(name, spec, where_in_item)
--- a/honeywood/gateway/errors.py
+++ b/honeywood/gateway/errors.py
@@ -1,7 +1,7 @@
-"""The exceptions of the gateway. Each is named for what went wrong and says in which operation and with whom.
+"""The base exceptions of the gateway: what went wrong, in which operation and with which peer.
 
-Packages derive their own exceptions from these. Which HTTP status a caller is answered with is decided from
-the type alone, in rpc/statuses.py.
+Packages derive their own exceptions from these. The HTTP status of a response depends on the exception's type
+alone; rpc/statuses.py maps one to the other.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 class GatewayError(Exception):
     """An operation that could not be carried out.
 
-    `operation` names it (a call, a path or a file), `reason` says what was wrong, and `peer` is the address
-    of the other side, empty where there is none.
+    `operation` names it (a call, a path or a file), `reason` describes what went wrong, and `peer` is the
+    address of the other side, empty if there is none.
     """
 
     def __init__(self, operation: str, reason: str, peer: str = "") -> None:
@@ -22,43 +22,43 @@
 
 
 class InvalidInput(GatewayError):
-    """A call, message or file that cannot be used as it is; repeating it does not help."""
+    """A call, message or file that is invalid; retrying it does not help."""
 
 
 class InvalidSettings(InvalidInput):
-    """A settings file that cannot be used; `operation` names the table, `reason` the key."""
+    """An invalid settings file; `operation` names the table, `reason` the key."""
 
 
 class InvalidConfiguration(InvalidInput):
-    """A configuration that cannot be used; `operation` names the item, `reason` the key."""
+    """An invalid configuration; `operation` names the item, `reason` the key."""
 
 
 class InvalidMessage(InvalidInput):
-    """A message of another of our processes that cannot be decoded."""
+    """A message from another process of the gateway that cannot be decoded."""
 
 
 class NotFound(GatewayError):
-    """What was asked for does not exist."""
+    """The requested object does not exist."""
 
 
 class VersionConflict(GatewayError):
-    """A version number that already stands for another content."""
+    """A version number that is already bound to another content."""
 
 
 class PayloadTooLarge(GatewayError):
-    """A body that is longer than the limit, or that broke off."""
+    """A body that is longer than the limit, or that ended early."""
 
 
 class Unavailable(GatewayError):
-    """This process cannot carry out the operation now; another one, or a later attempt, may."""
+    """This process cannot carry out the operation now; another process, or a later retry, may succeed."""
 
 
 class CallFailed(Unavailable):
-    """A call that brought no usable answer; whether it was carried out is not known."""
+    """A call without a usable response; it is unknown whether the peer carried it out."""
 
 
 class CallRefused(GatewayError):
-    """A call that was answered with a status other than 200, which is `status`."""
+    """A call that the peer answered with a `status` other than 200."""
 
     def __init__(self, operation: str, reason: str, peer: str, status: int) -> None:
         super().__init__(operation, reason, peer)
--- a/honeywood/gateway/event_log.py
+++ b/honeywood/gateway/event_log.py
@@ -1,4 +1,4 @@
-"""The log of a program: one JSON object a line on standard output, named by its event."""
+"""The log of a program: one JSON object per line on standard output, each with the name of its event."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EventLog:
-    """Events with their fields, and with the version of the configuration that is in force."""
+    """Writes events with their fields and the version of the configuration in force."""
 
     def __init__(
         self,
@@ -25,13 +25,13 @@
         clock: Callable[[], float],
         configuration_version: Callable[[], str | None],
     ) -> None:
-        """Write events of a node's incarnation; `clock` gives steady seconds."""
+        """Log for one incarnation of a node; `clock` returns monotonic seconds."""
         self._logger = structlog.get_logger().bind(node=node, life=incarnation)
         self._clock, self._configuration_version = clock, configuration_version
-        self._logged_at: dict[str, float] = {}  # steady seconds, by event
+        self._logged_at: dict[str, float] = {}  # monotonic seconds, by event
 
     def info(self, event: str, min_interval_s: float = 0.0, **fields: object) -> None:
-        """Write a line, unless one of the same event was written less than `min_interval_s` seconds ago."""
+        """Write a line, unless one for the same event was written less than `min_interval_s` seconds ago."""
         now = self._clock()
         if now - self._logged_at.get(event, -min_interval_s) >= min_interval_s:
             self._logged_at[event] = now
@@ -39,7 +39,7 @@
 
 
 def configure() -> None:
-    """Set up the process's logging: times in UTC, errors of libraries as lines of the same form."""
+    """Set up the logging of the process: UTC timestamps, and errors of libraries as JSON lines too."""
     structlog.configure(
         processors=[
             structlog.processors.TimeStamper(fmt="iso", utc=True),
--- a/honeywood/gateway/metrics.py
+++ b/honeywood/gateway/metrics.py
@@ -1,7 +1,7 @@
-"""A program's metrics in the text format of Prometheus, served at `GET /metrics` on an address of its own.
+"""A program's metrics in the text format of Prometheus, served at `GET /metrics` on a separate port.
 
 The port is given on the command line (`--metrics PORT`). One counter family, `honeywood_events_total`, holds
-all sums since the start, labelled with the names that the log's line `counts` uses; the others are gauges.
+all totals since the start, labelled with the names that the log event `counts` uses; all others are gauges.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 CONTENT_TYPE = (b"content-type", b"text/plain; version=0.0.4")
 EVENT_COUNTER = "honeywood_events_total"
 GAUGE_PREFIX = "honeywood_"
-EXIT_USAGE = 2  # status of a program whose command line can't be used
+EXIT_USAGE = 2  # exit status for an invalid command line
 
 
 @dataclass(frozen=True, slots=True)
 class Metrics:
-    """A reading of a program's metrics."""
+    """A snapshot of a program's metrics."""
 
-    events: Mapping[str, Number]  # sums since the start, by event
-    gauges: Mapping[str, Number]  # present values, by name without GAUGE_PREFIX
+    events: Mapping[str, Number]  # totals since the start, by event
+    gauges: Mapping[str, Number]  # current values, by name without GAUGE_PREFIX
 
 
 def render(metrics: Metrics) -> bytes:
-    """Return the page that Prometheus reads."""
+    """Return the metrics in the text format that Prometheus scrapes."""
     lines = [f"# TYPE {EVENT_COUNTER} counter"]
     for event, count in sorted(metrics.events.items()):
         lines.append(f'{EVENT_COUNTER}{{event="{_escape_label(event)}"}} {count}')
@@ -48,10 +48,10 @@
 
 
 def parse_port(arguments: Sequence[str]) -> int | None:
-    """Return the port that a command line gives, None where it gives none.
+    """Return the port that a command line gives, or None if it is empty.
 
-    Ends the program with EXIT_USAGE where it can't be used. Read by hand: argparse would cost each process
-    memory.
+    Exits with EXIT_USAGE if the command line is invalid. It is parsed without argparse, which would cost
+    memory in each process.
     """
     if not arguments:
         return None
@@ -60,5 +60,5 @@
         port = int(values[0])
         if 0 < port <= PORT_MAX:
             return port
-    print(f"only {PORT_OPTION} PORT is known, not {' '.join(arguments)}", file=sys.stderr)
+    print(f"the only option is {PORT_OPTION} PORT, not {' '.join(arguments)}", file=sys.stderr)
     raise SystemExit(EXIT_USAGE)
--- a/honeywood/gateway/metrics_endpoint.py
+++ b/honeywood/gateway/metrics_endpoint.py
@@ -1,4 +1,4 @@
-"""The address at which a program serves its metrics, where the command line names a port for it."""
+"""The HTTP endpoint for a program's metrics, if the command line gives a port for it."""
 
 from __future__ import annotations
 
@@ -17,15 +17,18 @@
 
 
 class MetricsEndpoint:
-    """Serves readings of `read` at one port of a program's server; without a port it serves nothing."""
+    """Serves the metrics that `read` returns at one port of a program's server; without a port, nothing."""
 
     def __init__(self, ip: str, read: Callable[[], Metrics], log: EventLog) -> None:
-        """Start without a port."""
+        """Create the endpoint without a port."""
         self.ip, self.read, self.log = ip, read, log
         self.port: int | None = None
 
     async def open(self, server: HttpServer) -> None:
-        """Listen by a server that is open already; where the port is taken, go on without."""
+        """Listen at the port, with a server that is already open.
+
+        If the port is unavailable, log that and continue without it.
+        """
         if self.port is None:
             return
         try:
@@ -35,7 +38,7 @@
             self.port = None
 
     async def serve(self, scope: Scope, send: Send) -> None:
-        """Answer a request that came to this port."""
+        """Respond to a request that arrived at this port."""
         if scope["path"] == METRICS_PATH:
             await send_response(send, OK, [CONTENT_TYPE], render(self.read()))
         else:
--- a/honeywood/gateway/periodic_tasks.py
+++ b/honeywood/gateway/periodic_tasks.py
@@ -1,4 +1,4 @@
-"""Steps that a program runs again and again for as long as it lives."""
+"""Tasks that run a step periodically for as long as the program runs."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 class TaskFinished(Exception):
-    """Raised by a step whose task has nothing more to do."""
+    """Raised by a step to end its task."""
 
 
 class PeriodicTasks:
-    """The running tasks of a program."""
+    """The periodic tasks of a program."""
 
     def __init__(self, log: EventLog) -> None:
-        """Start without tasks; failures of their steps go to `log`."""
+        """Create without tasks; failures of steps are written to `log`."""
         self.log = log
         self.tasks: set[asyncio.Task[None]] = set()
 
     def start(self, step: Step, interval_s: float) -> None:
-        """Run `step` again and again, `interval_s` seconds after it ended.
+        """Run `step` repeatedly, with a pause of `interval_s` seconds after each run.
 
-        A step ends its task by raising TaskFinished.
+        The step ends its task by raising TaskFinished.
         """
         task = asyncio.get_running_loop().create_task(self._repeat(step, interval_s))
         self.tasks.add(task)
@@ -44,8 +44,8 @@
                 await step()
             except TaskFinished:
                 return
-            # Every exception of a step ends here, foreseen or not: other parts rely on the task, and the
-            # next run may succeed. None is hidden: each is logged with its type.
+            # Every exception of a step is caught, expected or not: other parts rely on the task, and the
+            # next run may succeed. None is silently dropped: they are logged with their types.
             except Exception as error:
                 self.log.info(
                     "periodic task failed",
--- a/honeywood/gateway/program.py
+++ b/honeywood/gateway/program.py
@@ -1,4 +1,4 @@
-"""What both programs share: settings, log, metrics, signals, and periodic tasks."""
+"""The base class of both programs: settings, log, metrics, signals and periodic tasks."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from honeywood.gateway.metrics_endpoint import MetricsEndpoint
 from honeywood.gateway.periodic_tasks import PeriodicTasks
 from honeywood.gateway.rpc.client import Caller
-from honeywood.gateway.settings_file import FAILURES, SettingsFile
+from honeywood.gateway.settings_file import READ_ERRORS, SettingsFile
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -23,16 +23,16 @@
     from honeywood.gateway.configuration.settings import Settings
     from honeywood.gateway.event_log import EventLog
 
-RELOAD_INTERVAL_S = 2.0  # seconds between two checks whether the settings file has changed
+RELOAD_INTERVAL_S = 2.0  # seconds between checks for a changed settings file
 RELOAD_LOG_INTERVAL_S = 5.0
-COUNTS_INTERVAL_S = 10.0  # seconds between two lines of counts in the log
-# Objects after which the garbage collector runs: few here are part of reference cycles.
+COUNTS_INTERVAL_S = 10.0  # seconds between log lines of counts
+# Of the garbage collector; high, because few objects here are part of reference cycles.
 COLLECTION_THRESHOLDS = (20_000, 50, 100)
-EXIT_USAGE = 2  # status of a program whose settings can't be used
+EXIT_USAGE = 2  # exit status for invalid settings
 
 
 class Program:
-    """A process of the gateway."""
+    """A process of the gateway: a proxy or a controller."""
 
     def __init__(
         self,
@@ -43,10 +43,10 @@
         log: EventLog | None = None,
         random: Random | None = None,
     ) -> None:
-        """Read the settings file, unless settings are passed.
+        """Read the settings file, unless `settings` are passed.
 
-        `clock` gives steady seconds, `wall_clock` the time of day. The incarnation is the higher, the later
-        the program was started, as far as the time of day was right.
+        `clock` returns monotonic seconds, `wall_clock` the time of day. A program that is started later has a
+        higher incarnation, provided that the time of day is right.
         """
         self.settings_file = SettingsFile.from_environment()
         self.settings = settings or self._read_settings()
@@ -64,37 +64,37 @@
         gc.set_threshold(*COLLECTION_THRESHOLDS)
 
     def _read_settings(self) -> Settings:
-        """Return the settings of the file; ends the program with EXIT_USAGE where they can't be used."""
+        """Return the settings in the file; exit with EXIT_USAGE if they cannot be read or are invalid."""
         try:
             return self.settings_file.read()
-        except FAILURES as error:
+        except READ_ERRORS as error:
             reason = f"{self.settings_file.path}: {error}"
             print(json.dumps({"event": "settings", "why": reason}), flush=True)
             raise SystemExit(EXIT_USAGE) from None
 
     def store_incarnation(self) -> str:
-        """Return what tells a store from earlier ones, also where the time of day was set back."""
+        """Return an identifier that no earlier store has, even if the time of day was set back."""
         return f"{self.incarnation}.{self.random.getrandbits(32):08x}"
 
     def configuration_version(self) -> str | None:
-        """Return the configuration's version that is in use, as operators write it, for the log."""
+        """Return the version of the configuration in use, as operators write it, for the log."""
         return None
 
     def discover_controllers(self, addresses: Iterable[str]) -> None:
-        """Take note of controllers that the settings file names."""
+        """Handle the addresses of controllers that the settings file names; ignored unless overridden."""
 
     def metrics(self) -> Metrics:
-        """Return a reading of the metrics."""
+        """Return a snapshot of the metrics."""
         return Metrics({}, {})
 
     async def reload_settings(self) -> None:
-        """Take over the seeds of a settings file that has changed; other fields wait for a restart.
+        """Apply the seeds of a settings file that has changed; other fields require a restart.
 
-        A file that can't be used changes nothing.
+        An invalid file changes nothing.
         """
         try:
             settings = self.settings_file.read_if_modified()
-        except FAILURES as error:
+        except READ_ERRORS as error:
             self.log.info("settings rejected", min_interval_s=RELOAD_LOG_INTERVAL_S, why=str(error))
             return
         if settings is not None:
@@ -102,7 +102,7 @@
             self.log.info("settings reloaded")
 
     async def wait_until_stopped(self) -> None:
-        """Return at SIGTERM; until then reload the settings at SIGHUP and when the file has changed."""
+        """Return on SIGTERM; until then reload the settings on SIGHUP and whenever the file has changed."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.stopping.set)
         loop.add_signal_handler(signal.SIGHUP, lambda: loop.create_task(self.reload_settings()))
--- a/honeywood/gateway/settings_file.py
+++ b/honeywood/gateway/settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: read at its start, and again when it has changed."""
+"""The settings file of a process: read at startup, and again when it has changed."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 
 PATH_VARIABLE = "HONEYWOOD_NODE_FILE"
 DEFAULT_PATH = "/etc/honeywood/boot.toml"
-# What a file that can't be read or used raises.
-FAILURES = (OSError, UnicodeDecodeError, InvalidInput)
+# Raised if the file cannot be read or is invalid.
+READ_ERRORS = (OSError, UnicodeDecodeError, InvalidInput)
 
 
 class SettingsFile:
-    """A file, and when it had been modified when it was read last."""
+    """A settings file, with its modification time as of the last read."""
 
     def __init__(self, path: str) -> None:
-        """Read nothing yet."""
+        """Create without reading the file."""
         self.path = path
         self._modified_at_ns: int | None = None
 
     @classmethod
     def from_environment(cls) -> SettingsFile:
-        """Return the file that the process's environment names."""
+        """Return the file that the environment variable names, or the default one."""
         return cls(os.environ.get(PATH_VARIABLE, DEFAULT_PATH))
 
     def read(self) -> Settings:
-        """Return the settings; raises one of FAILURES."""
+        """Return the settings; raises one of READ_ERRORS."""
         self._modified_at_ns = os.stat(self.path).st_mtime_ns
         with open(self.path, encoding="utf-8") as file:
             return read_settings(file.read())
 
     def read_if_modified(self) -> Settings | None:
-        """Return the settings, or None where the file is as it was read last; raises one of FAILURES."""
+        """Return the settings, or None if unchanged since the last read; raises one of READ_ERRORS."""
         if os.stat(self.path).st_mtime_ns == self._modified_at_ns:
             return None
         return self.read()
--- a/honeywood/gateway/startup.py
+++ b/honeywood/gateway/startup.py
@@ -1,8 +1,8 @@
-"""Starts a program without those imports of its libraries that it never uses.
+"""Starts a program without the library modules that it never uses.
 
-Memory and start-up time are priced, and most of both is imports. Left out are OpenSSL (only plain HTTP/1.1 is
-spoken; 4.4 MB) with certifi (0.7 MB), uvicorn's command line with click and multiprocessing (3.2 MB), and
-logging configurations (0.7 MB).
+Memory and startup time count as costs, and imports account for most of both. Left out are OpenSSL (only plain
+HTTP/1.1 is supported; 4.4 MB) with certifi (0.7 MB), uvicorn's command line with click and multiprocessing
+(3.2 MB), and logging.config (0.7 MB).
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 SSL_CLASSES = ("SSLContext", "SSLSocket", "SSLObject")
 SSL_ERRORS = ("SSLError", "SSLWantReadError", "SSLWantWriteError")
 SSL_CONSTANTS = ("PROTOCOL_TLS_SERVER", "CERT_NONE")
-NO_TLS = "A stand-in: no TLS is spoken."
+SSL_STUB_DOC = "A stub: TLS is not supported."
 
 
 def run(module_name: str, program_name: str) -> None:
-    """Import the Program class `program_name` of a module and run it until it ends."""
-    install_stand_ins()
+    """Run the Program class `program_name` of a module until the program ends."""
+    install_stubs()
     asyncio = importlib.import_module("asyncio")
     program = getattr(importlib.import_module(module_name), program_name)()
     metrics = importlib.import_module("honeywood.gateway.metrics")
@@ -28,22 +28,22 @@
     asyncio.run(program.run())
 
 
-def install_stand_ins() -> None:
-    """Put stand-ins in the places of unused modules, before anything that would import these."""
+def install_stubs() -> None:
+    """Replace unused modules with stubs; must run before anything that would import them."""
     _replace_ssl()
-    sys.modules["logging.config"] = ModuleType("logging.config", "A stand-in: structlog sets up the log.")
+    sys.modules["logging.config"] = ModuleType("logging.config", "A stub: structlog sets up the log.")
     _skip_package_init("uvicorn", "Config")
 
 
 def _replace_ssl() -> None:
-    """Put a module in the place of `ssl` with the names that uvicorn and httpcore look up at their import.
+    """Replace `ssl` with a stub that has the names that uvicorn and httpcore look up when imported.
 
-    asyncio is imported before, while there is no `ssl` at all, and so offers no TLS.
+    asyncio is imported first, while importing `ssl` fails, and therefore offers no TLS.
     """
     sys.modules["ssl"] = None  # type: ignore[assignment]  # makes `import ssl` raise ImportError
     importlib.import_module("asyncio")
-    sys.modules["certifi"] = ModuleType("certifi", NO_TLS)
-    ssl = ModuleType("ssl", NO_TLS)
+    sys.modules["certifi"] = ModuleType("certifi", SSL_STUB_DOC)
+    ssl = ModuleType("ssl", SSL_STUB_DOC)
     ssl.__dict__.update({name: type(name, (), {}) for name in SSL_CLASSES})
     ssl.__dict__.update({name: type(name, (OSError,), {}) for name in SSL_ERRORS})
     ssl.__dict__.update(dict.fromkeys(SSL_CONSTANTS, 0))
@@ -53,8 +53,8 @@
 def _skip_package_init(package_name: str, *class_names: str) -> None:
     """Import a package without running its __init__, which would import all of it.
 
-    Its modules are found as ever. Each of `class_names` is taken from the module of the same name in lower
-    case, as the __init__ would.
+    Its modules can be imported as usual. Each of `class_names` is imported into the package from the module
+    with the same name in lower case, as the __init__ would do.
     """
     spec = importlib.machinery.PathFinder.find_spec(package_name)
     if spec is None or spec.submodule_search_locations is None:
--- a/tests/gateway/test_days.py
+++ b/tests/gateway/test_days.py
@@ -1,4 +1,4 @@
-"""Days of our own for the bench, as text: what is drawn can be read, and fits its day."""
+"""Generated and hand-written days for the bench: each parses, and all its events fit into the day."""
 
 import sys
 import tomllib
@@ -12,11 +12,12 @@
 
 
 def fits(day):
+    """Whether all planned work and all faults lie within the day."""
     spans = [(entry["at"], entry.get("for_s", 0)) for entry in day["plan"] + day["faults"]]
-    return all(0 <= at and at + lasts <= day["length_s"] for at, lasts in spans)
+    return all(0 <= at and at + duration_s <= day["length_s"] for at, duration_s in spans)
 
 
-@test("a day drawn by a seed is the same each time, and its troubles are over before it ends")
+@test("a day generated from a seed is reproducible, and its faults end within the day")
 def _():
     for seed in range(200):
         text = days.mix(seed)
@@ -26,7 +27,7 @@
         assert day["faults"] and day["plan"] and len(core) <= 20, f"seed {seed}"
 
 
-@test("a day of many changes holds them all, and core machines come back in their midst")
+@test("a day of many changes contains all of them, and core machines recover while they are made")
 def _():
     (day,) = tomllib.loads(days.changes(300))["day"]
     assert fits(day) and sum(entry["kind"] == "config_change" for entry in day["plan"]) == 301
@@ -34,9 +35,9 @@
     assert sum(entry["at"] + entry.get("for_s", 0) < last for entry in day["faults"]) >= 2
 
 
-@test("days written by hand can be read, and end after their troubles")
+@test("hand-written days parse, and their faults end within the day")
 def _():
     for file in sorted((BENCH / "days").glob("*.toml")):
-        read = tomllib.loads(file.read_text())
-        (day,) = read.get("day", [read])  # the bench takes a day's fields by themselves, too
+        document = tomllib.loads(file.read_text())
+        (day,) = document.get("day", [document])  # the bench also accepts a day's fields at the top level
         assert {"seed", "plan", "faults"} <= set(day) and fits({"length_s": 30.0, **day}), file.name
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics page, and what a proxy counts of clients that leave."""
+"""The metrics page, and a proxy's counters of clients that disconnect during a request."""
 
 import asyncio
 
@@ -12,18 +12,18 @@
 async def read_page(ip, port, path):
     reader, writer = await asyncio.open_connection(ip, port)
     writer.write(b"GET %s HTTP/1.1\r\nHost: m\r\nConnection: close\r\n\r\n" % path)
-    found = await reader.read()
+    response = await reader.read()
     writer.close()
-    return found
+    return response
 
 
-async def until(holds):
-    """Waits until `holds()`, a second at most."""
+async def wait_until(condition):
+    """Waits until `condition()` is true, for a second at most."""
     for _ in range(200):
-        if holds():
+        if condition():
             return
         await asyncio.sleep(0.005)
-    raise AssertionError("not within a second")
+    raise AssertionError("the condition was not met within a second")
 
 
 @test("metrics are rendered as text, with names escaped")
@@ -39,26 +39,26 @@
     ]
 
 
-@test("the command line {given} names the metrics port {port}")
-def _(given=each([], ["--metrics", "9464"]), port=each(None, 9464)):
-    assert parse_port(given) == port
+@test("the command line {arguments} gives the metrics port {port}")
+def _(arguments=each([], ["--metrics", "9464"]), port=each(None, 9464)):
+    assert parse_port(arguments) == port
 
 
-@test("a command line {given} that can't be used ends the program with status 2")
-def _(given=each(["--metrics"], ["--metrics", "x"], ["--metrics", "0"], ["--metrics", "65536"], ["-v"])):
-    with raises(SystemExit) as ended:
-        parse_port(given)
-    assert ended.raised.code == 2
+@test("an invalid command line {arguments} ends the program with exit status 2")
+def _(arguments=each(["--metrics"], ["--metrics", "x"], ["--metrics", "0"], ["--metrics", "65536"], ["-v"])):
+    with raises(SystemExit) as program_exit:
+        parse_port(arguments)
+    assert program_exit.raised.code == 2
 
 
-@test("a proxy serves its metrics at their address only, and does without where that is taken")
+@test("a proxy serves metrics at the metrics port only, and runs without them if the port is taken")
 def _():
     async def work():
         async with Scene([ok]) as scene:
             proxy = scene.proxy
-            taken = proxy.metrics_endpoint.port = scene.port
+            taken_port = proxy.metrics_endpoint.port = scene.port
             await proxy.metrics_endpoint.open(scene.server)
-            assert proxy.metrics_endpoint.port is None and taken == scene.port
+            assert proxy.metrics_endpoint.port is None and taken_port == scene.port
             await scene.get()
             proxy.metrics_endpoint.port = free_port()
             await proxy.metrics_endpoint.open(scene.server)
@@ -70,24 +70,24 @@
     play(work)
 
 
-@test("a client that leaves while a machine has its {kind} request is counted, and so is the work after it")
+@test("a client that disconnects during its {kind} request is counted, and so is the attempt that ends later")
 def _(kind=each("safe", "unsafe")):
     async def work():
         answer = asyncio.Event()
 
-        async def held(id, writer):
+        async def delayed_answer(id, writer):
             await answer.wait()
             writer.write(HEAD % id + b"ok")
 
-        async with Scene([held], kind=kind) as scene:
+        async with Scene([delayed_answer], kind=kind) as scene:
             counts = scene.proxy.counters.counts
             _, writer = await asyncio.open_connection("127.0.0.1", scene.port)
             writer.write(GET % b"id1")
-            await until(lambda: scene.machines[0].seen)
+            await wait_until(lambda: scene.machines[0].seen)
             writer.close()
-            await until(lambda: counts[f"client left: {kind} at a machine"] == 1)
+            await wait_until(lambda: counts[f"client left: {kind} at a machine"] == 1)
             answer.set()
-            await until(lambda: counts[f"{kind} attempts ended after their client"] == 1)
-            await until(lambda: not scene.proxy.forwarder.open_requests)
+            await wait_until(lambda: counts[f"{kind} attempts ended after their client"] == 1)
+            await wait_until(lambda: not scene.proxy.forwarder.open_requests)
 
     play(work)
--- a/tests/gateway/test_periodic_tasks.py
+++ b/tests/gateway/test_periodic_tasks.py
@@ -1,4 +1,4 @@
-"""Periodic tasks outlive the failures of their steps, and end when a step says so."""
+"""Periodic tasks continue after a step fails, and end when a step raises TaskFinished."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
         self.lines.append((event, fields["why"], fields["foreseen"]))
 
 
-@test("a step that fails is logged and run again; one that is finished is not")
+@test("a failure of a step is logged and the step runs again; TaskFinished ends the task")
 def _():
     outcomes = [Unavailable("register", "no majority answers"), KeyError("n"), None, TaskFinished()]
     log, runs = RecordingLog(), []
@@ -29,14 +29,14 @@
         if outcome is not None:
             raise outcome
 
-    async def play():
+    async def run_tasks():
         tasks = PeriodicTasks(log)
         tasks.start(step, 0.0)
         await asyncio.gather(*tasks.tasks)
         await asyncio.sleep(0)
         assert not tasks.tasks
 
-    asyncio.run(play())
+    asyncio.run(run_tasks())
     assert len(runs) == len(outcomes)
     assert log.lines == [
         ("periodic task failed", "Unavailable('register: no majority answers')", True),
--- a/tests/gateway/test_settings_file.py
+++ b/tests/gateway/test_settings_file.py
@@ -15,13 +15,13 @@
 GOOD = boot("n", seeds=["10.0.0.1:82"], ip="10.0.0.9")
 
 
-@test("settings that change are reloaded: seeds are taken over, what can't be used leaves all as it was")
+@test("changed settings are reloaded: new seeds are added, and an invalid file changes nothing")
 def _():
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "boot.toml")
         proxy = Proxy(read_settings(GOOD), log=SilentLog())
         proxy.settings_file = SettingsFile(path)
-        for at, (text, known) in enumerate(
+        for index, (text, controllers) in enumerate(
             (
                 (GOOD, ["10.0.0.1"]),
                 (GOOD.replace("0.0.1:82", "0.0.2:82"), ["10.0.0.1", "10.0.0.2"]),
@@ -30,6 +30,6 @@
         ):
             with open(path, "w") as file:
                 file.write(text)
-            os.utime(path, ns=(at + 1, at + 1))
+            os.utime(path, ns=(index + 1, index + 1))
             asyncio.run(proxy.reload_settings())
-            assert proxy.peers.controllers == (known or ["10.0.0.1", "10.0.0.2"])
+            assert proxy.peers.controllers == (controllers or ["10.0.0.1", "10.0.0.2"])
--- a/tests/gateway/test_startup.py
+++ b/tests/gateway/test_startup.py
@@ -1,4 +1,4 @@
-"""Real processes, started as the deploy file starts them."""
+"""Real processes, started in the way the deploy file starts them."""
 
 import os
 import signal
@@ -16,7 +16,7 @@
 
 
 @test("a {role} starts without OpenSSL, click and multiprocessing, and listens")
-def _(role=each("proxy", "controller"), listener=each("ready", "ctl"), told=each(b"503", b"404")):
+def _(role=each("proxy", "controller"), listener=each("ready", "ctl"), status=each(b"503", b"404")):
     with tempfile.TemporaryDirectory() as folder:
         ports = [free_port() for _ in range(4)]
         text = boot("127.0.0.1", tolerated_failures=0, data=f"{folder}/data", ports=(*ports, 65535))
@@ -35,11 +35,11 @@
         )
         try:
             while b'"started"' not in (line := process.stdout.readline()):
-                assert line, "ended before it listened"
-            place = "127.0.0.1", ports[1 if listener == "ready" else 2]
-            with socket.create_connection(place, 5) as peer:
+                assert line, "the process ended before it logged that it had started"
+            address = "127.0.0.1", ports[1 if listener == "ready" else 2]
+            with socket.create_connection(address, 5) as peer:
                 peer.sendall(b"GET /v1/readyz HTTP/1.1\r\nHost: h\r\n\r\n")
-                assert told in peer.recv(100)
+                assert status in peer.recv(100)
             process.send_signal(signal.SIGTERM)
             modules = process.communicate(timeout=20)[0].rpartition(b"[")[2].decode()
             assert process.returncode == 0
