--- a/tests/gateway/test_pages.py
+++ b/tests/gateway/test_pages.py
@@ -1,4 +1,4 @@
-"""What the pages name exists: paths, links, modules, commands, log events, the terms of the glossary."""
+"""What the docs mention exists: paths, links, modules, commands, log events, terms of the glossary."""
 
 import ast
 import importlib
@@ -24,12 +24,18 @@
         for page in (ROOT / folder).glob("*.md")
     ),
 )
-SOURCES = ("benchmarks", "deploy", "docs", "honeywood", "tests")  # where a shortened path may lead
-AT_TIMES = {"KNOWN-RED.txt"}  # there only while a test is listed in it
-# Packages and targets that were renamed. `bourse` isn't among them: it is a kind of record on the wire.
+SOURCES = (
+    "benchmarks",
+    "deploy",
+    "docs",
+    "honeywood",
+    "tests",
+)  # folders in which a shortened path may exist
+OPTIONAL_FILES = {"KNOWN-RED.txt"}  # exists only while a test is listed in it
+# Old names of packages and targets. `bourse` is not among them: it is still a kind of record on the wire.
 WITHDRAWN_NAMES = {"cart", "crier", "ledger", "market", "porter", "prove", "scales", "stall", "terms"}
 LOG_METHODS = {"info"}
-LEAST_EVENTS = 20
+MIN_EVENTS = 20
 
 TOP_FOLDERS = ("benchmarks", "deploy", "docs", "honeywood", "journal", "tests")
 QUOTED = re.compile(r"`([^`\n]+)`")
@@ -45,41 +51,43 @@
 OLD_NAMES = re.compile(r"^## Old names$.*?(?=^## |\Z)", re.MULTILINE | re.DOTALL)
 EVENT_SECTION = re.compile(r"^## Events of .*?(?=^## )", re.MULTILINE | re.DOTALL)
 EVENT_ROW = re.compile(r"^\| (`[^|]+) \|", re.MULTILINE)
-# Groups that hand their words on to a command of their own, so that none of its libraries is imported before.
-HANDED_ON = {"emulator": "honeywood.cli.emulator", "soak": "honeywood.cli.soak"}
+# Groups that delegate to a command in another module, so that its libraries are imported only when it runs.
+DELEGATED_GROUPS = {"emulator": "honeywood.cli.emulator", "soak": "honeywood.cli.soak"}
 
 
 def text_of(page):
-    """A page's text, without its section of old names, which by nature don't exist."""
+    """A page's text without its section of old names, as these no longer exist."""
     return OLD_NAMES.sub("", (ROOT / page).read_text())
 
 
 def code_of(page):
-    """What a page shows as code: quoted words, and indented lines without their comments."""
+    """The code in a page: quoted words, and indented lines without their comments."""
     text = text_of(page)
     lines = [line.partition("  #")[0] for line in CODE_LINE.findall(text)]
     return QUOTED.findall(text) + lines
 
 
 def commands_of(page):
-    """(program, its words) of the commands that a page shows."""
-    found = [match for code in code_of(page) for match in COMMAND.findall(code)]
-    return [(program, words.split()) for program, words in found]
+    """(program, arguments) of the commands that a page shows."""
+    matches = [match for code in code_of(page) for match in COMMAND.findall(code)]
+    return [(program, words.split()) for program, words in matches]
 
 
 def command_of(words):
-    """(The click command that the words lead to, the words behind it)."""
+    """(the click command that the words select, the remaining words)."""
     command, rest = honeywood, list(words)
     while rest and isinstance(command, click.Group) and not rest[0].startswith("-"):
         word = rest.pop(0)
         found = command.get_command(None, word)
         assert found is not None, f"no command {word!r} of {command.name}"
-        command = importlib.import_module(HANDED_ON[word]).command if word in HANDED_ON else found
+        command = (
+            importlib.import_module(DELEGATED_GROUPS[word]).command if word in DELEGATED_GROUPS else found
+        )
     return command, rest
 
 
 def options_of(command):
-    """The options that a command takes."""
+    """The options that a command accepts."""
     names = {name for parameter in command.params for name in (*parameter.opts, *parameter.secondary_opts)}
     return names | {"--help"}
 
@@ -90,27 +98,27 @@
 
 
 def names_in(paths):
-    """The words in Python files at paths and below them, and the words of these files' paths."""
+    """The words in the Python files at and below the paths, and in these files' own paths."""
     files = [file for path in paths for file in ([path] if path.is_file() else path.rglob("*.py"))]
     texts = [text for file in files for text in (file.read_text(), str(file.relative_to(ROOT)))]
     return {word for text in texts for word in re.findall(r"\w+", text)}
 
 
-def shortened():
-    """Every file by each of its shortened paths: `routing/routes.py` and `routes.py` too."""
+def shortened_paths():
+    """Every path of a file, in full and without leading folders, as `routing/routes.py` and `routes.py`."""
     files = [path.relative_to(ROOT).parts for folder in SOURCES for path in (ROOT / folder).rglob("*.*")]
-    return {"/".join(parts[at:]) for parts in files for at in range(len(parts))}
+    return {"/".join(parts[start:]) for parts in files for start in range(len(parts))}
 
 
-@test("every path that {page} names exists")
+@test("every path that {page} mentions exists")
 def _(page=each(*PAGES)):
-    known = shortened() | {path.name for path in ROOT.iterdir()} | AT_TIMES
+    known = shortened_paths() | {path.name for path in ROOT.iterdir()} | OPTIONAL_FILES
     named = set(NAMED_PATH.findall(text_of(page)))
     relative = {name for name in named if not name.startswith("/")}
     assert not sorted(name for name in relative if name.removeprefix("./").removeprefix("../") not in known)
 
 
-@test("every module that {page} names exists")
+@test("every module that {page} mentions exists")
 def _(page=each(*PAGES)):
     sources = [path.relative_to(ROOT).with_suffix("") for path in (ROOT / "honeywood").rglob("*.py")]
     files = {".".join(path.parts) for path in sources}
@@ -120,12 +128,12 @@
     assert not sorted(named - files - folders - in_a_file)
 
 
-@test("{page} calls nothing by a withdrawn name")
+@test("{page} uses no withdrawn name")
 def _(page=each(*PAGES)):
     assert not WITHDRAWN_NAMES & set(QUOTED_WORD.findall(text_of(page)))
 
 
-@test("every path that {page} names in full exists")
+@test("every path that {page} gives in full exists")
 def _(page=each(*MAIN_PAGES)):
     named = {path for code in code_of(page) for path in PATH.findall(code)}
     assert not sorted(path for path in named if not (ROOT / path.rstrip(".")).exists())
@@ -151,7 +159,7 @@
 
 
 def calls_by_name(path, names):
-    """The calls in a file of methods of these names."""
+    """The calls in a file to methods with these names."""
     nodes = ast.walk(ast.parse(path.read_text()))
     calls = (node for node in nodes if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute))
     return [call for call in calls if call.func.attr in names]
@@ -164,10 +172,10 @@
 
 
 def logged_events():
-    """The events that the gateway logs by a constant."""
+    """The events that the gateway logs with a constant name."""
     calls = [call for path in GATEWAY.rglob("*.py") for call in calls_by_name(path, LOG_METHODS) if call.args]
     events = {event for call in calls for event in texts_in(call.args[0])}
-    assert len(events) >= LEAST_EVENTS, "the log is written by a method of another name"
+    assert len(events) >= MIN_EVENTS, "too few events found: is the log written by another method?"
     return events
 
 
@@ -187,12 +195,12 @@
 def _():
     texts = {
         text for path in GATEWAY.rglob("*.py") for text in texts_in(ast.parse(path.read_text()))
-    }  # some events are values of an enumeration, or parts of a line that is written without the log
+    }  # some events are values of an enumeration, or parts of a line that is printed without the log
     unknown = documented_events() - logged_events()
     assert not sorted(event for event in unknown if not any(event in text for text in texts))
 
 
-@test("every term of the glossary stands in the module beside it")
+@test("every term of the glossary occurs in the module listed beside it")
 def _():
     sections = TERM_SECTION.findall(text_of(GLOSSARY))
     rows = [row for section in sections for row in TERM_ROW.findall(section)]
--- a/tests/gateway/timeline.py
+++ b/tests/gateway/timeline.py
@@ -1,7 +1,7 @@
-"""Timelines drawn as text: a column a front (or controller, machine, operator), a row a moment.
+"""Timelines written as text tables, with a column per process (or machine or operator) and a row per time.
 
-The world is the emulator's (honeywood/lab/emulator/world.py): real programs, one clock that jumps. Cells are
-words of World.execute.
+The world is the emulator's (honeywood/lab/emulator/world.py): real programs on a simulated clock. Each cell
+holds commands of World.execute.
 """
 
 from honeywood.lab.emulator import world
@@ -10,64 +10,67 @@
 
 
 class World(world.World):
-    """A world that charts are played in; it keeps what was acknowledged."""
+    """A world that plays timelines and records when calls were acknowledged."""
 
-    def __init__(self, *given, **more):
-        super().__init__(*given, **more)
+    def __init__(self, *args, **kwargs):
+        super().__init__(*args, **kwargs)
         self.acked, self.heartbeat_sequences = {}, {}
 
-    # what is drawn
-    def execute(self, name, cell):
-        """Does what a cell says. `=` cells look: `= 7` that a node has that version."""
-        word, *more = cell.split()
-        if word in ("start", "kill", "wipe"):
-            getattr(self, word)(name)
-        elif word == "cut":
-            self.partition(name, more[0])
-        elif word == "mute":  # what it sends to these doesn't arrive
-            self.partitions |= {(name, other) for other in more[0]}
-        elif word == "outside":  # no client, machine or operator reaches it
+    def execute(self, name, command):
+        """Executes a command of a timeline for the process, machine or operator of its column.
+
+        `=`, `sees` and `acked` are checks: `= 7` that the process has configuration version 7, `sees m ready`
+        that it knows machine m as ready, `acked 7` that a call was acknowledged, `acked 7 not` that none was.
+        """
+        action, *args = command.split()
+        if action in ("start", "kill", "wipe"):
+            getattr(self, action)(name)
+        elif action == "cut":
+            self.partition(name, args[0])
+        elif action == "mute":  # messages that it sends to these are lost
+            self.partitions |= {(name, other) for other in args[0]}
+        elif action == "outside":  # clients, machines and operators cannot reach it
             self.partition(name, [world.OUTSIDE])
-        elif word in ("freeze", "thaw", "slow"):
-            self.set_slowdown(name, {"freeze": FROZEN, "thaw": FULL_SPEED, "slow": 30.0}[word])
-        elif word == "clock":  # its time of day steps by so many seconds
-            self.clock_offsets_s[name] = self.clock_offsets_s.get(name, 0.0) + float(more[0])
-        elif word == "refuse":
+        elif action in ("freeze", "thaw", "slow"):
+            self.set_slowdown(name, {"freeze": FROZEN, "thaw": FULL_SPEED, "slow": 30.0}[action])
+        elif action == "clock":  # its time of day is changed by that many seconds
+            self.clock_offsets_s[name] = self.clock_offsets_s.get(name, 0.0) + float(args[0])
+        elif action == "refuse":
             self.set_disk_fault(name, REFUSING_DISK)
-        elif word == "join":
+        elif action == "join":
             self.heal()
-        elif word == "put":
-            self.loop.create_task(self._put(name, int(more[0])))
-        elif word == "order":
+        elif action == "put":
+            self.loop.create_task(self._replace_configuration(name, int(args[0])))
+        elif action == "order":
             self.loop.create_task(
                 self.ask(
-                    name, "rollouts.start", body={"svc": "s", "to_ver": more[0], "over_s": float(more[1])}
+                    name, "rollouts.start", body={"svc": "s", "to_ver": args[0], "over_s": float(args[1])}
                 )
             )
-        elif word == "beat":
-            id, state = more
+        elif action == "beat":
+            id, state = args
             self.heartbeat_sequences[id] = self.heartbeat_sequences.get(id, 0) + 1
-            self.loop.create_task(self._beat(name, id, state))
-        elif word == "=":
-            held = self.version(name)
-            assert str(held) == more[0], f"{name} has {held}, not {more[0]}, at {self.loop.time():.2f}"
-        elif word == "sees":
+            self.loop.create_task(self._send_heartbeat(name, id, state))
+        elif action == "=":
+            version = self.version(name)
+            assert str(version) == args[0], f"{name} has {version}, not {args[0]}, at {self.loop.time():.2f}"
+        elif action == "sees":
             assert (
-                self.state(name, more[0]) == more[1]
-            ), f"{name} sees {more[0]} as {self.state(name, more[0])} at {self.loop.time():.2f}"
-        elif word == "acked":
-            assert (more[0] in self.acked) == (
-                len(more) == 1
-            ), f"{cell} at {self.loop.time():.2f}: {self.acked}"
+                self.state(name, args[0]) == args[1]
+            ), f"{name} sees {args[0]} as {self.state(name, args[0])} at {self.loop.time():.2f}"
+        elif action == "acked":
+            assert (args[0] in self.acked) == (
+                len(args) == 1
+            ), f"{command} at {self.loop.time():.2f}: {self.acked}"
         else:
-            raise ValueError(f"a cell says {cell!r}")
+            raise ValueError(f"unknown command {command!r}")
 
-    async def _put(self, name, version):
+    async def _replace_configuration(self, name, version):
         status, _ = await self.ask(name, "config.replace", body=config(version))
         if status == 200:
             self.acked[str(version)] = self.loop.time()
 
-    async def _beat(self, name, id, state):
+    async def _send_heartbeat(self, name, id, state):
         body = {
             "svc": "s",
             "addr": "10.0.0.1:1",
@@ -83,7 +86,10 @@
             self.acked[f"{id}/{state}"] = self.loop.time()
 
     def play(self, chart, after=lambda: None):
-        """Plays a chart: a header `at | a | b ...`, then rows; rows are in order of time."""
+        """Plays a chart: a header `at | a | b ...`, then rows in order of time.
+
+        `after` is called at intervals while time passes.
+        """
         lines = [
             [cell.strip() for cell in line.split("|")] for line in chart.strip().splitlines() if "|" in line
         ]
@@ -91,9 +97,9 @@
         for at, *cells in lines[1:]:
             self.run(float(at), after)
             for name, cell in zip(names, cells):
-                for part in cell.split(","):
-                    if part.strip():
-                        self.execute(name, part.strip())
+                for command in cell.split(","):
+                    if command.strip():
+                        self.execute(name, command.strip())
         return self
 
 
@@ -127,6 +133,6 @@
 
 
 def machine(id, ver="v1", slots=2, state="ready"):
-    """What a note says of a machine."""
-    place = {"svc": "s", "ip": id, "port": 1, "zone": "z"}
-    return {**place, "ver": ver, "slots": slots, "state": state, "cold": 0}
+    """The record of a machine, as it is disseminated."""
+    endpoint = {"svc": "s", "ip": id, "port": 1, "zone": "z"}
+    return {**endpoint, "ver": ver, "slots": slots, "state": state, "cold": 0}
