--- a/honeywood/gateway/configuration/addresses.py
+++ b/honeywood/gateway/configuration/addresses.py
@@ -8,7 +8,7 @@
 from honeywood.gateway.errors import InvalidInput
 
 PORT_END = 1 << 16
-MAX_PORT_DIGITS = 6  # bounds the check of a port, however long its text is
+MAX_PORT_DIGITS = 6  # how many digits of a port are checked, however long its text is
 
 
 class Address(NamedTuple):
--- a/honeywood/gateway/periodic_tasks.py
+++ b/honeywood/gateway/periodic_tasks.py
@@ -45,7 +45,7 @@
             except TaskFinished:
                 return
             # Every exception of a step is caught, expected or not: other parts rely on the task, and the
-            # next run may succeed. None is silently dropped: they are logged with their types.
+            # next run may succeed. Exceptions are not hidden: they are logged with their types.
             except Exception as error:
                 self.log.info(
                     "periodic task failed",
--- a/honeywood/gateway/program.py
+++ b/honeywood/gateway/program.py
@@ -26,7 +26,7 @@
 RELOAD_INTERVAL_S = 2.0  # seconds between checks for a changed settings file
 RELOAD_LOG_INTERVAL_S = 5.0
 COUNTS_INTERVAL_S = 10.0  # seconds between log lines of counts
-# Of the garbage collector; high, because few objects here are part of reference cycles.
+# Thresholds of the garbage collector: high, because few objects here are part of reference cycles.
 COLLECTION_THRESHOLDS = (20_000, 50, 100)
 EXIT_USAGE = 2  # exit status for invalid settings
 
--- a/tests/gateway/test_pages.py
+++ b/tests/gateway/test_pages.py
@@ -24,13 +24,8 @@
         for page in (ROOT / folder).glob("*.md")
     ),
 )
-SOURCES = (
-    "benchmarks",
-    "deploy",
-    "docs",
-    "honeywood",
-    "tests",
-)  # folders in which a shortened path may exist
+# Folders in which a shortened path may exist.
+SOURCES = ("benchmarks", "deploy", "docs", "honeywood", "tests")
 OPTIONAL_FILES = {"KNOWN-RED.txt"}  # exists only while a test is listed in it
 # Old names of packages and targets. `bourse` is not among them: it is still a kind of record on the wire.
 WITHDRAWN_NAMES = {"cart", "crier", "ledger", "market", "porter", "prove", "scales", "stall", "terms"}
