--- a/tests/gateway/configuration/test_reader.py
+++ b/tests/gateway/configuration/test_reader.py
@@ -1,4 +1,4 @@
-"""Invalid configurations are rejected as a whole; errors name the key, the item and the peer."""
+"""Invalid configurations are rejected as a whole; errors name the key and the item."""
 
 import copy
 import json
