--- a/tests/gateway/controller/test_operator_calls.py
+++ b/tests/gateway/controller/test_operator_calls.py
@@ -33,7 +33,7 @@
         super().__init__(*args, **kwargs)
         self.answers = {}
 
-    def say(self, name, cell):
+    def execute(self, name, cell):
         word, *more = cell.split()
         if word == "send":
             body = config(int(more[0][:-1]), CONTENTS[more[0][-1]])
@@ -54,7 +54,7 @@
                 more[1:]
             ), f"{name} answered {found} to {more[0]} at {self.loop.time():.2f}"
         else:
-            super().say(name, cell)
+            super().execute(name, cell)
 
     def answer_words(self, answer):
         """Return the values of an answer that `expect` compares."""
@@ -205,21 +205,21 @@
         """)
         world.run(3.0)
         world.latency_s = 0.05
-        world.say("a", "send 7x")
+        world.execute("a", "send 7x")
         world.run(3.0 + 0.075 * share)
         world.partition("a", "bc")
-        world.say("b", "send 7y")
+        world.execute("b", "send 7y")
         world.run(5.0)
         world.latency_s = 0.001
-        world.say("c", "send 7x")
-        world.say("b", "send 7y")
+        world.execute("c", "send 7x")
+        world.execute("b", "send 7y")
         world.run(6.0)
         first = world.answers["a", "7x"][0]
         last = world.answers["c", "7x"][0], world.answers["b", "7y"][0]
         assert last in ((200, 412), (412, 200)) and first in (0, 503, last[0]) and first != 412, (first, last)
         world.heal()
         world.run(9.0)
-        world.say("a", "send 7x")
+        world.execute("a", "send 7x")
         world.run(10.0)
         assert world.answers["a", "7x"][0] == last[0]
     finally:
@@ -240,12 +240,12 @@
             world.loss_share, statuses = 0.1, []
             for _turn in range(3):
                 for name in "abcabcab":
-                    world.say(name, order)
+                    world.execute(name, order)
                 world.run(world.loop.time() + 1.2)
                 statuses += [world.answers[name, label][0] for name in "abc"]
             world.loss_share = 0.0
             world.run(world.loop.time() + 2.0)
-            world.say("b", order)
+            world.execute("b", order)
             world.run(world.loop.time() + 1.0)
             assert set(statuses) <= {0, 200, 503} and world.answers["b", label][0] == 200, statuses
             if label == "v2":  # started only once, and no stage has followed
@@ -265,12 +265,12 @@
           1   | send 5x |       |
         """)
         world.run(2.0)
-        world.say("a", "order v2 14")
+        world.execute("a", "order v2 14")
         world.loop.now += 20.0  # all programs are stalled while the order waits in a's socket
         world.run(22.5)
         assert world.answers["a", "v2"][0] == 503 and not world.nodes["b"].store.get("rollout/s")
         world.run(24.0)
-        world.say("a", "order v2 14")
+        world.execute("a", "order v2 14")
         world.run(25.0)
         assert world.answers["a", "v2"][0] == 200
     finally:
@@ -405,7 +405,7 @@
             world.heal()
         known = {value["ver"] for _, value in world.nodes["a"].store.items_of(RecordKind.MACHINE)}
         assert known == (set() if what == "no machines" else {"v1"})
-        world.say("a", "order v1 14")
+        world.execute("a", "order v1 14")
         world.run(world.loop.time() + 1.0)
         answer = world.answers["a", "v1"]
         assert answer[0] == status and (status != 200 or answer[1]["state"] == state), answer
@@ -464,12 +464,12 @@
           2    | slow                   |       |
         """)
         for turn in range(8):
-            world.say("b", f"send {6 + turn}x")
-            world.say("b", f"order v{2 + turn} 14")
+            world.execute("b", f"send {6 + turn}x")
+            world.execute("b", f"order v{2 + turn} 14")
             world.run(3.5 + 3 * turn)
             assert world.answers["b", f"{6 + turn}x"][0] == 200 == world.answers["b", f"v{2 + turn}"][0]
-            world.say("a", "read")
-            world.say("a", "state")
+            world.execute("a", "read")
+            world.execute("a", "state")
             world.run(5.0 + 3 * turn)
             for label, newest in (("read", f"{6 + turn:08x}"), ("state", f"v{2 + turn}")):
                 status, found = world.answers["a", label]
@@ -514,14 +514,14 @@
         for name in "abcf":
             world.start(name)
         world.run(1.0)
-        world.say("a", "send 5x")
+        world.execute("a", "send 5x")
         world.run(2.0)
-        world.say("a", "beat m ready")
+        world.execute("a", "beat m ready")
         world.run(3.0)
         assert world.nodes["f"].ready  # in contact with a majority: ready with the first response
         world.partition("a", "bc")
         world.partition("g", "bc")
-        world.say("b", "send 6x")
+        world.execute("b", "send 6x")
         world.run(6.0)
         world.start("g")
         world.run(7.0)
--- a/tests/gateway/dissemination/test_convergence.py
+++ b/tests/gateway/dissemination/test_convergence.py
@@ -42,8 +42,8 @@
 def _():
     world = connected_world()
     try:
-        world.say("a", "put 5")
-        world.say(root_relay(world), "kill")
+        world.execute("a", "put 5")
+        world.execute(root_relay(world), "kill")
         world.run(3.0 + APPLY_S)
         assert "5" in world.acked
         assert {world.version(name) for name in world.nodes} == {5}
@@ -57,7 +57,7 @@
     try:
         for name in world.proxies.replace(root_relay(world), ""):
             world.partition(name, root_relay(world))
-        world.say("a", "put 5")
+        world.execute("a", "put 5")
         world.run(3.0 + APPLY_S)
         assert {world.version(name) for name in world.nodes} == {5}
     finally:
@@ -130,7 +130,7 @@
                 return records
 
             world.nodes[name].publisher.feed.since = counting_since
-        world.say("a", "put 5")
+        world.execute("a", "put 5")
         world.run(6.0)
         assert {world.version(name) for name in world.nodes} == {5}
         assert sum(sent_versions.values()) <= 2 * len(world.nodes), sent_versions
@@ -150,7 +150,7 @@
 
     try:
         for at in range(30):
-            world.say("abc"[at % 3], f"put {1 + (at * 7) % 31}")
+            world.execute("abc"[at % 3], f"put {1 + (at * 7) % 31}")
             world.run(3.0 + at * 0.05, check_versions)
         world.run(7.0, check_versions)
         newest = max(int(version) for version in world.acked)
@@ -185,14 +185,14 @@
           3.1 | beat m draining |              |
           4   |                 |              | sees m draining
         """)
-        world.beats["m"] = 0
+        world.heartbeat_sequences["m"] = 0
         world.play("""
           at  | a               | b            | f
           4.1 |                 | beat m ready |
           5   | sees m draining |              | sees m draining
           10  | sees m silent   |              | sees m silent
         """)
-        world.beats["m"] = 5
+        world.heartbeat_sequences["m"] = 5
         world.play("""
           at   | a             | b             | f
           10.1 |               | beat m ready  |
@@ -253,7 +253,7 @@
     try:
         world.loop.create_task(world.ask("a", "config.replace", body=config(5, routes=400)))
         for n in range(40):
-            world.say("abc"[n % 3], f"beat m{n} ready")
+            world.execute("abc"[n % 3], f"beat m{n} ready")
         world.run(6.0)
         publishers = [world.nodes[name].publisher for name in world.controllers]
         before = [
--- a/tests/gateway/dissemination/test_programs.py
+++ b/tests/gateway/dissemination/test_programs.py
@@ -96,8 +96,8 @@
             bytes_without_changes[n] = sum(after.values()) - sum(before.values())
             assert "count" not in after, after
             assert all(program.fleet.count() == n for name, program in world.nodes.items() if name in proxies)
-            world.say("a", "put 5")
-            world.say("b", "beat m ready")
+            world.execute("a", "put 5")
+            world.execute("b", "beat m ready")
             world.run(12.0)
             bytes_per_proxy[n] = (
                 sum(sent_bytes_by_kind(world, world.nodes).values()) - sum(after.values())
--- a/tests/gateway/dissemination/test_retired_machines.py
+++ b/tests/gateway/dissemination/test_retired_machines.py
@@ -45,7 +45,7 @@
     # Every store kept both kinds of records forever.
     world = started_world()
     try:
-        world.say("a", "beat m ready")
+        world.execute("a", "beat m ready")
         world.run(1.5)
         stored = world.nodes["b"].publisher.store.records["machine/m"]
         late_copies = [
@@ -58,12 +58,12 @@
         announce_departure(world, "a", "m")
         world.run(3.0)
         assert all(record_kinds(world, name, "m") == ["machine/"] for name in "abcf")
-        world.say("b", "beat m ready")  # before RETENTION_S: its record says that it has left
+        world.execute("b", "beat m ready")  # before RETENTION_S: its record says that it has left
         world.run(4.0)
         assert all(world.state(name, "m") == "gone" for name in "abcf")
         world.run(RETENTION_S + 5.0)
         assert not any(record_kinds(world, name, "m") for name in "abcf")
-        world.say("b", "beat m ready")  # after RETENTION_S
+        world.execute("b", "beat m ready")  # after RETENTION_S
         world.nodes["c"].publisher.store.merge(late_copies)
         world.run(RETENTION_S + 7.0)
         assert not any(record_kinds(world, name, "m") for name in "abcf")
@@ -80,12 +80,12 @@
 def _():
     world = started_world()
     try:
-        world.say("a", "beat m ready")
+        world.execute("a", "beat m ready")
         world.run(8.0)
         assert all(world.state(name, "m") == "silent" for name in "abcf")
         world.run(RETENTION_S + 12.0)
         assert not any(record_kinds(world, name, "m") for name in "abcf")
-        world.say("b", "beat m ready")
+        world.execute("b", "beat m ready")
         world.run(RETENTION_S + 13.0)
         assert all(world.state(name, "m") == "ready" for name in "abcf")
     finally:
@@ -113,19 +113,19 @@
     # No peer sends a record that was dropped, so the proxy would have kept the machine forever.
     world = started_world()
     try:
-        world.say("a", "beat m ready")
-        world.say("a", "beat n ready")
+        world.execute("a", "beat m ready")
+        world.execute("a", "beat n ready")
         world.run(1.5)
         world.partition("f", "abc")
         announce_departure(world, "a", "m")
         for second in range(2, int(RETENTION_S) + 30):
             world.run(float(second))
-            world.say("a", "beat n ready")
+            world.execute("a", "beat n ready")
         assert world.state("f", "m") == "ready" and not record_kinds(world, "a", "m")
         world.heal()
         for second in range(int(RETENTION_S) + 30, int(RETENTION_S) + 45):
             world.run(float(second))
-            world.say("a", "beat n ready")
+            world.execute("a", "beat n ready")
         assert world.state("f", "m") == "silent" and world.state("f", "n") == "ready"
         assert set(world.nodes["f"].endpoints.by_id) == {"n"}
     finally:
--- a/tests/gateway/register_histories.py
+++ b/tests/gateway/register_histories.py
@@ -53,7 +53,7 @@
             world.run(world.loop.time() + wait, check)
             if event == "put":
                 version += 1
-                world.say(name, f"put {version}")
+                world.execute(name, f"put {version}")
             elif event == "start" and name not in world.nodes:
                 world.start(name)
             elif event == "cut":
