--- a/tests/gateway/proxy/test_invariants.py
+++ b/tests/gateway/proxy/test_invariants.py
@@ -44,8 +44,9 @@
     original_open = scene.proxy.pool.open
 
     async def open_late(endpoint, deadline):
+        connection = await original_open(endpoint, deadline)
         await asyncio.sleep(0.1)
-        return await original_open(endpoint, deadline)
+        return connection
 
     scene.proxy.pool.open = open_late
     await send_and_disconnect(scene, 0.02)
