--- a/honeywood/balancer/actors/__init__.py
+++ b/honeywood/balancer/actors/__init__.py
@@ -1,4 +1,6 @@
-"""Actors with a mailbox each: one a client connection and server, one the platform, the list, the decisions.
+"""The actors of a balancer, each with its own mailbox.
 
-Start with application.py, which joins them; docs/architecture.md says who owns what.
+There is one actor for each client connection and each server, and one each for the platform, the server list
+and the decisions. Start with application.py, which creates and connects them; docs/architecture.md lists what
+each actor owns.
 """
--- a/honeywood/balancer/actors/application.py
+++ b/honeywood/balancer/actors/application.py
@@ -1,4 +1,7 @@
-"""The parts of one balancer, made and joined; what they share is read only, but for the descriptors."""
+"""Creates and connects the parts of one balancer.
+
+What the parts share is read-only, except for the count of file descriptors.
+"""
 
 from __future__ import annotations
 
@@ -27,21 +30,21 @@
     from honeywood.balancer.configuration import Configuration
 
 
-OTHER_DESCRIPTORS = 24  # of files, the listener and the interpreter
-RESERVED_SHARE = 0.4  # of the descriptors that clients leave to servers, list and platform
-KEEP_ALIVE_SHARE = 0.25  # of them that clients may hold while they are kept between requests
-ENDING_SHARE = 0.1  # of them for clients that have come while others still make room
-MAX_EVICTION_CANDIDATES = 4  # clients that are looked at, of a group, to find one that gives way
-BASE_MEMORY_MB = 32  # of the program without clients
-CLIENTS_PER_MB = 8  # with full buffers
-ANSWER_BYTES_PER_MB = 8 * 1024  # of a server's answer, at the most
-SWEEP_INTERVAL = SECOND // 4  # between looks for clients that are due
+OTHER_DESCRIPTORS = 24  # used by files, the listener and the interpreter
+RESERVED_SHARE = 0.4  # of the sockets limit, reserved for servers, discovery and platform
+KEEP_ALIVE_SHARE = 0.25  # of the sockets limit; above it no client is kept alive after its answer
+ENDING_SHARE = 0.1  # of the sockets limit, for new clients while evicted ones are still closing
+MAX_EVICTION_CANDIDATES = 4  # clients checked per group when one must be evicted
+BASE_MEMORY_MB = 32  # used by the program without clients
+CLIENTS_PER_MB = 8  # clients with full buffers
+ANSWER_BYTES_PER_MB = 8 * 1024  # maximum size of a server's answer per MB of memory
+SWEEP_INTERVAL = SECOND // 4  # between two checks of client timeouts
 SWEEPS_PER_SERVER_SWEEP = 4
 MAX_CALLS = 16
 
 
 class Application:
-    """One balancer: its listener, actors and bounds."""
+    """One balancer: its listener, its actors and its limits."""
 
     def __init__(
         self,
@@ -50,21 +53,25 @@
         fail: Callable[[str, BaseException], Any],
         recorder: CallObserver | None = None,
     ) -> None:
-        """It serves at once. Raises OSError where it cannot listen."""
+        """Create all parts and start serving at once.
+
+        Raises:
+            OSError: the listen address cannot be used.
+        """
         sockets, memory_mb = configuration.sockets, configuration.memory_mb
         self.settings, self.log, self.fail, self.recorder = configuration.settings, log, fail, recorder
         self.is_ready = self.is_draining = False
-        self.reject_connections_until: float = 0  # as the decisions have it
+        self.reject_connections_until: float = 0  # copied from the decisions after each request
         self.random, self.counters = Random(self.settings.seed), Counters()
         self.descriptors = Descriptors(sockets - OTHER_DESCRIPTORS)
-        self._reserved = int(sockets * RESERVED_SHARE)  # of those counted, so many are not for clients
+        self._reserved = int(sockets * RESERVED_SHARE)  # descriptors that clients may not use
         self._ending_reserve = int(sockets * ENDING_SHARE)
         self._max_clients = max(CLIENTS_PER_MB, (memory_mb - BASE_MEMORY_MB) * CLIENTS_PER_MB)
-        self._max_kept_clients = int(sockets * KEEP_ALIVE_SHARE)
+        self._max_keep_alive_clients = int(sockets * KEEP_ALIVE_SHARE)
         self.max_answer = max(http.MAX_BODY, memory_mb * ANSWER_BYTES_PER_MB)
         self.clients: set[Client] = set()
-        # By age those that wait for no answer: their last one is written, none was asked for yet, or they
-        # are between requests.
+        # Clients that wait for no answer, oldest first: `ending` after their last answer was written,
+        # `silent` before their first request, `idle` between requests.
         self.ending: dict[Client, None] = {}
         self.silent: dict[Client, None] = {}
         self.idle: dict[Client, None] = {}
@@ -75,16 +82,16 @@
         self.directory = ServerDirectory(configuration.discovery, configuration.known, self)
         self.platform = PlatformClient(configuration.platform, self)
         self.decisions.start(configuration.release)
-        self._keeper = Mailbox("keeper", MAX_CALLS, fail)
-        self._keeper.post(self._sweep)
-        self._keeper.start()
+        self._sweep_mailbox = Mailbox("keeper", MAX_CALLS, fail)
+        self._sweep_mailbox.post(self._sweep)
+        self._sweep_mailbox.start()
         self.listener.start()
 
     def accept(self, sock: socket.socket, peer: str) -> None:
-        """Take a client's connection, on the listener's thread.
+        """Accept a client's connection; runs on the listener's thread.
 
-        It waits for nothing: a crowd that connects must not hold up the rest. At the bound the newcomer is
-        taken all the same, while there is room for the one that gives way to it to end.
+        It never blocks: many clients that connect at once must not delay the others. At the limit a new
+        client is still accepted, while enough descriptors are left until the evicted client has closed.
         """
         overloaded = clock.now() < self.reject_connections_until
         if overloaded or not self.descriptors.take(self._reserved - self._ending_reserve):
@@ -94,50 +101,51 @@
             return
         client = Client(self, peer)
         full = self.descriptors.free < self._reserved or len(self.clients) >= self._max_clients
-        has_place = not full or self._evict_one()
+        has_room = not full or self._evict_one()
         self.clients.add(client)
-        client.join(self.silent)
+        client.set_eviction_group(self.silent)
         client.connection.accept(sock)
-        if not has_place:
+        if not has_room:
             client.mailbox.post(client.reject)
 
     def is_crowded(self) -> bool:
-        """Whether clients hold so much that none is kept after its answer.
+        """Whether there are so many clients that none is kept alive after its answer.
 
-        Those who ask once and stay would else hold every place that clients may have, and others find none.
+        Otherwise clients that send one request and stay connected could use up all client connections, and
+        new clients would be rejected.
         """
-        return len(self.clients) > self._max_kept_clients
+        return len(self.clients) > self._max_keep_alive_clients
 
-    def move(self, configuration: Configuration) -> None:
-        """List and platform are to be found at other addresses: taken over as the program runs."""
-        self.directory.mailbox.post(self.directory.move, configuration.discovery)
-        self.platform.mailbox.post(self.platform.move, configuration.platform)
+    def change_addresses(self, configuration: Configuration) -> None:
+        """Use the new addresses of discovery and the platform without a restart."""
+        self.directory.mailbox.post(self.directory.change_address, configuration.discovery)
+        self.platform.mailbox.post(self.platform.change_address, configuration.platform)
 
     def drain(self) -> None:
-        """End the listener and the connections that are between RPCs; the others end with their answer."""
+        """Close the listener and the connections between RPCs; the others close after their answer."""
         self.is_draining = True
         self.listener.close()
         for client in list(self.clients):
             client.mailbox.post(client.drain)
 
     def _evict_one(self) -> bool:
-        """Of the clients that wait for no answer one gives way, the one silent for longest.
+        """Evict the longest-inactive client that waits for no answer; return whether one was found.
 
-        Only a few are looked at, since in a crowd this is done for each that comes.
+        Only a few clients are checked, since at the limit this runs for each new connection.
         """
         for group in (self.ending, self.silent, self.idle):
             for client in list(group)[:MAX_EVICTION_CANDIDATES]:
-                # One that has asked in this moment is not silent: its bytes have come and are not read.
+                # A client whose bytes have arrived but are not yet read may just have sent a request.
                 is_ending = group is self.ending
                 if is_ending or client.reading_since or client.connection.is_reusable():
-                    group.pop(client, None)  # it is asked once
+                    group.pop(client, None)  # each client is evicted only once
                     client.mailbox.post(client.evict)
                     return True
         return False
 
     def _sweep(self) -> None:
-        """Look for what is due, on the keeper's thread."""
-        self._keeper.after(SWEEP_INTERVAL, self._sweep)
+        """Have clients and servers check their timeouts; runs on the thread of this mailbox."""
+        self._sweep_mailbox.after(SWEEP_INTERVAL, self._sweep)
         for client in list(self.clients):
             if not client.call:
                 client.mailbox.post(client.check_timeouts)
@@ -154,8 +162,8 @@
 
 
 def refuse(sock: socket.socket) -> None:
-    """Say 503 on a connection for which there is no place, without waiting for what it sends."""
-    with suppress(OSError):  # nothing came, or it has gone
+    """Answer 503 on a connection that is not accepted, without waiting for its request, and close it."""
+    with suppress(OSError):  # nothing has arrived yet, or the peer has closed the connection
         sock.setblocking(False)
         sock.send(http.response(503, [("retry-after", 1)], keep_alive=False))
         sock.shutdown(socket.SHUT_WR)
--- a/honeywood/balancer/actors/call.py
+++ b/honeywood/balancer/actors/call.py
@@ -1,4 +1,4 @@
-"""A client's request that became an RPC."""
+"""A client's request that is handled as an RPC."""
 
 from __future__ import annotations
 
@@ -11,16 +11,19 @@
     from honeywood.balancer.model import Duration, Method, Rpc
     from honeywood.balancer.protocol.http import Request
 
-# A client's time ran from when it sent, and its answer has to reach it: so much less is used.
+# The client's timeout also covers the network time to the balancer and back; the deadline is earlier by this.
 NETWORK_RESERVE: Duration = 150
 MAX_COST_DIGITS = 15
 US_PER_TENTH_OF_MS = 100
 
 
 class Call:
-    """Where the RPC's answer goes, and what of the request goes on to servers.
+    """The client that waits for an RPC's answer, and the request that is forwarded to servers.
 
-    `serial` numbers it for a trace. `request` is None once it is answered, `rpc` until the decisions have it.
+    Attributes:
+        request: the request; None once it is answered.
+        rpc: the RPC as the decisions know it; None before they take it and after the client has disconnected.
+        serial: the number of the RPC in a trace.
     """
 
     __slots__ = (
@@ -39,7 +42,7 @@
     def __init__(
         self, client: Client, request: Request, identifier: str, timeout_s: float, method: Method
     ) -> None:
-        """It has arrived now."""
+        """Create the call of a request that has arrived now."""
         self.client, self.identifier, self.method = client, identifier, method
         self.request: Request | None = request
         self.arrived_at = clock.now()
@@ -51,7 +54,7 @@
 
 
 def _expected_work(cost_us: str) -> Duration:
-    """A hint in microseconds; 0 where it cannot be read."""
+    """The work hint of a header in microseconds, as a duration; 0 if it is not a valid number."""
     if not cost_us.isdecimal() or len(cost_us) > MAX_COST_DIGITS:
         return 0
     return int(cost_us) // US_PER_TENTH_OF_MS
--- a/honeywood/balancer/actors/client.py
+++ b/honeywood/balancer/actors/client.py
@@ -1,4 +1,4 @@
-"""One connection of a client: reads its requests, one RPC at a time, and writes the one answer of each."""
+"""One client connection: reads its requests, one RPC at a time, and writes one answer to each."""
 
 from __future__ import annotations
 
@@ -17,59 +17,61 @@
     from honeywood.balancer.model import Method, Time
 
 HEALTH_TARGET = "/_health"
-REQUEST_TIMEOUT = 2 * SECOND  # a request must be complete after this, the first one counted from connecting
-# Kept open between requests; longer, and clients that ask once and stay hold the places of all who would ask.
+REQUEST_TIMEOUT = 2 * SECOND  # to send a complete request; for the first one counted from connecting
+# How long a connection is kept open between requests. With a longer time, clients that send one request and
+# stay connected use up the connections that other clients need.
 IDLE_TIMEOUT = 2 * SECOND
-LINGER_TIME = SECOND // 2  # for the last answer to be read
-MAX_AHEAD = http.MAX_HEAD + 2 * http.MAX_BODY  # bytes a client may send ahead of its answers
+LINGER_TIME = SECOND // 2  # for the client to read the last answer before the connection is closed
+MAX_BUFFERED = http.MAX_HEAD + 2 * http.MAX_BODY  # bytes a client may send before it gets its answers
 MAX_CALLS = 64
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 TIMEOUT_S = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?\Z", re.ASCII)
 IDENTIFIER = re.compile(r"[!-~]{1,128}\Z")
 IDEMPOTENT_METHODS, OTHER_METHODS = {"GET", "HEAD"}, {"POST", "PUT", "PATCH", "DELETE"}
-# Fields of ours, to be there once, if at all.
-OWN_FIELDS = "x-request-id", "x-priority-class", "x-timeout", "x-cost", "x-retried"
+# Header fields that may occur at most once.
+SINGLETON_FIELDS = "x-request-id", "x-priority-class", "x-timeout", "x-cost", "x-retried"
 
 
 class Client:
-    """Other actors post to its mailbox, and so does its connection."""
+    """The actor of a client connection; other actors and its connection post calls to its mailbox."""
 
     def __init__(self, application: Application, peer: str) -> None:
-        """Its connection has no socket yet."""
+        """Create the actor; its connection gets a socket by Connection.accept()."""
         self._application, self._decisions = application, application.decisions
         self._log = application.log
-        self.call: Call | None = None  # the RPC that has no answer yet
-        self._request: http.Request | None = None  # whose body is being read
-        self.active_at = clock.now()  # when it connected or got its last answer
+        self.call: Call | None = None  # the RPC that is not answered yet
+        self._request: http.Request | None = None  # the request whose body is being read
+        self.active_at = clock.now()  # when the client connected or got its last answer
         self.was_answered = False
-        self.reading_since: Time | None = None  # when what is being read began
-        self._linger_until: Time = 0  # when the rest of a connection that is ending is closed
-        self._group: dict[Client, None] | None = None  # of the application's, where it waits for no answer
+        self.reading_since: Time | None = None  # when the first byte of the request being read arrived
+        self._linger_until: Time = 0  # when a connection that is finishing is closed
+        # The application's group of eviction candidates that it is in; None while it waits for an answer.
+        self._eviction_group: dict[Client, None] | None = None
         self.mailbox = SharedMailbox(f"client {peer}", MAX_CALLS, application.fail)
         self.connection = Connection(self, self.mailbox, application.descriptors, peer)
 
-    # What its connection tells.
+    # Called by its connection.
     def on_open(self, connection: Connection) -> None:
-        """It is accepted, never dialled."""
+        """Do nothing: client connections are accepted, never dialled."""
 
     def on_data(self, connection: Connection) -> None:
-        """Something has come."""
-        if len(connection.buffer) > MAX_AHEAD:
+        """Read the bytes that have arrived."""
+        if len(connection.buffer) > MAX_BUFFERED:
             return connection.close("too_far_ahead")
         self.reading_since = self.reading_since or clock.now()
         return self._read()
 
     def on_closed(self, connection: Connection) -> None:
-        """It has ended."""
+        """Report a lost RPC to the decisions and remove the client."""
         if self.call:
             self._decisions.post(self._decisions.on_client_disconnected, self.call)
-        self.join(None)
+        self.set_eviction_group(None)
         self._application.clients.discard(self)
         self._log.info("connection_ended", peer="client", id=connection.peer, code=connection.code)
 
-    # What the decisions' host posts.
+    # Posted by the decisions' host.
     def answer(self, call: Call, status: int, fields: http.Fields = (), data: bytes = b"") -> None:
-        """The one answer of an RPC."""
+        """Write the answer of an RPC, unless it is no longer the client's open RPC."""
         if call is not self.call or call.request is None:
             return
         self.call = None
@@ -77,30 +79,34 @@
         call.request = None  # timers still hold the call for a while
         self._read()
 
-    # What the application posts.
+    # Posted by the application.
     def drain(self) -> None:
-        """End it if it is between RPCs; else, while the balancer drains, its next answer does."""
+        """Close the connection if it is between RPCs; otherwise it is closed after its next answer."""
         if not self.call and not self._request and not len(self.connection.buffer):
             self.connection.close("draining")
 
     def evict(self) -> None:
-        """End it, as its place is needed, unless it waits for an answer; with a word if it is owed one."""
+        """Close the connection to make room, unless it waits for an answer.
+
+        A client that has begun to send a request is answered 503 first.
+        """
         if self.call:
-            return  # it has asked meanwhile
+            return  # a request has arrived meanwhile
         if self.reading_since:
             self.reject()
         self.connection.close("made_room")
 
     def reject(self) -> None:
-        """There is no place for it.
+        """Answer 503 because there are too many connections, and end the connection.
 
-        What it still sends is read and dropped for a while, else it would not read this.
+        What the client still sends is read and discarded for a while: closing at once would reset the
+        connection, and the client could not read the answer.
         """
         if not self.call and not self.connection.code:
             self._refuse(503, "no place", "no_descriptor")
 
     def check_timeouts(self) -> None:
-        """Slow and silent clients hold nothing for ever."""
+        """Close the connection of a client that is slow, silent or idle for too long."""
         now, since = clock.now(), self.active_at
         if self.call or self.connection.has_ended:
             return
@@ -115,17 +121,17 @@
         elif now - since > (IDLE_TIMEOUT if self.was_answered else REQUEST_TIMEOUT):
             self.connection.close("idle")
 
-    def join(self, group: dict[Client, None] | None) -> None:
-        """Take the last place among those that may be evicted; with None it may not."""
-        if self._group is not None:
-            self._group.pop(self, None)
-        self._group = group
+    def set_eviction_group(self, group: dict[Client, None] | None) -> None:
+        """Become the newest member of a group of eviction candidates; with None it cannot be evicted."""
+        if self._eviction_group is not None:
+            self._eviction_group.pop(self, None)
+        self._eviction_group = group
         if group is not None:
             group[self] = None
 
-    # Its own.
+    # Internal.
     def _read(self) -> None:
-        """Read what has come as far as it is complete and no answer is owed."""
+        """Serve complete requests from the buffer until one waits for its answer."""
         while not self.call and not self.connection.code:
             try:
                 request = self._next_request()
@@ -137,7 +143,7 @@
                 return
 
     def _next_request(self) -> http.Request | None:
-        """A complete request, None while there is none. Raises InvalidMessage."""
+        """The next complete request, None while it is incomplete. Raises InvalidMessage."""
         buffer = self.connection.buffer
         if self._request is None:
             self._request = http.request_head(buffer)
@@ -158,13 +164,15 @@
         self.connection.write(CONTINUE)
 
     def _serve(self, request: http.Request) -> None:
-        """Hand a request to the decisions.
+        """Answer a health check, or pass an RPC to the decisions.
 
-        One that is no RPC raises InvalidMessage, and its connection ends: its next one may be no better.
+        Raises:
+            InvalidMessage: the request is not a valid RPC. Its connection is then closed, since the client's
+                later requests are likely to be invalid too.
         """
         if request.target == HEALTH_TARGET:
             return self._write(request, 200 if self._application.is_ready else 503, (), b"")
-        for name in OWN_FIELDS:
+        for name in SINGLETON_FIELDS:
             if request.get(name) is not None and request.get_single(name) is None:
                 raise http.InvalidMessage(400, f"{name} twice")
         method = self._method_of(request)
@@ -175,7 +183,7 @@
         if not IDENTIFIER.match(identifier):
             raise http.InvalidMessage(400, "x-request-id missing or unusable")
         self.call = Call(self, request, identifier, float(timeout_s), method)
-        self.join(None)
+        self.set_eviction_group(None)
         return self._decisions.post(self._decisions.on_request, self.call)
 
     def _method_of(self, request: http.Request) -> Method:
@@ -192,17 +200,17 @@
         keep = request.keeps_alive and not application.is_draining and not application.is_crowded()
         if self.connection.write(http.response(status, fields, data, keep, request)):
             self.active_at, self.was_answered = clock.now(), True
-            self.join(application.idle)
+            self.set_eviction_group(application.idle)
             if not keep:
                 code = "draining" if application.is_draining else "crowded"
                 self._finish(code if request.keeps_alive else "close_asked")
 
     def _refuse(self, status: int, reason: str, code: str = "bad_request") -> None:
-        """The answer is the last thing said."""
+        """Write an error answer and end the connection."""
         if self.connection.write(http.response(status, (), f"{reason}\n".encode(), keep_alive=False)):
             self._finish(f"{code}_{status}")
 
     def _finish(self, code: str) -> None:
         self._linger_until = clock.now() + LINGER_TIME
-        self.join(self._application.ending)
+        self.set_eviction_group(self._application.ending)
         self.connection.finish(code)
--- a/honeywood/balancer/actors/counters.py
+++ b/honeywood/balancer/actors/counters.py
@@ -1,6 +1,6 @@
-"""What a balancer did, counted: a line of the log every few seconds; those of a fleet can be added up.
+"""Counters of what a balancer did, logged every few seconds; those of several balancers can be added up.
 
-docs/operate/fleet.md says what each counter tells.
+docs/operate/fleet.md describes each counter.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 if TYPE_CHECKING:
     from typing import Any
 
-REPORT_EVERY = 5  # calls of report(), one a second, between two lines
+REPORT_EVERY = 5  # calls of report(), made once a second, per log line
 
 
 class Counters:
-    """Each name counts from the start of the program; any actor may count."""
+    """Counters by name, since the start of the program; any thread may increment them."""
 
     def __init__(self) -> None:
-        """Nothing is counted yet."""
+        """Create an empty set of counters."""
         self._counts: dict[str, int] = {}
         self._reported: dict[str, int] = {}
         self._lock, self._calls = threading.Lock(), 0
 
     def add(self, name: str, count: int = 1) -> None:
-        """Count something."""
+        """Increment a counter, which starts at 0."""
         with self._lock:
             self._counts[name] = self._counts.get(name, 0) + count
 
     def report(self, log: Any, **gauges: int) -> None:
-        """Once in REPORT_EVERY calls a line with what came since the last one; CPU in milliseconds."""
+        """Every REPORT_EVERY calls, log the increments since the last line, the CPU time (ms) and gauges."""
         self._calls += 1
         if self._calls % REPORT_EVERY:
             return
--- a/honeywood/balancer/actors/decision_host.py
+++ b/honeywood/balancer/actors/decision_host.py
@@ -1,6 +1,7 @@
-"""The decisions' actor: its thread alone calls them, and owns RPCs, attempts and timers.
+"""The actor that hosts the decisions: only its thread calls them, and it owns RPCs, attempts and timers.
 
-It is their host (interface.Host) and decides nothing: it carries out what they ask and tells them what came.
+It implements interface.Host and makes no decisions itself: it carries out the calls of the decisions and
+passes events on to them.
 """
 
 from __future__ import annotations
@@ -40,8 +41,8 @@
     from honeywood.balancer.protocol.discovery import Address
 
 MAX_CALLS = 20_000
-REPLACED_FIELDS = ("host", "x-timeout")  # that each request to a server gets anew
-# Names in counters: how an attempt ended, and why an RPC was given up.
+REPLACED_FIELDS = ("host", "x-timeout")  # header fields set anew for each attempt
+# Names in counters of the results of attempts and of the reasons why an RPC was given up.
 RESULT_NAMES = {
     AttemptResult.ERROR: "error",
     AttemptResult.OK: "ok",
@@ -62,23 +63,26 @@
 
 
 class DecisionHost:
-    """Other actors post its on_... methods to its mailbox."""
+    """Hosts the decisions; other actors post its on_... methods to its mailbox."""
 
     def __init__(self, application: Application) -> None:
-        """The decisions begin with start()."""
+        """Create the host; the decisions are called from start() on."""
         self._application, self._settings = application, application.settings
         self._mailbox = Mailbox("module", MAX_CALLS, application.fail)
         self.post = self._mailbox.post
         self._methods = application.methods
-        self._recorder = application.recorder  # None where nothing is recorded
+        self._recorder = application.recorder  # None if no trace is recorded
         self.observer: Observer | None = application.recorder
         self._rpcs_taken = 0
-        self._open_identifiers: set[str] = set()  # of the RPCs that are open
+        self._open_identifiers: set[str] = set()  # request ids of unanswered RPCs
         self._count = application.counters.add
         self._balancer = Balancer(self._settings, self)
 
     def start(self, release: ReleaseUpdate) -> None:
-        """Begin; the list known at start is posted already: it comes first."""
+        """Start the decisions.
+
+        The server list known at startup has been posted before, so its call comes first.
+        """
         self.post(self._start_decisions)
         self.post(self.on_release_update, release)
         self.post(self._set_ready)
@@ -93,9 +97,9 @@
     def _set_ready(self) -> None:
         self._application.is_ready = True
 
-    # What the decisions ask (interface.Host).
+    # Called by the decisions (interface.Host).
     def send(self, attempt: Attempt, until: Time) -> None:
-        """Have an attempt written by its server's actor; a timer gives it up."""
+        """Have an attempt written by its server's actor, and set the timer that times it out."""
         now = clock.now()
         if self._recorder:
             self._recorder.on_send(attempt, until)
@@ -130,11 +134,11 @@
             self._recorder.on_abort(clock.now(), rpc)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up, once the decisions are done with this call."""
+        """Give an attempt up; posted, so that it happens after the current call of the decisions."""
         self.post(self._give_up, attempt, AttemptResult.CANCELLED)
 
     def probe(self, server: Server) -> None:
-        """Ask a server for its load; where the settings name no report, whether it answers."""
+        """Request a server's load or, if the settings name no load report, only check whether it answers."""
         peer, now = server.host, clock.now()
         target = "/_load" if self._settings.load_report_fields else "/ping"
         data = http.request("GET", target, [("host", peer.name)])
@@ -144,11 +148,11 @@
         self._mailbox.timers.at(now + self._settings.connect_timeout, self._give_up_probe, exchange)
 
     def wake_after(self, delay: Duration) -> None:
-        """Set a timer."""
+        """Set a timer that calls on_timer of the decisions."""
         self._mailbox.after(delay, self._on_timer)
 
     def vote(self, build: int, step: int, vote: Vote) -> None:
-        """Have a vote cast by the platform's actor."""
+        """Have the platform's actor send a vote."""
         if self._recorder:
             self._recorder.on_vote(clock.now(), build, step, vote)
         actor = self._application.platform
@@ -156,21 +160,21 @@
         self._count("votes")
 
     def watch_servers(self) -> None:
-        """Have the list asked for."""
+        """Have the server list requested from discovery."""
         directory = self._application.directory
         directory.mailbox.post(directory.dial)
 
     def log(self, text: str) -> None:
-        """Log what the decisions say."""
+        """Write a line of the decisions to the log."""
         if self._recorder:
             self._recorder.on_log(clock.now(), text)
         self._application.log.info("decision", what=text)
 
-    # What the actors post.
+    # Posted by the other actors.
     def on_request(self, call: Call) -> None:
-        """A client's request is an RPC."""
+        """Create an RPC for a client's request; 409 if its request id is already in use."""
         now = clock.now()
-        # Else two of one identifier would be out, and servers could not tell them apart.
+        # Servers could not distinguish two open RPCs with the same identifier.
         if call.identifier in self._open_identifiers:
             return call.client.mailbox.post(call.client.answer, call, 409)
         self._open_identifiers.add(call.identifier)
@@ -189,11 +193,11 @@
             self._recorder.on_request(now, rpc)
         self._balancer.on_request(now, rpc)
         self._application.reject_connections_until = self._balancer.reject_connections_until
-        return _forget_if_over(rpc)
+        return _free_if_ended(rpc)
 
     def on_client_disconnected(self, call: Call) -> None:
-        """A client has left before its answer."""
-        if call.rpc is None:  # it was refused
+        """A client has disconnected before its answer."""
+        if call.rpc is None:  # it was answered 409
             return
         rpc, call.rpc = call.rpc, None
         self._open_identifiers.discard(call.identifier)
@@ -201,10 +205,10 @@
         if self._recorder and not rpc.done:
             self._recorder.on_client_disconnected(now, rpc)
         self._balancer.on_client_disconnected(now, rpc)
-        _forget_if_over(rpc)
+        _free_if_ended(rpc)
 
     def on_response_started(self, attempt: Attempt) -> None:
-        """The first of an answer has come, and not yet all of it."""
+        """The first part of an answer has arrived, but not all of it."""
         if attempt.result is None:
             now = clock.now()
             if self._recorder:
@@ -218,7 +222,10 @@
         load: Sequence[float],
         response: http.Response | None = None,
     ) -> None:
-        """Each attempt ends once; the first ok is the client's answer and ends the RPC."""
+        """An attempt has ended; later results of it are ignored.
+
+        The first OK of an RPC is sent to its client and ends the RPC.
+        """
         if attempt.result is not None:
             return
         rpc, now = attempt.rpc, clock.now()
@@ -230,10 +237,10 @@
             self._answer(rpc, 200, response.end_to_end_fields("x-server-load"), response.body)
         self._count(f"ended_{RESULT_NAMES[result]}")
         self._balancer.on_result(now, attempt, result, now - attempt.sent_at, load, final)
-        _forget_if_over(rpc)
+        _free_if_ended(rpc)
 
     def on_probe_result(self, exchange: Exchange, result: AttemptResult, load: Sequence[float]) -> None:
-        """Each probe ends once."""
+        """A probe has ended; later results of it are ignored."""
         if exchange.server:
             server, exchange.server = exchange.server, None
             now = clock.now()
@@ -249,7 +256,14 @@
         gone: Sequence[ServerPeer],
         revision: int,
     ) -> None:
-        """The server list, or changes of it; `gone` are those that a complete list does not name."""
+        """Take over the server list or changes to it.
+
+        Args:
+            members: each listed server with its address and entry.
+            complete: whether this is the whole list.
+            gone: known servers that a complete list no longer contains.
+            revision: the revision of the list.
+        """
         for peer, address, entry in members:
             process = Process(address, entry.build, entry.started_at)
             peer.mailbox.post(peer.on_list_entry, entry.status, process)
@@ -261,21 +275,21 @@
         self._balancer.on_server_list(now, entries, complete)
 
     def on_server_list_failed(self) -> None:
-        """Discovery refused the list or ended the watch."""
+        """Discovery has refused the list or ended the watch."""
         now = clock.now()
         if self._recorder:
             self._recorder.on_server_list_failed(now)
         self._balancer.on_server_list_failed(now)
 
     def on_release_update(self, update: ReleaseUpdate) -> None:
-        """The platform told the state of its newest release."""
+        """The platform has reported the state of its newest release."""
         now = clock.now()
         if self._recorder:
             self._recorder.on_release_update(now, update)
         self._balancer.on_release_update(now, update)
 
     def on_vote_answered(self, result: AttemptResult, update: ReleaseUpdate | None) -> None:
-        """The platform answered a vote, or did not in time."""
+        """The platform has answered a vote, or the answer has timed out."""
         self._count(f"vote_{platform.RESULTS[result]}")
         now = clock.now()
         if self._recorder:
@@ -283,24 +297,24 @@
         self._balancer.on_vote_answered(now, update if result == AttemptResult.OK else None)
 
     def on_platform_counts(self, counts: platform.Counts) -> None:
-        """The platform told what it counted."""
+        """The platform has reported its counts for a build and a method."""
         if counts.method in self._methods:
             now, method = clock.now(), self._methods[counts.method]
             build, _, failed, ended, mean_latency, age = counts
-            told = PlatformCounts(build, method, failed, ended, mean_latency, age)
+            platform_counts = PlatformCounts(build, method, failed, ended, mean_latency, age)
             if self._recorder:
-                self._recorder.on_platform_counts(now, told)
-            self._balancer.on_platform_counts(now, told)
+                self._recorder.on_platform_counts(now, platform_counts)
+            self._balancer.on_platform_counts(now, platform_counts)
 
     def on_incorrect_answer(self, server: Server, method_name: str) -> None:
-        """The platform found an answer of a server wrong."""
+        """The platform has found an answer of a server incorrect."""
         if method_name in self._methods:
             now, method = clock.now(), self._methods[method_name]
             if self._recorder:
                 self._recorder.on_incorrect_answer(now, server, method)
             self._balancer.on_incorrect_answer(now, server, method)
 
-    # Its own.
+    # Internal.
     def _on_timer(self) -> None:
         now = clock.now()
         if self._recorder:
@@ -329,10 +343,10 @@
     return REASON_NAMES[rpc.give_up_reason] if rpc.give_up_reason else "none"
 
 
-def _forget_if_over(rpc: Rpc) -> None:
-    """Of an RPC whose last attempt has ended nothing points back to it.
+def _free_if_ended(rpc: Rpc) -> None:
+    """Break the reference cycles of an RPC whose attempts have all ended.
 
-    So it goes at once, with all it holds, and is not left to the garbage collector.
+    It is then freed at once, with its request and answers, and does not wait for the garbage collector.
     """
     if rpc.done and all(attempt.result is not None for attempt in rpc.attempts):
         for attempt in rpc.attempts:
--- a/honeywood/balancer/actors/exchange.py
+++ b/honeywood/balancer/actors/exchange.py
@@ -1,4 +1,4 @@
-"""One request to a server and its answer."""
+"""One request to a server and its response."""
 
 from __future__ import annotations
 
@@ -10,9 +10,12 @@
 
 
 class Exchange:
-    """An attempt's, or where `attempt` is None a probe's of `server`; then `server` is None once it was told.
+    """The request and response of an attempt or a probe.
 
-    `entry_number` is that of the server's list entry for which it was decided.
+    Attributes:
+        attempt: the attempt; None for a probe.
+        server: the probed server; None for an attempt, and once the result of the probe was reported.
+        entry_number: the number of the server's list entry at the time of sending.
     """
 
     __slots__ = (
@@ -32,7 +35,7 @@
     def __init__(
         self, attempt: Attempt | None, server: Server | None, method: str, data: bytes, sent_at: Time
     ) -> None:
-        """`data` are the request's bytes."""
+        """Create an exchange that is not sent yet; `data` holds the bytes of the request."""
         self.attempt, self.server, self.method, self.sent_at = attempt, server, method, sent_at
         self.data: bytes | None = data
         self.entry_number = 0
@@ -41,5 +44,5 @@
         self.written = self.ended = self.response_began = False
 
     def finish(self) -> None:
-        """It has ended; timers still hold it for a while."""
+        """Mark it as ended and free its data, since timers still refer to it for a while."""
         self.ended, self.data, self.response = True, None, None
--- a/honeywood/balancer/actors/platform_client.py
+++ b/honeywood/balancer/actors/platform_client.py
@@ -1,4 +1,7 @@
-"""The platform: one subscribed connection that tells its news and answers our votes in their order."""
+"""Client of the platform: receives its notifications and sends it votes over one subscribed connection.
+
+The platform answers the calls of a connection in the order in which they were sent.
+"""
 
 from __future__ import annotations
 
@@ -18,45 +21,52 @@
     from honeywood.balancer.model import ReleaseUpdate, Vote
     from honeywood.balancer.protocol.discovery import Address
 
-RETIREMENT = 3 * SECOND  # so long a connection that was left may still answer what was called on it
+RETIREMENT_TIME = 3 * SECOND  # for a replaced connection to answer its pending calls
 
 
 class PendingCall:
-    """A vote, or without one the subscription, that has no answer yet; `answered` once it has or is late."""
+    """A vote or, if `vote` is None, a subscription that waits for its answer.
+
+    `answered` is True once the answer has arrived or has timed out.
+    """
 
     __slots__ = ("vote", "answered")
 
     def __init__(self, vote: tuple[int, int, Vote] | None = None) -> None:
-        """A vote is (build, step, vote)."""
+        """Create a pending call; `vote` is (build, step, vote)."""
         self.vote, self.answered = vote, False
 
 
 class PlatformConnection(Connection):
-    """What was called on a connection and has no answer yet stays with it."""
+    """A connection to the platform, with the calls made on it that are not answered yet."""
 
     def __init__(self, *arguments: Any) -> None:
-        """As for a connection."""
+        """Create a connection; the arguments are those of Connection."""
         super().__init__(*arguments)
         self.calls: deque[PendingCall] = deque()
         self.is_subscribed = False
 
 
 class PlatformClient(Subscription):
-    """Votes are called on the connection in use; news come on the one that is subscribed."""
+    """Sends votes on the current connection and takes notifications from the subscribed one."""
 
     invalid = (platform.InvalidLine,)
     connection_class = PlatformConnection
 
     def __init__(self, address: Address, application: Application) -> None:
-        """It connects at once."""
+        """Create the client and start to connect."""
         super().__init__("platform", address, application)
         self._directory, self._steps = application.directory, len(self.settings.waves)
         self.start()
         self.mailbox.post(self.dial)
 
-    # What the decisions' host posts.
+    # Posted by the decisions' host.
     def vote(self, build: int, step: int, vote: Vote) -> None:
-        """A vote that cannot be written was not carried out; one without an answer in time may have been."""
+        """Send a vote.
+
+        A vote that cannot be written ends as ERROR, since it was not carried out. One that is not answered in
+        time ends as TIMEOUT, since it may have been.
+        """
         call, connection = PendingCall((build, step, vote)), self.connection
         if not connection or not connection.write(platform.ballot(build, step, vote)):
             return self._on_vote_answered(call, AttemptResult.ERROR, None)
@@ -65,39 +75,39 @@
             self.settings.vote_timeout, self._on_vote_answered, call, AttemptResult.TIMEOUT, None
         )
 
-    # What its connections tell.
+    # Called by its connections.
     def on_subscribing(self, connection: PlatformConnection) -> None:
-        """Subscribe.
+        """Subscribe to the platform's notifications.
 
-        Until that is answered, the connection before tells the news: none is lost between the two, and none
-        counts twice.
+        Until the subscription is confirmed, notifications are taken from the previous connection, so that
+        none is lost or counted twice.
         """
         connection.calls.append(PendingCall())
         connection.write(platform.SUBSCRIBE)
 
     def retire(self, connection: PlatformConnection) -> None:
-        """It may still answer votes for a while."""
-        self.mailbox.after(RETIREMENT, connection.close, "moved")
+        """Close a replaced connection after a delay, in which it may still answer votes."""
+        self.mailbox.after(RETIREMENT_TIME, connection.close, "moved")
 
     def read(self, connection: PlatformConnection) -> None:
-        """Take over the lines that have come."""
+        """Process the complete lines in the buffer."""
         while not connection.code and (words := platform.read_line(connection.buffer)) is not None:
             if words[0] == "*":
-                self._on_news(connection, words[1:])
+                self._on_notification(connection, words[1:])
             else:
                 self._on_answer(connection, words)
 
     def on_closed(self, connection: PlatformConnection) -> None:
-        """Votes without an answer may have been carried out."""
+        """Report unanswered votes as TIMEOUT, since they may have been carried out."""
         while connection.calls:
             self._on_vote_answered(connection.calls.popleft(), AttemptResult.TIMEOUT, None)
         super().on_closed(connection)
 
-    # Its own.
+    # Internal.
     def _on_answer(self, connection: PlatformConnection, words: Sequence[str]) -> None:
-        """The answer to the first of the calls on a connection."""
+        """Process the answer to the oldest pending call of a connection. Raises InvalidLine."""
         if not connection.calls:
-            raise platform.InvalidLine(f"an answer to nothing: {words}")
+            raise platform.InvalidLine(f"an answer without a pending call: {words}")
         call = connection.calls[0]
         result, update = platform.parse_reply(words, self._steps, bare=call.vote is None)
         connection.calls.popleft()
@@ -111,7 +121,7 @@
     def _on_vote_answered(
         self, call: PendingCall, result: AttemptResult, update: ReleaseUpdate | None
     ) -> None:
-        """The first that is known of a vote goes to the decisions; a late answer is news like any other."""
+        """Report the result of a vote once; a later answer counts only as a release update."""
         if call.vote and not call.answered:
             call.answered = True
             build, step, vote = call.vote
@@ -126,8 +136,8 @@
         elif update:
             self.decisions.post(self.decisions.on_release_update, update)
 
-    def _on_news(self, connection: PlatformConnection, words: Sequence[str]) -> None:
-        """A line that answers nothing; one without words is a heartbeat."""
+    def _on_notification(self, connection: PlatformConnection, words: Sequence[str]) -> None:
+        """Process a notification; one without words is a heartbeat. Raises InvalidLine."""
         if connection is self.connection:
             self.on_valid_message()
         elif self.connection and self.connection.is_subscribed:
@@ -141,7 +151,7 @@
         elif kind == "tally":
             self.decisions.post(self.decisions.on_platform_counts, platform.parse_counts(rest))
         elif kind == "flag":
-            wrong = platform.parse_incorrect_answer(rest)
-            self._directory.mailbox.post(self._directory.on_incorrect_answer, wrong.server, wrong.method)
+            answer = platform.parse_incorrect_answer(rest)
+            self._directory.mailbox.post(self._directory.on_incorrect_answer, answer.server, answer.method)
         else:
-            raise platform.InvalidLine(f"news {kind}")
+            raise platform.InvalidLine(f"unknown notification {kind}")
--- a/honeywood/balancer/actors/recording.py
+++ b/honeywood/balancer/actors/recording.py
@@ -1,4 +1,4 @@
-"""What a recorder of the calls between the decisions and their host is told, each before it is made."""
+"""The interface of a recorder of the calls between the decisions and their host."""
 
 from __future__ import annotations
 
@@ -26,64 +26,64 @@
 
 
 class CallObserver(Observer, Protocol):
-    """All calls come on the decisions' thread; none may wait or raise."""
+    """Is called before each call that it records, on the decisions' thread; must not block or raise."""
 
     def on_start(self, now: Time) -> None:
-        """The decisions begin."""
+        """The decisions are started."""
 
     def on_timer(self, now: Time) -> None:
-        """They are woken."""
+        """A timer of the decisions has expired."""
 
     def on_server_list(
         self, now: Time, revision: int, entries: Sequence[ServerEntry], complete: bool
     ) -> None:
-        """They are told the server list, or changes of it."""
+        """The decisions get the server list, or changes to it."""
 
     def on_server_list_failed(self, now: Time) -> None:
-        """They are told that there is no list."""
+        """The decisions are informed that the server list is not available."""
 
     def on_release_update(self, now: Time, update: ReleaseUpdate) -> None:
-        """They are told the state of the newest release."""
+        """The decisions get the state of the newest release."""
 
     def on_vote_answered(self, now: Time, result: AttemptResult, update: ReleaseUpdate | None) -> None:
-        """They are told the platform's answer to a vote."""
+        """The decisions get the platform's answer to a vote."""
 
     def on_request(self, now: Time, rpc: Rpc) -> None:
-        """They are told of an RPC."""
+        """The decisions get a new RPC."""
 
     def on_client_disconnected(self, now: Time, rpc: Rpc) -> None:
-        """They are told that a client has left."""
+        """The decisions are informed that a client has disconnected."""
 
     def on_response_started(self, now: Time, attempt: Attempt) -> None:
-        """They are told that an answer has begun."""
+        """The decisions are informed that an answer has begun."""
 
     def on_result(
         self, now: Time, attempt: Attempt, result: AttemptResult, load: Sequence[float], final: bool
     ) -> None:
-        """They are told how an attempt ended."""
+        """The decisions get the result of an attempt."""
 
     def on_probe_result(
         self, now: Time, server: Server, result: AttemptResult, latency: Duration, load: Sequence[float]
     ) -> None:
-        """They are told how a probe ended."""
+        """The decisions get the result of a probe."""
 
     def on_incorrect_answer(self, now: Time, server: Server, method: Method) -> None:
-        """They are told of a wrong answer."""
+        """The decisions are informed of an incorrect answer."""
 
     def on_platform_counts(self, now: Time, counts: PlatformCounts) -> None:
-        """They are told what the platform counted."""
+        """The decisions get the platform's counts."""
 
     def on_send(self, attempt: Attempt, until: Time) -> None:
-        """They have an attempt sent."""
+        """The decisions send an attempt."""
 
     def on_reject(self, now: Time, rpc: Rpc, retry_after: Duration) -> None:
-        """They have an RPC rejected."""
+        """The decisions reject an RPC."""
 
     def on_abort(self, now: Time, rpc: Rpc) -> None:
-        """They have an RPC aborted."""
+        """The decisions abort an RPC."""
 
     def on_vote(self, now: Time, build: int, step: int, vote: Vote) -> None:
-        """They vote."""
+        """The decisions vote."""
 
     def on_log(self, now: Time, text: str) -> None:
-        """They log a line."""
+        """The decisions log a line."""
--- a/honeywood/balancer/actors/server_directory.py
+++ b/honeywood/balancer/actors/server_directory.py
@@ -1,4 +1,4 @@
-"""The list of servers: watches discovery, and knows the peer behind each identifier."""
+"""The server list: watches discovery, and keeps a ServerPeer for each server."""
 
 from __future__ import annotations
 
@@ -13,51 +13,51 @@
     from honeywood.balancer.actors.application import Application
     from honeywood.balancer.transport.connection import Connection
 
-CATCH_UP_TIME = 5 * SECOND  # so long a new address may know less than the one before it told
+CATCH_UP_TIME = 5 * SECOND  # after a change of address, in which the new one may send older revisions
 
 
 class ServerDirectory(Subscription):
-    """`peers` are the servers by identifier."""
+    """Watches discovery; `peers` holds the actor of each listed server by identifier."""
 
     invalid = (http.InvalidMessage, discovery.InvalidList)
 
     def __init__(
         self, address: discovery.Address, known: discovery.ServerList, application: Application
     ) -> None:
-        """Discovery is asked at once, unless the decisions say when."""
+        """Take over the list known at startup; connect at once unless the decisions request the list."""
         super().__init__("discovery", address, application)
         self._application = application
         self.peers: dict[str, ServerPeer] = {}
         self._revision = 0
-        self._response: http.Response | None = None  # whose body goes on and on
-        self._moved_at = -CATCH_UP_TIME
+        self._response: http.Response | None = None  # of the watch; its body is unbounded
+        self._address_changed_at = -CATCH_UP_TIME
         self._update(known)
         self.start()
         if not self.settings.list_on_request:
             self.mailbox.post(self.dial)
 
-    # What others post. The decisions' host posts dial() as well, where the list must be asked for.
-    def move(self, address: discovery.Address) -> None:
-        """Discovery is to be found elsewhere."""
+    # Posted by other actors. With `list_on_request` the decisions' host posts dial() as well.
+    def change_address(self, address: discovery.Address) -> None:
+        """Use another address of discovery."""
         if address != self.address:
-            self._moved_at = clock.now()
-        super().move(address)
+            self._address_changed_at = clock.now()
+        super().change_address(address)
 
     def on_incorrect_answer(self, identifier: str, method: str) -> None:
-        """The platform tells of a wrong answer of a server."""
+        """The platform has found an answer of a server incorrect."""
         if identifier in self.peers:
             server = self.peers[identifier].server
             self.decisions.post(self.decisions.on_incorrect_answer, server, method)
 
-    # What its connection tells.
+    # Called by its connection.
     def on_subscribing(self, connection: Connection) -> None:
-        """Ask for what is new since the last revision."""
+        """Request the changes since the last known revision."""
         self._response = None
         fields = [("host", "discovery"), ("accept", "application/json")]
         connection.write(http.request("GET", discovery.watch_target(self._revision), fields))
 
     def read(self, connection: Connection) -> None:
-        """Take over the lines that have come."""
+        """Process the complete lines in the buffer. Raises InvalidMessage or InvalidList."""
         if self._response is None:
             self._response = http.response_head(connection.buffer, max_body=discovery.MAX_LINE)
         response = self._response
@@ -67,48 +67,48 @@
             connection.close(f"status_{response.status}")
             return
         for line in http.lines(connection.buffer, response.chunked):
-            if (told := discovery.parse_line(line)) is not None:
-                self._update(told)
+            if (update := discovery.parse_line(line)) is not None:
+                self._update(update)
                 self.on_valid_message()
         if response.chunked.is_complete:
             connection.close("watch_over")
 
     def on_lost(self) -> None:
-        """The decisions say when to ask again, where the list must be asked for."""
+        """Dial again or, with `list_on_request`, leave it to the decisions when to do so."""
         if self.settings.list_on_request:
             self.decisions.post(self.decisions.on_server_list_failed)
         else:
             super().on_lost()
 
-    # Its own.
-    def _update(self, told: discovery.ServerList) -> None:
-        """Tell the decisions of the list, or changes of it. Raises InvalidList."""
-        moved_lately = clock.now() - self._moved_at < CATCH_UP_TIME
-        if told.revision < self._revision and moved_lately:
+    # Internal.
+    def _update(self, update: discovery.ServerList) -> None:
+        """Pass the list or changes to it to the decisions. Raises InvalidList."""
+        address_changed_recently = clock.now() - self._address_changed_at < CATCH_UP_TIME
+        if update.revision < self._revision and address_changed_recently:
             raise discovery.InvalidList(
-                f"revision {told.revision} after {self._revision}: no change is undone"
+                f"revision {update.revision} after {self._revision}: older than the current list"
             )
-        self._revision = told.revision
-        for fault in told.faults:
+        self._revision = update.revision
+        for fault in update.faults:
             self.log.warning("odd_entry", peer="discovery", what=fault)
-        unnamed = set(self.peers) if told.complete else set()
+        unlisted = set(self.peers) if update.complete else set()
         entries = []
-        for member in told.members:
-            unnamed.discard(member.identifier)
+        for member in update.members:
+            unlisted.discard(member.identifier)
             if member.identifier in self.peers or member.status != ServerStatus.REMOVED:
                 entries.append(self._entry(member))
-        gone = [self.peers.pop(identifier) for identifier in sorted(unnamed)]
-        self.decisions.post(self.decisions.on_server_list, entries, told.complete, gone, told.revision)
+        gone = [self.peers.pop(identifier) for identifier in sorted(unlisted)]
+        self.decisions.post(self.decisions.on_server_list, entries, update.complete, gone, update.revision)
         self.log.info(
             "list",
-            revision=told.revision,
-            whole=told.complete,
+            revision=update.revision,
+            whole=update.complete,
             lines=len(entries),
             servers=len(self.peers),
         )
 
     def _entry(self, member: discovery.Member) -> tuple[ServerPeer, discovery.Address | None, ServerEntry]:
-        """A member's peer, address and entry; of one that is gone the peer is forgotten."""
+        """The peer, address and entry of a member; the peer of a removed member is dropped."""
         if member.identifier not in self.peers:
             self.peers[member.identifier] = ServerPeer(member.identifier, self._application)
         peer = self.peers[member.identifier]
--- a/honeywood/balancer/actors/server_peer.py
+++ b/honeywood/balancer/actors/server_peer.py
@@ -1,4 +1,4 @@
-"""One server: its connections, what is out on them, and how each request to it ended."""
+"""One server: its connections, the requests in flight on them, and the result of each request."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     from honeywood.balancer.protocol.discovery import Address
 
 MAX_CALLS = 4096
-RESERVED_DESCRIPTORS = 8  # that servers leave to list and platform
-# By status, where the server says that it did not process the request.
+RESERVED_DESCRIPTORS = 8  # left by servers to discovery and the platform
+# Results by status, for answers that are marked as not processed by the server.
 NOT_PROCESSED = {503: AttemptResult.FULL, 504: AttemptResult.EXPIRED}
 
 
 class Process(NamedTuple):
-    """The process behind a server's identifier, as it is listed."""
+    """The process that the server list names for a server's identifier."""
 
     address: Address | None
     build: int
@@ -34,10 +34,10 @@
 
 
 class ServerConnection(Connection):
-    """A connection to the process that was listed when it was dialled, and what is out on it."""
+    """A connection to the process that was listed when it was dialled, with its request in flight."""
 
     def __init__(self, peer: ServerPeer) -> None:
-        """It is dialled next."""
+        """Create a connection that is not dialled yet."""
         super().__init__(peer, peer.mailbox, peer.descriptors, peer.name)
         self.process = peer.process
         self.exchange: Exchange | None = None
@@ -45,10 +45,13 @@
 
 
 class ServerPeer:
-    """The decisions' host and the application post to its mailbox, and so do its connections."""
+    """The actor of a server.
+
+    The decisions' host, the application and its connections post calls to its mailbox.
+    """
 
     def __init__(self, name: str, application: Application) -> None:
-        """Nothing is known of its process yet."""
+        """Create the actor of a server whose process is not known yet."""
         self.name = name
         self._decisions, self._settings = application.decisions, application.settings
         self._log, self._count = application.log, application.counters.add
@@ -56,18 +59,18 @@
         self.server = Server(host=self, digest=digest(name))
         self.process: Process | None = None
         self._status: ServerStatus | None = None
-        self._entry_number = 0  # of the changes of its list entry
+        self._entry_number = 0  # incremented by each change of its list entry
         self._max_answer = application.max_answer
         self.idle: deque[ServerConnection] = deque()
         self._idle_timeout = self._settings.idle_timeout * 2 // 3  # closed before the server does
         self.mailbox = SharedMailbox(f"server {name}", MAX_CALLS, application.fail)
 
-    # What the decisions' host posts.
+    # Posted by the decisions' host.
     def on_list_entry(self, status: ServerStatus, process: Process | None) -> None:
         """Take over its list entry.
 
-        Where it has changed, what is not yet written was meant for the old one and never will be, and what is
-        kept open to another process is closed, now or after its answer.
+        If the entry has changed, requests that are not written yet are never written, since they were decided
+        for the old entry. Connections to the old process are closed, now or after their answer.
         """
         if (status, process) != (self._status, self.process):
             self._status, self.process = status, process
@@ -76,7 +79,7 @@
                 self.idle.pop().close(self._closing_code())
 
     def send(self, exchange: Exchange) -> None:
-        """Write a request on a kept connection that still stands, the one used last, or on a new one."""
+        """Write a request on the most recently used idle connection that is still open, or on a new one."""
         exchange.entry_number = self._entry_number
         while self.idle:
             connection = self.idle.pop()
@@ -92,26 +95,26 @@
         return connection.dial(address, self._settings.connect_timeout / SECOND)
 
     def give_up(self, exchange: Exchange) -> None:
-        """To give up an exchange its connection is closed."""
+        """Give up an exchange by closing its connection."""
         if not exchange.ended:
             exchange.finish()
             if exchange.connection:
                 exchange.connection.close("given_up")
 
-    # What the application posts.
+    # Posted by the application.
     def check_timeouts(self) -> None:
-        """Close connections that were idle for long."""
+        """Close connections that have been idle for too long."""
         while self.idle and clock.now() - self.idle[0].idle_since > self._idle_timeout:
             self.idle.popleft().close("idle")
 
-    # What its connections tell.
+    # Called by its connections.
     def on_open(self, connection: ServerConnection) -> None:
-        """A connection stands."""
+        """A connection is established: write its request."""
         if connection.exchange:
             self._write(connection.exchange, connection)
 
     def on_data(self, connection: ServerConnection) -> None:
-        """Some of an answer has come."""
+        """Process the part of an answer that has arrived."""
         exchange = connection.exchange
         if exchange is None or not exchange.written:
             return connection.close("unasked_bytes")
@@ -129,18 +132,18 @@
         return self._end(exchange, result_of(response), response)
 
     def on_closed(self, connection: ServerConnection) -> None:
-        """A connection has ended."""
+        """A connection has ended: report the result of its request, if any."""
         exchange, connection.exchange = connection.exchange, None
         if exchange:
             self._end(exchange, AttemptResult.RESET if exchange.written else AttemptResult.CONNECT_FAILED)
         self._log.info("connection_ended", peer="server", id=self.name, code=connection.code)
 
-    # Its own.
+    # Internal.
     def _write(self, exchange: Exchange, connection: ServerConnection) -> None:
-        """The one place that writes to a server.
+        """Write a request; the only place that writes to a server.
 
-        What waited for its connection and is no longer as it was decided never goes out: a drain's grace or a
-        lowered cap may have passed.
+        A request that waited too long for its connection, or whose list entry has changed meanwhile, is not
+        written: the grace period of a drain may have ended, or a cap may have been lowered.
         """
         late = clock.now() - exchange.sent_at > self._settings.connect_timeout
         if late or exchange.entry_number != self._entry_number or exchange.data is None:
@@ -150,7 +153,7 @@
         return None
 
     def _read(self, exchange: Exchange, connection: ServerConnection) -> http.Response | None:
-        """The complete answer, None while it is not. Raises InvalidMessage."""
+        """The complete answer, None while it is incomplete. Raises InvalidMessage."""
         if exchange.response is None:
             exchange.response = http.response_head(connection.buffer, exchange.method, self._max_answer)
         if exchange.response is None:
@@ -162,13 +165,13 @@
         return exchange.response
 
     def _on_incomplete(self, exchange: Exchange) -> None:
-        """Tell the decisions once that an answer has begun."""
+        """Report to the decisions, once, that an answer has begun."""
         if exchange.attempt and not exchange.response_began:
             exchange.response_began = True
             self._decisions.post(self._decisions.on_response_started, exchange.attempt)
 
     def _keep(self, connection: ServerConnection) -> None:
-        """Keep it open for the next exchange, if it leads to where that goes."""
+        """Keep a connection for later requests if it leads to the listed process; otherwise close it."""
         connection.exchange = None
         if self._status != ServerStatus.READY or connection.process != self.process:
             connection.close(self._closing_code())
@@ -180,7 +183,7 @@
         return "moved" if self._status == ServerStatus.READY else "not_listed"
 
     def _end(self, exchange: Exchange, result: AttemptResult, response: http.Response | None = None) -> None:
-        """Tell the decisions once how an exchange ended."""
+        """Report to the decisions, once, how an exchange ended."""
         if exchange.ended:
             return
         exchange.finish()
@@ -196,7 +199,7 @@
 
 
 def result_of(response: http.Response) -> AttemptResult:
-    """What an answer says of its attempt."""
+    """The result of an attempt, derived from its answer."""
     if response.status == 200:
         return AttemptResult.OK
     if response.get("x-not-processed") == "1":
--- a/honeywood/balancer/actors/subscription.py
+++ b/honeywood/balancer/actors/subscription.py
@@ -1,4 +1,4 @@
-"""An actor that keeps one connection standing, over which a peer tells what is new."""
+"""Base class of actors that keep one connection open, over which a peer sends updates."""
 
 from __future__ import annotations
 
@@ -14,43 +14,44 @@
     from honeywood.balancer.actors.application import Application
     from honeywood.balancer.protocol.discovery import Address
 
-SILENCE_TIMEOUT = 10 * SECOND  # without a message or heartbeat for so long it is given up,
-INCOMPLETE_TIMEOUT = SECOND  # and so is one on which a message that was begun goes on no further
+SILENCE_TIMEOUT = 10 * SECOND  # without a message or heartbeat, after which the connection is closed
+INCOMPLETE_TIMEOUT = SECOND  # without further bytes of an incomplete message
 MIN_BACKOFF, MAX_BACKOFF = SECOND // 10, 5 * SECOND
 DIAL_TIMEOUT_S = 1.0
 MAX_CALLS = 1024
 
 
 class Subscription:
-    """Dials, and dials again after a backoff, jittered so that balancers do not come all at once.
+    """Dials its peer, and dials again after a backoff when the connection is lost.
 
-    The backoff grows until on_valid_message() is called. Classes derived from it say what to send first,
-    on_subscribing(), and read what comes, read(), which raises one of `invalid` where it cannot. They may
-    override on_lost(), and retire(), what becomes of a connection to an address that is no longer the one.
+    The backoff has jitter, so that many balancers do not reconnect at the same time, and grows until
+    on_valid_message() is called. Subclasses implement on_subscribing(), which sends the first message, and
+    read(), which processes received bytes and raises one of the exceptions in `invalid` if they are
+    malformed. They may override on_lost(), and retire(), which handles the connection to a previous address.
     """
 
     invalid: tuple[type[Exception], ...] = ()
     connection_class: type[Connection] = Connection
 
     def __init__(self, name: str, address: Address, application: Application) -> None:
-        """`name` stands in logs and counters."""
+        """Create the actor; `name` appears in logs and counters."""
         self.name, self.address, self.settings = name, address, application.settings
         self.log, self._descriptors = application.log, application.descriptors
         self._random, self._count = application.random, application.counters.add
         self.decisions, self.mailbox = application.decisions, Mailbox(name, MAX_CALLS, application.fail)
-        # The one in use, and the one that is being dialled; a third may stand until it is retired.
+        # The current connection and the one being dialled; a replaced one may stay open until it is retired.
         self.connection: Any = None
         self._dialling: Any = None
-        self._backoff, self._heard_at = MIN_BACKOFF, clock.now()
+        self._backoff, self._last_received_at = MIN_BACKOFF, clock.now()
 
     def start(self) -> None:
-        """Begin to make calls."""
+        """Start the thread of the mailbox."""
         self.mailbox.start()
         self.mailbox.post(self._check_timeouts)
 
-    # What others post.
+    # Posted by other actors.
     def dial(self) -> None:
-        """Connect, unless it does so or is."""
+        """Connect, unless it is connected to the current address or dialling."""
         if self._dialling or (self.connection and self.connection.address == self.address):
             return
         if not self._descriptors.take():
@@ -60,27 +61,27 @@
         self._dialling = self.connection_class(self, self.mailbox, self._descriptors, self.name)
         self._dialling.dial(self.address, DIAL_TIMEOUT_S)
 
-    def move(self, address: Address) -> None:
-        """The peer is to be found elsewhere: what stands is used until the new connection does."""
+    def change_address(self, address: Address) -> None:
+        """Use another address of the peer; the old connection stays in use until the new one is open."""
         if address != self.address:
             self.address, self._backoff = address, MIN_BACKOFF
             if self._dialling:
-                self._dialling.close("moved")  # comes back by on_lost()
+                self._dialling.close("moved")  # on_closed() then calls on_lost(), which dials again
             self.dial()
 
-    # What its connections tell.
+    # Called by its connections.
     def on_open(self, connection: Any) -> None:
-        """A connection stands, and takes the place of the one before."""
+        """A connection is established: it replaces the previous one."""
         old, self.connection, self._dialling = self.connection, connection, None
-        self._heard_at = clock.now()
+        self._last_received_at = clock.now()
         self.on_subscribing(connection)
         if old:
             self.retire(old)
 
     def on_data(self, connection: Any) -> None:
-        """Something has come."""
+        """Process the bytes that have arrived; a malformed message closes the connection."""
         if connection is self.connection:
-            self._heard_at = clock.now()
+            self._last_received_at = clock.now()
         try:
             self.read(connection)
         except self.invalid as error:
@@ -88,7 +89,7 @@
             connection.close("unreadable")
 
     def on_closed(self, connection: Any) -> None:
-        """A connection has ended."""
+        """A connection has ended: on_lost() is called if it was current or being dialled."""
         self.log.info("connection_ended", peer=self.name, id=connection.address[0], code=connection.code)
         if connection is self._dialling:
             self._dialling = None
@@ -98,30 +99,30 @@
             return
         self.on_lost()
 
-    # What derived classes say.
+    # Implemented or overridden by subclasses.
     def on_subscribing(self, connection: Any) -> None:
-        """Send what is to be sent first."""
+        """Send the first message on a new connection."""
         raise NotImplementedError
 
     def read(self, connection: Any) -> None:
-        """Read what has come."""
+        """Process the bytes in the buffer. Raises one of `invalid`."""
         raise NotImplementedError
 
     def on_valid_message(self) -> None:
-        """The peer is well: the backoff begins anew."""
+        """Reset the backoff, since the peer works."""
         self._backoff = MIN_BACKOFF
 
     def retire(self, connection: Any) -> None:
-        """Another has taken its place."""
+        """Close a connection that was replaced."""
         connection.close("moved")
 
     def on_lost(self) -> None:
-        """There is no connection."""
+        """Dial again after the backoff."""
         self.mailbox.after(int(self._backoff * (0.5 + self._random.random())), self.dial)
         self._backoff = min(MAX_BACKOFF, self._backoff * 2)
 
     def _check_timeouts(self) -> None:
-        silence = clock.now() - self._heard_at
+        silence = clock.now() - self._last_received_at
         if self.connection:
             incomplete = len(self.connection.buffer) > 0
             if silence > (INCOMPLETE_TIMEOUT if incomplete else SILENCE_TIMEOUT):
--- a/honeywood/balancer/program/main.py
+++ b/honeywood/balancer/program/main.py
@@ -85,7 +85,7 @@
     except InvalidConfiguration as error:
         logger.error("configuration_unusable", what=str(error))
         return
-    application.move(new)
+    application.change_addresses(new)
     logger.info(
         "configuration",
         discovery=log.format_address(new.discovery),
--- a/tests/balancer/actors/test_application.py
+++ b/tests/balancer/actors/test_application.py
@@ -1,4 +1,4 @@
-"""What an overloaded balancer does with new clients."""
+"""New client connections of an overloaded balancer."""
 
 import socket
 import types
@@ -6,14 +6,14 @@
 from honeywood.balancer.actors import application
 
 
-def test_an_overloaded_front_refuses_new_clients_unread():
-    """It costs no thread, and tells when to come back; one that has come before is not concerned."""
-    front, told = application.Application.__new__(application.Application), []
-    front.reject_connections_until, front.log = (
+def test_an_overloaded_balancer_refuses_new_clients_without_reading_their_requests():
+    """They are answered 503 with a retry time, and need no thread; existing connections are not affected."""
+    balancer, codes = application.Application.__new__(application.Application), []
+    balancer.reject_connections_until, balancer.log = (
         application.clock.now() + 1000,
-        types.SimpleNamespace(warning=lambda event, **said: told.append(said["code"])),
+        types.SimpleNamespace(warning=lambda event, **log_fields: codes.append(log_fields["code"])),
     )
-    theirs, ours = socket.socketpair()
-    front.accept(ours, "peer")
-    assert told == ["overloaded"] and ours.fileno() < 0
-    assert theirs.recv(999).startswith(b"HTTP/1.1 503 ") and theirs.recv(9) == b""
+    client_end, balancer_end = socket.socketpair()
+    balancer.accept(balancer_end, "peer")
+    assert codes == ["overloaded"] and balancer_end.fileno() < 0
+    assert client_end.recv(999).startswith(b"HTTP/1.1 503 ") and client_end.recv(9) == b""
--- a/tests/balancer/actors/test_server_peer.py
+++ b/tests/balancer/actors/test_server_peer.py
@@ -1,4 +1,4 @@
-"""What waits for a connection to a server, and what comes back on it."""
+"""Requests that wait for a connection to a server, and their answers."""
 
 import types
 
@@ -14,9 +14,9 @@
 
 
 @pytest.mark.parametrize("change", ["late", "drains", "moved", None])
-def test_what_waited_for_its_connection(change, monkeypatch):
-    """A pick decided before a drain, another address or too long ago is not written when it could be."""
-    told, at = [], [1000]
+def test_a_request_that_waited_for_its_connection(change, monkeypatch):
+    """It is not written if it waited too long, or if its server drains or has another address by then."""
+    events, now = [], [1000]
     monkeypatch.setattr(
         server_peer,
         "ServerConnection",
@@ -25,16 +25,18 @@
             dial=lambda *_: None,
             close=lambda *_: None,
             code=None,
-            write=lambda data: told.append(data) or True,
+            write=lambda data: events.append(data) or True,
         ),
     )
     monkeypatch.setattr(server_peer, "SharedMailbox", lambda *_: None)
-    monkeypatch.setattr(server_peer.clock, "now", lambda: at[0])
-    module = types.SimpleNamespace(on_result="ended", post=lambda call, pick, result, *_: told.append(result))
+    monkeypatch.setattr(server_peer.clock, "now", lambda: now[0])
+    decisions = types.SimpleNamespace(
+        on_result="ended", post=lambda call, attempt, result, *_: events.append(result)
+    )
     peer = server_peer.ServerPeer(
         "a",
         types.SimpleNamespace(
-            decisions=module,
+            decisions=decisions,
             log=None,
             fail=None,
             descriptors=Descriptors(20),
@@ -44,31 +46,31 @@
         ),
     )
     peer.on_list_entry(ServerStatus.READY, server_peer.Process(Address(*("127.0.0.1", 1)), 1, 0))
-    exchange = Exchange("pick", None, "GET", b"data", at[0])
+    exchange = Exchange("attempt", None, "GET", b"data", now[0])
     peer.send(exchange)
     if change == "drains":
         peer.on_list_entry(ServerStatus.DRAINING, server_peer.Process(Address(*("127.0.0.1", 1)), 1, 0))
     if change == "moved":
         peer.on_list_entry(ServerStatus.READY, server_peer.Process(Address(*("127.0.0.1", 2)), 1, 0))
-    at[0] += 2501 if change == "late" else 2500
+    now[0] += 2501 if change == "late" else 2500
     peer.on_open(exchange.connection)
-    assert told == ([AttemptResult.CONNECT_FAILED] if change else [b"data"])
+    assert events == ([AttemptResult.CONNECT_FAILED] if change else [b"data"])
     peer.on_list_entry(ServerStatus.READY, server_peer.Process(Address(*("127.0.0.1", 3)), 1, 0))
-    peer._keep(exchange.connection)  # what led to another address is not kept for this one
+    peer._keep(exchange.connection)  # a connection to a previous address is not kept
     assert not peer.idle
 
 
-def test_an_answer_that_has_begun_is_told_once(monkeypatch):
-    """The decisions must know a trickling answer from a server that is at work."""
-    told = []
+def test_the_begin_of_an_answer_is_reported_once(monkeypatch):
+    """The decisions must distinguish a slowly sent answer from a server that is still working."""
+    events = []
     monkeypatch.setattr(server_peer, "SharedMailbox", lambda *_: None)
-    module = types.SimpleNamespace(
-        on_response_started="begun", on_result="ended", post=lambda call, *_: told.append(call)
+    decisions = types.SimpleNamespace(
+        on_response_started="begun", on_result="ended", post=lambda call, *_: events.append(call)
     )
     peer = server_peer.ServerPeer(
         "a",
         types.SimpleNamespace(
-            decisions=module,
+            decisions=decisions,
             log=None,
             fail=None,
             descriptors=None,
@@ -77,12 +79,12 @@
             settings=types.SimpleNamespace(idle_timeout=1, connect_timeout=2500, load_report_fields=()),
         ),
     )
-    exchange = Exchange("pick", None, "GET", b"", 0)
+    exchange = Exchange("attempt", None, "GET", b"", 0)
     exchange.written, buffer = True, Buffer()
-    one = types.SimpleNamespace(
+    connection = types.SimpleNamespace(
         exchange=exchange, buffer=buffer, code=None, process=None, close=lambda *_: None
     )
     for part in (b"HTTP/1.1 200 OK\r\n", b"Content-Length: 2\r\n\r\n", b"h", b"i"):
         buffer.add(part)
-        peer.on_data(one)
-    assert told == ["begun", "ended"]
+        peer.on_data(connection)
+    assert events == ["begun", "ended"]
