--- a/honeywood/balancer/protocol/__init__.py
+++ b/honeywood/balancer/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Parsers and writers over a buffer: HTTP/1.1, the platform's lines, discovery's list. Without I/O."""
+"""Parsers and serializers, free of I/O, for HTTP/1.1, the platform's lines and discovery's server list."""
--- a/honeywood/balancer/protocol/discovery.py
+++ b/honeywood/balancer/protocol/discovery.py
@@ -1,4 +1,7 @@
-"""Discovery's server list: JSON lines of a watch that the client keeps open. Only here do its keys live."""
+"""Discovery's server list: JSON lines of a watch that the client keeps open.
+
+No other module uses the keys of these JSON objects.
+"""
 
 from __future__ import annotations
 
@@ -12,24 +15,24 @@
     from typing import Any
 
 PHASES = {"up": ServerStatus.READY, "draining": ServerStatus.DRAINING, "removed": ServerStatus.REMOVED}
-# What values of other kinds lead to.
-UNUSABLE = KeyError, TypeError, ValueError, AttributeError, OverflowError
-MAX_LINE = 4 * 1024 * 1024
+# Raised by the conversions below for values of the wrong type or range.
+CONVERSION_ERRORS = KeyError, TypeError, ValueError, AttributeError, OverflowError
+MAX_LINE = 4 * 1024 * 1024  # bytes
 
 
 class InvalidList(Exception):  # noqa: N818 - named for what went wrong
-    """What came is no list."""
+    """The received data is not a valid server list."""
 
 
 class Address(NamedTuple):
-    """Where to connect to."""
+    """The host and TCP port of a peer."""
 
     host: str
     port: int
 
 
 class Member(NamedTuple):
-    """A server as discovery knows it; a server that is gone may have no address."""
+    """A server in discovery's list; a removed server may have no address."""
 
     identifier: str
     address: Address | None
@@ -38,11 +41,11 @@
     cell: int
     scale: float
     status: ServerStatus
-    started_ms: int  # since 1970; 0 where it is not known
+    started_ms: int  # Unix time; 0 if unknown
 
 
 class ServerList(NamedTuple):
-    """All servers where it is complete, else those that changed; `faults` are of entries left out."""
+    """All servers if `complete`, otherwise the changed ones; `faults` describes the entries left out."""
 
     revision: int
     complete: bool
@@ -51,12 +54,12 @@
 
 
 def watch_target(revision: int) -> str:
-    """The request target that watches the list from a revision on."""
+    """The request target of a watch of the changes after a revision."""
     return f"/catalog/members?follow=1&since={revision}"
 
 
 def parse_address(text: str) -> Address:
-    """`host:port`; an IPv6 address may stand in brackets. Raises ValueError."""
+    """Parse `host:port`; an IPv6 address may be in brackets. Raises ValueError."""
     host, colon, port = text.rpartition(":")
     if not host or not colon or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"address {text!r}")
@@ -64,22 +67,22 @@
 
 
 def parse_list(raw: Any) -> ServerList:
-    """A list out of JSON. Raises InvalidList; an entry that cannot be used is left out."""
+    """Convert decoded JSON to a list, without its invalid entries (see `faults`). Raises InvalidList."""
     try:
         revision, complete, listed = int(raw["revision"]), bool(raw["complete"]), list(raw["members"])
-    except UNUSABLE as error:
+    except CONVERSION_ERRORS as error:
         raise InvalidList(f"no list: {error!r}") from None
     members, faults = [], []
     for entry in listed:
         try:
             members.append(_parse_member(entry))
-        except UNUSABLE as error:
+        except CONVERSION_ERRORS as error:
             faults.append(repr(error))
     return ServerList(revision, complete, members, faults)
 
 
 def parse_line(text: bytes | bytearray) -> ServerList | None:
-    """One line of a watch, None for a heartbeat. Raises InvalidList."""
+    """Parse one line of a watch; None for a heartbeat. Raises InvalidList."""
     if not text.strip():
         return None
     try:
--- a/honeywood/balancer/protocol/http.py
+++ b/honeywood/balancer/protocol/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 (RFC 9110, RFC 9112), both sides: messages out of a buffer, and into bytes."""
+"""HTTP/1.1 (RFC 9110, RFC 9112): parses requests and responses from a buffer and serializes them."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
     Fields = Sequence[tuple[str, str | int]]
 
-MAX_HEAD, MAX_BODY, MAX_CHUNK_LINE = 16 * 1024, 64 * 1024, 256
+MAX_HEAD, MAX_BODY, MAX_CHUNK_LINE = 16 * 1024, 64 * 1024, 256  # bytes
 MAX_LENGTH_DIGITS = 9
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 CONTROL = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
 TARGET = re.compile(rb"[!-~]+\Z")
 STATUS = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: .*)?\Z")
 DIGITS = re.compile(rb"[0-9]+\Z")
-SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;.*)?\Z")
+CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;.*)?\Z")
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -36,7 +36,7 @@
     503: "Service Unavailable",
     505: "HTTP Version Not Supported",
 }
-# What belongs to one connection and is not passed on (RFC 9110, 7.6.1).
+# Fields that belong to one connection and are not forwarded (RFC 9110, 7.6.1).
 HOP_BY_HOP = {
     "connection",
     "keep-alive",
@@ -48,28 +48,29 @@
     "content-length",
     "expect",
 }
-LENIENT_FIELDS = (b"x-server-load",)  # what cannot be read in it changes nothing else about its message
+# An invalid value of these fields is replaced by an empty one, and the message stays valid.
+LENIENT_FIELDS = (b"x-server-load",)
 
 
 class InvalidMessage(Exception):  # noqa: N818 - named for what went wrong
-    """What came cannot be read. A request of this kind is answered with `status`."""
+    """A message is malformed or not supported; a request is then answered with `status`."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """`reason` goes into the answer and into logs."""
+        """Create the error; `reason` appears in the answer and in logs."""
         super().__init__(reason)
         self.status = status
 
 
 class Chunked:
-    """A chunked body, taken out of a buffer chunk by chunk; `limit` bounds what is not yet used of it."""
+    """Decoder of a chunked body; `limit` bounds the decoded bytes that are not consumed yet."""
 
     def __init__(self, limit: int) -> None:
-        """No chunk was read yet."""
+        """Create a decoder that has read no chunk yet."""
         self.data, self.is_complete = Buffer(), False
         self._limit, self._last_seen = limit, False
 
     def read(self, buffer: Buffer) -> bool:
-        """Take what is complete by now; whether that was all. Raises InvalidMessage."""
+        """Decode the complete chunks in the buffer; whether the body is complete. Raises InvalidMessage."""
         while not self._last_seen and (chunk := _chunk(buffer)) is not None:
             size, start = chunk
             if size + len(self.data) > self._limit:
@@ -85,7 +86,7 @@
         return self.is_complete
 
     def _skip_trailers(self, buffer: Buffer) -> None:
-        """Lines behind the last chunk are read and dropped."""
+        """Read and discard the trailer fields after the last chunk."""
         while self._last_seen and not self.is_complete and (end := buffer.find(b"\r\n")) >= 0:
             line = buffer.take(end + 2)[:-2]
             self.is_complete = not (line and _field(line))
@@ -95,39 +96,40 @@
 
 @dataclass(slots=True)
 class Message:
-    """What requests and answers have in common.
+    """The common part of requests and responses.
 
-    `fields` keeps names (in small letters) and values in order. A body comes with a `length` or is `chunked`.
+    `fields` holds the names (in lower case) and values of the header fields in order. Subclasses have either
+    the `length` of the body or, for a `chunked` body, its decoder.
     """
 
-    minor: int  # of the version
+    minor: int  # minor version of HTTP/1
     fields: list[tuple[str, str]]
 
     def get(self, name: str) -> str | None:
-        """The first value of a field, None without one."""
+        """The first value of a field, None if it is missing."""
         for key, value in self.fields:
             if key == name:
                 return value
         return None
 
     def get_single(self, name: str) -> str | None:
-        """The value of a field that is there once, else None."""
+        """The value of a field that occurs exactly once, otherwise None."""
         values = [value for key, value in self.fields if key == name]
         return values[0] if len(values) == 1 else None
 
     def tokens(self, name: str) -> list[str]:
-        """The words of a field that is a list, in small letters."""
+        """The elements of a comma-separated list field, in lower case."""
         joined = ",".join(value for key, value in self.fields if key == name)
         return [word.strip().lower() for word in joined.split(",") if word.strip()]
 
     @property
     def keeps_alive(self) -> bool:
-        """Whether the connection stays open after it."""
+        """Whether the connection stays open after this message."""
         tokens = self.tokens("connection")
         return "close" not in tokens and (self.minor == 1 or "keep-alive" in tokens)
 
     def end_to_end_fields(self, *without: str) -> list[tuple[str, str]]:
-        """The fields that go on to the next party."""
+        """The fields to forward: neither hop-by-hop nor named in `without`."""
         left = HOP_BY_HOP.union(without, self.tokens("connection"))
         return [(name, value) for name, value in self.fields if name not in left]
 
@@ -145,7 +147,7 @@
 
 @dataclass(slots=True)
 class Response(Message):
-    """An answer; its body is read after its head."""
+    """A response; its body is read after its head."""
 
     status: int
     length: int | None = None
@@ -154,13 +156,13 @@
 
 
 def request_head(buffer: Buffer) -> Request | None:
-    """A request without its body, None while its head is not complete. Raises InvalidMessage."""
+    """Parse the head of a request; None while it is incomplete. Raises InvalidMessage."""
     head = _head(buffer)
     if head is None:
         return None
     buffer.skipped = 0
-    first, fields = head
-    parts = first.split(b" ")
+    start_line, fields = head
+    parts = start_line.split(b" ")
     if len(parts) != 3 or not TOKEN.match(parts[0]) or not TARGET.match(parts[1]):
         raise InvalidMessage(400, "request line")
     method, target, version = parts
@@ -179,31 +181,32 @@
 
 
 def response_head(buffer: Buffer, method: str = "GET", max_body: int = MAX_BODY) -> Response | None:
-    """The answer to a request of this method without its body, None while its head is not complete.
+    """Parse the head of the response to a request of this method; None while it is incomplete.
 
-    Answers of the kind 1xx are skipped. Raises InvalidMessage.
+    Interim responses (1xx) are skipped. Raises InvalidMessage.
     """
     while (head := _head(buffer)) is not None:
-        first, fields = head
-        match = STATUS.match(first)
+        start_line, fields = head
+        match = STATUS.match(start_line)
         if not match:
             raise InvalidMessage(502, "status line")
         response = Response(int(match[1]), fields, int(match[2]))
         if response.status < 200:
-            _skip(buffer, len(first) + sum(len(name) + len(value) for name, value in fields))
+            _skip(buffer, len(start_line) + sum(len(name) + len(value) for name, value in fields))
             continue
         buffer.skipped = 0
         response.length, response.chunked = _framing(response, max_body)
         if method == "HEAD" or response.status in (204, 304):
             response.length, response.chunked = 0, None
         if response.length is None and not response.chunked:
-            raise InvalidMessage(502, "no length")  # where it ends with the connection, nothing tells a cut
+            # The body would end with the connection, and a truncated one could not be detected.
+            raise InvalidMessage(502, "no length")
         return response
     return None
 
 
 def body(buffer: Buffer, message: Request | Response) -> bytes | bytearray | None:
-    """The body of a message whose head was taken, None while it is not complete. Raises InvalidMessage."""
+    """Take the body of a message whose head was parsed; None while incomplete. Raises InvalidMessage."""
     chunked = message.chunked
     if chunked:
         return chunked.data.take(len(chunked.data)) if chunked.read(buffer) else None
@@ -212,16 +215,16 @@
 
 
 def lines(buffer: Buffer, chunked: Chunked) -> Iterator[bytes | bytearray]:
-    """The lines of a chunked body that goes on and on, as they become complete. Raises InvalidMessage."""
+    """Take the complete lines of a chunked body of unbounded length. Raises InvalidMessage."""
     chunked.read(buffer)
     while (end := chunked.data.find(b"\n")) >= 0:
         yield chunked.data.take(end + 1)
 
 
 def request(method: str, target: str, fields: Fields, data: bytes | bytearray = b"") -> bytes:
-    """A request's bytes."""
-    sized = [("content-length", len(data))] if data or method not in ("GET", "HEAD") else []
-    return _message(f"{method} {target} HTTP/1.1", [*fields, *sized], data)
+    """Serialize a request."""
+    framing_fields = [("content-length", len(data))] if data or method not in ("GET", "HEAD") else []
+    return _message(f"{method} {target} HTTP/1.1", [*fields, *framing_fields], data)
 
 
 def response(
@@ -229,37 +232,39 @@
     fields: Fields = (),
     data: bytes | bytearray = b"",
     keep_alive: bool = True,
-    to: Request | None = None,
+    in_reply_to: Request | None = None,
 ) -> bytes:
-    """An answer's bytes; the method and version of the request `to` are kept to."""
-    ends: list[tuple[str, str | int]] = [("content-length", len(data))]
-    if not keep_alive or (to and to.minor == 0):
-        ends.append(("connection", "keep-alive" if keep_alive else "close"))
-    first = f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}"
-    return _message(first, [*fields, *ends], b"" if to and to.method == "HEAD" else data)
-
-
-def _message(first: str, fields: Fields, data: bytes | bytearray) -> bytes:
-    head = [first, *(f"{name}: {value}" for name, value in fields)]
+    """Serialize a response that suits the method and version of the request `in_reply_to`."""
+    framing_fields: list[tuple[str, str | int]] = [("content-length", len(data))]
+    if not keep_alive or (in_reply_to and in_reply_to.minor == 0):
+        framing_fields.append(("connection", "keep-alive" if keep_alive else "close"))
+    start_line = f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}"
+    return _message(
+        start_line, [*fields, *framing_fields], b"" if in_reply_to and in_reply_to.method == "HEAD" else data
+    )
+
+
+def _message(start_line: str, fields: Fields, data: bytes | bytearray) -> bytes:
+    head = [start_line, *(f"{name}: {value}" for name, value in fields)]
     return "\r\n".join([*head, "", ""]).encode("latin-1") + data
 
 
 def _head(buffer: Buffer) -> tuple[bytes | bytearray, list[tuple[str, str]]] | None:
-    """The first line and the fields of a head, taken out of the buffer; None while it is not complete."""
+    """Take a head from the buffer: its start line and its fields; None while it is incomplete."""
     while buffer.view(0, 2) == b"\r\n":  # RFC 9112, 2.2: empty lines before a message are skipped
         _skip(buffer, 2)
         buffer.take(2)
-    end = buffer.find_further(b"\r\n\r\n")
+    end = buffer.find_incremental(b"\r\n\r\n")
     if end > MAX_HEAD or (end < 0 and len(buffer) > MAX_HEAD):
         raise InvalidMessage(431, "head too large")
     if end < 0:
         return None
-    first, *rest = buffer.take(end + 4)[:-4].split(b"\r\n")
-    return first, [_field(line) for line in rest]
+    start_line, *rest = buffer.take(end + 4)[:-4].split(b"\r\n")
+    return start_line, [_field(line) for line in rest]
 
 
 def _skip(buffer: Buffer, size: int) -> None:
-    """Bound what is skipped before a message: empty lines, and answers of the kind 1xx."""
+    """Limit the bytes skipped before a message: empty lines and interim responses (1xx)."""
     buffer.skipped += size
     if buffer.skipped > MAX_HEAD:
         raise InvalidMessage(431, "too much ahead")
@@ -276,9 +281,9 @@
 
 
 def _framing(message: Message, max_body: int) -> tuple[int | None, Chunked | None]:
-    """How the body is delimited: its length, or that it is chunked (RFC 9112, 6.3).
+    """How the body is delimited: its length or the decoder of a chunked body (RFC 9112, 6.3).
 
-    Two ways at once are refused, since others might read it otherwise.
+    A message with both is refused, since other parties may interpret it differently (request smuggling).
     """
     lengths = [value for name, value in message.fields if name == "content-length"]
     codings = message.tokens("transfer-encoding")
@@ -298,11 +303,11 @@
 
 
 def _chunk(buffer: Buffer) -> tuple[int, int] | None:
-    """(size, where its bytes start) of the next chunk, None while its first line is not complete."""
+    """(size, offset of the data) of the next chunk; None while its size line is incomplete."""
     end = buffer.find(b"\r\n")
     if end < 0 and len(buffer) <= MAX_CHUNK_LINE:
         return None
-    match = SIZE.match(bytes(buffer.view(0, end))) if 0 <= end <= MAX_CHUNK_LINE else None
+    match = CHUNK_SIZE.match(bytes(buffer.view(0, end))) if 0 <= end <= MAX_CHUNK_LINE else None
     if not match:
         raise InvalidMessage(400, "chunk size")
     return int(match[1], 16), end + 2
--- a/honeywood/balancer/protocol/platform.py
+++ b/honeywood/balancer/protocol/platform.py
@@ -1,7 +1,8 @@
-"""The platform's lines: words separated by spaces, ended by CR LF. Only here do its words live.
+"""The platform's protocol: lines of words separated by spaces, ended by CR LF.
 
-We send `NOTIFY` and `BALLOT image ring vote`. It answers each in turn: `OK`, for a ballot with the state of
-the release, or `ERR reason`. Between them come news: `* stage ...`, `* tally ...` and `* flag ...`.
+The balancer sends `NOTIFY` and `BALLOT image ring vote`. The platform answers each in order: `OK`, for a
+ballot followed by the state of the release, or `ERR reason`. In between it sends notifications:
+`* stage ...`, `* tally ...` and `* flag ...`. No other module uses the words of this protocol.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
     from honeywood.balancer.sections import Section
     from honeywood.balancer.transport.buffer import Buffer
 
-MAX_LINE = 8 * 1024
+MAX_LINE = 8 * 1024  # bytes
 MAX_NUMBER = 10**12
 SUBSCRIBE = b"NOTIFY\r\n"
 VOTES = {Vote.NONE: "blank", Vote.PROCEED: "go", Vote.HOLD: "stay", Vote.ROLL_BACK: "stop"}
@@ -34,7 +35,7 @@
     "FAILED": AttemptResult.ERROR,
     "SYNTAX": AttemptResult.EXPIRED,
 }
-# How votes end, in logs and counters.
+# Names of the results of votes in logs and counters.
 RESULTS = {
     AttemptResult.OK: "counts",
     AttemptResult.FULL: "busy",
@@ -45,18 +46,18 @@
 
 
 class InvalidLine(Exception):  # noqa: N818 - named for what went wrong
-    """A line that cannot be read."""
+    """A line is malformed."""
 
 
 class Reply(NamedTuple):
-    """The answer to a call; a ballot that counts is told the state of the release."""
+    """The answer to a call; `update` is the state of the release, sent for an accepted ballot."""
 
     result: AttemptResult
     update: ReleaseUpdate | None
 
 
 class Counts(NamedTuple):
-    """What the platform counted of a build and a method, by its name."""
+    """The platform's counts of RPCs of a build and a method; `method` is its name."""
 
     build: int
     method: str
@@ -74,12 +75,12 @@
 
 
 def ballot(build: int, step: int, vote: Vote) -> bytes:
-    """A vote on a step of a release."""
+    """Serialize a vote on a step of a release."""
     return f"BALLOT {build} {step} {VOTES[vote]}\r\n".encode()
 
 
 def read_line(buffer: Buffer) -> list[str] | None:
-    """The next line's fields, None while it is not complete. Raises InvalidLine."""
+    """Take the next line from the buffer as fields; None while it is incomplete. Raises InvalidLine."""
     end = buffer.find(b"\r\n")
     if end > MAX_LINE or (end < 0 and len(buffer) > MAX_LINE):
         raise InvalidLine("line too long")
@@ -92,7 +93,7 @@
 
 
 def parse_update(fields: Sequence[str], steps: int) -> ReleaseUpdate:
-    """`image ring progress ceiling lag_ms` of a release with so many steps. Raises InvalidLine."""
+    """Parse `image ring progress ceiling lag_ms` of a release with `steps` steps. Raises InvalidLine."""
     try:
         image, ring, progress, ceiling, lag = fields
         age = _tenths_of_ms(lag)
@@ -103,7 +104,7 @@
 
 
 def read_update(section: Section, steps: int) -> ReleaseUpdate:
-    """The same out of the configuration, where it is an object. Raises InvalidConfiguration."""
+    """Read the state of a release from the configuration. Raises InvalidConfiguration."""
     step = section.integer("ring", 0)
     if step >= steps:
         raise section.invalid("ring", "a step that settings.family_info.waves has")
@@ -117,7 +118,7 @@
 
 
 def parse_reply(fields: Sequence[str], steps: int, bare: bool = False) -> Reply:
-    """The answer to a call; only a subscription is answered by a bare OK. Raises InvalidLine."""
+    """Parse the answer to a call; `bare` if OK has no fields, as for a subscription. Raises InvalidLine."""
     if fields[0] == "OK" and bare == (len(fields) == 1):
         return Reply(AttemptResult.OK, None if bare else parse_update(fields[1:], steps))
     if fields[0] == "ERR" and len(fields) == 2 and fields[1] in REFUSALS:
@@ -126,7 +127,7 @@
 
 
 def parse_counts(fields: Sequence[str]) -> Counts:
-    """`image type n bad latency_ms lag_ms`. Raises InvalidLine."""
+    """Parse `image type n bad latency_ms lag_ms`. Raises InvalidLine."""
     try:
         image, name, count, bad, latency, lag = fields
         ended = _integer(count)
@@ -137,7 +138,7 @@
 
 
 def parse_incorrect_answer(fields: Sequence[str]) -> IncorrectAnswer:
-    """`host type lag_ms`. Raises InvalidLine."""
+    """Parse `host type lag_ms`. Raises InvalidLine."""
     if len(fields) != 3:
         raise InvalidLine(f"flag {fields}")
     return IncorrectAnswer(fields[0], fields[1])
@@ -151,11 +152,11 @@
 
 
 def _tenths_of_ms(field: str) -> Duration:
-    """Milliseconds as tenths of them."""
+    """Convert milliseconds to tenths of a millisecond."""
     return int(_number(field) * 10)
 
 
-def _integer(field: str, most: int = MAX_NUMBER) -> int:
-    if not field.isdecimal() or int(field) > most:
+def _integer(field: str, maximum: int = MAX_NUMBER) -> int:
+    if not field.isdecimal() or int(field) > maximum:
         raise ValueError(field)
     return int(field)
--- a/honeywood/balancer/transport/__init__.py
+++ b/honeywood/balancer/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Sockets, buffers, mailboxes, timers and the clock: they know nothing of what is said over them.
+"""Sockets, buffers, mailboxes, timers and the clock, independent of the protocols that use them.
 
 Start with connection.py and mailbox.py.
 """
--- a/honeywood/balancer/transport/clock.py
+++ b/honeywood/balancer/transport/clock.py
@@ -1,4 +1,4 @@
-"""The process's clock, in whole tenths of a millisecond; it never goes back."""
+"""The clock of the process: monotonic, in whole tenths of a millisecond."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 def now() -> int:
-    """The time."""
+    """The current time."""
     return time.monotonic_ns() // NS_PER_TENTH_OF_MS
 
 
-# 1970 on this clock. Taken once: the same Unix time is the same figure ever after.
+# The Unix epoch on this clock. It is computed once, so that a Unix time always converts to the same value.
 UNIX_START = now() - time.time_ns() // NS_PER_TENTH_OF_MS
 
 
 def from_unix(milliseconds: float) -> int:
-    """A Unix time in milliseconds on this clock."""
+    """Convert a Unix time in milliseconds to a time of this clock."""
     return UNIX_START + int(milliseconds * TENTHS_PER_MS)
--- a/honeywood/balancer/transport/connection.py
+++ b/honeywood/balancer/transport/connection.py
@@ -1,8 +1,9 @@
-"""One connection: a blocking socket and its buffer.
+"""One connection: a blocking socket and its receive buffer.
 
-The poller tells when there is something to read, by a call in the mailbox of the owner, who alone reads and
-writes: what has come and is not yet used stands in the buffer or in the kernel, nowhere between. It has a
-thread only while it is dialled, or while its peer does not take what is to be written.
+When the socket is readable, the poller posts a call to the mailbox of the connection's owner. Only calls in
+that mailbox read and write, so received bytes that are not processed yet are either in the buffer or in the
+kernel. A connection uses a thread only while it is being dialled, or while its peer does not read what is
+to be written.
 """
 
 from __future__ import annotations
@@ -25,77 +26,80 @@
     from honeywood.balancer.transport.mailbox import Mailbox, SharedMailbox
 
     class Owner(Protocol):
-        """Is told by calls in its mailbox."""
+        """The actor that a connection belongs to; these methods are called in its mailbox."""
 
         def on_open(self, connection: Any) -> None:
-            """It was dialled and stands."""
+            """A dialled connection is established."""
 
         def on_data(self, connection: Any) -> None:
-            """Something has come into its buffer."""
+            """Bytes have been added to the connection's buffer."""
 
         def on_closed(self, connection: Any) -> None:
-            """It has ended, for the reason `connection.code`; the last call."""
+            """The connection has ended for the reason `connection.code`; this is the last call."""
 
 
 READ_SIZE = 64 * 1024  # bytes read at once
-KERNEL_BUFFER = 200 * 1024  # unread bytes of ours that the kernel keeps for a peer (it counts them twice)
-MAX_UNSENT = 4  # writes beyond that, which a thread of their own makes
-WRITE_TIMEOUT_S = 2  # in which the peer reads nothing
-MAX_DISCARDED = 1024 * 1024  # bytes that are read and dropped, so that a peer still reads our last words
-NO_THREAD = "no_thread"  # the system had none
+KERNEL_BUFFER = 200 * 1024  # send buffer in bytes; the kernel doubles this value
+MAX_UNSENT = 4  # writes that do not fit into the send buffer and are left to a thread
+WRITE_TIMEOUT_S = 2  # without the peer reading any byte
+MAX_DISCARDED = 1024 * 1024  # bytes read and discarded so that the peer can still read the last answer
+NO_THREAD = "no_thread"  # code: the system could not start a thread
 
 
 def code_of(error: OSError) -> str:
-    """A short code for the reason why a connection ended."""
+    """A short code, for logs, of the error that ended a connection."""
     if isinstance(error, TimeoutError) and error.errno is None:
         return "connect_timeout"
     return errno.errorcode.get(error.errno or 0, "os_error").lower()
 
 
 class Connection:
-    """`code` says why it ended or is about to; None while it does not."""
+    """A TCP connection; `code` is the reason why it has ended or is ending, None otherwise."""
 
     def __init__(
         self, owner: Owner, mailbox: Mailbox | SharedMailbox, descriptors: Descriptors, peer: str
     ) -> None:
-        """One of `descriptors` was taken for it; it is given back at its end."""
+        """Create a connection; the caller has taken one of `descriptors`, which is released at its end."""
         self.owner: Owner | None = owner
         self.mailbox, self.descriptors, self.peer = mailbox, descriptors, peer
         self.buffer = Buffer()
-        self.sock: Any = None  # a socket.socket once there is one
+        self.sock: Any = None  # a socket.socket once it is accepted or connected
         self.code: str | None = None
-        self.address: tuple[str, int] | None = None  # that it was dialled to
+        self.address: tuple[str, int] | None = None  # that was dialled
         self.is_flushing = self.is_finishing = False
-        self._discarded = 0  # bytes read after it was to end
+        self._discarded = 0  # bytes read and discarded while the connection was ending
         self.unsent: list[memoryview] = []
-        self.is_shut = False  # both ways are closed
+        self.is_shut = False  # both directions are shut down
         self.has_ended = False
 
     def accept(self, sock: socket.socket) -> None:
-        """Begin with a socket that was accepted."""
+        """Start with an accepted socket."""
         self.sock = self._configured(sock)
         poller.watch(self)
 
     def dial(self, address: tuple[str, int], timeout_s: float) -> None:
-        """Connect; the owner is told on_open, or on_closed."""
+        """Connect; then on_open or on_closed of the owner is called."""
         self.address = address
         if not self._run("dial", lambda: self._connect(address, timeout_s)):
             self.mailbox.post(self._end, NO_THREAD)
 
     def is_reusable(self) -> bool:
-        """Whether a kept connection still stands and nothing has come on it, as far as it has arrived."""
+        """Whether an idle connection is still open and no byte has arrived on it so far."""
         try:
             self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return not self.code
         except (OSError, AttributeError):
-            pass  # it has ended, or was never open
+            pass  # it has ended or was never open
         return False
 
     def write(self, data: bytes) -> bool:
-        """Whether it was written, or is being written: it never waits.
+        """Write without blocking; a thread writes what does not fit into the kernel's send buffer.
 
-        A peer that goes on asking and reads nothing loses its connection.
+        The connection of a peer that keeps sending requests and reads nothing is closed.
+
+        Returns:
+            Whether the data was written or will be written.
         """
         sent = 0
         try:
@@ -113,7 +117,7 @@
         return not self.is_shut
 
     def close(self, code: str) -> None:
-        """End it for a reason as soon as this call is over: its place is needed now."""
+        """Close the connection for a reason, immediately after the current call of the mailbox."""
         self.code = self.code or code
         if self.sock and not self.is_shut:
             self.is_shut = True
@@ -121,14 +125,14 @@
             self.mailbox.post(self._end, code)
 
     def finish(self, code: str) -> None:
-        """End what is written, so that the peer reads all of it; close() is to follow a little later."""
+        """Shut down the sending direction so that the peer reads everything; the caller closes it later."""
         self.code = self.code or code
         self.is_finishing = True
         if self.sock and not self.has_ended and not self.is_flushing:
             self._shutdown(socket.SHUT_WR)
 
     def on_readable(self) -> None:
-        """What the poller posts."""
+        """Read what has arrived; posted by the poller."""
         if self.has_ended:
             return
         try:
@@ -156,7 +160,7 @@
             self.close(self.code)
 
     def _run(self, what: str, call: Callable[[], Any]) -> bool:
-        """Make a call on a thread; False where the system has none: no reason to end the program."""
+        """Run a call on a thread; False if the system has none, which must not end the program."""
         try:
             run_on_thread(f"{what} {self.peer}", call, self.mailbox.fail)
         except RuntimeError:
@@ -172,7 +176,7 @@
         return sock
 
     def _connect(self, address: tuple[str, int], timeout_s: float) -> None:
-        """On a thread of its own."""
+        """Connect; runs on a separate thread."""
         try:
             self.sock = self._configured(socket.create_connection(address, timeout=timeout_s))
         except OSError as error:
@@ -190,11 +194,13 @@
         if self.has_ended:
             return
         self.has_ended, self.code = True, self.code or code
-        if not self.is_flushing:  # else _on_flushed() does: what it writes must not meet another connection
+        # While a thread writes, the descriptor must not be reused by another connection: _on_flushed() then
+        # releases it.
+        if not self.is_flushing:
             self._release()
         if self.owner:
             self.owner.on_closed(self)
-        # Who still knows of it holds none of its bytes; and it goes with the last of those, at once.
+        # Remaining references to it keep no buffer alive and form no cycle: it is freed with the last one.
         self.owner, self.buffer = None, Buffer()
 
     def _release(self) -> None:
@@ -211,7 +217,7 @@
                 self.close(NO_THREAD)
 
     def _write_unsent(self) -> None:
-        """On a thread of its own."""
+        """Write everything in `unsent`; runs on a separate thread."""
         code = None
         try:
             while self.unsent:
@@ -233,5 +239,5 @@
             self._shutdown(socket.SHUT_WR)
 
     def _shutdown(self, how: int) -> None:
-        with suppress(OSError):  # the peer was first
+        with suppress(OSError):  # the peer has already closed it
             self.sock.shutdown(how)
--- a/honeywood/balancer/transport/descriptors.py
+++ b/honeywood/balancer/transport/descriptors.py
@@ -1,4 +1,4 @@
-"""The one count of file descriptors, so that the process's bound is never met by surprise."""
+"""The count of file descriptors, which keeps the process below the limit of the system."""
 
 from __future__ import annotations
 
@@ -6,14 +6,17 @@
 
 
 class Descriptors:
-    """Of `limit`, clients may hold so many that servers, list and platform keep theirs."""
+    """Counts free descriptors out of `limit`.
+
+    Clients leave some free, so that servers, discovery and the platform always get theirs.
+    """
 
     def __init__(self, limit: int) -> None:
-        """All are free."""
+        """Create the count with all descriptors free."""
         self.free, self._lock = limit, threading.Lock()
 
     def take(self, keep: int = 0) -> bool:
-        """Take one where more than `keep` are left; whether it was taken."""
+        """Take one if more than `keep` are free; return whether it was taken."""
         with self._lock:
             if self.free <= keep:
                 return False
@@ -21,6 +24,6 @@
             return True
 
     def release(self) -> None:
-        """Give one back."""
+        """Release one."""
         with self._lock:
             self.free += 1
--- a/honeywood/balancer/transport/listener.py
+++ b/honeywood/balancer/transport/listener.py
@@ -1,4 +1,4 @@
-"""Listens at one address and hands on what it accepts."""
+"""Listens at one address and passes on the connections that it accepts."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
     from collections.abc import Callable
     from typing import Any
 
-# The connection is gone again, or there is no descriptor or memory for it: not the listener's end.
+# The connection was aborted, or there is no descriptor or memory for it; the listener continues.
 TRANSIENT_ERRORS = errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM
-BACKLOG = 128  # more would be accepted when their clients have left, and cost as much
-POLL_INTERVAL_S = 0.05  # between looks at whether it is closed
+BACKLOG = 128  # in a longer queue, clients give up before they are accepted and still cost as much
+POLL_INTERVAL_S = 0.05  # between checks of whether it is closed
 
 
 class Listener:
-    """Calls accept(sock, peer) on a thread of its own."""
+    """Calls accept(sock, peer) for each connection, on a separate thread."""
 
     def __init__(
         self,
@@ -28,20 +28,20 @@
         accept: Callable[[socket.socket, str], Any],
         fail: Callable[[str, BaseException], Any],
     ) -> None:
-        """Listens at once. Raises OSError."""
+        """Listen at once; start() begins to accept. Raises OSError."""
         self._accept, self._fail, self._closed, self.ended = accept, fail, False, False
-        self._socket = socket.create_server(address, backlog=BACKLOG)  # with SO_REUSEADDR: back at once
+        self._socket = socket.create_server(address, backlog=BACKLOG)  # sets SO_REUSEADDR, for restarts
 
     def start(self) -> None:
-        """Begin to accept."""
+        """Start to accept connections."""
         run_on_thread("listener", self._loop, self._fail)
 
     def close(self) -> None:
-        """Accept what has connected by now, and end."""
+        """Stop after the connections that are established by now are accepted."""
         self._closed = True
 
     def _loop(self) -> None:
-        """Ends when it is closed and what had connected by then is accepted, even while more come."""
+        """Accept until closed, then the connections already queued, even if more keep arriving."""
         self._socket.settimeout(POLL_INTERVAL_S)
         while not self._closed:
             self._accept_one()
@@ -53,7 +53,7 @@
         self.ended = True
 
     def _accept_one(self) -> bool:
-        """Whether there may be more."""
+        """Accept one connection; return whether more may be waiting."""
         try:
             accepted, peer = self._socket.accept()
         except (TimeoutError, BlockingIOError):
--- a/honeywood/balancer/transport/mailbox.py
+++ b/honeywood/balancer/transport/mailbox.py
@@ -1,4 +1,4 @@
-"""Mailboxes: bound calls that other threads post and that are made one at a time, in order."""
+"""Mailboxes: bounded queues of calls that any thread posts and that run one at a time, in order."""
 
 from __future__ import annotations
 
@@ -20,35 +20,35 @@
 
 
 class MailboxFull(Exception):  # noqa: N818 - named for what went wrong
-    """More was posted than can ever be outstanding: a fault of the program."""
+    """More calls are queued than can occur in a correct program."""
 
 
 class Mailbox:
-    """A mailbox with a thread of its own, and timers.
+    """A mailbox with its own thread and timers.
 
-    What may be posted is bounded by what posts (an RPC a connection, a result an attempt); `capacity` catches
-    a fault in that. An exception in a call goes to `fail`, which ends the program.
+    The number of queued calls is bounded by their sources (one RPC per connection, one result per attempt);
+    `capacity` detects a fault there. An exception in a call is passed to `fail`, which ends the program.
     """
 
     def __init__(self, name: str, capacity: int, fail: FailureHandler) -> None:
-        """Its calls are made from start() on."""
+        """Create a mailbox; its calls run from start() on."""
         self.name, self.fail = name, fail
         self._capacity = capacity
         self._calls: SimpleQueue[PostedCall] = SimpleQueue()
         self.timers = Timers()
 
     def start(self) -> None:
-        """Begin to make calls."""
+        """Start to run calls."""
         run_on_thread(self.name, self._loop, self.fail)
 
     def post(self, call: Callable[..., Any], *arguments: Any) -> None:
-        """Have a call made. Raises MailboxFull."""
+        """Queue a call. Raises MailboxFull."""
         if self._calls.qsize() >= self._capacity:
             raise MailboxFull(f"mailbox of {self.name} is full at {self._capacity}")
         self._calls.put((call, arguments))
 
     def after(self, delay: int, call: Callable[..., Any], *arguments: Any) -> None:
-        """Have a call made later; to be called on the mailbox's own thread."""
+        """Run a call after a delay; must be called on the mailbox's thread."""
         self.timers.at(clock.now() + delay, call, *arguments)
 
     def _loop(self) -> None:
@@ -62,25 +62,25 @@
 
 
 class SharedMailbox:
-    """A mailbox without a thread: its calls are made by whoever posts while none is being made.
+    """A mailbox without a thread: a thread that posts a call runs it, unless another thread is running calls.
 
-    That thread makes those as well that others post meanwhile. A hop between threads costs more than most
-    calls; so no call may wait for anything.
+    That thread also runs the calls that others post meanwhile. This avoids switches between threads, which
+    cost more than most calls; in return, no call may block.
     """
 
     def __init__(self, name: str, capacity: int, fail: FailureHandler) -> None:
-        """Calls may be posted at once."""
+        """Create a mailbox; calls may be posted at once."""
         self.name, self.fail = name, fail
         self._capacity = capacity
         self._calls: deque[PostedCall] = deque()
         self._free = _thread.allocate_lock()
 
     def post(self, call: Callable[..., Any], *arguments: Any) -> None:
-        """Have a call made, by this thread or the one that makes another. Raises MailboxFull."""
+        """Run a call on this thread, or on the one that is running calls. Raises MailboxFull."""
         if len(self._calls) >= self._capacity:
             raise MailboxFull(f"mailbox of {self.name} is full at {self._capacity}")
         self._calls.append((call, arguments))
-        while self._calls and self._free.acquire(False):  # again: one may have come just before the release
+        while self._calls and self._free.acquire(False):  # loop: one may be posted just before the release
             try:
                 while self._calls:
                     call, arguments = self._calls.popleft()
--- a/honeywood/balancer/transport/poller.py
+++ b/honeywood/balancer/transport/poller.py
@@ -1,8 +1,8 @@
-"""The one thread that waits for what comes on all connections, and tells each when something has.
+"""One thread that polls all connections and notifies those that are readable.
 
-A thread for each connection that is kept would do, but hundreds of balancers that keep some to each of a
-hundred servers had more threads than one system has ids for (32768), and a balancer that gets none cannot go
-on.
+With one thread for each open connection, hundreds of balancers that each keep connections to a hundred
+servers needed more threads than one system has thread ids (32768), and a balancer that gets no thread cannot
+work.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 if TYPE_CHECKING:
     from honeywood.balancer.transport.connection import Connection
 
-MAX_EVENTS = 64  # taken at once
-ONCE = select.EPOLLIN | select.EPOLLONESHOT  # nothing more is told until what had come is read
+MAX_EVENTS = 64  # returned by one poll
+ONCE = select.EPOLLIN | select.EPOLLONESHOT  # no further event until rearm()
 
 
 class Poller:
     """Posts `on_readable` to a connection's mailbox, once for each watch() and rearm()."""
 
     def __init__(self) -> None:
-        """Its thread starts with the first connection."""
+        """Create a poller; its thread starts with the first connection."""
         self._epoll = select.epoll()
         self._watched: dict[int, Connection] = {}  # by descriptor
         self._lock, self._started = _thread.allocate_lock(), False
@@ -32,7 +32,7 @@
     def watch(self, connection: Connection) -> None:
         """Watch a connection until forget()."""
         descriptor = connection.sock.fileno()
-        # As one step: an event of the number's last owner, taken before, must not find it half registered.
+        # Under the lock: a pending event of the descriptor's last owner must not find it partly registered.
         with self._lock:
             if not self._started:
                 run_on_thread("poller", self._loop, connection.mailbox.fail)
@@ -41,11 +41,11 @@
             self._epoll.register(descriptor, ONCE)
 
     def rearm(self, connection: Connection) -> None:
-        """Tell once more: what had come is read."""
+        """Request the next event, after the available bytes were read."""
         self._epoll.modify(connection.sock.fileno(), ONCE)
 
     def forget(self, connection: Connection) -> None:
-        """To be called before its socket is closed: its number may then be another's at once."""
+        """Stop watching a connection; call it before its socket is closed, since descriptors are reused."""
         descriptor = connection.sock.fileno()
         with self._lock:
             if self._watched.pop(descriptor, None):
@@ -54,7 +54,8 @@
     def _loop(self) -> None:
         while True:
             for descriptor, _ in self._epoll.poll(maxevents=MAX_EVENTS):
-                # Of one that has gone meanwhile nothing is told; one that has got its number finds nothing.
+                # Events of a forgotten connection are ignored. A new connection that reuses the descriptor
+                # may get such an event and then finds nothing to read.
                 with self._lock:
                     connection = self._watched.get(descriptor)
                 if connection:
--- a/honeywood/balancer/transport/threads.py
+++ b/honeywood/balancer/transport/threads.py
@@ -1,4 +1,4 @@
-"""Threads with small stacks, a few of which wait for more work."""
+"""A small pool of threads with small stacks."""
 
 from __future__ import annotations
 
@@ -12,27 +12,28 @@
 
     Work = tuple[str, Callable[[], Any], Callable[[str, BaseException], Any]]
 
-MAX_WAITING = 8  # threads that wait for work
-STACK_BYTES = 512 * 1024  # little of it is ever touched; JSON nested a thousand deep takes the most of it
+MAX_WAITING = 8  # idle threads that wait for work
+STACK_BYTES = 512 * 1024  # mostly untouched; parsing JSON nested a thousand levels deep needs the most
 
 
 class Threads:
-    """A pool: connections that dial, or wait until their peer reads, mostly need no new thread."""
+    """A thread pool, so that dialling and blocked writes rarely need a new thread."""
 
     def __init__(self) -> None:
-        """There is no thread yet."""
+        """Create a pool without threads."""
         self._work: SimpleQueue[Work] = SimpleQueue()
         self._waiting, self._lock = 0, _thread.allocate_lock()
 
     def run(self, name: str, call: Callable[[], Any], fail: Callable[[str, BaseException], Any]) -> None:
-        """Make a call on a thread; it is not waited for. What it raises goes to `fail`, with the name.
+        """Run a call on a thread, without waiting for it; an exception is passed to `fail` with the name.
 
-        Raises RuntimeError where the system has no thread for it.
+        Raises:
+            RuntimeError: the system cannot start a thread.
         """
         with self._lock:
-            handed_on = self._waiting > 0
-            self._waiting -= handed_on
-        if handed_on:
+            has_idle_thread = self._waiting > 0
+            self._waiting -= has_idle_thread
+        if has_idle_thread:
             self._work.put((name, call, fail))
             return
         _thread.stack_size(STACK_BYTES)
@@ -47,7 +48,7 @@
                     call()
             except BaseException as error:  # noqa: BLE001 - `fail` ends the program
                 fail(name, error)
-            call = None  # what it holds is not kept by a thread that waits
+            call = None  # an idle thread must not keep the objects of its last call alive
             with self._lock:
                 if self._waiting >= MAX_WAITING:
                     return
--- a/tests/balancer/protocol/test_parsers.py
+++ b/tests/balancer/protocol/test_parsers.py
@@ -1,4 +1,4 @@
-"""Whatever comes, parsers raise their own exceptions."""
+"""Parsers raise only their own exceptions, whatever the input."""
 
 import random
 
@@ -47,21 +47,21 @@
 
 @pytest.mark.parametrize("error, parse, samples", SAMPLES)
 def test_parsers_raise_only_their_own(error, parse, samples):
-    """Whatever comes, an actor is told by the one exception it expects: any other would end the program."""
-    chance = random.Random(1)
-    bits = [b"\xb2", b"9" * 5000, b"\r\n", b" ", b"-1", b"1e999", b"\0", b"nan", b"["]
+    """Actors catch only this exception of a parser; any other one would end the program."""
+    rng = random.Random(1)
+    fragments = [b"\xb2", b"9" * 5000, b"\r\n", b" ", b"-1", b"1e999", b"\0", b"nan", b"["]
     for turn in range(3000):
-        text = bytearray(chance.choice(samples))
+        text = bytearray(rng.choice(samples))
         for _ in range(turn % 4):
-            at = chance.randrange(len(text) + 1)
-            text[at : at + chance.randrange(3)] = chance.choice([*bits, bytes([chance.randrange(256)])])
+            at = rng.randrange(len(text) + 1)
+            text[at : at + rng.randrange(3)] = rng.choice([*fragments, bytes([rng.randrange(256)])])
         try:
-            parse(filled(text))
+            parse(filled_buffer(text))
         except error:
             pass
 
 
-def filled(data):
+def filled_buffer(data):
     buffer = Buffer()
     buffer.add(data)
     return buffer
--- a/tests/balancer/transport/test_connection.py
+++ b/tests/balancer/transport/test_connection.py
@@ -1,4 +1,4 @@
-"""Writes that a peer does not read, and connections without a thread."""
+"""Writes that a peer does not read, and connections for which the system has no thread."""
 
 import socket
 import time
@@ -9,45 +9,45 @@
 from honeywood.balancer.transport.mailbox import SharedMailbox
 
 
-def test_what_is_not_read_is_written_apart_and_bounded():
-    """A write never waits: the rest goes out as the peer reads, in order; who reads nothing is closed."""
-    told, (ours, theirs) = [], socket.socketpair()
-    owner = types.SimpleNamespace(on_closed=lambda one: told.append(one.code), on_data=None)
-    made = connection.Connection(owner, SharedMailbox("x", 9, None), Descriptors(1), "peer")
-    made.sock = ours
-    ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+def test_unread_writes_are_flushed_by_a_thread_and_limited():
+    """A write never blocks; the rest is sent in order as the peer reads, or the connection is closed."""
+    codes, (balancer_end, peer_end) = [], socket.socketpair()
+    owner = types.SimpleNamespace(on_closed=lambda closed: codes.append(closed.code), on_data=None)
+    tested = connection.Connection(owner, SharedMailbox("x", 9, None), Descriptors(1), "peer")
+    tested.sock = balancer_end
+    balancer_end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     pieces = [bytes([n]) * 300_000 for n in range(3)]
-    assert all(made.write(piece) for piece in pieces) and made.is_flushing
-    made.finish("done")
-    got = b""
-    while some := theirs.recv(1 << 20):
-        got += some
-    assert got == b"".join(pieces)
+    assert all(tested.write(piece) for piece in pieces) and tested.is_flushing
+    tested.finish("done")
+    received = b""
+    while data := peer_end.recv(1 << 20):
+        received += data
+    assert received == b"".join(pieces)
     until = time.monotonic() + 15
-    while made.is_flushing and time.monotonic() < until:
+    while tested.is_flushing and time.monotonic() < until:
         time.sleep(0.01)
-    made.is_finishing = False
-    made.code, (made.sock, theirs) = None, socket.socketpair()
-    while made.write(pieces[0]):
+    tested.is_finishing = False
+    tested.code, (tested.sock, peer_end) = None, socket.socketpair()
+    while tested.write(pieces[0]):
         pass
-    theirs.close()
-    while made.descriptors.free < 2 and time.monotonic() < until:
+    peer_end.close()
+    while tested.descriptors.free < 2 and time.monotonic() < until:
         time.sleep(0.01)
-    assert told == ["reads_nothing"] and made.descriptors.free == 2 and made.sock.fileno() < 0
-    assert not made.unsent and not made.buffer.data
+    assert codes == ["reads_nothing"] and tested.descriptors.free == 2 and tested.sock.fileno() < 0
+    assert not tested.unsent and not tested.buffer.data
 
 
-def test_a_connection_without_a_thread_ends_and_not_the_program(monkeypatch):
-    """A system has so many threads: hundreds of fronts on it must not end when there is none left."""
+def test_a_missing_thread_ends_the_connection_and_not_the_program(monkeypatch):
+    """Hundreds of balancers on one system must keep running when its limit of threads is reached."""
 
-    def none_left(*_):
+    def raise_no_thread(*_):
         raise RuntimeError("can't start new thread")
 
-    monkeypatch.setattr(connection, "run_on_thread", none_left)
-    told = []
-    owner = types.SimpleNamespace(on_closed=lambda one: told.append(one.code), on_open=None)
-    held = Descriptors(3)
-    held.take()
-    one = connection.Connection(owner, SharedMailbox("x", 9, None), held, "x")
-    one.dial(("127.0.0.1", 1), 1)
-    assert told == ["no_thread"] and held.free == 3
+    monkeypatch.setattr(connection, "run_on_thread", raise_no_thread)
+    codes = []
+    owner = types.SimpleNamespace(on_closed=lambda closed: codes.append(closed.code), on_open=None)
+    descriptors = Descriptors(3)
+    descriptors.take()
+    dialled = connection.Connection(owner, SharedMailbox("x", 9, None), descriptors, "x")
+    dialled.dial(("127.0.0.1", 1), 1)
+    assert codes == ["no_thread"] and descriptors.free == 3
--- a/tests/balancer/transport/test_poller.py
+++ b/tests/balancer/transport/test_poller.py
@@ -1,4 +1,4 @@
-"""Events of descriptors that change owners."""
+"""Events of descriptors that are reused."""
 
 import socket
 import threading
@@ -9,45 +9,46 @@
 from honeywood.balancer.transport.mailbox import SharedMailbox
 
 
-def test_an_event_of_a_numbers_last_owner_finds_nothing_half_registered(monkeypatch):
-    """The poller takes many events at once; a connection that ends while the first are told gives its number
-    to the next one accepted. Its event, told while that one is being registered, ended the program."""
-    made, told = poller.Poller(), []
-    made._started = True
-    monkeypatch.setattr(connection, "poller", made)
-    real, events = made._epoll, threading.Event()
+def test_a_stale_event_does_not_find_a_partly_registered_connection(monkeypatch):
+    """The poller takes several events at once. A connection that ends while the first of them are handled
+    frees its descriptor, which the next accepted connection reuses. The stale event, handled while that
+    connection was being registered, ended the program."""
+    poller_under_test, errors = poller.Poller(), []
+    poller_under_test._started = True
+    monkeypatch.setattr(connection, "poller", poller_under_test)
+    real_epoll, event_taken = poller_under_test._epoll, threading.Event()
 
-    class Slow:
+    class SlowEpoll:
         def poll(self, maxevents):
-            if events.is_set():
+            if event_taken.is_set():
                 time.sleep(0.01)
                 return []
-            events.set()
-            return [(ours.fileno(), 1)]
+            event_taken.set()
+            return [(accepted.fileno(), 1)]
 
-        def register(self, fd, what):
-            thread = threading.Thread(target=looped, daemon=True)
-            thread.start()  # it has the stale event, and looks whose it is
-            events.wait(5)
+        def register(self, fd, event_mask):
+            thread = threading.Thread(target=run_loop, daemon=True)
+            thread.start()  # it holds the stale event and looks up its connection
+            event_taken.wait(5)
             thread.join(0.1)
-            real.register(fd, what)
+            real_epoll.register(fd, event_mask)
 
-        def modify(self, fd, what):
-            real.modify(fd, what)
+        def modify(self, fd, event_mask):
+            real_epoll.modify(fd, event_mask)
 
-    def looped():
+    def run_loop():
         try:
-            made._loop()
-        except OSError as wrong:
-            told.append(wrong)
+            poller_under_test._loop()
+        except OSError as error:
+            errors.append(error)
 
-    made._epoll = Slow()
+    poller_under_test._epoll = SlowEpoll()
     with socket.create_server(("127.0.0.1", 0)) as server, socket.create_connection(server.getsockname()):
-        ours, _ = server.accept()
-        box = SharedMailbox("x", 9, None)
-        one = connection.Connection(None, box, Descriptors(3), "x")
-        one.accept(ours)
+        accepted, _ = server.accept()
+        mailbox = SharedMailbox("x", 9, None)
+        new_connection = connection.Connection(None, mailbox, Descriptors(3), "x")
+        new_connection.accept(accepted)
         until = time.monotonic() + 1
-        while not told and time.monotonic() < until:
+        while not errors and time.monotonic() < until:
             time.sleep(0.01)
-    assert not told and one.is_reusable() is False
+    assert not errors and new_connection.is_reusable() is False
