--- a/honeywood/__init__.py
+++ b/honeywood/__init__.py
@@ -1,1 +1,1 @@
-"""honeywood: a front that routes RPCs and guards releases."""
+"""honeywood: a balancer that routes RPCs and guards releases."""
--- a/honeywood/__main__.py
+++ b/honeywood/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one front; with words behind it, the command line, which a front never imports."""
+"""Starts one balancer or, with arguments, the command line, which a balancer never imports."""
 
 import os
 import sys
--- a/honeywood/balancer/flow_control/__init__.py
+++ b/honeywood/balancer/flow_control/__init__.py
@@ -1,4 +1,4 @@
-"""Slow peers: what may wait, and who is cut off. Being built; no balancer uses it yet.
+"""Minimum transfer rates of peers, below which a connection is closed. Not used by the balancer yet.
 
-Start with minimum_rates.py. docs/measured/pace.md has the figures that it is built on.
+Start with minimum_rates.py. docs/measured/pace.md has the measurements behind the design.
 """
--- a/honeywood/balancer/program/__init__.py
+++ b/honeywood/balancer/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program: life cycle, log, and what an operator file switches on. Start with main.py."""
+"""The program: its life cycle, its log and the features enabled by an operator file. Start with main.py."""
--- a/honeywood/balancer/program/log.py
+++ b/honeywood/balancer/program/log.py
@@ -1,4 +1,4 @@
-"""Log lines: one line an event, as key=value, on standard output."""
+"""The log: one line per event, as key=value pairs, on standard output."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 
     from honeywood.balancer.protocol.discovery import Address
 
-MAX_LINES = 2000  # that wait to be written
+MAX_LINES = 2000  # queued to be written
 
 
 class Output:
-    """Writes lines on a thread of its own: a reader of the log that stands still stops no actor.
+    """Writes lines on a separate thread, so that a reader of the log that stalls does not block any actor.
 
-    What does not fit meanwhile is dropped and counted.
+    Lines that do not fit into the queue meanwhile are dropped and counted.
     """
 
     def __init__(self, fail: Callable[[str, BaseException], Any]) -> None:
-        """It writes at once."""
+        """Create the output and start its thread."""
         self._mailbox, self._dropped = Mailbox("log", MAX_LINES, fail), 0
         self._mailbox.start()
 
     def write(self, text: str) -> None:
-        """Have a line written (the part of a text file that structlog needs)."""
+        """Queue a line (part of the interface of a text file that structlog needs)."""
         try:
             self._mailbox.post(self._write, text)
         except MailboxFull:
             self._dropped += 1
 
     def flush(self) -> None:
-        """Lines are flushed as they are written (the part of a text file that structlog needs)."""
+        """Do nothing, since each written line is flushed (needed by structlog)."""
 
     def call_when_written(self, call: Callable[[], Any]) -> None:
-        """Make a call once all lines of now are written."""
+        """Run a call once all lines queued so far are written."""
         self._mailbox.post(call)
 
     def _write(self, text: str) -> None:
@@ -52,7 +52,7 @@
 
 
 def make_logger(name: str, output: Output) -> Any:
-    """A structlog logger of the balancer of this name."""
+    """A structlog logger that adds the name of the balancer to each line."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -60,12 +60,12 @@
             structlog.processors.format_exc_info,
             structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"]),
         ],
-        logger_factory=structlog.WriteLoggerFactory(output),  # type: ignore[arg-type]  # it needs write and flush
+        logger_factory=structlog.WriteLoggerFactory(output),  # type: ignore[arg-type]  # only write and flush are used
         cache_logger_on_first_use=True,
     )
     return structlog.get_logger().bind(front=name)
 
 
 def format_address(address: Address) -> str:
-    """An address in a log line."""
+    """Format an address for a log line."""
     return f"{address.host}:{address.port}"
--- a/honeywood/balancer/program/main.py
+++ b/honeywood/balancer/program/main.py
@@ -1,4 +1,4 @@
-"""The program's life cycle: start, graceful shutdown at SIGTERM, and the sudden end that a fault makes."""
+"""The program's life cycle: start, graceful shutdown on SIGTERM, and immediate exit on a fault."""
 
 from __future__ import annotations
 
@@ -27,46 +27,46 @@
 
 RELOAD = signal.SIGHUP
 HANDLED_SIGNALS = {signal.SIGTERM, signal.SIGINT, RELOAD}
-INVALID_STATUS = 2  # of the program, where its configuration or address cannot be used
-FAULT_STATUS = 1
-ACCEPT_TIME_S = 0.6  # in which new connections may still come after SIGTERM
-LAST_ANSWERS_S = 2.0  # for the last answers to be read
-CHECK_INTERVAL_S = 0.01  # between looks at whether all have ended
-THREAD_SWITCH_INTERVAL_S = 0.05  # after which a thread that waits for the interpreter asks for it
-LAST_LINES_S = 0.5  # in which the last lines of the log are written
+INVALID_STATUS = 2  # exit status: the configuration or the listen address cannot be used
+FAULT_STATUS = 1  # exit status: a fault in an actor
+ACCEPT_TIME_S = 0.6  # after SIGTERM, in which new connections are still accepted
+LAST_ANSWERS_S = 2.0  # for clients to read the last answers
+CHECK_INTERVAL_S = 0.01  # between checks of whether all connections have ended
+THREAD_SWITCH_INTERVAL_S = 0.05  # after which a waiting thread requests the interpreter lock
+LOG_FLUSH_TIMEOUT_S = 0.5  # to write the last lines of the log
 
 
 def fail(where: str, error: BaseException) -> None:
-    """An actor that cannot go on ends the program: its peers see that, and it can be started anew."""
+    """End the program because an actor has failed, so that its peers notice it and it can be restarted."""
     trace = "".join(traceback.format_exception(error))
     print(f"level=error event=fault where={where!r}\n{trace}", flush=True)
     os._exit(FAULT_STATUS)
 
 
 def main() -> int:
-    """Serve until SIGTERM; the status of the program."""
-    # Before any thread: only the wait below takes them.
+    """Serve until SIGTERM or SIGINT; return the exit status."""
+    # Blocked before any thread starts, so that only sigwait() below receives these signals.
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     try:
-        given, operator = configuration.read(os.environ), read_operator_file(os.environ)
+        loaded, operator_file = configuration.read(os.environ), read_operator_file(os.environ)
     except InvalidConfiguration as error:
         print(f"honeywood: {error}", file=sys.stderr)
         return INVALID_STATUS
     output = log.Output(fail)
-    logger = log.make_logger(given.name, output)
-    recorder = make_recorder(operator, given, logger, fail)
+    logger = log.make_logger(loaded.name, output)
+    recorder = make_recorder(operator_file, loaded, logger, fail)
     try:
-        application = Application(given, logger, fail, recorder.calls if recorder else None)
+        application = Application(loaded, logger, fail, recorder.calls if recorder else None)
     except OSError as error:
         print(f"honeywood: listen: {error}", file=sys.stderr)
         return INVALID_STATUS
     sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
-    gc.freeze()  # what is here now stays: the collector need not go through it
-    logger.info("started", listen=log.format_address(given.listen))
+    gc.freeze()  # existing objects stay for good; the garbage collector need not scan them
+    logger.info("started", listen=log.format_address(loaded.listen))
     if recorder:
         recorder.start()
     while (stopped_by := signal.sigwait(HANDLED_SIGNALS)) == RELOAD:
-        reload(application, given, logger)
+        reload(application, loaded, logger)
     logger.info("stopping", signal=signal.Signals(stopped_by).name)
     shut_down(application)
     if recorder:
@@ -74,12 +74,12 @@
     logger.info("stopped", clients=len(application.clients))
     written = threading.Event()
     output.call_when_written(written.set)
-    written.wait(LAST_LINES_S)
+    written.wait(LOG_FLUSH_TIMEOUT_S)
     return 0
 
 
-def reload(application: Application, given: configuration.Configuration, logger: Any) -> None:
-    """Take over the addresses of list and platform; what cannot be used leaves all as it was."""
+def reload(application: Application, loaded: configuration.Configuration, logger: Any) -> None:
+    """Use the new addresses of discovery and the platform; an invalid configuration changes nothing."""
     try:
         new = configuration.read(os.environ)
     except InvalidConfiguration as error:
@@ -91,12 +91,12 @@
         discovery=log.format_address(new.discovery),
         platform=log.format_address(new.platform),
     )
-    if new.fixed != given.fixed:
+    if new.fixed != loaded.fixed:
         logger.warning("configuration_kept", until="restart", what=", ".join(configuration.FIXED_KEYS))
 
 
 def shut_down(application: Application) -> None:
-    """Go on as before while new connections may still come; then answer all that was taken."""
+    """Serve as before while new connections may still arrive, then close after the open RPCs are answered."""
     application.is_ready = False
     time.sleep(ACCEPT_TIME_S)
     application.drain()
--- a/honeywood/balancer/program/operator_switches.py
+++ b/honeywood/balancer/program/operator_switches.py
@@ -1,4 +1,4 @@
-"""What an operator file switches on. Of a subsystem and its libraries nothing is imported unless it is."""
+"""Features enabled by an operator file. A subsystem and its libraries are imported only if it is enabled."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     from honeywood.operator.operator_file import OperatorFile
     from honeywood.trace.recorder import Recorder
 
-MAX_CALLS = 16  # of a recorder: its own looks and the one stop
-LAST_BLOCKS_S = 5.0  # in which what was recorded last is written, at a stop
+MAX_CALLS = 16  # queued for a recorder: its periodic writes and one stop
+TRACE_FLUSH_TIMEOUT_S = 5.0  # to write the last records at shutdown
 
 
 def read_operator_file(environ: Mapping[str, str]) -> OperatorFile | None:
-    """The operator file that ROUTER_OPERATOR names, None without one. Raises InvalidConfiguration."""
+    """Read the operator file named by ROUTER_OPERATOR; None if unset. Raises InvalidConfiguration."""
     path = environ.get("ROUTER_OPERATOR")
     if not path:
         return None
@@ -41,7 +41,7 @@
     log: Any,
     fail: Callable[[str, BaseException], Any],
 ) -> Recorder | None:
-    """The recorder of traces, None where the operator file has no trace block."""
+    """Create the recorder of traces; None if the operator file has no trace block."""
     block = operator.trace if operator else None
     if not block:
         return None
@@ -60,8 +60,8 @@
 
 
 def stop_recorder(recorder: Recorder) -> None:
-    """Wait until what was recorded is written, for a while at the most."""
+    """Stop the recorder and wait, up to a timeout, until its records are written."""
     written = threading.Event()
     recorder.mailbox.post(recorder.stop)
     recorder.mailbox.post(written.set)
-    written.wait(LAST_BLOCKS_S)
+    written.wait(TRACE_FLUSH_TIMEOUT_S)
--- a/honeywood/benchlink/__init__.py
+++ b/honeywood/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""`python -m honeywood.benchlink`, as the deploy pages name it; see honeywood/balancer/benchlink."""
+"""The command `python -m honeywood.benchlink` of the deployment docs; see honeywood/balancer/benchlink."""
--- a/honeywood/benchlink/__main__.py
+++ b/honeywood/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the bench's host by the command that the deploy pages name."""
+"""Starts the bench adapter under the command that the deployment docs name."""
 
 import sys
 
--- a/tests/balancer/flow_control/test_minimum_rates.py
+++ b/tests/balancer/flow_control/test_minimum_rates.py
@@ -1,4 +1,4 @@
-"""Who is cut off, by bytes and times alone."""
+"""Which peers violate the minimum rates, given only bytes and times."""
 
 import pytest
 from hypothesis import given, settings
@@ -13,77 +13,76 @@
 )
 from honeywood.balancer.model import SECOND
 
-HEAD = Phase("head", grace=SECOND, window=2 * SECOND, least=1000, most=30 * SECOND)
-# When it is looked at, and (time, bytes) that moved, in ms: what is said, and when first.
+HEAD = Phase("head", grace=SECOND, window=2 * SECOND, min_rate=1000, max_duration=30 * SECOND)
+# By name: the transfers as (time in ms, bytes), and the expected code with the time (ms) of its first report.
 SCENARIOS = {
-    "nothing moves": ([], ("too_slow_head", 3000)),
-    "a healthy peer is done before it is judged": ([(10, 400)], ("too_slow_head", 3000)),
-    "just above the least rate, for ever": (
+    "no transfer": ([], ("too_slow_head", 3000)),
+    "a healthy peer ends before the first full window": ([(10, 400)], ("too_slow_head", 3000)),
+    "just above the minimum rate, without end": (
         [(at, 260) for at in range(0, 40_000, 250)],
         ("too_long_head", 30_000),
     ),
-    "just below it": ([(at, 210) for at in range(0, 40_000, 250)], ("too_slow_head", 3000)),
-    "in bursts of two seconds' worth": (
+    "just below the minimum rate": ([(at, 210) for at in range(0, 40_000, 250)], ("too_slow_head", 3000)),
+    "in bursts of two seconds of data": (
         [(at, 2100) for at in range(0, 40_000, 2000)],
         ("too_long_head", 30_000),
     ),
     "stops after ten seconds": ([(at, 260) for at in range(0, 10_000, 250)], ("too_slow_head", 10_000)),
-    "much at once buys no time later": ([(0, 10**6)], ("too_slow_head", 3000)),
+    "a large burst gives no credit for later windows": ([(0, 10**6)], ("too_slow_head", 3000)),
 }
 
 
-def first_said(moves, until=60_000, phase=HEAD):
-    meter, moves = TransferMeter(phase, 0), sorted(moves)
+def first_violation(transfers, until=60_000, phase=HEAD):
+    meter, transfers = TransferMeter(phase, 0), sorted(transfers)
     for at in range(0, until, 250):
-        while moves and moves[0][0] <= at:
-            when, count = moves.pop(0)
-            meter.record(when * 10, count)
-        if said := meter.violation(at * 10):
-            return said, at
+        while transfers and transfers[0][0] <= at:
+            time, count = transfers.pop(0)
+            meter.record(time * 10, count)
+        if code := meter.violation(at * 10):
+            return code, at
     return None
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_scenario(name):
-    moves, (said, at) = SCENARIOS[name]
-    found = first_said(moves)
-    assert found[0] == said and at <= found[1] <= at + 500, found
+    transfers, (code, at) = SCENARIOS[name]
+    violation = first_violation(transfers)
+    assert violation[0] == code and at <= violation[1] <= at + 500, violation
 
 
-PIECES = st.lists(st.integers(20, 250), min_size=20, max_size=160)  # ms, a part of the window at the most
+GAPS = st.lists(st.integers(20, 250), min_size=20, max_size=160)  # ms, each at most an eighth of the window
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(PIECES)
-def test_no_peer_that_moves_steadily_is_cut_off(gaps):
-    """At a fifth over the least rate, whatever the rhythm within a part of the window."""
-    moves, at = [], 0
+@given(GAPS)
+def test_no_steady_peer_above_the_rate_violates_it(gaps):
+    """At 1.2 times the minimum rate, with any gaps that are short compared to the window."""
+    transfers, at = [], 0
     for gap in gaps:
         at += gap
-        moves.append((at, gap * 12 // 10))
-    assert first_said(moves, min(at, 29_000)) is None
+        transfers.append((at, gap * 12 // 10))
+    assert first_violation(transfers, min(at, 29_000)) is None
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(PIECES)
-def test_any_peer_below_the_rate_is_cut_off_in_time(gaps):
-    moves, at = [], 0
+@given(GAPS)
+def test_any_peer_below_the_rate_is_detected_in_time(gaps):
+    transfers, at = [], 0
     for gap in gaps:
         at += gap
-        moves.append((at, gap * 7 // 10))
-    said, when = first_said(moves)
-    assert said == "too_slow_head"
-    assert when * 10 <= HEAD.grace + HEAD.window * (BUCKETS + 1) // BUCKETS + CHECK_INTERVAL
+        transfers.append((at, gap * 7 // 10))
+    code, time = first_violation(transfers)
+    assert code == "too_slow_head"
+    assert time * 10 <= HEAD.grace + HEAD.window * (BUCKETS + 1) // BUCKETS + CHECK_INTERVAL
 
 
-def test_nobody_is_blamed_for_the_fronts_own_absence():
-    """The machine stood still for two seconds and more: peers could not move a byte, and are given that
-    time."""
+def test_peers_are_not_charged_for_a_stall_of_the_balancer():
+    """Peers cannot transfer anything while the machine is stopped, so that time does not count."""
     running_time, meter = RunningTime(0), TransferMeter(HEAD, 0)
-    for look in range(20):
-        now = running_time.at(look * CHECK_INTERVAL)
+    for check in range(20):
+        now = running_time.at(check * CHECK_INTERVAL)
         meter.record(now, 300)
         assert meter.violation(now) is None
-    back = running_time.at(19 * CHECK_INTERVAL + 60 * SECOND)
-    assert back == 21 * CHECK_INTERVAL and meter.violation(back) is None
-    assert running_time.at(0) == back  # a clock that goes back
+    after_stall = running_time.at(19 * CHECK_INTERVAL + 60 * SECOND)
+    assert after_stall == 21 * CHECK_INTERVAL and meter.violation(after_stall) is None
+    assert running_time.at(0) == after_stall  # the clock goes back
