--- a/honeywood/balancer/benchlink/__init__.py
+++ b/honeywood/balancer/benchlink/__init__.py
@@ -1,4 +1,5 @@
-"""The bench's host: the decisions on the wire of the simulator, over standard input and output.
+"""Adapter that connects the decisions to the bench, a simulator, over standard input and output.
 
-Start with codec.py, the wire; instance.py hosts one balancer's decisions, adapter.py all of a process.
+Start with codec.py, the binary protocol; instance.py hosts the decisions of one balancer, adapter.py all
+instances of a process.
 """
--- a/honeywood/balancer/benchlink/__main__.py
+++ b/honeywood/balancer/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the bench's host."""
+"""Starts the bench adapter."""
 
 import sys
 
--- a/honeywood/balancer/benchlink/codec.py
+++ b/honeywood/balancer/benchlink/codec.py
@@ -1,8 +1,10 @@
-"""Binary layout of the bench's wire: frames in, frames out. Only here do the wire's own names live.
+"""Codec of the bench's binary protocol.
 
-A frame in is a header (records, bytes behind this field, clock in µs), records of EVENT_SIZE bytes and a tail
-that records point into; a frame out a header (records, bytes), records of ACTION_SIZE bytes and a tail. All
-is big-endian, and a record begins with its code.
+A request frame consists of a header (number of records, number of bytes after this field, clock in µs),
+event records of EVENT_SIZE bytes, and a tail that records point into. A reply frame consists of a header
+(number of records, number of bytes), action records of ACTION_SIZE bytes, and a tail. All numbers are
+big-endian, and each record begins with its code. The names of the codes are those of the protocol and are
+used only here and where the codes are dispatched.
 """
 
 from __future__ import annotations
@@ -22,15 +24,21 @@
 STATUSES = {int(status): status for status in ServerStatus}
 HEADER = struct.Struct(">IIQ")
 REPLY_HEADER = struct.Struct(">II")
-CLOCK_SIZE = 8  # counted by the header's size
-EVENT_SIZE, ACTION_SIZE = 40, 24
+CLOCK_SIZE = 8  # bytes; included in the size field of the header
+EVENT_SIZE, ACTION_SIZE = 40, 24  # bytes
 LIST_ENTRY = struct.Struct(">QHfIHBBf")
+# Event codes, named as in the protocol. HELLO starts an instance, EXIT ends it, and CONTEXT selects the
+# one that the next events belong to. ROSTER defines a server list and VIEW shows it to an instance. The
+# others report a request (KNOCK), an established stream, the result of an attempt (OUTCOME), a
+# disconnected client, a timer (ELAPSED), the result of a probe (HEALTH), the state of a release or the
+# answer to a vote (STEP_NEWS), the platform's counts (SCORECARD) and an incorrect answer (WRONG). MAIL is
+# not used.
 HELLO, VIEW, KNOCK, ESTABLISHED, OUTCOME, CLIENT_LEFT, ELAPSED, HEALTH = 1, 2, 3, 4, 5, 6, 7, 8
 MAIL, EXIT, STEP_NEWS, SCORECARD, WRONG, ROSTER, CONTEXT = 9, 10, 11, 12, 13, 14, 15
 # The fields of each event after its code.
 EVENTS = {
-    code: struct.Struct(">2x" + form)
-    for code, form in {
+    code: struct.Struct(">2x" + layout)
+    for code, layout in {
         HELLO: "QII",
         VIEW: "IQB",
         KNOCK: "QHIQQIB",
@@ -46,12 +54,15 @@
         CONTEXT: "I",
     }.items()
 }
+# Action codes, named as in the protocol. SOURCE names the instance of the next actions, and BAIL_OUT reports
+# a fault. The others are calls of the decisions: probe (SOUND_OUT), reject (SHED), log (RECORD), wake_after
+# (WAKE), abort (LOSE), watch_servers (TRACK), cancel (RETRACT), send (DELIVER) and vote.
 SOUND_OUT, BAIL_OUT, SOURCE, SHED, RECORD, WAKE = 65, 66, 68, 69, 70, 71
 LOSE, TRACK, RETRACT, DELIVER, VOTE = 73, 74, 75, 76, 77
-# The fields of each action behind its code.
+# The fields of each action after its code.
 ACTIONS = {
-    code: struct.Struct(">H" + form)
-    for code, form in {
+    code: struct.Struct(">H" + layout)
+    for code, layout in {
         SOUND_OUT: "I",
         BAIL_OUT: "II",
         SOURCE: "I",
@@ -68,7 +79,7 @@
 
 
 class InvalidFrame(Exception):  # noqa: N818 - named for what went wrong
-    """What came in cannot be a frame of this wire."""
+    """The input is not a valid frame of this protocol."""
 
 
 class Frame(NamedTuple):
@@ -80,9 +91,9 @@
 
 
 class ListEntry(NamedTuple):
-    """A line of a server list."""
+    """An entry of a server list."""
 
-    started_us: int  # 0 where it is not known
+    started_us: int  # 0 if unknown
     kind: int
     build: float
     machine: int
@@ -93,7 +104,7 @@
 
 
 def read_frame(stream: BinaryIO) -> Frame | None:
-    """The next frame, None where the input ends between frames. Raises InvalidFrame."""
+    """Read the next frame; None if the input ends between frames. Raises InvalidFrame."""
     header = stream.read(HEADER.size)
     if not header:
         return None
@@ -112,74 +123,74 @@
 
 
 def code_of(record: bytes) -> int:
-    """What an event is."""
+    """The code of an event."""
     return int.from_bytes(record[:2], "big")
 
 
 def fields(code: int, record: bytes) -> tuple[Any, ...]:
-    """The fields of an event, as EVENTS has them."""
+    """Unpack the fields of an event in the order of EVENTS."""
     return EVENTS[code].unpack_from(record)
 
 
-def result_of(figure: int) -> AttemptResult:
-    """How an attempt ended; one that ended in an unknown way may have run and has no answer."""
-    return RESULTS.get(figure, AttemptResult.RESET)
+def result_of(value: int) -> AttemptResult:
+    """The result of an attempt; an unknown one counts as RESET: it may have run and has no answer."""
+    return RESULTS.get(value, AttemptResult.RESET)
 
 
-def status_of(figure: int) -> ServerStatus:
-    """A server's status; one in an unknown state gets nothing new."""
-    return STATUSES.get(figure, ServerStatus.DRAINING)
+def status_of(value: int) -> ServerStatus:
+    """The status of a server; an unknown one counts as DRAINING, so that it gets no new RPCs."""
+    return STATUSES.get(value, ServerStatus.DRAINING)
 
 
-def cut(tail: bytes, start: int, length: int) -> bytes:
-    """A part of a frame's tail. Raises InvalidFrame where a record points past it."""
+def tail_part(tail: bytes, start: int, length: int) -> bytes:
+    """A part of a frame's tail. Raises InvalidFrame if it exceeds the tail."""
     if start + length > len(tail):
         raise InvalidFrame("a record points past the frame's tail")
     return tail[start : start + length]
 
 
 def entries(tail: bytes, start: int, count: int) -> list[ListEntry]:
-    """The lines of a server list. Raises InvalidFrame."""
-    part = cut(tail, start, count * LIST_ENTRY.size)
+    """Unpack the entries of a server list. Raises InvalidFrame."""
+    part = tail_part(tail, start, count * LIST_ENTRY.size)
     return [ListEntry(*line) for line in LIST_ENTRY.iter_unpack(part)]
 
 
 class Reply:
-    """One frame going out."""
+    """A reply frame being built."""
 
     def __init__(self) -> None:
-        """It has no action yet."""
+        """Create a frame without actions."""
         self.count = 0
         self._records: list[bytes] = []
         self._tail = b""
         self._instance: int | None = None
 
     def add(self, instance: int, code: int, *values: int, text: str | None = None) -> None:
-        """An action of an instance; a text goes to the tail."""
+        """Append an action of an instance; a text is stored in the tail."""
         if instance != self._instance:
             self._instance = instance
-            self._put(SOURCE, instance)
+            self._append_record(SOURCE, instance)
         if text is not None:
             data = text.encode()
             values += (len(self._tail), len(data))
             self._tail += data
-        self._put(code, *values)
+        self._append_record(code, *values)
 
-    def _put(self, code: int, *values: int) -> None:
+    def _append_record(self, code: int, *values: int) -> None:
         self.count += 1
         self._records.append(ACTIONS[code].pack(code, *values).ljust(ACTION_SIZE, b"\0"))
 
     def frame(self) -> bytes:
-        """Its bytes."""
+        """Serialize the frame."""
         body = b"".join(self._records) + self._tail
         return REPLY_HEADER.pack(self.count, len(body)) + body
 
 
 def tenths_of_ms(microseconds: int) -> Duration:
-    """Microseconds as tenths of a millisecond, rounded down."""
+    """Convert microseconds to tenths of a millisecond, rounded down."""
     return int(microseconds) // 100
 
 
 def microseconds(tenths_of_ms: Duration) -> int:
-    """Tenths of a millisecond as microseconds."""
+    """Convert tenths of a millisecond to microseconds."""
     return tenths_of_ms * 100
--- a/honeywood/balancer/benchlink/instance.py
+++ b/honeywood/balancer/benchlink/instance.py
@@ -1,4 +1,7 @@
-"""Hosts the decisions of one instance of the bench. Identifiers become objects here, and back."""
+"""Hosts the decisions of one instance of the bench.
+
+Converts the bench's identifiers of RPCs and servers to the objects of the decisions, and back.
+"""
 
 from __future__ import annotations
 
@@ -26,20 +29,20 @@
     from honeywood.balancer.interface import Observer
     from honeywood.balancer.model import Attempt, Duration, Time, Vote
 
-CHANGES, LIST_FAILED = 0, 3  # what a view is; others are complete lists
-HAS_WORK, IS_RETRY = 1, 2  # flags of a request
+CHANGES, LIST_FAILED = 0, 3  # kinds of a VIEW; all others are complete lists
+HAS_WORK, IS_RETRY = 1, 2  # bits of the flags of a request
 
 
 class Instance:
-    """One balancer of the bench: its identifiers, and what its decisions ask (interface.Host)."""
+    """One balancer of the bench; implements interface.Host for its decisions."""
 
     observer: Observer | None = None
 
     def __init__(self, number: int, seed: int, settings: bytes) -> None:
-        """`settings` is the settings object as JSON."""
+        """Create an instance; `settings` is the settings object as JSON."""
         self.number = number
         self.reply = codec.Reply()
-        self.rpcs: dict[int, Rpc] = {}  # by identifier; each keeps its own in `host`, as servers do
+        self.rpcs: dict[int, Rpc] = {}  # by identifier; an RPC or server keeps its identifier in `host`
         self._servers: dict[int, Server] = {}
         self._settings = read_settings(json.loads(settings), seed)
         self.balancer = Balancer(self._settings, self)
@@ -49,38 +52,42 @@
             codec.ELAPSED: self._on_timer,
             codec.HEALTH: self._on_probe_result,
             codec.STEP_NEWS: self._on_release_update,
-            codec.CLIENT_LEFT: self._on_client_gone,
+            codec.CLIENT_LEFT: self._on_client_disconnected,
             codec.ESTABLISHED: self._on_stream_established,
             codec.SCORECARD: self._on_platform_counts,
-            codec.WRONG: self._on_wrong_answer,
+            codec.WRONG: self._on_incorrect_answer,
         }
 
-    # What the decisions ask.
+    # Called by the decisions (interface.Host).
     def send(self, attempt: Attempt, until: Time) -> None:
-        """Times round down on the way in; a stop must not land before it was meant to."""
+        """Send an attempt.
+
+        Times of events are rounded down, but `until` is converted exactly, so that no attempt is stopped too
+        early.
+        """
         rpc, machine = attempt.rpc.host, attempt.server.host
         self.reply.add(self.number, codec.DELIVER, rpc, machine, codec.microseconds(until))
 
     def reject(self, rpc: Rpc, retry_after: Duration) -> None:
-        """Answer that the RPC did not run."""
+        """Answer the client that its RPC did not run."""
         self.reply.add(self.number, codec.SHED, rpc.host, codec.microseconds(retry_after))
-        self._forget(rpc.host)
+        self._remove_if_ended(rpc.host)
 
     def abort(self, rpc: Rpc) -> None:
-        """Answer that the RPC failed."""
+        """Answer the client that its RPC failed."""
         self.reply.add(self.number, codec.LOSE, rpc.host)
-        self._forget(rpc.host)
+        self._remove_if_ended(rpc.host)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Call an attempt back."""
+        """Cancel an attempt."""
         self.reply.add(self.number, codec.RETRACT, attempt.rpc.host, attempt.number)
 
     def probe(self, server: Server) -> None:
-        """Ask a server for its load."""
+        """Request the load of a server."""
         self.reply.add(self.number, codec.SOUND_OUT, server.host)
 
     def wake_after(self, delay: Duration) -> None:
-        """Ask for a timer."""
+        """Set a timer."""
         self.reply.add(self.number, codec.WAKE, codec.microseconds(delay), 0)
 
     def vote(self, build: int, step: int, vote: Vote) -> None:
@@ -88,24 +95,24 @@
         self.reply.add(self.number, codec.VOTE, build, step, vote)
 
     def watch_servers(self) -> None:
-        """Ask for the list."""
+        """Request the server list and its changes."""
         self.reply.add(self.number, codec.TRACK, 1)
 
     def log(self, text: str) -> None:
-        """Write a line to the bench's record."""
+        """Write a line to the bench's log."""
         self.reply.add(self.number, codec.RECORD, text=text)
 
-    # What the bench tells.
+    # Events of the bench.
     def on_event(self, now: Time, code: int, record: bytes) -> None:
-        """An event other than those of the process."""
+        """Process an event; those that concern the whole process are ignored here."""
         if code in self._handlers:
             self._handlers[code](now, *codec.fields(code, record))
 
     def on_view(self, now: Time, entries: Sequence[codec.ListEntry], kind: int) -> None:
-        """A server list, changes of it, or that there is none."""
+        """Process a server list, changes to it, or the failure to get one."""
         if kind == LIST_FAILED:
             return self.balancer.on_server_list_failed(now)
-        lines = [
+        server_entries = [
             ServerEntry(
                 server=self._server(entry.machine),
                 build=round(entry.build),
@@ -117,7 +124,7 @@
             )
             for entry in entries
         ]
-        return self.balancer.on_server_list(now, lines, complete=kind != CHANGES)
+        return self.balancer.on_server_list(now, server_entries, complete=kind != CHANGES)
 
     def _on_request(
         self,
@@ -160,7 +167,7 @@
         latency = codec.tenths_of_ms(latency_us)
         attempt, outcome = rpc.attempts[number], codec.result_of(result)
         self.balancer.on_result(now, attempt, outcome, latency, load[:fields], bool(settled))
-        self._forget(identifier)
+        self._remove_if_ended(identifier)
 
     def _on_timer(self, now: Time, token: int) -> None:
         self.balancer.on_timer(now)
@@ -176,7 +183,7 @@
     def _on_release_update(
         self, now: Time, step: int, result: int, cap: float, build: int, state: int, reply: int, age_us: int
     ) -> None:
-        # Of a vote that does not count the other fields say nothing.
+        # For a vote that was not accepted the other fields have no meaning.
         update = None
         if result == AttemptResult.OK:
             update = ReleaseUpdate(build, step, cap, ReleaseState(state), codec.tenths_of_ms(age_us))
@@ -185,10 +192,10 @@
         elif update:
             self.balancer.on_release_update(now, update)
 
-    def _on_client_gone(self, now: Time, identifier: int) -> None:
+    def _on_client_disconnected(self, now: Time, identifier: int) -> None:
         if identifier in self.rpcs:
             self.balancer.on_client_disconnected(now, self.rpcs[identifier])
-            self._forget(identifier)
+            self._remove_if_ended(identifier)
 
     def _on_stream_established(
         self, now: Time, identifier: int, machine: int, number: int, reserved: int
@@ -204,18 +211,18 @@
             counts = PlatformCounts(build, self._settings.methods[method], failed, ended, mean, age)
             self.balancer.on_platform_counts(now, counts)
 
-    def _on_wrong_answer(self, now: Time, machine: int, method: int, age_us: int) -> None:
+    def _on_incorrect_answer(self, now: Time, machine: int, method: int, age_us: int) -> None:
         if machine in self._servers:
             self.balancer.on_incorrect_answer(now, self._servers[machine], self._settings.methods[method])
 
-    # Its own.
+    # Internal.
     def _server(self, machine: int) -> Server:
         if machine not in self._servers:
             self._servers[machine] = Server(host=machine, digest=digest(machine))
         return self._servers[machine]
 
-    def _forget(self, identifier: int) -> None:
-        """An RPC is needed until it is over and its last attempt has ended."""
+    def _remove_if_ended(self, identifier: int) -> None:
+        """Remove an RPC once it is done and all its attempts have ended."""
         rpc = self.rpcs.get(identifier)
         if rpc and rpc.done and all(attempt.result is not None for attempt in rpc.attempts):
             del self.rpcs[identifier]
--- a/honeywood/balancer/flow_control/minimum_rates.py
+++ b/honeywood/balancer/flow_control/minimum_rates.py
@@ -21,8 +21,8 @@
 class Phase:
     """The requirements on a peer in one phase (head, body, answer, ...).
 
-    After the `grace` period it must transfer at least `min_rate` bytes per second, averaged over any `window`,
-    and the phase must end within `max_duration`.
+    After the `grace` period it must transfer at least `min_rate` bytes per second, averaged over any
+    `window`, and the phase must end within `max_duration`.
     """
 
     name: str
--- a/tests/balancer/test_recorded_outsides.py
+++ b/tests/balancer/test_recorded_outsides.py
@@ -1,7 +1,7 @@
-"""The first balancer's configuration, wire formats and decisions against bytes recorded by commit ae67546.
+"""Compares configuration, wire formats and decisions with data recorded from the balancer of commit ae67546.
 
-The recordings stand in recorded/. The accessors below are the only place where this file names the program's
-parts: a rename edits them and never an expectation.
+The recordings are in recorded/. Only the accessors below name the program's parts: a rename changes them and
+never an expectation.
 """
 
 import io
@@ -20,7 +20,7 @@
 
 RECORDED = pathlib.Path(__file__).parent / "recorded"
 
-# Accessors: the recorded name of each field, and the program's.
+# Accessors: the recorded name of each field, and its name in the program.
 METHOD_FIELDS = {
     "kind": "idempotency",
     "soft": "latency_target",
@@ -87,19 +87,19 @@
 
 
 def configuration(text, environ):
-    """What the program makes of a configuration file's text, as plain values, or its refusal."""
+    """Parse the text of a configuration file to plain values, or to the error message."""
     try:
         read = program_configuration.parse(json.loads(text), environ)
-    except InvalidConfiguration as refused:
-        return {"refused": str(refused)}
-    settings = {name: getattr(read.settings, ours) for name, ours in SETTINGS_FIELDS.items()}
+    except InvalidConfiguration as error:
+        return {"refused": str(error)}
+    settings = {name: getattr(read.settings, attribute) for name, attribute in SETTINGS_FIELDS.items()}
     settings["methods"] = [
-        {name: getattr(method, ours) for name, ours in METHOD_FIELDS.items()}
+        {name: getattr(method, attribute) for name, attribute in METHOD_FIELDS.items()}
         for method in read.settings.methods
     ]
     return {
         "settings": settings,
-        **{name: getattr(read, ours) for name, ours in CONFIGURATION_FIELDS.items()},
+        **{name: getattr(read, attribute) for name, attribute in CONFIGURATION_FIELDS.items()},
     }
 
 
@@ -126,15 +126,15 @@
 def platform_line(form, data, steps):
     try:
         return parse_platform(form, data, steps)
-    except platform.InvalidLine as refused:
-        return {"refused": str(refused)}
+    except platform.InvalidLine as error:
+        return {"refused": str(error)}
 
 
 def discovery_line(data):
     try:
         return discovery.parse_line(data)
-    except discovery.InvalidList as refused:
-        return {"refused": str(refused)}
+    except discovery.InvalidList as error:
+        return {"refused": str(error)}
 
 
 def written_lines():
@@ -150,7 +150,7 @@
 
 
 def actions(calls):
-    """The frame of these actions: (instance, code, values, text or None) each."""
+    """Serialize actions, each (instance, code, values, text or None), to a frame."""
     reply = codec.Reply()
     for instance, code, values, text in calls:
         reply.add(instance, code, *values, text=text)
@@ -169,37 +169,37 @@
     return adapter.Process()
 
 
-# The recorded cases.
+# Tests with the recorded cases.
 def recorded(name):
     return json.loads((RECORDED / name).read_text())
 
 
 def plain(value):
-    """As JSON has it: tuples are lists."""
+    """Convert a value as JSON does: tuples become lists."""
     return json.loads(json.dumps(value))
 
 
 @pytest.mark.parametrize("case", recorded("configuration.json"), ids=lambda case: case["name"])
-def test_a_configuration_is_read_or_refused_as_it_was(case):
+def test_a_configuration_is_read_or_refused_as_recorded(case):
     assert plain(configuration(case["text"], case["environ"])) == case["read"]
 
 
 @pytest.mark.parametrize("case", recorded("platform_lines.json"), ids=lambda case: case["line"][:40])
-def test_a_line_of_the_platform_is_read_as_it_was(case):
+def test_a_line_of_the_platform_is_parsed_as_recorded(case):
     line = case["line"].encode("latin-1")
     assert plain(platform_line(case["form"], line, case["steps"])) == case["read"]
 
 
 @pytest.mark.parametrize("case", recorded("discovery_lines.json"), ids=lambda case: case["line"][:40])
-def test_a_line_of_discovery_is_read_as_it_was(case):
+def test_a_line_of_discovery_is_parsed_as_recorded(case):
     assert plain(discovery_line(case["line"].encode("latin-1"))) == case["read"]
 
 
-def test_lines_are_written_as_they_were():
+def test_lines_are_written_as_recorded():
     assert written_lines() == recorded("written_lines.json")
 
 
-def test_records_of_the_bench_have_the_layout_that_they_had():
+def test_records_of_the_bench_have_the_recorded_layout():
     saved = recorded("bench_records.json")
     assert {str(code) for code in EVENT_FORMATS} == set(saved["events"])
     for code, case in saved["events"].items():
@@ -214,7 +214,7 @@
 
 
 def conversation():
-    """The frames of a recorded conversation in turn: (what the bench sent, what it was answered)."""
+    """Yield the frames of a recorded conversation in order: (request of the bench, reply)."""
     data, at = zlib.decompress((RECORDED / "bench_conversation.zlib").read_bytes()), 0
     while at < len(data):
         parts = []
