--- a/tests/balancer/program/test_process.py
+++ b/tests/balancer/program/test_process.py
@@ -1,4 +1,7 @@
-"""What `run` starts is one process that needs only threads and IPv4: some platforms refuse the rest."""
+"""The `run` command of deploy/balancer.toml starts one process that uses only threads and IPv4 sockets.
+
+Some platforms forbid everything else.
+"""
 
 import os
 import pathlib
@@ -10,16 +13,16 @@
 from socket_player import SocketPlayer
 
 ROOT = pathlib.Path(__file__).parents[3]
-# Loaded into the program at its start; each event that matters is a line, written as it happens.
+# Audit hook, loaded when the program starts; it writes a line for each relevant event at once.
 HOOK = """
 import os, sys
-BARRED = ("subprocess.", "os.fork", "os.exec", "os.posix_spawn", "os.spawn", "os.system", "pty.spawn")
+FORBIDDEN = ("subprocess.", "os.fork", "os.exec", "os.posix_spawn", "os.spawn", "os.system", "pty.spawn")
 out = os.open(os.environ["AUDITED"], os.O_WRONLY | os.O_CREAT | os.O_APPEND)
-def hook(event, given):
-    if event.startswith(BARRED):
-        os.write(out, f"{event} {given}\\n".encode())
+def hook(event, arguments):
+    if event.startswith(FORBIDDEN):
+        os.write(out, f"{event} {arguments}\\n".encode())
     elif event == "socket.__new__":
-        os.write(out, f"socket {int(given[1])} {int(given[2]) & 0xf}\\n".encode())
+        os.write(out, f"socket {int(arguments[1])} {int(arguments[2]) & 0xf}\\n".encode())
 sys.addaudithook(hook)
 import socket
 """
@@ -27,21 +30,21 @@
 server a 1 ok b 1 error
 list a b
 start
-ask r1 read
+request r1 read
 until status("r1") == 200
-ask r2 book
+request r2 book
 until ended("r2") or status("r2")
-moved
+change_addresses
 until discovery.watching
-ask r3 read
+request r3 read
 until status("r3") == 200
 """
 
 
-class Audited(SocketPlayer):
+class AuditedPlayer(SocketPlayer):
     def spawn(self):
-        """By the `run` line itself, with this interpreter in place of the installed one."""
-        self.write()
+        """Start the program by the `run` command, with this interpreter instead of the installed one."""
+        self.write_configuration()
         run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
         (self.folder / "hook").mkdir(exist_ok=True)
         (self.folder / "hook" / "sitecustomize.py").write_text(HOOK)
@@ -63,32 +66,32 @@
 
 
 def test_run_is_one_process_with_ipv4_sockets_only(tmp_path):
-    game = Audited(tmp_path)
+    player = AuditedPlayer(tmp_path)
     try:
         for line in filter(None, RPCS.splitlines()):
             verb, _, rest = line.partition(" ")
-            game.line(verb, rest)
-        tasks = pathlib.Path(f"/proc/{game.process.pid}/task")
-        # The shell has become the program: it has no child, and is bound to the C library as it runs.
-        assert "honeywood" in pathlib.Path(f"/proc/{game.process.pid}/cmdline").read_text()
+            player.run_command(verb, rest)
+        tasks = pathlib.Path(f"/proc/{player.process.pid}/task")
+        # The program has replaced the shell: it has no child process, and the C library is mapped into it.
+        assert "honeywood" in pathlib.Path(f"/proc/{player.process.pid}/cmdline").read_text()
         assert not any(
             (task / "children").read_text().split()
             for task in tasks.iterdir()
             if (task / "children").exists()
         )
-        assert "/libc" in pathlib.Path(f"/proc/{game.process.pid}/maps").read_text()
-        game.process.send_signal(signal.SIGTERM)
-        assert game.process.wait(15) == 0, game.log()
-        seen = game.audited.read_text().splitlines()
+        assert "/libc" in pathlib.Path(f"/proc/{player.process.pid}/maps").read_text()
+        player.process.send_signal(signal.SIGTERM)
+        assert player.process.wait(15) == 0, player.log()
+        events = player.audited.read_text().splitlines()
     finally:
-        game.end()
+        player.shut_down()
     # AF_INET is 2; SOCK_STREAM 1, SOCK_DGRAM 2.
-    assert "socket 2 1" in seen
-    assert set(seen) <= {"socket 2 1", "socket 2 2"}, seen
+    assert "socket 2 1" in events
+    assert set(events) <= {"socket 2 1", "socket 2 2"}, events
 
 
-def test_the_hook_sees_what_it_bars(tmp_path):
-    """The check above can fail: the same hook tells of a program started and of a socket of another kind."""
+def test_the_hook_reports_forbidden_events(tmp_path):
+    """Shows that the test above can fail: the hook reports a started program and a Unix socket."""
     (tmp_path / "sitecustomize.py").write_text(HOOK)
     text = "import os, socket; os.system('true'); socket.socket(socket.AF_UNIX)"
     subprocess.run(
@@ -96,5 +99,5 @@
         check=True,
         env={**os.environ, "AUDITED": str(tmp_path / "seen"), "PYTHONPATH": str(tmp_path)},
     )
-    seen = (tmp_path / "seen").read_text()
-    assert "os.system" in seen and "socket 1 1" in seen
+    events = (tmp_path / "seen").read_text()
+    assert "os.system" in events and "socket 1 1" in events
--- a/tests/balancer/program/test_program_scenarios.py
+++ b/tests/balancer/program/test_program_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario of the program itself."""
+"""Runs every scenario file of the program."""
 
 import pathlib
 
