--- a/honeywood/balancer/actors/application.py
+++ b/honeywood/balancer/actors/application.py
@@ -135,7 +135,7 @@
         """
         for group in (self.ending, self.silent, self.idle):
             for client in list(group)[:MAX_EVICTION_CANDIDATES]:
-                # A client whose bytes have arrived but are not yet read may just have sent a request.
+                # A client with bytes that have arrived but are not yet read may just have sent a request.
                 is_ending = group is self.ending
                 if is_ending or client.reading_since or client.connection.is_reusable():
                     group.pop(client, None)  # each client is evicted only once
@@ -144,7 +144,7 @@
         return False
 
     def _sweep(self) -> None:
-        """Have clients and servers check their timeouts; runs on the thread of this mailbox."""
+        """Have clients and servers check their timeouts; runs on the thread of _sweep_mailbox."""
         self._sweep_mailbox.after(SWEEP_INTERVAL, self._sweep)
         for client in list(self.clients):
             if not client.call:
--- a/honeywood/balancer/actors/client.py
+++ b/honeywood/balancer/actors/client.py
@@ -62,7 +62,7 @@
         return self._read()
 
     def on_closed(self, connection: Connection) -> None:
-        """Report a lost RPC to the decisions and remove the client."""
+        """Remove the client; if an RPC is open, report the disconnection to the decisions."""
         if self.call:
             self._decisions.post(self._decisions.on_client_disconnected, self.call)
         self.set_eviction_group(None)
--- a/honeywood/balancer/actors/counters.py
+++ b/honeywood/balancer/actors/counters.py
@@ -37,6 +37,6 @@
         with self._lock:
             counts = dict(self._counts)
         counts["cpu_ms"] = int(time.process_time() * 1000)
-        new = {name: count - self._reported.get(name, 0) for name, count in counts.items()}
+        increments = {name: count - self._reported.get(name, 0) for name, count in counts.items()}
         self._reported = counts
-        log.info("counts", **{name: count for name, count in new.items() if count}, **gauges)
+        log.info("counts", **{name: count for name, count in increments.items() if count}, **gauges)
--- a/honeywood/balancer/actors/decision_host.py
+++ b/honeywood/balancer/actors/decision_host.py
@@ -172,7 +172,7 @@
 
     # Posted by the other actors.
     def on_request(self, call: Call) -> None:
-        """Create an RPC for a client's request; 409 if its request id is already in use."""
+        """Create an RPC for a client's request, or answer 409 if its request id is already in use."""
         now = clock.now()
         # Servers could not distinguish two open RPCs with the same identifier.
         if call.identifier in self._open_identifiers:
@@ -253,7 +253,7 @@
         self,
         members: Sequence[tuple[ServerPeer, Address | None, ServerEntry]],
         complete: bool,
-        gone: Sequence[ServerPeer],
+        removed_peers: Sequence[ServerPeer],
         revision: int,
     ) -> None:
         """Take over the server list or changes to it.
@@ -261,13 +261,13 @@
         Args:
             members: each listed server with its address and entry.
             complete: whether this is the whole list.
-            gone: known servers that a complete list no longer contains.
+            removed_peers: known servers that a complete list no longer contains.
             revision: the revision of the list.
         """
         for peer, address, entry in members:
             process = Process(address, entry.build, entry.started_at)
             peer.mailbox.post(peer.on_list_entry, entry.status, process)
-        for peer in gone:
+        for peer in removed_peers:
             peer.mailbox.post(peer.on_list_entry, ServerStatus.REMOVED, None)
         now, entries = clock.now(), [entry for _, _, entry in members]
         if self._recorder:
--- a/honeywood/balancer/actors/server_directory.py
+++ b/honeywood/balancer/actors/server_directory.py
@@ -97,8 +97,10 @@
             unlisted.discard(member.identifier)
             if member.identifier in self.peers or member.status != ServerStatus.REMOVED:
                 entries.append(self._entry(member))
-        gone = [self.peers.pop(identifier) for identifier in sorted(unlisted)]
-        self.decisions.post(self.decisions.on_server_list, entries, update.complete, gone, update.revision)
+        removed_peers = [self.peers.pop(identifier) for identifier in sorted(unlisted)]
+        self.decisions.post(
+            self.decisions.on_server_list, entries, update.complete, removed_peers, update.revision
+        )
         self.log.info(
             "list",
             revision=update.revision,
--- a/honeywood/balancer/actors/subscription.py
+++ b/honeywood/balancer/actors/subscription.py
@@ -39,7 +39,7 @@
         self.log, self._descriptors = application.log, application.descriptors
         self._random, self._count = application.random, application.counters.add
         self.decisions, self.mailbox = application.decisions, Mailbox(name, MAX_CALLS, application.fail)
-        # The current connection and the one being dialled; a replaced one may stay open until it is retired.
+        # The current connection and the one being dialled; a replaced one may stay open, see retire().
         self.connection: Any = None
         self._dialling: Any = None
         self._backoff, self._last_received_at = MIN_BACKOFF, clock.now()
--- a/honeywood/balancer/program/main.py
+++ b/honeywood/balancer/program/main.py
@@ -36,10 +36,10 @@
 LOG_FLUSH_TIMEOUT_S = 0.5  # to write the last lines of the log
 
 
-def fail(where: str, error: BaseException) -> None:
+def fail(thread_name: str, error: BaseException) -> None:
     """End the program because an actor has failed, so that its peers notice it and it can be restarted."""
     trace = "".join(traceback.format_exception(error))
-    print(f"level=error event=fault where={where!r}\n{trace}", flush=True)
+    print(f"level=error event=fault where={thread_name!r}\n{trace}", flush=True)
     os._exit(FAULT_STATUS)
 
 
@@ -81,17 +81,17 @@
 def reload(application: Application, loaded: configuration.Configuration, logger: Any) -> None:
     """Use the new addresses of discovery and the platform; an invalid configuration changes nothing."""
     try:
-        new = configuration.read(os.environ)
+        new_configuration = configuration.read(os.environ)
     except InvalidConfiguration as error:
         logger.error("configuration_unusable", what=str(error))
         return
-    application.change_addresses(new)
+    application.change_addresses(new_configuration)
     logger.info(
         "configuration",
-        discovery=log.format_address(new.discovery),
-        platform=log.format_address(new.platform),
+        discovery=log.format_address(new_configuration.discovery),
+        platform=log.format_address(new_configuration.platform),
     )
-    if new.fixed != loaded.fixed:
+    if new_configuration.fixed != loaded.fixed:
         logger.warning("configuration_kept", until="restart", what=", ".join(configuration.FIXED_KEYS))
 
 
--- a/honeywood/balancer/protocol/http.py
+++ b/honeywood/balancer/protocol/http.py
@@ -130,8 +130,8 @@
 
     def end_to_end_fields(self, *without: str) -> list[tuple[str, str]]:
         """The fields to forward: neither hop-by-hop nor named in `without`."""
-        left = HOP_BY_HOP.union(without, self.tokens("connection"))
-        return [(name, value) for name, value in self.fields if name not in left]
+        excluded = HOP_BY_HOP.union(without, self.tokens("connection"))
+        return [(name, value) for name, value in self.fields if name not in excluded]
 
 
 @dataclass(slots=True)
--- a/honeywood/balancer/transport/connection.py
+++ b/honeywood/balancer/transport/connection.py
@@ -39,7 +39,8 @@
 
 
 READ_SIZE = 64 * 1024  # bytes read at once
-KERNEL_BUFFER = 200 * 1024  # send buffer in bytes; the kernel doubles this value
+# Send buffer: unread bytes that the kernel keeps for a peer. The kernel doubles the value.
+KERNEL_BUFFER = 200 * 1024
 MAX_UNSENT = 4  # writes that do not fit into the send buffer and are left to a thread
 WRITE_TIMEOUT_S = 2  # without the peer reading any byte
 MAX_DISCARDED = 1024 * 1024  # bytes read and discarded so that the peer can still read the last answer
@@ -159,10 +160,10 @@
         if self._discarded > MAX_DISCARDED and self.code:
             self.close(self.code)
 
-    def _run(self, what: str, call: Callable[[], Any]) -> bool:
+    def _run(self, purpose: str, call: Callable[[], Any]) -> bool:
         """Run a call on a thread; False if the system has none, which must not end the program."""
         try:
-            run_on_thread(f"{what} {self.peer}", call, self.mailbox.fail)
+            run_on_thread(f"{purpose} {self.peer}", call, self.mailbox.fail)
         except RuntimeError:
             return False
         return True
--- a/honeywood/balancer/transport/listener.py
+++ b/honeywood/balancer/transport/listener.py
@@ -30,7 +30,8 @@
     ) -> None:
         """Listen at once; start() begins to accept. Raises OSError."""
         self._accept, self._fail, self._closed, self.ended = accept, fail, False, False
-        self._socket = socket.create_server(address, backlog=BACKLOG)  # sets SO_REUSEADDR, for restarts
+        # create_server() sets SO_REUSEADDR, so that a restarted program can listen at once.
+        self._socket = socket.create_server(address, backlog=BACKLOG)
 
     def start(self) -> None:
         """Start to accept connections."""
