--- a/deploy/trace.hcl
+++ b/deploy/trace.hcl
@@ -1,4 +1,4 @@
-# Traces of what this front was asked, decided and why: docs/operate/trace.md
+# Traces of this balancer's requests and decisions: docs/operate/trace.md
 trace {
   folder      = "traces"
   most_bytes  = "1GB"
--- a/honeywood/cli/trace.py
+++ b/honeywood/cli/trace.py
@@ -1,5 +1,8 @@
-"""`honeywood trace ...`. Exit codes: 0 done; 1 done, and something was found that must not be (verify,
-replay); 2 can't be used or read; 3 clocks that can't be compared."""
+"""The `honeywood trace` commands.
+
+Exit codes: 0 done; 1 done, with problems found (verify) or differences (replay); 2 unusable arguments or
+unreadable files; 3 clocks that can't be compared.
+"""
 import json
 import os
 import shutil
@@ -11,29 +14,29 @@
 import click
 
 from honeywood.trace.reader import Reader
-from honeywood.trace.rules.selection import Wanted
-from honeywood.trace.schema import Unfit, Unreadable
+from honeywood.trace.rules.selection import RecordFilter
+from honeywood.trace.schema import InvalidRecord, UnreadableTrace
 from honeywood.trace.writer import Writer, create
 
-FOUND, UNUSABLE, UNKNOWN_SKEW = 1, 2, 3
-UNITS = 10_000                 # tenths of a ms in a second
+EXIT_PROBLEMS_FOUND, EXIT_UNUSABLE, EXIT_UNKNOWN_SKEW = 1, 2, 3
+SECOND = 10_000                # in tenths of a ms
 
 
 class Group(click.Group):
     def invoke(self, ctx):
-        """What can't be read ends with one line."""
+        """Reports expected errors, such as unreadable files, in one line."""
         try:
             return super().invoke(ctx)
-        except (Unreadable, Unfit, OSError, ValueError) as wrong:
-            click.echo(f"honeywood: {wrong}", err=True)
-            ctx.exit(UNUSABLE)
+        except (UnreadableTrace, InvalidRecord, OSError, ValueError) as error:
+            click.echo(f"honeywood: {error}", err=True)
+            ctx.exit(EXIT_UNUSABLE)
 
 
 @click.group("trace", cls=Group)
 def command():
     """Reads, cuts, merges and explains traces. `-` stands for standard input or output.
 
-    Exit codes: 0 done; 1 something was found that must not be (verify, replay); 2 a file or a word that can't
+    Exit codes: 0 done; 1 problems or differences found (verify, replay); 2 a file or an argument that can't
     be used; 3 clocks that can't be compared (merge).
     """
 
@@ -45,24 +48,25 @@
     def convert(self, value, param, ctx):
         try:
             if value.startswith("+"):
-                return "+", round(float(value) * UNITS)
+                return "+", round(float(value) * SECOND)
             try:
-                return "", round(float(value) * UNITS)
+                return "", round(float(value) * SECOND)
             except ValueError:
-                at = datetime.fromisoformat(value)
-                return "", round((at if at.tzinfo else at.replace(tzinfo=UTC)).timestamp() * UNITS)
+                moment = datetime.fromisoformat(value)
+                return "", round((moment if moment.tzinfo
+                                  else moment.replace(tzinfo=UTC)).timestamp() * SECOND)
         except ValueError:
-            self.fail(f"{value!r} is no time such as 2026-12-05T10:00:00, 1764928800 or +60", param, ctx)
+            self.fail(f"{value!r} is not a time such as 2026-12-05T10:00:00, 1764928800 or +60", param, ctx)
 
 
 def clock(tenths):
-    at = datetime.fromtimestamp(tenths / UNITS, UTC)
-    return at.isoformat(timespec="milliseconds").replace("+00:00", "Z")
+    moment = datetime.fromtimestamp(tenths / SECOND, UTC)
+    return moment.isoformat(timespec="milliseconds").replace("+00:00", "Z")
 
 
 @contextmanager
-def reading(path, skip=False):
-    """A Reader; standard input is brought to a file first, since the index stands at a trace's end."""
+def open_reader(path, skip=False):
+    """A Reader; standard input is copied to a file first, since the index is at the end of a trace."""
     with ExitStack() as stack:
         if path == "-":
             file = stack.enter_context(tempfile.NamedTemporaryFile())
@@ -71,66 +75,67 @@
             path = file.name
         reader = stack.enter_context(Reader(path, skip))
         yield reader
-        if reader.passed:
-            click.echo(f"passed over {reader.passed} records of kinds that a newer version writes", err=True)
+        if reader.unknown_records:
+            click.echo(f"skipped {reader.unknown_records} records of kinds unknown to this version", err=True)
         for text in reader.damage:
             click.echo(f"skipped: {text}", err=True)
 
 
-def writing(path, about):
-    """A Writer; a file that is there already is never written over."""
+def open_writer(path, metadata):
+    """A Writer; an existing file is never overwritten."""
     if path != "-":
-        return create(path, about)
-    return Writer(open(sys.stdout.fileno(), "wb", buffering=0, closefd=False), about)
+        return create(path, metadata)
+    return Writer(open(sys.stdout.fileno(), "wb", buffering=0, closefd=False), metadata)
 
 
 @contextmanager
-def progress(words, total):
-    """Calls with how much was done, shown as a bar where somebody looks."""
+def progress(description, total):
+    """A function to call with the amount done; shows a progress bar if standard error is a terminal."""
     if not sys.stderr.isatty():
-        yield lambda done: None
+        yield lambda amount: None
         return
     from rich.console import Console
     from rich.progress import Progress
-    with Progress(console=Console(stderr=True)) as bars:
-        bar = bars.add_task(words, total=total)
-        yield lambda done: bars.advance(bar, done)
+    with Progress(console=Console(stderr=True)) as progress_bar:
+        task = progress_bar.add_task(description, total=total)
+        yield lambda amount: progress_bar.advance(task, amount)
 
 
-def in_all(reader):
+def count_records(reader):
     return sum(entry.count for _, _, entry in reader.entries())
 
 
-def bounds(reader, *times):
-    """Times as they were given, those with + counted from the first record."""
+def resolve_times(reader, *times):
+    """The times in tenths of a ms since 1970; those with + are relative to the first record."""
     if any(time and time[0] == "+" for time in times):
         first = min((entry.first for _, _, entry in reader.entries()), default=0)
     return [time and (time[1] + first if time[0] == "+" else time[1]) for time in times]
 
 
-def choices(command):
-    """The options by which records are chosen."""
-    for name, words in (("--rpc", "Only the RPCs that clients named so."),
-                        ("--kind", "Only records of this kind."),
-                        ("--server", "Only what names this server."),
-                        ("--method", "Only what is of this method.")):
-        command = click.option(name, multiple=True, help=words)(command)
-    command = click.option("--build", multiple=True, type=int, help="Only what names this build.")(command)
+def filter_options(command):
+    """Adds the options that select records."""
+    for name, description in (("--rpc", "Only RPCs with this id, which the client set."),
+                              ("--kind", "Only records of this kind."),
+                              ("--server", "Only records with this server."),
+                              ("--method", "Only records with this method.")):
+        command = click.option(name, multiple=True, help=description)(command)
+    command = click.option("--build", multiple=True, type=int, help="Only records with this build.")(command)
     command = click.option("--to", "until", type=Time(), help="Before this time.")(command)
     return click.option("--from", "since", type=Time(), help="From this time on.")(command)
 
 
-def chosen(reader, since, until, method, server, build, rpc, kind):
+def build_filter(reader, since, until, method, server, build, rpc, kind):
     from honeywood.trace.schema import KINDS
-    numbers = {known.name: number for number, known in KINDS.items()}
+    kind_numbers = {known.name: number for number, known in KINDS.items()}
     for name in kind:
-        if name not in numbers:
-            raise click.UsageError(f"--kind: {name!r} is not one of {', '.join(numbers)}")
-    return Wanted(*bounds(reader, since, until), method, server, build, [numbers[name] for name in kind], rpc)
+        if name not in kind_numbers:
+            raise click.UsageError(f"--kind: {name!r} is not one of {', '.join(kind_numbers)}")
+    return RecordFilter(*resolve_times(reader, since, until), method, server, build,
+                        [kind_numbers[name] for name in kind], rpc)
 
 
-skipping = click.option("--skip-damaged", "skip", is_flag=True,
-                        help="Go on behind damaged blocks, and say which.")
+skip_option = click.option("--skip-damaged", "skip", is_flag=True,
+                           help="Skip damaged blocks, and list them.")
 
 
 @command.command()
@@ -138,30 +143,31 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.argument("out")
 def sample(records, seed, out):
-    """Writes a synthetic hour of traffic, to try the tools on."""
-    from honeywood.trace import sample as made
-    with progress("sample", records) as done:
-        made.write(writing(out, made.about(seed)), records, seed, done)
+    """Writes a synthetic hour of traffic, to test the tools."""
+    from honeywood.trace import sample as generator
+    with progress("sample", records) as advance:
+        generator.write(open_writer(out, generator.metadata(seed)), records, seed, advance)
 
 
 @command.command()
-@choices
-@skipping
+@filter_options
+@skip_option
 @click.option("-o", "--out", default="-", show_default=True)
 @click.argument("path")
 def cut(path, out, skip, **given):
     """Cuts a part out of a trace."""
     from honeywood.trace import cutting
-    with reading(path, skip) as reader:
-        wanted = chosen(reader, **given)
-        with progress("cut", reader.size if wanted.only_times() else in_all(reader)) as done:
-            cutting.cut(reader, writing(out, cutting.about_of(reader)), wanted, done)
+    with open_reader(path, skip) as reader:
+        record_filter = build_filter(reader, **given)
+        with progress("cut", reader.size if record_filter.selects_by_time_only()
+                      else count_records(reader)) as advance:
+            cutting.cut(reader, open_writer(out, cutting.metadata_of(reader)), record_filter, advance)
 
 
 @command.command()
 @click.option("--skew", multiple=True, metavar="FRONT=SECONDS",
-              help="Add so much to a front's times, and do not estimate it.")
-@skipping
+              help="Add this to a front's times instead of an estimate.")
+@skip_option
 @click.option("-o", "--out", required=True)
 @click.argument("paths", nargs=-1, required=True)
 def merge(paths, out, skip, skew):
@@ -176,20 +182,21 @@
         except ValueError:
             raise click.UsageError(f"--skew: {text!r} is not FRONT=SECONDS") from None
     with Merge(paths, skip, given) as merging:
-        for path in merging.same:
+        for path in merging.duplicate_paths:
             click.echo(f"{path}: the same file again, left out", err=True)
         try:
             merging.estimate()
-        except UnknownSkew as wrong:
-            click.echo(f"honeywood: {wrong}", err=True)
-            raise SystemExit(UNKNOWN_SKEW) from None
+        except UnknownSkew as error:
+            click.echo(f"honeywood: {error}", err=True)
+            raise SystemExit(EXIT_UNKNOWN_SKEW) from None
         for run in merging.runs.values():
-            shift = run.skew
-            click.echo(f"{name(run.about)}: {shift.offset / UNITS:+.4f} s, {shift.rate * 1e6:+.1f} ppm, "
-                       f"within {shift.unsure / UNITS:.4f} s, by {shift.pairs} events", err=True)
-        with progress("merge", sum(map(in_all, merging.readers))) as done:
-            count = merging.write(writing(out, merging.about()), done)
-        click.echo(f"{count} records of {len(merging.runs)} runs; {merging.twice()} stood in two files "
+            estimate = run.skew
+            click.echo(f"{name(run.metadata)}: {estimate.offset / SECOND:+.4f} s, "
+                       f"{estimate.rate * 1e6:+.1f} ppm, "
+                       f"within {estimate.uncertainty / SECOND:.4f} s, by {estimate.pairs} events", err=True)
+        with progress("merge", sum(map(count_records, merging.readers))) as advance:
+            count = merging.write(open_writer(out, merging.metadata()), advance)
+        click.echo(f"{count} records of {len(merging.runs)} runs; {merging.duplicates()} stood in two files "
                    "and were taken once", err=True)
 
 
@@ -201,93 +208,96 @@
 @click.option("-o", "--out", required=True)
 @click.argument("path")
 def anonymise(path, out, customer, key, make):
-    """Writes what one carrier may be given: its own RPCs, with keyed hashes in place of names."""
+    """Exports what one carrier may be given: its own RPCs, with keyed hashes in place of names."""
     from honeywood.trace import exporting
     if make:
         exporting.make_key(key)
     master = exporting.read_key(key)
-    with reading(path) as reader, progress("anonymise", in_all(reader)) as done:
-        count, rules = exporting.export(reader, lambda about: writing(out, about), customer, master, done)
-    click.echo(f"{len(rules.numbers)} RPCs in {count} records; {rules.torn} RPCs named no customer and are "
-               "in no export", err=True)
+    with open_reader(path) as reader, progress("anonymise", count_records(reader)) as advance:
+        count, export = exporting.export(reader, lambda metadata: open_writer(out, metadata), customer,
+                                         master, advance)
+    click.echo(f"{len(export.rpc_numbers)} RPCs in {count} records; {export.rpcs_without_customer} RPCs "
+               "named no customer and are in no export", err=True)
 
 
 @command.command()
-@skipping
-@click.option("--json", "plain", is_flag=True, help="For a program to read.")
+@skip_option
+@click.option("--json", "plain", is_flag=True, help="Print JSON.")
 @click.argument("path")
 def summary(path, skip, plain):
-    """What a trace holds: answers, latencies, picks, votes."""
+    """Summarizes a trace: answers, latencies, picks, votes."""
     from honeywood.trace.rules.summing import Summary
     found = Summary()
-    with reading(path, skip) as reader, progress("summary", in_all(reader)) as done:
+    with open_reader(path, skip) as reader, progress("summary", count_records(reader)) as advance:
         for entry, columns in reader.blocks():
             found.add(entry, columns)
-            done(entry.count)
-    got = found.plain()
+            advance(entry.count)
+    result = found.plain()
     if plain:
-        return click.echo(json.dumps(got, indent=1))
-    return show_summary(got)
+        return click.echo(json.dumps(result, indent=1))
+    return show_summary(result)
 
 
-def show_summary(got):
+def show_summary(result):
     from rich.console import Console
     from rich.table import Table
     console = Console(highlight=False, width=None if sys.stdout.isatty() else 110)
-    if not got["records"]:
+    if not result["records"]:
         return console.print("no records")
-    console.print(f"{got['records']} records, {clock(got['first'])} to {clock(got['last'])}: "
-                  + ", ".join(f"{count} {kind}" for kind, count in got["kinds"].items()))
+    console.print(f"{result['records']} records, {clock(result['first'])} to {clock(result['last'])}: "
+                  + ", ".join(f"{count} {kind}" for kind, count in result["kinds"].items()))
     counts = "taken", "ok", "pushed back", "aborted"
     table = Table("method", *counts, "p50 ms", "p95", "p99", "p99.9")
-    for method, row in got["methods"].items():
+    for method, row in result["methods"].items():
         quantiles = [str(value) for value in row["latency_ms"].values()] or ["-"] * 4
         table.add_row(method, *(str(row[name]) for name in counts), *quantiles)
     console.print(table)
     for title, name in (("given up since", "given_up_since"), ("servers passed over", "servers_passed_over"),
                         ("picks by build", "picks_by_build")):
-        if got[name]:
-            console.print(f"{title}: " + ", ".join(f"{count} {word}" for word, count in got[name].items()))
-    for build, row in got["results_by_build"].items():
+        if result[name]:
+            console.print(f"{title}: " + ", ".join(f"{count} {word}" for word, count in result[name].items()))
+    for build, row in result["results_by_build"].items():
         console.print(f"build {build}: " + ", ".join(f"{count} {word}" for word, count in row.items()))
-    for at, build, step, standing, cap in got["news"]:
-        console.print(f"{clock(at)} build {build} {standing}, step {step}, cap {cap:g}")
-    for at, build, step, verdict, least in got["votes"]:
-        why = f", least p {least[0]:.4g}: {least[1]}, {least[2]:.0f} of {least[3]:.0f}" if least else ""
-        console.print(f"{clock(at)} vote {verdict} on build {build}, step {step}{why}")
-    if got["dropped"]["records"]:
-        console.print(f"NOT RECORDED: {got['dropped']['records']} records, {got['dropped']['rpcs']} RPCs")
+    for moment, build, step, standing, cap in result["news"]:
+        console.print(f"{clock(moment)} build {build} {standing}, step {step}, cap {cap:g}")
+    for moment, build, step, verdict, lowest in result["votes"]:
+        why = f", least p {lowest[0]:.4g}: {lowest[1]}, {lowest[2]:.0f} of {lowest[3]:.0f}" if lowest else ""
+        console.print(f"{clock(moment)} vote {verdict} on build {build}, step {step}{why}")
+    if result["dropped"]["records"]:
+        console.print(f"NOT RECORDED: {result['dropped']['records']} records, "
+                      f"{result['dropped']['rpcs']} RPCs")
     return None
 
 
 @command.command()
-@choices
-@skipping
-@click.option("--json", "plain", is_flag=True, help="For a program to read: a line a record.")
+@filter_options
+@skip_option
+@click.option("--json", "plain", is_flag=True, help="Print JSON, one line per record.")
 @click.argument("paths", nargs=-1, required=True)
 def show(paths, skip, plain, **given):
-    """Shows records; with --rpc the life of an RPC and the why, also where it spans several files."""
-    from honeywood.trace.finding import found_in
-    from honeywood.trace.rules.lives import lives, told
+    """Shows records; with --rpc the history of an RPC with the reasons, also across several files."""
+    from honeywood.trace.finding import find_records
+    from honeywood.trace.rules.rpc_history import collect_histories, describe
     with ExitStack() as stack:
-        readers = [stack.enter_context(reading(path, skip)) for path in paths]
-        found = found_in(readers, [chosen(reader, **given) for reader in readers])
+        readers = [stack.enter_context(open_reader(path, skip)) for path in paths]
+        found = find_records(readers, [build_filter(reader, **given) for reader in readers])
         if not given["rpc"] or plain:
             for record in found:
                 show_record(record, plain)
             return
-        found = sorted(found, key=lambda record: record.time)  # files may be named in any order
-        said = [line for life in lives(found).values() for line in (*told(life, clock), "")]
-        click.echo("\n".join(said[:-1]) if said else "no such RPC")
+        found = sorted(found, key=lambda record: record.time)  # the files may be given in any order
+        lines = [line for history in collect_histories(found).values()
+                 for line in (*describe(history, clock), "")]
+        click.echo("\n".join(lines[:-1]) if lines else "no such RPC")
 
 
 def show_record(record, plain):
     from honeywood.trace.schema import KINDS
     kind = KINDS[record.kind]
-    got = dict(zip(kind.at, record.values))
-    head = {"at": clock(record.time), "source": record.source, "kind": kind.name}
-    click.echo(json.dumps({**head, **got}) if plain else " ".join((
-        head["at"], str(record.source), kind.name, *(f"{name}={value}" for name, value in got.items()))))
+    fields = dict(zip(kind.positions, record.values))
+    prefix = {"at": clock(record.time), "source": record.source, "kind": kind.name}
+    click.echo(json.dumps({**prefix, **fields}) if plain else " ".join((
+        prefix["at"], str(record.source), kind.name, *(f"{name}={value}" for name, value in fields.items()))))
 
 
 @command.command()
@@ -295,62 +305,64 @@
 @click.option("--skip-damaged", "skip", is_flag=True)
 @click.argument("paths", nargs=-1, required=True)
 def replay(paths, plain, skip):
-    """Plays what a front was told into the decisions of today; ends with 1 where they differ."""
+    """Replays a front's inputs through the current decision code; exits with 1 if the decisions differ."""
     from honeywood.trace.merging import Merge
-    from honeywood.trace.replay import replay as played
+    from honeywood.trace.replay import replay as replay_run
     from honeywood.trace.sources import name
-    differs, said = False, {}
+    differs, results = False, {}
     with Merge(paths, skip) as merging:
         for run in merging.runs.values():
-            with progress(f"replay {name(run.about)}", sum(map(in_all, merging.readers))) as done:
-                got = said[name(run.about)] = played(run, done)
-            differs = differs or bool(got["differ"])
+            with progress(f"replay {name(run.metadata)}",
+                          sum(map(count_records, merging.readers))) as advance:
+                result = results[name(run.metadata)] = replay_run(run, advance)
+            differs = differs or bool(result["differ"])
     if plain:
-        click.echo(json.dumps(said, indent=1))
+        click.echo(json.dumps(results, indent=1))
     else:
-        for run, got in said.items():
-            click.echo(f"{run}: {got['inputs']} inputs; " + ", ".join(
-                f"{what}: {got['same'].get(what, 0)} as then, {got['differ'].get(what, 0)} otherwise"
+        for run, result in results.items():
+            click.echo(f"{run}: {result['inputs']} inputs; " + ", ".join(
+                f"{what}: {result['same'].get(what, 0)} same, {result['differ'].get(what, 0)} different"
                 for what in ("pick", "answer", "vote")))
-            if not got["exact"]:
-                click.echo("  not exact: " + ("the trace begins in the middle of the run" if not
-                           got["from_its_start"] else f"{got['records_dropped']} records were not recorded"))
-            for text in got["told"]:
+            if not result["exact"]:
+                click.echo("  not exact: " + ("the trace does not begin with the run" if not
+                           result["from_its_start"] else
+                           f"{result['records_dropped']} records were not recorded"))
+            for text in result["told"]:
                 click.echo(f"  {text}")
-    raise SystemExit(FOUND if differs else 0)
+    raise SystemExit(EXIT_PROBLEMS_FOUND if differs else 0)
 
 
 @command.command()
 @click.argument("paths", nargs=-1, required=True)
 def verify(paths):
-    """Looks at every sum and reads every record; ends with 1 where a file is damaged or an RPC's life is
-    wrong."""
-    from honeywood.trace.verifying import verify as verified
+    """Verifies every checksum and reads every record; exits with 1 if a file is damaged or the records of an
+    RPC are inconsistent."""
+    from honeywood.trace.verifying import verify as verify_file
     bad = False
     for path in paths:
-        with reading(path, skip=True) as reader, progress("verify", reader.size) as done:
-            found = verified(reader, done)
+        with open_reader(path, skip=True) as reader, progress("verify", reader.size) as advance:
+            found = verify_file(reader, advance)
         bad = bad or bool(found["wrong"])
         click.echo(f"{path}: {found['records']} records in {found['blocks']} blocks, index {found['index']}"
                    + (f", torn tail of {found['torn']} bytes cut off" if found["torn"] else ""))
         for text in found["wrong"]:
             click.echo(f"  {text}")
-    raise SystemExit(FOUND if bad else 0)
+    raise SystemExit(EXIT_PROBLEMS_FOUND if bad else 0)
 
 
 @command.command()
 @click.argument("path")
 def index(path):
-    """Gives a trace that lacks its index a new one: cuts a torn tail off and writes the index behind."""
+    """Rebuilds the index of a trace: cuts off a torn tail and appends a new index."""
     from honeywood.trace.verifying import rebuild
     click.echo(f"{path}: {rebuild(path)}")
 
 
 @command.command()
-@click.option("-o", "--out", required=True, help="A file; its ending says which kind (png, svg, pdf).")
+@click.option("-o", "--out", required=True, help="A file; its suffix sets the format (png, svg, pdf).")
 @click.argument("path")
 def plot(path, out):
-    """Draws rates, outcomes, latencies, the step and the votes over time."""
-    from honeywood.trace import plot as drawing
-    with reading(path) as reader:
-        drawing.plot(reader, sys.stdout.buffer if out == "-" else out, os.path.basename(path))
+    """Draws rates, outcomes, latencies, release steps and votes over time."""
+    from honeywood.trace import plot as trace_plot
+    with open_reader(path) as reader:
+        trace_plot.plot(reader, sys.stdout.buffer if out == "-" else out, os.path.basename(path))
--- a/honeywood/trace/__init__.py
+++ b/honeywood/trace/__init__.py
@@ -1,5 +1,5 @@
-"""The trace: what a front was asked, what it decided and why, in files that survive a crash.
+"""Traces: a balancer's requests, its decisions and their reasons, in files that survive a crash.
 
-Start with docs/trace-format.md and schema.py; rules/ decides, call_recorder.py
-says what a balancer records.
+Start with docs/trace-format.md and schema.py. The rules are in rules/; call_recorder.py defines what a
+balancer records.
 """
--- a/honeywood/trace/call_recorder.py
+++ b/honeywood/trace/call_recorder.py
@@ -1,7 +1,7 @@
-"""What a balancer records: the calls between the decisions and their host, as records in a bounded queue.
+"""Records the calls between a balancer's decisions and their host in a bounded queue.
 
-It listens and changes nothing: all calls come on the decisions' thread and cost it some microseconds each. A
-balancer that is faster than the disk loses records, never RPCs; rules/load_shedding.py says which.
+The recorder observes and changes nothing: all calls come on the decisions' thread and take a few microseconds
+each. A balancer that is faster than the disk loses records, never RPCs; rules/load_shedding.py selects which.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
     ABORTED,
     ANSWER,
     ANSWERED_OK,
-    BEGAN,
-    COMING,
+    STARTED,
+    RESPONSE_STARTED,
     DROPPED,
-    LEFT,
-    LIST,
-    LIST_FAILED,
-    LOOK,
-    MOST_TEXT,
-    NEWS,
-    PICK,
+    CLIENT_DISCONNECTED,
+    SERVER_LIST,
+    SERVER_LIST_FAILED,
+    TIMER,
+    MAX_TEXT_CHARACTERS,
+    RELEASE_UPDATE,
+    ATTEMPT,
     PROBE,
-    PUSHED_BACK,
+    REJECTED,
     RESULT,
-    SAID,
-    TAKEN,
-    TALLY,
+    LOG_LINE,
+    ARRIVAL,
+    PLATFORM_COUNTS,
     VOTE,
-    WRONG,
+    INCORRECT_ANSWER,
 )
 
 TYPE_CHECKING = False
@@ -54,15 +54,16 @@
     )
     from honeywood.trace.schema import Kind
 
-MAX_CONSIDERED = 16  # servers that an attempt names; of a fleet all of which was looked at only the first
-NO_UPDATE = (0, 0, 0.0, 0, 0)  # of a vote that does not count
+MAX_CONSIDERED = 16  # servers listed in an attempt; the first ones where a whole group was considered
+NO_UPDATE = (0, 0, 0.0, 0, 0)  # for a vote that does not count
 
 
 class CallRecorder:
-    """Is told each call before it is made, and the reasons of decisions (interface.Observer).
+    """Receives each call before it is made, and the reasons of decisions (interface.Observer).
 
-    `host` of what the decisions hand over leads to names, as actors/ keeps them: a server's peer, an RPC's
-    call, whose `serial` numbers it; 0 where the RPC's arrival is not recorded, and then nothing of it is.
+    The names come from the `host` attributes of the decisions' objects, which actors/ sets: a server's peer,
+    an RPC's call. The call's `serial` is the RPC's number in the trace, 0 where its arrival was shed; then no
+    record of the RPC is written.
     """
 
     def __init__(
@@ -72,72 +73,72 @@
         customer_fields: Sequence[str],
         parcel_fields: Sequence[str],
     ) -> None:
-        """`unix_start` is 1970 on the host's clock; the fields are header fields of requests."""
+        """`unix_start` is 1970 on the host's clock; the fields are names of request headers."""
         self.queue: deque[tuple[Time, int, int, tuple[Any, ...]]] = deque()
         self.shedding, self.unix_start = LoadShedding(capacity), unix_start
         self._customer_fields, self._parcel_fields = customer_fields, parcel_fields
         self._always_admitted = self.shedding.secondary_limit
-        # What was considered for an RPC since its last attempt.
+        # The servers considered for an RPC since its last attempt.
         self._rpc: Rpc | None = None
         self._considered: list[tuple[str, int]] = []
         self._considered_all = 0
         self._test_results: Sequence[ReleaseTestResult] = ()
 
-    def drop_note(self, now: Time, why: str) -> tuple[tuple[Time, int, int, tuple[Any, ...]], ...]:
-        """What was lost so far, as a record; () where nothing was."""
+    def loss_records(self, now: Time, why: str) -> tuple[tuple[Time, int, int, tuple[Any, ...]], ...]:
+        """Return a record of the losses since the last call in a tuple, an empty one without losses."""
         records, rpcs = self.shedding.take_losses()
         return ((now - self.unix_start, 0, DROPPED.number, (records, rpcs, why)),) if records else ()
 
-    # The reasons of decisions.
+    # Reasons of decisions.
     def considered(self, rpc: Rpc, server: Server, exclusion: int) -> None:
-        """A server was drawn."""
+        """Note a server that was drawn for an RPC."""
         if rpc is not self._rpc:
             self._rpc, self._considered, self._considered_all = rpc, [], 0
         self._considered.append((server.host.name, exclusion))
 
     def considered_all(self, rpc: Rpc, servers: Sequence[Server], exclusions: Sequence[int]) -> None:
-        """All servers of a group were looked at."""
+        """Note that all servers of a group were considered."""
         for server, exclusion in zip(servers[:MAX_CONSIDERED], exclusions):
             self.considered(rpc, server, exclusion)
         self._considered_all += len(servers)
 
     def tested(self, now: Time, results: Sequence[ReleaseTestResult]) -> None:
-        """The tests behind the vote that follows."""
+        """Note the test results for the vote that follows."""
         self._test_results = results
 
-    # What the decisions are told.
+    # Inputs of the decisions.
     def on_start(self, now: Time) -> None:
-        """They began."""
-        self.put(now, BEGAN, ())
+        """Record the start of the decisions."""
+        self.put(now, STARTED, ())
 
     def on_timer(self, now: Time) -> None:
-        """They were woken."""
-        self.put(now, LOOK, ())
+        """Record a timer."""
+        self.put(now, TIMER, ())
 
     def on_server_list(
         self, now: Time, revision: int, entries: Sequence[ServerEntry], complete: bool
     ) -> None:
-        """The server list, or changes of it."""
+        """Record the server list, or changes of it."""
         servers, builds, zones, cells, scales, statuses, starts = zip(*entries) if entries else [()] * 7
         names = tuple(server.host.name for server in servers)
         starts = tuple(start - self.unix_start for start in starts)
         values = (revision, int(complete), names, builds, statuses, starts, zones, cells, scales)
-        self.put(now, LIST, values)
+        self.put(now, SERVER_LIST, values)
 
     def on_server_list_failed(self, now: Time) -> None:
-        """There is no list."""
-        self.put(now, LIST_FAILED, ())
+        """Record that the server list could not be fetched."""
+        self.put(now, SERVER_LIST_FAILED, ())
 
     def on_release_update(self, now: Time, update: ReleaseUpdate) -> None:
-        """The state of the newest release."""
+        """Record the state of the newest release."""
         self._put_release(now, update, result=1, is_reply=False)
 
     def on_vote_answered(self, now: Time, result: AttemptResult, update: ReleaseUpdate | None) -> None:
-        """The platform's answer to a vote."""
+        """Record the platform's answer to a vote."""
         self._put_release(now, update or NO_UPDATE, result, is_reply=True)
 
     def on_request(self, now: Time, rpc: Rpc) -> None:
-        """An RPC has come."""
+        """Record the arrival of an RPC."""
         call = rpc.host
         request, address = call.request, call.client.connection.peer.rpartition(":")[0]
         values = (
@@ -152,23 +153,23 @@
             rpc.expected_work,
             int(rpc.is_retry),
         )
-        if not self.put(now, TAKEN, values):
+        if not self.put(now, ARRIVAL, values):
             call.serial = 0
 
     def on_client_disconnected(self, now: Time, rpc: Rpc) -> None:
-        """The client has left."""
-        self.put(now, LEFT, (rpc.host.serial, rpc.method.name), rpc.host.serial)
+        """Record that the client disconnected."""
+        self.put(now, CLIENT_DISCONNECTED, (rpc.host.serial, rpc.method.name), rpc.host.serial)
 
     def on_response_started(self, now: Time, attempt: Attempt) -> None:
-        """The first of an answer has come."""
+        """Record the first bytes of a response."""
         serial = attempt.rpc.host.serial
         values = (serial, attempt.number, attempt.server.host.name, attempt.rpc.method.name)
-        self.put(now, COMING, values, serial)
+        self.put(now, RESPONSE_STARTED, values, serial)
 
     def on_result(
         self, now: Time, attempt: Attempt, result: AttemptResult, load: Sequence[float], final: bool
     ) -> None:
-        """An attempt has ended."""
+        """Record the end of an attempt."""
         serial = attempt.rpc.host.serial
         values = (
             serial,
@@ -188,21 +189,21 @@
     def on_probe_result(
         self, now: Time, server: Server, result: AttemptResult, latency: Duration, load: Sequence[float]
     ) -> None:
-        """A probe has ended."""
+        """Record the end of a probe."""
         self.put(now, PROBE, (server.host.name, result, latency, load))
 
     def on_incorrect_answer(self, now: Time, server: Server, method: Method) -> None:
-        """The platform found an answer wrong."""
-        self.put(now, WRONG, (server.host.name, method.name))
+        """Record that the platform found an answer incorrect."""
+        self.put(now, INCORRECT_ANSWER, (server.host.name, method.name))
 
     def on_platform_counts(self, now: Time, counts: PlatformCounts) -> None:
-        """The platform told what it counted."""
+        """Record the platform's counts."""
         build, method, failed, ended, mean_latency, age = counts
-        self.put(now, TALLY, (build, method.name, failed, ended, mean_latency, age))
+        self.put(now, PLATFORM_COUNTS, (build, method.name, failed, ended, mean_latency, age))
 
-    # What the decisions ask.
+    # Calls from the decisions.
     def on_send(self, attempt: Attempt, until: Time) -> None:
-        """An attempt is sent."""
+        """Record that an attempt is sent."""
         serial = attempt.rpc.host.serial
         values = (
             serial,
@@ -213,31 +214,33 @@
             until - attempt.sent_at,
             *self._take_considered(attempt.rpc),
         )
-        self.put(attempt.sent_at, PICK, values, serial)
+        self.put(attempt.sent_at, ATTEMPT, values, serial)
 
     def on_reject(self, now: Time, rpc: Rpc, retry_after: Duration) -> None:
-        """An RPC is answered that it did not run."""
-        self._answered(now, rpc, PUSHED_BACK, retry_after)
+        """Record that an RPC is rejected: it did not run."""
+        self._answered(now, rpc, REJECTED, retry_after)
 
     def on_abort(self, now: Time, rpc: Rpc) -> None:
-        """An RPC is answered that it failed."""
+        """Record that an RPC is answered with a failure."""
         self._answered(now, rpc, ABORTED, 0)
 
     def on_vote(self, now: Time, build: int, step: int, vote: Vote) -> None:
-        """A vote is cast."""
+        """Record a vote and its test results."""
         p_values, names, *counts = zip(*self._test_results) if self._test_results else [()] * 5
         columns = (tuple(map(float, column)) for column in (p_values, *counts))
         self.put(now, VOTE, (build, step, vote, names, *columns))
 
     def on_log(self, now: Time, text: str) -> None:
-        """A line of the log."""
-        self.put(now, SAID, (text[:MOST_TEXT],))
+        """Record a log line."""
+        self.put(now, LOG_LINE, (text[:MAX_TEXT_CHARACTERS],))
 
-    # Its own.
     def put(self, now: Time, kind: Kind, values: tuple[Any, ...], recorded: int = 1) -> bool:
-        """Whether a record was taken into the queue; `recorded` is 0 where its RPC's arrival was not."""
+        """Queue a record; return whether it was admitted.
+
+        `recorded` is 0 where the arrival of its RPC was not recorded.
+        """
         queued = len(self.queue)
-        # What is taken in any case is not asked for: this is done five times an RPC.
+        # Skips the call where all records are admitted: this runs five times per RPC.
         if (queued < self._always_admitted and recorded) or self.shedding.admits(
             kind.number, queued, bool(recorded)
         ):
@@ -246,7 +249,7 @@
         return False
 
     def _put_release(self, now: Time, update: tuple[Any, ...], result: int, is_reply: bool) -> None:
-        self.put(now, NEWS, (*update, result, int(is_reply)))
+        self.put(now, RELEASE_UPDATE, (*update, result, int(is_reply)))
 
     def _answered(self, now: Time, rpc: Rpc, outcome: int, retry_after: Duration) -> None:
         serial = rpc.host.serial
@@ -265,7 +268,7 @@
         self.put(now, ANSWER, values, serial)
 
     def _take_considered(self, rpc: Rpc) -> tuple[tuple[str, ...], tuple[int, ...], int]:
-        """(names, exclusions, how many were looked at where all were) since the RPC's last attempt."""
+        """Return (names, exclusions, servers of wholly considered groups) since the RPC's last attempt."""
         if rpc is not self._rpc:
             return (), (), 0
         self._rpc = None
@@ -274,9 +277,9 @@
 
 
 def _first_field(request: Any, fields: Sequence[str]) -> str:
-    """The first of these header fields that a request has, cut to what a trace may hold; "" without one."""
+    """Return the first of these header fields that a request has, truncated; "" without one."""
     for field in fields:
         value: str | None = request.get(field)
         if value:
-            return value[:MOST_TEXT]
+            return value[:MAX_TEXT_CHARACTERS]
     return ""
--- a/honeywood/trace/columns.py
+++ b/honeywood/trace/columns.py
@@ -1,8 +1,10 @@
-"""Columns of values to bytes and back (docs/trace-format.md, "Columns"). Pure, and without numpy: a front
-that records has no room for it.
+"""Encodes and decodes columns of values (docs/trace-format.md, "Columns"). Does no I/O.
 
-A column of whole numbers is stored as differences to the least of them, or of their steps, whichever needs
-fewer bytes, in planes: all lowest bytes first, which compress well.
+It does without numpy, which takes too much memory for a balancer that records.
+
+A column of integers is stored as differences to its minimum, or as differences (to their minimum) between
+successive values, whichever needs fewer bytes. The bytes are stored in planes, all lowest bytes first, which
+compress well.
 """
 
 import struct
@@ -12,164 +14,178 @@
 from operator import sub
 
 from honeywood.trace.schema import (
-    ID,
+    PLAIN_TEXT,
     INT,
     INTS,
-    MOST_LIST,
-    MOST_TEXT,
-    NUMBER,
-    NUMBERS,
-    WORD,
-    WORDS,
-    Unfit,
-    Unreadable,
+    MAX_LIST_ITEMS,
+    MAX_TEXT_CHARACTERS,
+    FLOAT,
+    FLOATS,
+    DICTIONARY_TEXT,
+    DICTIONARY_TEXTS,
+    InvalidRecord,
+    UnreadableTrace,
 )
 
-PLAIN, STEPS = range(2)
-HEAD = struct.Struct("<BBqq")  # form, bytes a value, least (of values or steps), first value
+PLAIN, DELTAS = range(2)
+COLUMN_START = struct.Struct("<BBqq")  # form, bytes per value, minimum (of values or deltas), first value
 WIDTHS = (1, "B"), (2, "H"), (4, "I"), (8, "Q")
-LEAST, MOST = -(2**63), 2**63 - 1
-MOST_VALUES = 1 << 24  # of one column: what a damaged or hostile file may make a reader hold
+INT64_MIN, INT64_MAX = -(2**63), 2**63 - 1
+MAX_VALUES = 1 << 24  # in one column: bounds the memory that a damaged or hostile file can claim
 
 
-def planes(data, width):
-    return b"".join(data[at::width] for at in range(width)) if width > 1 else data
+def to_planes(data, width):
+    """Return the bytes reordered: the lowest byte of each value, then the next one, and so on."""
+    return b"".join(data[position::width] for position in range(width)) if width > 1 else data
 
 
-def unplanes(data, width):
-    whole = bytearray(len(data))
+def from_planes(data, width):
+    """Undo to_planes()."""
+    interleaved = bytearray(len(data))
     size = len(data) // width
-    for at in range(width):
-        whole[at::width] = data[at * size : (at + 1) * size]
-    return bytes(whole)
+    for position in range(width):
+        interleaved[position::width] = data[position * size : (position + 1) * size]
+    return bytes(interleaved)
 
 
-def little(values):
+def to_little_endian(values):
     if sys.byteorder == "big":
         values.byteswap()
     return values
 
 
-def width_of(span):
-    """Bytes for a figure from 0 to `span`; 16 where that is over 64 bits, as steps between figures may be."""
+def bytes_for(span):
+    """Return the bytes needed for integers from 0 to `span`.
+
+    Returns 16 where that is over 64 bits, as differences between 64-bit integers may be.
+    """
     return next((width for width, _ in WIDTHS if span < 1 << 8 * width), 16) if span else 0
 
 
-def ints(values):
+def pack_ints(values):
     if not values:
         return b""
-    least, most, first = min(values), max(values), values[0]
-    if least < LEAST or most > MOST:
-        raise Unfit(f"a whole number over 64 bits: {least if least < LEAST else most}")
-    form, width = PLAIN, width_of(most - least)
-    # Steps of what fits a byte can only be better where they are all the same.
+    minimum, maximum, first = min(values), max(values), values[0]
+    if minimum < INT64_MIN or maximum > INT64_MAX:
+        raise InvalidRecord(f"an integer over 64 bits: {minimum if minimum < INT64_MIN else maximum}")
+    form, width = PLAIN, bytes_for(maximum - minimum)
+    # Deltas of values that fit a byte are only smaller where they are all the same.
     if width > 1 or (width and values[1] - first == values[-1] - values[-2]):
-        steps = list(map(sub, values[1:], values))
-        low, high = min(steps), max(steps)
-        if width_of(high - low) < width and LEAST <= low <= MOST:
-            form, width, least, values = STEPS, width_of(high - low), low, steps
-    head = HEAD.pack(form, width, least, first)
+        deltas = list(map(sub, values[1:], values))
+        minimum_delta, maximum_delta = min(deltas), max(deltas)
+        if bytes_for(maximum_delta - minimum_delta) < width and INT64_MIN <= minimum_delta <= INT64_MAX:
+            form, width, minimum, values = (
+                DELTAS,
+                bytes_for(maximum_delta - minimum_delta),
+                minimum_delta,
+                deltas,
+            )
+    head = COLUMN_START.pack(form, width, minimum, first)
     if not width:
         return head
-    code = dict(WIDTHS)[width]
+    type_code = dict(WIDTHS)[width]
     try:
-        packed = array(code, map(sub, values, repeat(least)) if least else values)
-    except TypeError as wrong:
-        raise Unfit(f"not a whole number: {wrong}") from None
-    return head + planes(little(packed).tobytes(), width)
+        packed = array(type_code, map(sub, values, repeat(minimum)) if minimum else values)
+    except TypeError as error:
+        raise InvalidRecord(f"not an integer: {error}") from None
+    return head + to_planes(to_little_endian(packed).tobytes(), width)
 
 
-def numbers(values):
-    return planes(little(array("d", values)).tobytes(), 8)
+def pack_floats(values):
+    return to_planes(to_little_endian(array("d", values)).tobytes(), 8)
 
 
-def texts(values):
+def pack_texts(values):
     for text in values:
-        if len(text) > MOST_TEXT:
-            raise Unfit(f"a text of {len(text)} characters, {MOST_TEXT} at the most")
+        if len(text) > MAX_TEXT_CHARACTERS:
+            raise InvalidRecord(f"a text of {len(text)} characters, {MAX_TEXT_CHARACTERS} at most")
     data = "".join(values).encode("utf-8", "surrogateescape")
     sizes = list(map(len, values))
     if len(data) != sum(sizes):
         sizes = [len(text.encode("utf-8", "surrogateescape")) for text in values]
-    return ints(sizes) + data
+    return pack_ints(sizes) + data
 
 
-def words(values):
-    known = {word: at for at, word in enumerate(dict.fromkeys(values))}
-    return struct.pack("<I", len(known)) + texts(list(known)) + ints(list(map(known.__getitem__, values)))
+def pack_dictionary_texts(values):
+    dictionary = {text: position for position, text in enumerate(dict.fromkeys(values))}
+    return (
+        struct.pack("<I", len(dictionary))
+        + pack_texts(list(dictionary))
+        + pack_ints(list(map(dictionary.__getitem__, values)))
+    )
 
 
-def lists(of):
+def pack_lists(pack_items):
     def pack(values):
         sizes = list(map(len, values))
-        if sizes and max(sizes) > MOST_LIST:
-            raise Unfit(f"a list of {max(sizes)}, {MOST_LIST} at the most")
-        return ints(sizes) + of(list(chain.from_iterable(values)))
+        if sizes and max(sizes) > MAX_LIST_ITEMS:
+            raise InvalidRecord(f"a list of {max(sizes)} items, {MAX_LIST_ITEMS} at most")
+        return pack_ints(sizes) + pack_items(list(chain.from_iterable(values)))
 
     return pack
 
 
 PACK = {
-    INT: ints,
-    NUMBER: numbers,
-    WORD: words,
-    ID: texts,
-    INTS: lists(ints),
-    NUMBERS: lists(numbers),
-    WORDS: lists(words),
+    INT: pack_ints,
+    FLOAT: pack_floats,
+    DICTIONARY_TEXT: pack_dictionary_texts,
+    PLAIN_TEXT: pack_texts,
+    INTS: pack_lists(pack_ints),
+    FLOATS: pack_lists(pack_floats),
+    DICTIONARY_TEXTS: pack_lists(pack_dictionary_texts),
 }
 
 
 def pack(type, values):
-    """The bytes of a column; raises Unfit for values that no trace may hold."""
+    """Return the bytes of a column; raises InvalidRecord for values that can't be stored."""
     try:
         return PACK[type](values)
-    except (TypeError, OverflowError, UnicodeError, AttributeError) as wrong:
-        raise Unfit(f"a value of the wrong type: {wrong}") from None
+    except (TypeError, OverflowError, UnicodeError, AttributeError) as error:
+        raise InvalidRecord(f"a value of the wrong type: {error}") from None
 
 
 class Cursor:
-    """Reads columns off bytes; what is not there, or not used, is an error."""
+    """Decodes columns from bytes; raises UnreadableTrace where bytes are missing."""
 
     def __init__(self, data):
-        self.data, self.at = data, 0
+        self.data, self.offset = data, 0
 
     def take(self, size):
-        data = self.data[self.at : self.at + size]
+        data = self.data[self.offset : self.offset + size]
         if len(data) != size:
-            raise Unreadable("a column is cut short")
-        self.at += size
+            raise UnreadableTrace("a truncated column")
+        self.offset += size
         return data
 
     def ints(self, count):
-        if not 0 <= count <= MOST_VALUES:
-            raise Unreadable(f"a column of {count} values")
+        if not 0 <= count <= MAX_VALUES:
+            raise UnreadableTrace(f"a column of {count} values")
         if not count:
             return []
-        form, width, least, first = HEAD.unpack(self.take(HEAD.size))
-        codes = dict(WIDTHS)
-        if form not in (PLAIN, STEPS) or (width and width not in codes):
-            raise Unreadable("a column of an unknown form")
-        stored = count - (form == STEPS)
+        form, width, minimum, first = COLUMN_START.unpack(self.take(COLUMN_START.size))
+        type_codes = dict(WIDTHS)
+        if form not in (PLAIN, DELTAS) or (width and width not in type_codes):
+            raise UnreadableTrace("a column of an unknown form")
+        stored = count - (form == DELTAS)
         if width:
-            values = array(codes[width])
-            values.frombytes(unplanes(self.take(stored * width), width))
-            values = little(values).tolist()
+            values = array(type_codes[width])
+            values.frombytes(from_planes(self.take(stored * width), width))
+            values = to_little_endian(values).tolist()
         else:
             values = [0] * stored
-        if least:
-            values = [value + least for value in values]
-        return list(accumulate(values, initial=first)) if form == STEPS else values
+        if minimum:
+            values = [value + minimum for value in values]
+        return list(accumulate(values, initial=first)) if form == DELTAS else values
 
-    def numbers(self, count):
+    def floats(self, count):
         values = array("d")
-        values.frombytes(unplanes(self.take(8 * count), 8))
-        return little(values).tolist()
+        values.frombytes(from_planes(self.take(8 * count), 8))
+        return to_little_endian(values).tolist()
 
     def texts(self, count):
         sizes = self.ints(count)
         if sizes and min(sizes) < 0:
-            raise Unreadable("a text of negative size")
+            raise UnreadableTrace("a text of negative size")
         ends = list(accumulate(sizes, initial=0))
         data = self.take(ends[-1])
         if data.isascii():
@@ -177,40 +193,45 @@
             return [text[a:b] for a, b in zip(ends, ends[1:])]
         return [data[a:b].decode("utf-8", "surrogateescape") for a, b in zip(ends, ends[1:])]
 
-    def words(self, count):
+    def dictionary_texts(self, count):
         (size,) = struct.unpack("<I", self.take(4))
-        if size > MOST_VALUES:
-            raise Unreadable(f"a column of {size} words")
-        known, places = self.texts(size), self.ints(count)
-        if places and not 0 <= min(places) <= max(places) < size:
-            raise Unreadable("a word that is not there")
-        return [known[place] for place in places]
-
-    def lists(self, of, count):
+        if size > MAX_VALUES:
+            raise UnreadableTrace(f"a column of {size} words")
+        dictionary, positions = self.texts(size), self.ints(count)
+        if positions and not 0 <= min(positions) <= max(positions) < size:
+            raise UnreadableTrace("a word outside of the dictionary")
+        return [dictionary[position] for position in positions]
+
+    def lists(self, unpack_items, count):
         sizes = self.ints(count)
         if sizes and min(sizes) < 0:
-            raise Unreadable("a list of negative size")
+            raise UnreadableTrace("a list of negative size")
         ends = list(accumulate(sizes, initial=0))
-        if ends[-1] > MOST_VALUES:
-            raise Unreadable(f"lists of {ends[-1]} items")
-        values = of(self, ends[-1])
+        if ends[-1] > MAX_VALUES:
+            raise UnreadableTrace(f"lists of {ends[-1]} items")
+        values = unpack_items(self, ends[-1])
         return [tuple(values[a:b]) for a, b in zip(ends, ends[1:])]
 
 
-READ = {INT: Cursor.ints, NUMBER: Cursor.numbers, WORD: Cursor.words, ID: Cursor.texts}
-UNPACK = READ | {
-    number: lambda cursor, count, of=READ[of]: cursor.lists(of, count)
-    for number, of in ((INTS, INT), (NUMBERS, NUMBER), (WORDS, WORD))
+UNPACK_SCALAR = {
+    INT: Cursor.ints,
+    FLOAT: Cursor.floats,
+    DICTIONARY_TEXT: Cursor.dictionary_texts,
+    PLAIN_TEXT: Cursor.texts,
+}
+UNPACK = UNPACK_SCALAR | {
+    number: lambda cursor, count, unpack_items=UNPACK_SCALAR[item_type]: cursor.lists(unpack_items, count)
+    for number, item_type in ((INTS, INT), (FLOATS, FLOAT), (DICTIONARY_TEXTS, DICTIONARY_TEXT))
 }
 
 
 def unpack(type, data, count):
-    """The `count` values of a column; raises Unreadable where the bytes are none."""
+    """Return the `count` values of a column; raises UnreadableTrace where the bytes are not a column."""
     cursor = Cursor(data)
     try:
         values = UNPACK[type](cursor, count)
-    except (struct.error, KeyError, ValueError, OverflowError, MemoryError) as wrong:
-        raise Unreadable(f"a column that can't be read: {wrong}") from None
-    if cursor.at != len(data):
-        raise Unreadable("a column with more behind it")
+    except (struct.error, KeyError, ValueError, OverflowError, MemoryError) as error:
+        raise UnreadableTrace(f"a column that can't be read: {error}") from None
+    if cursor.offset != len(data):
+        raise UnreadableTrace("a column with trailing bytes")
     return values
--- a/honeywood/trace/cutting.py
+++ b/honeywood/trace/cutting.py
@@ -1,4 +1,4 @@
-"""Cuts a part out of traces. Blocks of which all is wanted are handed on as they are packed."""
+"""Cuts a part out of a trace. Blocks all of whose records match are copied without decompression."""
 
 from itertools import islice
 
@@ -6,32 +6,33 @@
 from honeywood.trace.sources import sources
 
 
-def about_of(reader):
-    return {"sources": [{**source, "cut": True} for source in sources(reader.about)]}
+def metadata_of(reader):
+    """Return the header's map for a cut of a Reader's file."""
+    return {"sources": [{**source, "cut": True} for source in sources(reader.metadata)]}
 
 
-def cut(reader, writer, wanted, progress):
-    """Writes what is wanted of one file to a Writer, in its order, and ends it."""
-    if wanted.only_times():
+def cut(reader, writer, record_filter, progress):
+    """Write the matching records of a Reader, in their order, to a Writer and close that."""
+    if record_filter.selects_by_time_only():
         for offset, size, entry in reader.entries():
-            if wanted.whole(entry):
-                writer.copy(entry, *reader.packed(offset))
-            elif wanted.may_hold(entry):
-                part = [
+            if record_filter.matches_all(entry):
+                writer.copy(entry, *reader.packed_block(offset))
+            elif record_filter.may_contain(entry):
+                matching = [
                     tuple(record)
                     for record in reader.block(offset, size).records()
-                    if wanted.in_time(record.time)
+                    if record_filter.in_time_range(record.time)
                 ]
-                if part:
-                    writer.block(part)
+                if matching:
+                    writer.block(matching)
             progress(size)
     else:
-        write_all(writer, reader.records(wanted), progress)
+        write_all(writer, reader.records(record_filter), progress)
     writer.close()
 
 
 def write_all(writer, records, progress, size=MAX_BLOCK_RECORDS):
-    """Writes records as blocks of one size; returns how many there were."""
+    """Write records in blocks of `size` records; return their count."""
     records, count = iter(records), 0
     while block := [tuple(record) for record in islice(records, size)]:
         writer.block(block)
--- a/honeywood/trace/exporting.py
+++ b/honeywood/trace/exporting.py
@@ -1,18 +1,18 @@
-"""Writes one carrier's export of traces; rules/anonymity.py says what may be in it."""
+"""Writes one carrier's export of a trace; rules/anonymity.py defines what it may contain."""
 
 import os
 import secrets
 import stat
 
 from honeywood.trace.cutting import write_all
-from honeywood.trace.rules.anonymity import KEY_BYTES, BadKey, Export, hashed
+from honeywood.trace.rules.anonymity import KEY_BYTES, BadKey, CarrierExport, pseudonym
 from honeywood.trace.sources import sources
 
-EXPORT_BLOCK = 4096  # records of a block: by the carrier's own count alone
+EXPORT_BLOCK_RECORDS = 4096  # records in a block; blocks must not depend on the records of other carriers
 
 
 def make_key(path):
-    """A new key in a new file that only its owner can read."""
+    """Write a new random key to a new file that only its owner can read."""
     file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
     try:
         os.write(file, secrets.token_hex(KEY_BYTES).encode() + b"\n")
@@ -21,7 +21,7 @@
 
 
 def read_key(path):
-    """The key in a file; raises BadKey where others than its owner may read that."""
+    """Return the key in a file; raises BadKey where others than its owner may read the file."""
     with open(path, "rb") as file:
         mode = os.fstat(file.fileno()).st_mode
         if not stat.S_ISREG(mode) or mode & 0o077:
@@ -30,28 +30,33 @@
     try:
         return bytes.fromhex(text.decode("ascii"))
     except ValueError:
-        raise BadKey(f"{path}: holds no key: hexadecimal digits are needed") from None
+        raise BadKey(f"{path}: not a key: hexadecimal digits are needed") from None
 
 
 def export(reader, create, carrier, key, progress):
-    """Writes what the carrier may have of a file to the Writer that create(about) makes. Returns (records,
-    rules.anonymity.Export): what was written, and how many RPCs could be nobody's."""
-    rules = Export(key, carrier, reader.kinds)
-    given = (found for record in reader.records() if (found := rules.treated(record)))
-    # RPCs are numbered anew in each export: its runs are its own, and never taken for another file's.
+    """Write the carrier's export of a Reader's file to the Writer that `create(metadata)` returns.
+
+    Returns:
+        (count of written records, the rules.anonymity.CarrierExport, which counts the RPCs without customer).
+    """
+    rules = CarrierExport(key, carrier, reader.kinds)
+    exported = (
+        record_for_carrier for record in reader.records() if (record_for_carrier := rules.transform(record))
+    )
+    # Each export renumbers the RPCs, so its runs get new names: they never match another file's runs.
     writer = create(
         {
             "export": True,
             "sources": [
                 {
-                    "front": hashed(rules.key, "front", str(source.get("front"))),
+                    "front": pseudonym(rules.key, "front", str(source.get("front"))),
                     "run": secrets.token_hex(8),
                     "export": True,
                 }
-                for source in sources(reader.about)
+                for source in sources(reader.metadata)
             ],
         }
     )
-    count = write_all(writer, given, progress, EXPORT_BLOCK)
+    count = write_all(writer, exported, progress, EXPORT_BLOCK_RECORDS)
     writer.close()
     return count, rules
--- a/honeywood/trace/finding.py
+++ b/honeywood/trace/finding.py
@@ -1,21 +1,33 @@
-"""Finds records in several files at once; an RPC's life may span those of one run."""
+"""Finds records in several files; the records of an RPC may be spread over the files of one run."""
 
 from honeywood.trace.sources import sources
 
 
-def found_in(readers, wanted):
-    """The records wanted (a selection.Wanted a reader), file by file; their source is the name of its run, or
-    the place of the file and the source's number where the header names none."""
+def find_records(readers, record_filters):
+    """Yield matching records, file by file; `record_filters` has a selection.RecordFilter for each reader.
+
+    A record's source is replaced by the name of its run, or by "FILE/SOURCE" (their indexes) where the header
+    names no run.
+    """
     runs = [
-        [str(source.get("run", f"{place}/{number}")) for number, source in enumerate(sources(reader.about))]
-        for place, reader in enumerate(readers)
+        [
+            str(source.get("run", f"{file_index}/{number}"))
+            for number, source in enumerate(sources(reader.metadata))
+        ]
+        for file_index, reader in enumerate(readers)
     ]
     rpcs = set()
-    for reader, names, chosen in zip(readers, runs, wanted):
-        if chosen.ids:
-            rpcs |= {(names[source], number) for source, number in reader.taken_as(chosen.ids)}
-    for reader, names, chosen in zip(readers, runs, wanted):
-        numbers = {run: source for source, run in enumerate(names)}
-        here = {(numbers[run], number) for run, number in rpcs if run in numbers} if chosen.ids else None
-        for record in reader.records(chosen, here):
-            yield record._replace(source=names[record.source])
+    for reader, run_names, record_filter in zip(readers, runs, record_filters):
+        if record_filter.ids:
+            rpcs |= {
+                (run_names[source], number) for source, number in reader.rpcs_with_ids(record_filter.ids)
+            }
+    for reader, run_names, record_filter in zip(readers, runs, record_filters):
+        sources_by_run = {run: source for source, run in enumerate(run_names)}
+        rpcs_of_file = (
+            {(sources_by_run[run], number) for run, number in rpcs if run in sources_by_run}
+            if record_filter.ids
+            else None
+        )
+        for record in reader.records(record_filter, rpcs_of_file):
+            yield record._replace(source=run_names[record.source])
--- a/honeywood/trace/format.py
+++ b/honeywood/trace/format.py
@@ -1,5 +1,6 @@
-"""The trace file's bytes: header, blocks, index and trailer, to objects and back (docs/trace-format.md).
-Pure: what reads and writes files is writer.py and reader.py.
+"""Encodes and decodes the parts of a trace file: header, blocks, index and trailer (docs/trace-format.md).
+
+Does no I/O: writer.py and reader.py write and read the files.
 """
 
 import struct
@@ -10,109 +11,137 @@
 import zstandard
 
 from honeywood.trace import columns
-from honeywood.trace.rules.selection import Entry, Filter
-from honeywood.trace.schema import INT, KINDS, MAJOR, MINOR, Newer, Record, Unfit, Unreadable
-
-MAGIC, BLOCK, INDEX, END = b"HWTRACE\n", b"HWB1", b"HWX1", b"HWEND1\r\n"
-START = struct.Struct("<8sHHIQ")  # magic, major, minor, size of the body, sum of all of it
-CHUNK = struct.Struct("<4sIIIQQ")  # magic, sizes of head, body, body unpacked, sums of body and head
-TRAILER = struct.Struct("<8sQQQQ")  # magic, where the index begins, its chunks, records, sum
-SECTION = struct.Struct("<BBBII")  # kind, field, type, values, bytes
-COMMON, ORDER, TIMES, SOURCES = 0, 1, 2, 3  # sections that all records have: kind 0 and its fields
-MOST_HEAD, MOST_BODY, MOST_RAW = 1 << 22, 1 << 28, 1 << 30
-LEVEL = 3  # of zstandard: 6 gains 4% and takes twice the time
-IN_CHUNK = 256  # entries of the index in one of its chunks
-
-
-def summed(seed, *parts):
-    check = xxhash.xxh3_64(seed=seed)
+from honeywood.trace.rules.selection import IndexEntry, BloomFilter
+from honeywood.trace.schema import (
+    INT,
+    KINDS,
+    MAJOR,
+    MINOR,
+    NewerVersion,
+    Record,
+    InvalidRecord,
+    UnreadableTrace,
+)
+
+FILE_MAGIC, BLOCK_MAGIC, INDEX_MAGIC, TRAILER_MAGIC = b"HWTRACE\n", b"HWB1", b"HWX1", b"HWEND1\r\n"
+HEADER_START = struct.Struct("<8sHHIQ")  # magic, major, minor, size of the body, checksum of both
+# Magic; sizes of head, body, decompressed body; checksums of body and head.
+CHUNK_START = struct.Struct("<4sIIIQQ")
+TRAILER = struct.Struct("<8sQQQQ")  # magic, offset of the index, its chunks, records, checksum
+SECTION_START = struct.Struct("<BBBII")  # kind, field, type, count of values, size in bytes
+COMMON, ORDER, TIMES, SOURCES = 0, 1, 2, 3  # kind 0 and its fields: columns common to all records
+MAX_HEAD_BYTES, MAX_BODY_BYTES, MAX_RAW_BYTES = 1 << 22, 1 << 28, 1 << 30
+COMPRESSION_LEVEL = 3  # of zstandard: level 6 saves 4% and takes twice the time
+ENTRIES_PER_INDEX_CHUNK = 256
+
+
+def compute_checksum(seed, *parts):
+    """Return the 64-bit XXH3 hash of the parts, one after the other."""
+    checksum = xxhash.xxh3_64(seed=seed)
     for part in parts:
-        check.update(part)
-    return check.intdigest()
-
-
-def header(about, major=MAJOR, minor=MINOR):
-    """The header of a file. `about` is a map; its `seed` (64 bits, drawn anew for each file) goes into the
-    sums of blocks, so that one left on a disk by another file is never taken for this one's."""
-    body = msgpack.packb(about)
-    start = START.pack(MAGIC, major, minor, len(body), 0)[:-8]
-    return start + struct.pack("<Q", summed(0, start, body)) + body
-
-
-def read_start(data, speaks=MAJOR):
-    """(major, minor, size of the body) of a file's first bytes. Raises Unreadable, and Newer before anything
-    else is looked at: what follows a newer major may be of any form."""
-    if len(data) < START.size:
-        raise Unreadable("no trace: cut short in its header")
-    magic, major, minor, size, _ = START.unpack(data[: START.size])
-    if magic != MAGIC:
-        raise Unreadable("no trace: it begins otherwise")
-    if major > speaks:
-        raise Newer(f"written as version {major}.{minor}; this program reads {speaks}.x at the most")
-    if size > MOST_HEAD:
-        raise Unreadable("damaged header")
+        checksum.update(part)
+    return checksum.intdigest()
+
+
+def header(metadata, major=MAJOR, minor=MINOR):
+    """Return a file's header, which contains the map `metadata`.
+
+    Its `seed` (64 random bits for each file) goes into the checksums of blocks, so that a block that another
+    file left on the disk is never read as one of this file.
+    """
+    body = msgpack.packb(metadata)
+    start = HEADER_START.pack(FILE_MAGIC, major, minor, len(body), 0)[:-8]
+    return start + struct.pack("<Q", compute_checksum(0, start, body)) + body
+
+
+def read_start(data, max_major=MAJOR):
+    """Return (major, minor, size of the body) from a file's first bytes.
+
+    Raises:
+        NewerVersion: checked before all but the magic, since the rest of a newer major version may differ.
+        UnreadableTrace: these bytes are not the start of a trace.
+    """
+    if len(data) < HEADER_START.size:
+        raise UnreadableTrace("not a trace: its header is truncated")
+    magic, major, minor, size, _ = HEADER_START.unpack(data[: HEADER_START.size])
+    if magic != FILE_MAGIC:
+        raise UnreadableTrace("not a trace: it begins with other bytes")
+    if major > max_major:
+        raise NewerVersion(f"written as version {major}.{minor}; this program reads {max_major}.x at most")
+    if size > MAX_HEAD_BYTES:
+        raise UnreadableTrace("damaged header")
     return major, minor, size
 
 
-def read_about(data, speaks=MAJOR):
-    _, _, size = read_start(data, speaks)
-    *_, check = START.unpack(data[: START.size])
-    body = data[START.size : START.size + size]
-    if len(body) != size or check != summed(0, data[: START.size - 8], body):
-        raise Unreadable("damaged header")
-    about = msgpack.unpackb(body)
-    if not isinstance(about, dict) or not isinstance(about.get("seed"), int):
-        raise Unreadable("a header that says too little")
-    return about
+def read_metadata(data, max_major=MAJOR):
+    """Return the map of a whole header. Raises UnreadableTrace."""
+    _, _, size = read_start(data, max_major)
+    *_, checksum = HEADER_START.unpack(data[: HEADER_START.size])
+    body = data[HEADER_START.size : HEADER_START.size + size]
+    if len(body) != size or checksum != compute_checksum(0, data[: HEADER_START.size - 8], body):
+        raise UnreadableTrace("damaged header")
+    metadata = msgpack.unpackb(body)
+    if not isinstance(metadata, dict) or not isinstance(metadata.get("seed"), int):
+        raise UnreadableTrace("a header without its seed")
+    return metadata
 
 
 def chunk(magic, seed, head, raw):
-    """A head (small, read alone) and a body (compressed), each with its own sum."""
-    body, head = zstandard.compress(raw, LEVEL), msgpack.packb(head)
-    start = CHUNK.pack(magic, len(head), len(body), len(raw), summed(0, body), 0)[:-8]
-    return start + struct.pack("<Q", summed(seed, start, head)) + head + body
+    """Return a chunk: a small head that can be read alone and a compressed body, each with a checksum."""
+    body, head = zstandard.compress(raw, COMPRESSION_LEVEL), msgpack.packb(head)
+    start = CHUNK_START.pack(magic, len(head), len(body), len(raw), compute_checksum(0, body), 0)[:-8]
+    return start + struct.pack("<Q", compute_checksum(seed, start, head)) + head + body
 
 
-def headed(seed, start, entry, body):
-    """A block whose body was packed for another file, with a head for this one."""
-    magic, _, size, raw, check, _ = CHUNK.unpack(start)
+def with_new_head(seed, start, entry, body):
+    """Return a block with a new head for this file; its compressed body is copied from another file."""
+    magic, _, size, raw, checksum, _ = CHUNK_START.unpack(start)
     head = msgpack.packb(entry.packed())
-    start = CHUNK.pack(magic, len(head), size, raw, check, 0)[:-8]
-    return start + struct.pack("<Q", summed(seed, start, head)) + head + body
+    start = CHUNK_START.pack(magic, len(head), size, raw, checksum, 0)[:-8]
+    return start + struct.pack("<Q", compute_checksum(seed, start, head)) + head + body
 
 
-def read_chunk(data):
-    """(magic, size of head, of body, of the body unpacked, sum of the body, sum of the head)."""
-    found = CHUNK.unpack(data)
-    if found[0] not in (BLOCK, INDEX) or found[1] > MOST_HEAD or found[2] > MOST_BODY or found[3] > MOST_RAW:
-        raise Unreadable("no block")
-    return found
+def read_chunk_start(data):
+    """Return a chunk's (magic, size of head, of body, of decompressed body, checksum of body, of head)."""
+    fields = CHUNK_START.unpack(data)
+    if (
+        fields[0] not in (BLOCK_MAGIC, INDEX_MAGIC)
+        or fields[1] > MAX_HEAD_BYTES
+        or fields[2] > MAX_BODY_BYTES
+        or fields[3] > MAX_RAW_BYTES
+    ):
+        raise UnreadableTrace("not a block")
+    return fields
 
 
 def read_head(seed, start, head):
-    if summed(seed, start[:-8], head) != CHUNK.unpack(start)[5]:
-        raise Unreadable("damaged head of a block")
+    """Return the decoded head of a chunk. Raises UnreadableTrace where its checksum differs."""
+    if compute_checksum(seed, start[:-8], head) != CHUNK_START.unpack(start)[5]:
+        raise UnreadableTrace("damaged head of a block")
     return msgpack.unpackb(head)
 
 
 def read_body(start, body):
-    _, _, size, raw, check, _ = CHUNK.unpack(start)
-    if len(body) != size or summed(0, body) != check:
-        raise Unreadable("damaged block")
+    """Return the decompressed body of a chunk. Raises UnreadableTrace where it is damaged."""
+    _, _, size, raw, checksum, _ = CHUNK_START.unpack(start)
+    if len(body) != size or compute_checksum(0, body) != checksum:
+        raise UnreadableTrace("damaged block")
     try:
         return zstandard.decompress(body, max_output_size=raw)
-    except zstandard.ZstdError as wrong:
-        raise Unreadable(f"a block that can't be unpacked: {wrong}") from None
+    except zstandard.ZstdError as error:
+        raise UnreadableTrace(f"a block that can't be decompressed: {error}") from None
 
 
 def section(kind, field, type, values):
     data = columns.pack(type, values)
-    return SECTION.pack(kind, field, type, len(values), len(data)) + data
+    return SECTION_START.pack(kind, field, type, len(values), len(data)) + data
+
 
+def block(seed, number, records, kinds=KINDS, on_column=None):
+    """Return (bytes, index entry) of a block with these records in their order.
 
-def block(seed, number, records, kinds=KINDS, between=None):
-    """One block of records, in the order given. Raises Unfit where one of them may not stand in a trace.
-    `between` is called between columns: a recorder lets other threads go on there."""
+    `on_column` is called after each column: a recorder lets other threads run there. Raises InvalidRecord.
+    """
     times, sources, order, values = zip(*records)
     parts = [
         section(COMMON, ORDER, INT, order),
@@ -122,129 +151,147 @@
     rows = defaultdict(list)
     for kind, row in zip(order, values):
         rows[kind].append(row)
-    found = {}
-    for number_, listed in rows.items():
-        kind = kinds[number_]
+    columns_by_kind = {}
+    for kind_number, kind_rows in rows.items():
+        kind = kinds[kind_number]
         try:
-            found[number_] = tuple(zip(*listed, strict=True)) if kind.fields else ()
+            columns_by_kind[kind_number] = tuple(zip(*kind_rows, strict=True)) if kind.fields else ()
         except ValueError:
-            raise Unfit(f"records of {kind.name} with unlike numbers of fields") from None
-        if len(found[number_]) != len(kind.fields):
-            raise Unfit(f"a record of {kind.name} with {len(found[number_])} of {len(kind.fields)} fields")
-        for field, column in zip(kind.fields, found[number_]):
-            parts.append(section(number_, field.number, field.type, column))
-            if between:
-                between()
-    entry = entry_of(number, times, sources, Counter(order), found, kinds)
-    return chunk(BLOCK, seed, entry.packed(), b"".join(parts)), entry
-
-
-def entry_of(number, times, sources, counts, found, kinds):
-    """What the index knows of a block (selection.Entry)."""
-
-    def all_of(name):
-        values = [found[n][kinds[n].at[name]] for n in found if name in kinds[n].at]
+            raise InvalidRecord(f"records of {kind.name} with different numbers of fields") from None
+        if len(columns_by_kind[kind_number]) != len(kind.fields):
+            raise InvalidRecord(
+                f"a record of {kind.name} with {len(columns_by_kind[kind_number])} of {len(kind.fields)} fields"
+            )
+        for field, column in zip(kind.fields, columns_by_kind[kind_number]):
+            parts.append(section(kind_number, field.number, field.type, column))
+            if on_column:
+                on_column()
+    entry = build_entry(number, times, sources, Counter(order), columns_by_kind, kinds)
+    return chunk(BLOCK_MAGIC, seed, entry.packed(), b"".join(parts)), entry
+
+
+def build_entry(number, times, sources, counts, columns_by_kind, kinds):
+    """Return the index entry of a block (selection.IndexEntry)."""
+
+    def distinct_values(name):
+        values = [
+            columns_by_kind[n][kinds[n].positions[name]]
+            for n in columns_by_kind
+            if name in kinds[n].positions
+        ]
         return set().union(*values)
 
     rpcs = [
-        bound(found[n][kinds[n].at["rpc"]]) for n in found if "rpc" in kinds[n].at for bound in (min, max)
+        bound(columns_by_kind[n][kinds[n].positions["rpc"]])
+        for n in columns_by_kind
+        if "rpc" in kinds[n].positions
+        for bound in (min, max)
     ]
-    return Entry(
+    return IndexEntry(
         number=number,
         count=len(times),
         first=min(times),
         last=max(times),
         sources=sorted(set(sources)),
         kinds=dict(counts),
-        methods=sorted(all_of("method") - {""}),
-        servers=sorted(all_of("server")),
-        builds=sorted(all_of("build")),
+        methods=sorted(distinct_values("method") - {""}),
+        servers=sorted(distinct_values("server")),
+        builds=sorted(distinct_values("build")),
         rpcs=(min(rpcs), max(rpcs)) if rpcs else None,
-        ids=Filter.of(all_of("id")).packed(),
+        ids=BloomFilter.of(distinct_values("id")).packed(),
     )
 
 
 class Columns:
-    """A block's records by columns, each unpacked when it is asked for."""
+    """The records of a block in columns, each of which is decoded on access."""
 
     def __init__(self, raw, kinds=KINDS):
-        self.kinds, self.sections, at = kinds, {}, 0
-        while at < len(raw):
-            if at + SECTION.size > len(raw):
-                raise Unreadable("a block cut short")
-            kind, field, type, count, size = SECTION.unpack_from(raw, at)
-            at += SECTION.size
-            self.sections[kind, field] = type, raw[at : at + size], count
-            at += size
+        self.kinds, self.sections, offset = kinds, {}, 0
+        while offset < len(raw):
+            if offset + SECTION_START.size > len(raw):
+                raise UnreadableTrace("a truncated block")
+            kind, field, type, count, size = SECTION_START.unpack_from(raw, offset)
+            offset += SECTION_START.size
+            self.sections[kind, field] = type, raw[offset : offset + size], count
+            offset += size
         self.order = self.common(ORDER)
         self.times, self.sources = self.common(TIMES), self.common(SOURCES)
         if not len(self.order) == len(self.times) == len(self.sources):
-            raise Unreadable("a block whose columns differ in length")
+            raise UnreadableTrace("a block whose columns differ in length")
 
     def common(self, field):
         type, data, count = self.sections.get((COMMON, field), (None, b"", 0))
         if type != INT:
-            raise Unreadable("a block without order, times or sources")
+            raise UnreadableTrace("a block without order, times or sources")
         return columns.unpack(INT, data, count)
 
     def column(self, kind, field):
-        """The values of one field of all records of a kind; None where an older version wrote none."""
+        """Return the values of one field for all records of a kind.
+
+        Returns None where the file's older version has no such field.
+        """
         type, data, count = self.sections.get((kind.number, field.number), (None, b"", 0))
         if type is None:
             return None
         if type != field.type:
-            raise Unreadable(f"{kind.name}.{field.name} is of another type")
+            raise UnreadableTrace(f"{kind.name}.{field.name} has another type")
         return columns.unpack(type, data, count)
 
-    def records(self, wanted=None):
-        """Records in their order; kinds that are not known here are passed over. `wanted`: kinds' numbers."""
+    def records(self, kind_numbers=None):
+        """Yield records in order, without unknown kinds; only those of `kind_numbers` where given."""
         counts, rows = Counter(self.order), {}
         for number, count in counts.items():
             kind = self.kinds.get(number)
-            if kind is None or (wanted is not None and number not in wanted):
+            if kind is None or (kind_numbers is not None and number not in kind_numbers):
                 continue
-            found = []
-            for field, empty in zip(kind.fields, kind.empty):
+            columns_of_kind = []
+            for field, empty in zip(kind.fields, kind.defaults):
                 column = self.column(kind, field)
                 if column is not None and len(column) != count:
-                    raise Unreadable(f"{kind.name}.{field.name} has {len(column)} values for {count} records")
-                found.append([empty] * count if column is None else column)
-            rows[number] = iter(zip(*found)) if found else iter([()] * count)
+                    raise UnreadableTrace(
+                        f"{kind.name}.{field.name} has {len(column)} values for {count} records"
+                    )
+                columns_of_kind.append([empty] * count if column is None else column)
+            rows[number] = iter(zip(*columns_of_kind)) if columns_of_kind else iter([()] * count)
         for time, source, number in zip(self.times, self.sources, self.order):
             if number in rows:
                 yield Record(time, source, number, next(rows[number]))
 
 
 def index(seed, entries):
-    """Chunks of the index; an entry is (offset, size, Entry)."""
-    for at in range(0, len(entries), IN_CHUNK):
-        part = entries[at : at + IN_CHUNK]
+    """Yield the chunks of the index; `entries` are (offset, size, IndexEntry)."""
+    for offset in range(0, len(entries), ENTRIES_PER_INDEX_CHUNK):
+        part = entries[offset : offset + ENTRIES_PER_INDEX_CHUNK]
         raw = msgpack.packb([[offset, size, entry.packed()] for offset, size, entry in part])
-        yield chunk(INDEX, seed, {"first": at, "count": len(part)}, raw)
+        yield chunk(INDEX_MAGIC, seed, {"first": offset, "count": len(part)}, raw)
 
 
-def ending(seed, begins, entries):
-    """What ends a file whose blocks go up to `begins`: the chunks of its index, and the trailer."""
+def file_end(seed, index_offset, entries):
+    """Return the end of a file whose blocks end at `index_offset`: the chunks of its index, the trailer."""
     chunks = list(index(seed, entries))
-    return [*chunks, trailer(seed, begins, len(chunks), sum(entry.count for _, _, entry in entries))]
+    return [*chunks, trailer(seed, index_offset, len(chunks), sum(entry.count for _, _, entry in entries))]
 
 
 def read_index(raw):
+    """Return the (offset, size, IndexEntry) of a chunk of the index. Raises UnreadableTrace."""
     try:
-        return [(offset, size, Entry.unpacked(entry)) for offset, size, entry in msgpack.unpackb(raw)]
-    except (ValueError, TypeError, KeyError) as wrong:
-        raise Unreadable(f"damaged index: {wrong}") from None
+        return [(offset, size, IndexEntry.unpacked(entry)) for offset, size, entry in msgpack.unpackb(raw)]
+    except (ValueError, TypeError, KeyError) as error:
+        raise UnreadableTrace(f"damaged index: {error}") from None
 
 
-def trailer(seed, begins, chunks, records):
-    start = TRAILER.pack(END, begins, chunks, records, 0)[:-8]
-    return start + struct.pack("<Q", summed(seed, start))
+def trailer(seed, index_offset, chunks, records):
+    start = TRAILER.pack(TRAILER_MAGIC, index_offset, chunks, records, 0)[:-8]
+    return start + struct.pack("<Q", compute_checksum(seed, start))
 
 
 def read_trailer(seed, data):
-    """(where the index begins, its chunks, records), or None where these bytes are no trailer of this
-    file."""
+    """Return (offset of the index, its chunks, records); None where the bytes are not this file's trailer."""
     if len(data) != TRAILER.size:
         return None
-    magic, begins, chunks, records, check = TRAILER.unpack(data)
-    return (begins, chunks, records) if magic == END and summed(seed, data[:-8]) == check else None
+    magic, index_offset, chunks, records, checksum = TRAILER.unpack(data)
+    return (
+        (index_offset, chunks, records)
+        if magic == TRAILER_MAGIC and compute_checksum(seed, data[:-8]) == checksum
+        else None
+    )
--- a/honeywood/trace/reader.py
+++ b/honeywood/trace/reader.py
@@ -1,38 +1,41 @@
-"""Reads one trace file, of any size, a block at a time."""
+"""Reads a trace file of any size, one block at a time."""
 
 import os
 
 from honeywood.trace import format
-from honeywood.trace.format import CHUNK, START, TRAILER
-from honeywood.trace.rules.recovery import Walk
-from honeywood.trace.rules.selection import Entry, Wanted, may_speak, may_take
-from honeywood.trace.schema import KINDS, MAJOR, TAKEN, Unreadable
+from honeywood.trace.format import CHUNK_START, HEADER_START, TRAILER
+from honeywood.trace.rules.recovery import RecoveryScan
+from honeywood.trace.rules.selection import IndexEntry, RecordFilter, may_contain_rpcs, may_contain_arrival
+from honeywood.trace.schema import KINDS, MAJOR, ARRIVAL, UnreadableTrace
 
-STRIDE = 1 << 20  # bytes looked through at a time for the next block behind a damaged one
+SCAN_STEP_BYTES = 1 << 20  # bytes searched at a time for the next block after a damaged one
 
 
 class Reader:
-    """A trace file. `about` is its header's map; `entries()` its blocks, by the index, or where that is
-    missing or damaged by going through the file; `torn` is the count of bytes behind the last whole block
-    that are no block, once that was done; `passed` counts records of kinds unknown here, as they are passed
-    over.
+    """A trace file.
 
-    Damage with whole blocks behind it raises Unreadable, unless `skip`: then it is noted in `damage`."""
+    `metadata` is its header's map. `entries()` lists its blocks by the index, or by a scan of the file where
+    the index is missing or damaged. After a scan `torn_bytes` is the number of bytes after the last complete
+    block. `unknown_records` counts the skipped records of kinds that this version does not know.
 
-    def __init__(self, path, skip=False, kinds=KINDS, speaks=MAJOR):
+    Damage that is followed by complete blocks raises UnreadableTrace; with `skip` it is added to `damage`
+    instead.
+    """
+
+    def __init__(self, path, skip=False, kinds=KINDS, max_major=MAJOR):
         self.path, self.skip, self.kinds = path, skip, kinds
-        self.passed, self.torn, self.damage = 0, 0, []
+        self.unknown_records, self.torn_bytes, self.damage = 0, 0, []
         self.file = open(path, "rb")
         try:
             self.size = os.fstat(self.file.fileno()).st_size
-            start = self.at(0, START.size)
-            self.major, self.minor, size = format.read_start(start, speaks)
-            self.about = format.read_about(start + self.at(START.size, size), speaks)
+            start = self.read_at(0, HEADER_START.size)
+            self.major, self.minor, size = format.read_start(start, max_major)
+            self.metadata = format.read_metadata(start + self.read_at(HEADER_START.size, size), max_major)
         except BaseException:
             self.file.close()
             raise
-        self.seed, self.begins = self.about["seed"], START.size + size
-        self.known = None  # entries, where they were read already and are few
+        self.seed, self.first_block_offset = self.metadata["seed"], HEADER_START.size + size
+        self.cached_entries = None  # result of entries()
 
     def __enter__(self):
         return self
@@ -40,150 +43,171 @@
     def __exit__(self, *_):
         self.file.close()
 
-    def at(self, offset, size):
+    def read_at(self, offset, size):
         self.file.seek(offset)
         return self.file.read(size)
 
-    # The blocks.
+    # Blocks.
     def entries(self):
-        """(offset, size, Entry) of each block in the file's order."""
-        if self.known is None:
+        """Return (offset, size, IndexEntry) of each block in the file's order."""
+        if self.cached_entries is None:
             try:
-                self.known = self.indexed()
-            except Unreadable:  # it only repeats what the blocks say
-                self.known = None
-            if self.known is None:
-                self.known = list(self.scan())
-        return self.known
-
-    def indexed(self):
-        """By the index, or None where there is none."""
-        found = format.read_trailer(self.seed, self.at(max(0, self.size - TRAILER.size), TRAILER.size))
+                self.cached_entries = self.entries_from_index()
+            except UnreadableTrace:  # the index only repeats the blocks' heads
+                self.cached_entries = None
+            if self.cached_entries is None:
+                self.cached_entries = list(self.scan())
+        return self.cached_entries
+
+    def entries_from_index(self):
+        """Return the entries from the index; None where the file has none."""
+        found = format.read_trailer(self.seed, self.read_at(max(0, self.size - TRAILER.size), TRAILER.size))
         if not found:
             return None
-        at, chunks, records = found
+        offset, chunks, records = found
         entries = []
         for _ in range(chunks):
-            start, head, size = self.chunk(at)
-            if start[:4] != format.INDEX:
-                raise Unreadable("damaged index")
-            entries += format.read_index(format.read_body(start, self.at(at + CHUNK.size + head, size)))
-            at += CHUNK.size + head + size
+            start, head, size = self.read_chunk(offset)
+            if start[:4] != format.INDEX_MAGIC:
+                raise UnreadableTrace("damaged index")
+            entries += format.read_index(
+                format.read_body(start, self.read_at(offset + CHUNK_START.size + head, size))
+            )
+            offset += CHUNK_START.size + head + size
         if sum(entry.count for _, _, entry in entries) != records:
-            raise Unreadable("damaged index")
+            raise UnreadableTrace("damaged index")
         return entries
 
-    def chunk(self, at):
-        """(its first bytes, size of its head, of its body) of the chunk at an offset, if it is whole in
-        size."""
-        start = self.at(at, CHUNK.size)
-        if len(start) != CHUNK.size:
-            raise Unreadable("cut short")
-        _, head, body, *_ = format.read_chunk(start)
-        if at + CHUNK.size + head + body > self.size:
-            raise Unreadable("cut short")
+    def read_chunk(self, offset):
+        """Return (first bytes, size of head, size of body) of the chunk at an offset.
+
+        Raises UnreadableTrace where the file ends before the chunk does.
+        """
+        start = self.read_at(offset, CHUNK_START.size)
+        if len(start) != CHUNK_START.size:
+            raise UnreadableTrace("cut short")
+        _, head, body, *_ = format.read_chunk_start(start)
+        if offset + CHUNK_START.size + head + body > self.size:
+            raise UnreadableTrace("cut short")
         return start, head, body
 
     def scan(self):
-        """Goes through the file without its index: every sum is looked at, also of bodies, since the tail may
-        have holes after a crash of the machine."""
-        walk = Walk(self.begins, self.size)
-        while not walk.over and not self.ends(walk.at):
-            at = walk.at
+        """Yield entries by reading the file without its index.
+
+        All checksums are verified, also of bodies, since a crash of the machine may leave holes in the tail.
+        """
+        scan = RecoveryScan(self.first_block_offset, self.size)
+        while not scan.finished and not self.is_trailer_at(scan.offset):
+            offset = scan.offset
             try:
-                found, size = self.look(at)
-                data, wrong = walk.whole(found, size)
-            except Unreadable as broken:
-                data, wrong = False, walk.broken(broken, self.next_block(at + 1))
-            if wrong:
-                self.damaged(wrong)
+                found, size = self.verify_chunk(offset)
+                data, problem = scan.on_valid_chunk(found, size)
+            except UnreadableTrace as error:
+                data, problem = False, scan.on_invalid_chunk(error, self.next_block(offset + 1))
+            if problem:
+                self.on_damage(problem)
             if data:
-                yield at, size, found
-        self.torn = walk.torn
-
-    def ends(self, at):
-        return self.size - at == TRAILER.size and format.read_trailer(self.seed, self.at(at, TRAILER.size))
-
-    def look(self, at):
-        """(Entry, size) of the whole chunk at an offset, None for the Entry of one of the index."""
-        start, head, body = self.chunk(at)
-        said = format.read_head(self.seed, start, self.at(at + CHUNK.size, head))
-        format.read_body(start, self.at(at + CHUNK.size + head, body))
-        return Entry.unpacked(said) if start[:4] == format.BLOCK else None, CHUNK.size + head + body
-
-    def next_block(self, at):
-        """The offset of the next whole block, None where there is none."""
-        while at < self.size:
-            part = self.at(at, STRIDE + 3)
-            place = part.find(format.BLOCK)
-            while place >= 0:
+                yield offset, size, found
+        self.torn_bytes = scan.torn_bytes
+
+    def is_trailer_at(self, offset):
+        return self.size - offset == TRAILER.size and format.read_trailer(
+            self.seed, self.read_at(offset, TRAILER.size)
+        )
+
+    def verify_chunk(self, offset):
+        """Return (IndexEntry, size) of the chunk at an offset, checksums verified.
+
+        The entry is None for a chunk of the index.
+        """
+        start, head, body = self.read_chunk(offset)
+        decoded_head = format.read_head(self.seed, start, self.read_at(offset + CHUNK_START.size, head))
+        format.read_body(start, self.read_at(offset + CHUNK_START.size + head, body))
+        return (
+            IndexEntry.unpacked(decoded_head) if start[:4] == format.BLOCK_MAGIC else None,
+            CHUNK_START.size + head + body,
+        )
+
+    def next_block(self, offset):
+        """Return the offset of the next complete block, None where there is none."""
+        while offset < self.size:
+            part = self.read_at(offset, SCAN_STEP_BYTES + 3)
+            position = part.find(format.BLOCK_MAGIC)
+            while position >= 0:
                 try:
-                    if self.look(at + place)[0]:
-                        return at + place
-                except Unreadable:
+                    if self.verify_chunk(offset + position)[0]:
+                        return offset + position
+                except UnreadableTrace:
                     pass
-                place = part.find(format.BLOCK, place + 1)
-            at += STRIDE
+                position = part.find(format.BLOCK_MAGIC, position + 1)
+            offset += SCAN_STEP_BYTES
         return None
 
-    def damaged(self, what):
+    def on_damage(self, what):
         if not self.skip:
-            raise Unreadable(f"{self.path}: {what} (--skip-damaged goes on behind it)")
+            raise UnreadableTrace(f"{self.path}: {what} (--skip-damaged continues after it)")
         self.damage.append(what)
 
-    def packed(self, offset):
-        """(first bytes, body as it is packed) of a block, its sums looked at."""
-        start, head, size = self.chunk(offset)
-        if start[:4] != format.BLOCK:
-            raise Unreadable(f"no block at byte {offset}")
-        format.read_head(self.seed, start, self.at(offset + CHUNK.size, head))
-        return start, self.at(offset + CHUNK.size + head, size)
+    def packed_block(self, offset):
+        """Return (first bytes, compressed body) of a block, with the checksum of its head verified."""
+        start, head, size = self.read_chunk(offset)
+        if start[:4] != format.BLOCK_MAGIC:
+            raise UnreadableTrace(f"not a block at byte {offset}")
+        format.read_head(self.seed, start, self.read_at(offset + CHUNK_START.size, head))
+        return start, self.read_at(offset + CHUNK_START.size + head, size)
 
     def block(self, offset, size):
-        """format.Columns of a block."""
-        start, body = self.packed(offset)
+        """Return the format.Columns of a block."""
+        start, body = self.packed_block(offset)
         return format.Columns(format.read_body(start, body), self.kinds)
 
-    # What stands in them.
-    def blocks(self, wanted=None):
-        """(Entry, format.Columns) of the blocks that may hold what is wanted."""
+    # Records.
+    def blocks(self, record_filter=None):
+        """Yield (IndexEntry, format.Columns) of the blocks that may contain matching records."""
         for offset, size, entry in self.entries():
-            if wanted is None or wanted.may_hold(entry):
+            if record_filter is None or record_filter.may_contain(entry):
                 try:
                     found = self.block(offset, size)
-                except Unreadable as wrong:
-                    self.damaged(f"{wrong} at byte {offset}")
+                except UnreadableTrace as error:
+                    self.on_damage(f"{error} at byte {offset}")
                     continue
-                self.passed += sum(count for kind, count in entry.kinds.items() if kind not in self.kinds)
+                self.unknown_records += sum(
+                    count for kind, count in entry.kinds.items() if kind not in self.kinds
+                )
                 yield entry, found
 
-    def records(self, wanted=None, rpcs=None):
-        """The records wanted, in the file's order. Ids: all records of the RPCs that were taken under them,
-        or of `rpcs`, {(source, rpc)}, where their taking stands in another file."""
-        wanted = wanted or Wanted()
-        if wanted.ids and rpcs is None:
-            rpcs = self.taken_as(wanted.ids)
-        for entry, found in self.blocks(wanted):
-            if rpcs is not None and not may_speak(entry, rpcs):
+    def records(self, record_filter=None, rpcs=None):
+        """Yield matching records in the file's order.
+
+        A filter by ids selects all records of the RPCs that arrived with these ids. `rpcs`, {(source, rpc)},
+        names them instead where their arrivals are in another file.
+        """
+        record_filter = record_filter or RecordFilter()
+        if record_filter.ids and rpcs is None:
+            rpcs = self.rpcs_with_ids(record_filter.ids)
+        for entry, found in self.blocks(record_filter):
+            if rpcs is not None and not may_contain_rpcs(entry, rpcs):
                 continue
-            for record in found.records(wanted.kinds or None):
+            for record in found.records(record_filter.kinds or None):
                 kind = self.kinds[record.kind]
-                if wanted.takes(record, kind) and (
+                if record_filter.matches(record, kind) and (
                     rpcs is None or (record.source, kind.value(record.values, "rpc")) in rpcs
                 ):
                     yield record
 
-    def taken_as(self, ids):
-        """{(source, rpc)} of the RPCs taken under these ids; a client may use one again."""
+    def rpcs_with_ids(self, ids):
+        """Return {(source, rpc)} of the RPCs that arrived with these ids; clients may reuse an id."""
         found = set()
         for offset, size, entry in self.entries():
-            if may_take(entry, ids):
-                columns = self.block(offset, size)
-                sources = [s for s, kind in zip(columns.sources, columns.order) if kind == TAKEN.number]
+            if may_contain_arrival(entry, ids):
+                block_columns = self.block(offset, size)
+                sources = [
+                    s for s, kind in zip(block_columns.sources, block_columns.order) if kind == ARRIVAL.number
+                ]
                 rows = zip(
                     sources,
-                    columns.column(TAKEN, TAKEN.fields[TAKEN.at["rpc"]]),
-                    columns.column(TAKEN, TAKEN.fields[TAKEN.at["id"]]),
+                    block_columns.column(ARRIVAL, ARRIVAL.fields[ARRIVAL.positions["rpc"]]),
+                    block_columns.column(ARRIVAL, ARRIVAL.fields[ARRIVAL.positions["id"]]),
                 )
                 found |= {(source, rpc) for source, rpc, name in rows if name in ids}
         return found
--- a/honeywood/trace/recorder.py
+++ b/honeywood/trace/recorder.py
@@ -1,4 +1,4 @@
-"""Writes what a call recorder queues to files in a folder, on a thread of its own; nobody waits for it."""
+"""Writes the records that a call recorder queues to files in a folder, on a separate thread."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from honeywood.trace import writer
 from honeywood.trace.rules.retention import TraceFile, files_to_delete
 from honeywood.trace.rules.write_schedule import MAX_BLOCK_RECORDS, WriteSchedule
-from honeywood.trace.schema import Unfit
+from honeywood.trace.schema import InvalidRecord
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -22,48 +22,48 @@
     from honeywood.operator.operator_file import TraceBlock
     from honeywood.trace.call_recorder import CallRecorder
 
-CHECK_INTERVAL = 1000  # tenths of a ms between looks at the queue, a block's age if that is less
-COLUMNS_PER_YIELD = 4  # are packed, at some 0.2 ms each, before other threads go on
+CHECK_INTERVAL = 1000  # tenths of a ms between checks of the queue; the block age if that is less
+COLUMNS_PER_YIELD = 4  # columns encoded, at about 0.2 ms each, before other threads may run
 NS_PER_TENTH_OF_MS = 100_000
 FILE_SUFFIX = ".trace"
 
 
 class Recorder:
-    """Ends files by age and size, deletes old ones, and outlives a full disk."""
+    """Rotates files by age and size, deletes old ones, and recovers after a full disk."""
 
     def __init__(
         self,
         settings: TraceBlock,
         calls: CallRecorder,
-        about: Mapping[str, Any],
+        metadata: Mapping[str, Any],
         name: str,
         mailbox: Mailbox,
         clock: Callable[[], int],
         log: Any,
     ) -> None:
-        """`about` describes the balancer in each file's header, `name` begins the files' names.
+        """`metadata` describes the balancer in each file's header, `name` is the prefix of the files' names.
 
-        `mailbox` is one with a thread that is not started yet; `clock` tells tenths of a millisecond.
+        The thread of `mailbox` must not have started; `clock` returns tenths of a millisecond.
         """
         self._settings, self.calls, self._log, self._clock = settings, calls, log, clock
         self.mailbox = mailbox
         self._run = secrets.token_hex(8)
-        self._about = {**about, "run": self._run}
+        self._metadata = {**metadata, "run": self._run}
         self._name = "".join(character if character.isalnum() else "_" for character in name)
         self._schedule = WriteSchedule(settings.block_age, settings.file_bytes, settings.file_age)
-        self.file: Any = None  # the one that is written
+        self.file: Any = None  # the open file
         self._writer: Any = None
         self._opened_at = 0
         self._sequence, self._stopped = 0, False
         self._interval = min(CHECK_INTERVAL, settings.block_age)
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start writing."""
         self.mailbox.post(self._on_timer)
         self.mailbox.start()
 
     def stop(self) -> None:
-        """Write what is queued and end the file; posted to the mailbox by the life cycle."""
+        """Write the queued records and end the file; posted to the mailbox at shutdown."""
         self._stopped = True
         self.write_due(self._clock(), everything=True)
         if self._writer:
@@ -73,7 +73,7 @@
                 self._log.error("trace_stopped", what=str(error), lost=0)
 
     def write_due(self, now: int, everything: bool = False) -> None:
-        """Write the blocks that are due, or all that is queued."""
+        """Write the blocks that are due, with `everything` all queued records."""
         queue, unix_start = self.calls.queue, self.calls.unix_start
         while queue and (
             everything or self._schedule.block_is_due(len(queue), queue[0][0] + unix_start, now)
@@ -95,7 +95,7 @@
                 self._close()
             if not self._writer:
                 self._open(now)
-            self._write_block([*self.calls.drop_note(now, "queue, disk or unfit"), *records])
+            self._write_block([*self.calls.loss_records(now, "queue, disk or unfit"), *records])
             if self._settings.sync == "block":
                 self._writer.sync()
             if self._schedule.on_success():
@@ -109,12 +109,11 @@
     def _write_block(self, records: Sequence[Any]) -> None:
         """Write a block.
 
-        A record that no trace may hold (a server's name of a megabyte) is left out and counted, and costs no
-        other its place.
+        An invalid record (such as a server name of a megabyte) is dropped and counted; others are written.
         """
         try:
             self._writer.block(records, ThreadYield())
-        except Unfit:
+        except InvalidRecord:
             half = len(records) // 2
             if not half:
                 self.calls.shedding.lost += 1
@@ -128,13 +127,14 @@
         self._delete_old()
         name = f"{self._name}-{self._run}-{self._sequence:06d}{FILE_SUFFIX}"
         created = time.time_ns() // NS_PER_TENTH_OF_MS
-        about = {**self._about, "sequence": self._sequence, "created": created}
-        self._writer = writer.create(os.path.join(self._settings.folder, name), about)
+        metadata = {**self._metadata, "sequence": self._sequence, "created": created}
+        self._writer = writer.create(os.path.join(self._settings.folder, name), metadata)
         self.file, self._opened_at = self._writer.file, now
-        fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)  # no other balancer takes it for an old one
+        # The lock keeps other balancers from deleting the file as an old one.
+        fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
 
     def _delete_old(self) -> None:
-        """Delete what is too old or too much, of this balancer's name only, and nothing that is written."""
+        """Delete this balancer's files that are too old or exceed the total size, but none that is open."""
         settings = self._settings
         files = [
             TraceFile(entry.name, entry.stat().st_size, entry.stat().st_mtime_ns // NS_PER_TENTH_OF_MS)
@@ -145,7 +145,7 @@
             files, now, settings.most_bytes, settings.longest_age, settings.file_bytes
         ):
             path = os.path.join(settings.folder, name)
-            # Another process writes it, or has just deleted it.
+            # Another process has the file open, or has just deleted it.
             with suppress(BlockingIOError, FileNotFoundError), open(path, "rb") as file:
                 fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
                 os.remove(path)
@@ -166,26 +166,26 @@
         self._writer = self.file = None
 
     def _abandon_file(self) -> None:
-        """After a failed write the file ends with its last complete block."""
+        """Close the file after a failed write; readers use it up to its last complete block."""
         if self.file:
-            with suppress(OSError):  # what the failed write left is given back all the same
+            with suppress(OSError):  # the file descriptor is released even if close() fails
                 self.file.close()
         self._writer = self.file = None
 
 
 class ThreadYield:
-    """Lets other threads go on after every few columns.
+    """Lets other threads run after every few columns.
 
-    The interpreter switches seldom by itself in this program, and they would wait until a block is packed,
-    10 ms and more.
+    The interpreter's switch interval is long in this program: without it they would wait for a whole block,
+    10 ms or more.
     """
 
     def __init__(self) -> None:
-        """No column is packed yet."""
+        """Start with no encoded column."""
         self._columns = 0
 
     def __call__(self) -> None:
-        """A column is packed."""
+        """Count an encoded column; yield after every COLUMNS_PER_YIELD."""
         self._columns += 1
         if self._columns % COLUMNS_PER_YIELD == 0:
             time.sleep(0)
--- a/honeywood/trace/rules/__init__.py
+++ b/honeywood/trace/rules/__init__.py
@@ -1,1 +1,1 @@
-"""What the trace decides, a file a rule: no socket, file, thread or clock; times and chance are handed in."""
+"""The rules of the trace, one per module. They do no I/O and use no thread or clock: times are passed in."""
--- a/honeywood/trace/rules/recovery.py
+++ b/honeywood/trace/rules/recovery.py
@@ -1,43 +1,51 @@
-"""What of a trace file that may be torn or damaged is data: the walk through its chunks, told what stands
-where."""
+"""Decides which chunks of a trace file that may be torn or damaged are valid data."""
 
 
-class Walk:
-    """The way through a file from its header's end, a chunk at a time. The caller looks at what stands `at`
-    and says what it found; nothing that did not pass here is data.
+class RecoveryScan:
+    """The state of a scan through a file, a chunk at a time, from the end of its header.
 
-    Invariants: `at` never goes back; blocks that pass have growing numbers, so that none passes twice; `torn`
-    is set only by the last thing said, where no whole block stands behind."""
+    The caller examines the chunk at `offset` and reports the result; only accepted blocks are data.
 
-    def __init__(self, begins, size):
-        self.at, self.size, self.number = begins, size, 0
-        self.torn, self.over = 0, begins >= size
+    Invariants: `offset` never decreases; the numbers of accepted blocks increase, so that no block is
+    accepted twice; `torn_bytes` is set only by the last report, where no complete block follows.
+    """
 
-    def moved(self, at):
-        self.at = at
-        self.over = self.over or at >= self.size
+    def __init__(self, start, size):
+        self.offset, self.size, self.next_number = start, size, 0
+        self.torn_bytes, self.finished = 0, start >= size
 
-    def whole(self, entry, size):
-        """A chunk whose sums fit; `entry` None for one of the index. (Whether it is data, what is wrong or
-        None.)"""
-        at = self.at
-        self.moved(at + size)
+    def advance(self, offset):
+        self.offset = offset
+        self.finished = self.finished or offset >= self.size
+
+    def on_valid_chunk(self, entry, size):
+        """Report a chunk with valid checksums; `entry` is None for a chunk of the index.
+
+        Returns:
+            (whether its records are data, a description of the problem or None).
+        """
+        offset = self.offset
+        self.advance(offset + size)
         if entry is None:
             return False, None
-        expected, fits = self.number, entry.number >= self.number
-        self.number = max(self.number, entry.number + 1)
+        expected, is_accepted = self.next_number, entry.number >= self.next_number
+        self.next_number = max(self.next_number, entry.number + 1)
         if entry.number == expected:
             return True, None
-        twice = "" if fits else ": not taken twice"
-        return fits, f"block {entry.number} at byte {at} where {expected} belongs{twice}"
-
-    def broken(self, why, behind):
-        """No whole chunk stands here; `behind` is where the next whole block of this file does, None where
-        there is none. What is wrong, None where this is a torn tail: what a crash or a full disk leaves, and
-        no damage."""
-        at = self.at
-        if behind is None:
-            self.torn, self.over = self.size - at, True
+        suffix = "" if is_accepted else ": not taken twice"
+        return is_accepted, f"block {entry.number} at byte {offset} where {expected} belongs{suffix}"
+
+    def on_invalid_chunk(self, problem, next_block):
+        """Report that there is no complete chunk here.
+
+        `next_block` is the offset of the next complete block of this file, None where there is none.
+
+        Returns:
+            A description of the damage; None for a torn tail, which a crash or a full disk leaves.
+        """
+        offset = self.offset
+        if next_block is None:
+            self.torn_bytes, self.finished = self.size - offset, True
             return None
-        self.moved(behind)
-        return f"{why} at byte {at}"
+        self.advance(next_block)
+        return f"{problem} at byte {offset}"
--- a/honeywood/trace/rules/replaying.py
+++ b/honeywood/trace/rules/replaying.py
@@ -1,5 +1,4 @@
-"""Plays what a front was told into the decisions of today, and compares what they do with what was done
-then."""
+"""Replays recorded inputs through the current decision code and compares its decisions with the record."""
 
 from collections import Counter, deque
 from types import SimpleNamespace
@@ -16,72 +15,75 @@
     ServerStatus,
     digest,
 )
-from honeywood.trace.rules.lives import OUTCOMES
+from honeywood.trace.rules.rpc_history import OUTCOME_TEXTS
 from honeywood.trace.schema import (
     ABORTED,
     ANSWER,
     ANSWERED_OK,
-    BEGAN,
-    COMING,
+    STARTED,
+    RESPONSE_STARTED,
     DROPPED,
     KINDS,
-    LEFT,
-    LIST,
-    LIST_FAILED,
-    LOOK,
-    NEWS,
-    PICK,
+    CLIENT_DISCONNECTED,
+    SERVER_LIST,
+    SERVER_LIST_FAILED,
+    TIMER,
+    RELEASE_UPDATE,
+    ATTEMPT,
     PROBE,
-    PUSHED_BACK,
+    REJECTED,
     RESULT,
-    TAKEN,
-    TALLY,
+    ARRIVAL,
+    PLATFORM_COUNTS,
     VOTE,
-    WRONG,
+    INCORRECT_ANSWER,
 )
 
-MOST_TOLD = 20  # differences that are told one by one
+MAX_DESCRIPTIONS = 20  # differences that are described one by one
 
 
-class Player:
-    """The host of the decisions (interface.Host) for one run of one front: `settings`, and `unix_start`, the
-    front's clock at 1970. `play` takes its records in their order."""
+class Replayer:
+    """The host of the decisions (interface.Host) for one run of a balancer.
+
+    `settings` are the balancer's; `unix_start` is 1970 on its clock. Pass the run's records to `play` in
+    their order.
+    """
 
     observer = None
 
     def __init__(self, settings, unix_start):
         self.unix_start, self.methods = unix_start, {method.name: method for method in settings.methods}
         self.now, self.servers, self.rpcs = 0, {}, {}
-        # Made now, and not yet held against the record.
+        # Decisions of the replay that are not yet compared with the recorded ones.
         self.sends, self.answers, self.votes = {}, {}, deque()
-        self.same, self.differ, self.told, self.inputs = Counter(), Counter(), [], 0
-        self.began, self.dropped = False, 0
+        self.matches, self.differences, self.descriptions, self.inputs = Counter(), Counter(), [], 0
+        self.saw_start, self.dropped_records = False, 0
         self.balancer = Balancer(settings, self)
-        self.players = {
-            TAKEN.number: self.taken,
-            PICK.number: self.pick,
-            RESULT.number: self.result,
-            ANSWER.number: self.answer,
-            LEFT.number: self.left,
-            NEWS.number: self.news,
-            LIST.number: self.list,
-            VOTE.number: self.voted,
-            TALLY.number: self.tally,
-            WRONG.number: self.wrong,
-            PROBE.number: self.probed,
-            LOOK.number: self.look,
-            LIST_FAILED.number: self.list_failed,
-            COMING.number: self.coming,
-            DROPPED.number: self.lost,
-            BEGAN.number: self.start,
+        self.handlers = {
+            ARRIVAL.number: self.on_arrival,
+            ATTEMPT.number: self.on_attempt,
+            RESULT.number: self.on_result,
+            ANSWER.number: self.on_answer,
+            CLIENT_DISCONNECTED.number: self.on_client_disconnected,
+            RELEASE_UPDATE.number: self.on_release_update,
+            SERVER_LIST.number: self.on_server_list,
+            VOTE.number: self.on_vote,
+            PLATFORM_COUNTS.number: self.on_platform_counts,
+            INCORRECT_ANSWER.number: self.on_incorrect_answer,
+            PROBE.number: self.on_probe_result,
+            TIMER.number: self.on_timer,
+            SERVER_LIST_FAILED.number: self.on_server_list_failed,
+            RESPONSE_STARTED.number: self.on_response_started,
+            DROPPED.number: self.on_dropped,
+            STARTED.number: self.on_start,
         }
 
-    # What the decisions ask.
+    # Calls from the decisions.
     def send(self, attempt, until):
         self.sends[attempt.rpc.host, attempt.number] = attempt.server.host
 
     def reject(self, rpc, retry_after):
-        self.answers[rpc.host] = PUSHED_BACK
+        self.answers[rpc.host] = REJECTED
 
     def abort(self, rpc):
         self.answers[rpc.host] = ABORTED
@@ -90,77 +92,83 @@
         self.votes.append((build, step, verdict))
 
     def ignored(self, *_):
-        """What the record tells the outcome of: calls back, probes, wakings, the list."""
+        """Does nothing: the outcome of these calls is replayed from records."""
 
     cancel = probe = wake_after = watch_servers = log = ignored
 
-    # What was recorded.
+    # Recorded calls.
     def play(self, record):
+        """Replay an input or compare a recorded decision."""
         kind = KINDS[record.kind]
-        self.inputs += kind.input
+        self.inputs += kind.is_input
         self.now = record.time + self.unix_start
-        if record.kind in self.players:
-            self.players[record.kind](SimpleNamespace(**dict(zip(kind.at, record.values))))
+        if record.kind in self.handlers:
+            self.handlers[record.kind](SimpleNamespace(**dict(zip(kind.positions, record.values))))
 
-    def start(self, got):
-        self.began = True
+    def on_start(self, fields):
+        self.saw_start = True
         self.balancer.on_start(self.now)
 
-    def lost(self, got):
-        self.dropped += got.records
+    def on_dropped(self, fields):
+        self.dropped_records += fields.records
 
-    def taken(self, got):
-        if got.method not in self.methods:
+    def on_arrival(self, fields):
+        if fields.method not in self.methods:
             return
-        rpc = self.rpcs[got.rpc] = Rpc(
-            method=self.methods[got.method],
-            expected_work=got.work,
-            is_retry=bool(got.repeat),
-            arrived_at=self.now - got.waited,
-            deadline=self.now + got.deadline,
-            host=got.rpc,
+        rpc = self.rpcs[fields.rpc] = Rpc(
+            method=self.methods[fields.method],
+            expected_work=fields.work,
+            is_retry=bool(fields.repeat),
+            arrived_at=self.now - fields.waited,
+            deadline=self.now + fields.deadline,
+            host=fields.rpc,
         )
         self.balancer.on_request(self.now, rpc)
 
-    def pick(self, got):
-        if got.rpc in self.rpcs:
-            made = self.sends.pop((got.rpc, got.number), None)
-            self.compare("pick", made, got.server, f"RPC {got.rpc} pick {got.number}")
+    def on_attempt(self, fields):
+        if fields.rpc in self.rpcs:
+            replayed = self.sends.pop((fields.rpc, fields.number), None)
+            self.compare("pick", replayed, fields.server, f"RPC {fields.rpc} pick {fields.number}")
 
-    def result(self, got):
-        rpc = self.rpcs.get(got.rpc)
-        if rpc is None or got.number >= len(rpc.attempts):
-            return  # not made today: told where the pick was recorded
-        attempt = rpc.attempts[got.number]
+    def on_result(self, fields):
+        rpc = self.rpcs.get(fields.rpc)
+        if rpc is None or fields.number >= len(rpc.attempts):
+            return  # the replay made no such attempt: reported where its record was compared
+        attempt = rpc.attempts[fields.number]
         if attempt.result is None:
-            if got.result == AttemptResult.OK and not rpc.done:
-                self.answers[got.rpc] = ANSWERED_OK
-            final = got.result == AttemptResult.OK or rpc.done
+            if fields.result == AttemptResult.OK and not rpc.done:
+                self.answers[fields.rpc] = ANSWERED_OK
+            final = fields.result == AttemptResult.OK or rpc.done
             self.balancer.on_result(
-                self.now, attempt, AttemptResult(got.result), got.latency, got.load, final
+                self.now, attempt, AttemptResult(fields.result), fields.latency, fields.load, final
             )
-        self.let_go(rpc)
+        self.forget_if_finished(rpc)
 
-    def coming(self, got):
-        rpc = self.rpcs.get(got.rpc)
-        if rpc and got.number < len(rpc.attempts) and rpc.attempts[got.number].result is None:
-            self.balancer.on_response_started(self.now, rpc.attempts[got.number])
+    def on_response_started(self, fields):
+        rpc = self.rpcs.get(fields.rpc)
+        if rpc and fields.number < len(rpc.attempts) and rpc.attempts[fields.number].result is None:
+            self.balancer.on_response_started(self.now, rpc.attempts[fields.number])
 
-    def answer(self, got):
-        rpc = self.rpcs.get(got.rpc)
+    def on_answer(self, fields):
+        rpc = self.rpcs.get(fields.rpc)
         if rpc is None:
             return
-        made = self.answers.pop(got.rpc, None)
-        self.compare("answer", OUTCOMES.get(made), OUTCOMES.get(got.outcome), f"RPC {got.rpc} answer")
-        if not rpc.done:  # still open today: it was over then, and so are its picks
+        replayed = self.answers.pop(fields.rpc, None)
+        self.compare(
+            "answer",
+            OUTCOME_TEXTS.get(replayed),
+            OUTCOME_TEXTS.get(fields.outcome),
+            f"RPC {fields.rpc} answer",
+        )
+        if not rpc.done:  # still open in the replay; in the record it and its attempts were over
             self.balancer.on_client_disconnected(self.now, rpc)
             for attempt in rpc.attempts:
                 if attempt.result is None:
                     latency = self.now - attempt.sent_at
                     self.balancer.on_result(self.now, attempt, AttemptResult.CANCELLED, latency, (), True)
-        self.let_go(rpc)
+        self.forget_if_finished(rpc)
 
-    def let_go(self, rpc):
+    def forget_if_finished(self, rpc):
         if (
             rpc.done
             and all(attempt.result is not None for attempt in rpc.attempts)
@@ -172,82 +180,101 @@
                     where = f"RPC {rpc.host} pick {attempt.number}"
                     self.compare("pick", attempt.server.host, None, where)
 
-    def left(self, got):
-        if rpc := self.rpcs.get(got.rpc):
+    def on_client_disconnected(self, fields):
+        if rpc := self.rpcs.get(fields.rpc):
             self.balancer.on_client_disconnected(self.now, rpc)
-            self.let_go(rpc)
+            self.forget_if_finished(rpc)
 
-    def news(self, got):
-        counts = got.result == AttemptResult.OK
-        update = ReleaseUpdate(got.build, got.step, got.cap, ReleaseState(got.standing), got.age)
-        if got.reply:
+    def on_release_update(self, fields):
+        counts = fields.result == AttemptResult.OK
+        update = ReleaseUpdate(
+            fields.build, fields.step, fields.cap, ReleaseState(fields.standing), fields.age
+        )
+        if fields.reply:
             self.balancer.on_vote_answered(self.now, update if counts else None)
         elif counts:
             self.balancer.on_release_update(self.now, update)
 
-    def list(self, got):
-        lines = []
-        rows = zip(got.servers, got.builds, got.zones, got.cells, got.scales, got.statuses, got.starts)
+    def on_server_list(self, fields):
+        entries = []
+        rows = zip(
+            fields.servers,
+            fields.builds,
+            fields.zones,
+            fields.cells,
+            fields.scales,
+            fields.statuses,
+            fields.starts,
+        )
         for name, build, zone, cell, scale, status, start in rows:
             server = self.servers.setdefault(name, Server(host=name, digest=digest(name)))
             status = ServerStatus(status)
-            lines.append(ServerEntry(server, build, zone, cell, scale, status, start + self.unix_start))
+            entries.append(ServerEntry(server, build, zone, cell, scale, status, start + self.unix_start))
             if status == ServerStatus.REMOVED:
                 del self.servers[name]
-        if got.whole:
-            self.servers = {name: self.servers[name] for name in got.servers if name in self.servers}
-        self.balancer.on_server_list(self.now, lines, bool(got.whole))
+        if fields.whole:
+            self.servers = {name: self.servers[name] for name in fields.servers if name in self.servers}
+        self.balancer.on_server_list(self.now, entries, bool(fields.whole))
 
-    def list_failed(self, got):
+    def on_server_list_failed(self, fields):
         self.balancer.on_server_list_failed(self.now)
 
-    def voted(self, got):
-        made = self.votes.popleft() if self.votes else None
-        self.compare("vote", made, (got.build, got.step, got.verdict), f"vote at {self.now}")
+    def on_vote(self, fields):
+        replayed = self.votes.popleft() if self.votes else None
+        self.compare("vote", replayed, (fields.build, fields.step, fields.verdict), f"vote at {self.now}")
 
-    def tally(self, got):
-        if got.method in self.methods:
-            method = self.methods[got.method]
-            counts = PlatformCounts(got.build, method, got.failed, got.ended, got.mean, got.age)
+    def on_platform_counts(self, fields):
+        if fields.method in self.methods:
+            method = self.methods[fields.method]
+            counts = PlatformCounts(
+                fields.build, method, fields.failed, fields.ended, fields.mean, fields.age
+            )
             self.balancer.on_platform_counts(self.now, counts)
 
-    def wrong(self, got):
-        if got.server in self.servers and got.method in self.methods:
-            self.balancer.on_incorrect_answer(self.now, self.servers[got.server], self.methods[got.method])
+    def on_incorrect_answer(self, fields):
+        if fields.server in self.servers and fields.method in self.methods:
+            self.balancer.on_incorrect_answer(
+                self.now, self.servers[fields.server], self.methods[fields.method]
+            )
 
-    def probed(self, got):
-        if got.server in self.servers:
+    def on_probe_result(self, fields):
+        if fields.server in self.servers:
             self.balancer.on_probe_result(
-                self.now, self.servers[got.server], AttemptResult(got.result), got.latency, got.load
+                self.now,
+                self.servers[fields.server],
+                AttemptResult(fields.result),
+                fields.latency,
+                fields.load,
             )
 
-    def look(self, got):
+    def on_timer(self, fields):
         self.balancer.on_timer(self.now)
 
-    def compare(self, what, made, recorded, where):
-        if made == recorded:
-            self.same[what] += 1
+    def compare(self, what, replayed, recorded, where):
+        if replayed == recorded:
+            self.matches[what] += 1
             return
-        self.differ[what] += 1
-        if len(self.told) < MOST_TOLD:
-            self.told.append(
-                f"{where}: {recorded if recorded is not None else 'none'} then, "
-                f"{made if made is not None else 'none'} by the decisions of today"
+        self.differences[what] += 1
+        if len(self.descriptions) < MAX_DESCRIPTIONS:
+            self.descriptions.append(
+                f"{where}: {recorded if recorded is not None else 'none'} recorded, "
+                f"{replayed if replayed is not None else 'none'} replayed"
             )
 
-    def end(self):
-        """After the last record: votes made today and not then."""
+    def finish(self):
+        """Compare the votes that only the replay made, after the last record; return the result."""
         while self.votes:
             self.compare("vote", self.votes.popleft(), None, "vote")
         return self.plain()
 
     def plain(self):
+        """Return the result as JSON values."""
         return {
             "inputs": self.inputs,
-            "same": dict(self.same),
-            "differ": dict(self.differ),
-            "told": self.told,
-            "from_its_start": self.began,
-            "records_dropped": self.dropped,
-            "exact": self.began and not self.dropped,
+            "same": dict(self.matches),
+            "differ": dict(self.differences),
+            "told": self.descriptions,
+            "from_its_start": self.saw_start,
+            "records_dropped": self.dropped_records,
+            "exact": self.saw_start and not self.dropped_records,
         }
--- a/honeywood/trace/rules/retention.py
+++ b/honeywood/trace/rules/retention.py
@@ -1,4 +1,4 @@
-"""Which trace files are deleted, by age and by bytes."""
+"""Selects the trace files to delete, by age and total size."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TraceFile(NamedTuple):
-    """A file that a recorder named; when it was written last, in tenths of a millisecond since 1970."""
+    """A recorder's file; `written_at` is its last write, in tenths of a millisecond since 1970."""
 
     name: str
     size: int
@@ -20,9 +20,9 @@
 def files_to_delete(
     files: Iterable[TraceFile], now: int, max_bytes: int, max_age: int, reserved: int
 ) -> list[str]:
-    """The names of the files to be deleted, oldest first; `files` are all but the one that is open.
+    """Return the names of the files to delete, oldest first; `files` are all but the open one.
 
-    Those left and `reserved` bytes more are within `max_bytes`, and none is older than `max_age`.
+    The remaining files and `reserved` bytes fit into `max_bytes`, and none of them is older than `max_age`.
     """
     by_age = sorted(files, key=lambda file: (file.written_at, file.name))
     deleted = [file for file in by_age if now - file.written_at > max_age]
--- a/honeywood/trace/rules/selection.py
+++ b/honeywood/trace/rules/selection.py
@@ -1,17 +1,17 @@
-"""Which records are wanted, and which blocks can hold some: the index, asked before anything is read."""
+"""Selects records, and the blocks that may contain them, by the index before a block is read."""
 
 import xxhash
 
-BITS_AN_ID = 10  # about 1 of 60 blocks is read in vain for an id that is not there
-LEAST_BITS = 64
-# A text sets three bits, at three parts of one hash of 64 bits, each taken modulo the filter's size.
-PART = 21
+BITS_PER_ID = 10  # about 1 in 60 blocks is read needlessly for an absent id
+MIN_FILTER_BITS = 64
+# A text sets three bits: at three parts of one 64-bit hash, each modulo the filter's size.
+HASH_PART_BITS = 21
 
 
-class Filter:
-    """A Bloom filter over texts: says "not there" for certain, "there" with a small chance of error.
+class BloomFilter:
+    """A Bloom filter over texts, without false negatives and with few false positives.
 
-    >>> Filter.of({"a", "b"}).may_hold("a"), Filter.of(set()).may_hold("a")
+    >>> BloomFilter.of({"a", "b"}).may_contain("a"), BloomFilter.of(set()).may_contain("a")
     (True, False)
     """
 
@@ -22,22 +22,28 @@
     def of(cls, texts):
         if not texts:
             return cls(0, 0)
-        size = max(LEAST_BITS, (len(texts) * BITS_AN_ID + 7) // 8 * 8)
-        held = bytearray(size // 8)
+        size = max(MIN_FILTER_BITS, (len(texts) * BITS_PER_ID + 7) // 8 * 8)
+        bitmap = bytearray(size // 8)
         for text in texts:
-            one, two, three = cls.places(text, size)
-            held[one >> 3] |= 1 << (one & 7)
-            held[two >> 3] |= 1 << (two & 7)
-            held[three >> 3] |= 1 << (three & 7)
-        return cls(int.from_bytes(held, "little"), size)
+            first, second, third = cls.bit_positions(text, size)
+            bitmap[first >> 3] |= 1 << (first & 7)
+            bitmap[second >> 3] |= 1 << (second & 7)
+            bitmap[third >> 3] |= 1 << (third & 7)
+        return cls(int.from_bytes(bitmap, "little"), size)
 
     @staticmethod
-    def places(text, size):
-        found = xxhash.xxh3_64_intdigest(text.encode("utf-8", "surrogateescape"))
-        return found % size, (found >> PART) % size, (found >> 2 * PART) % size
+    def bit_positions(text, size):
+        text_hash = xxhash.xxh3_64_intdigest(text.encode("utf-8", "surrogateescape"))
+        return (
+            text_hash % size,
+            (text_hash >> HASH_PART_BITS) % size,
+            (text_hash >> 2 * HASH_PART_BITS) % size,
+        )
 
-    def may_hold(self, text):
-        return bool(self.size) and all(self.bits >> at & 1 for at in self.places(text, self.size))
+    def may_contain(self, text):
+        return bool(self.size) and all(
+            self.bits >> position & 1 for position in self.bit_positions(text, self.size)
+        )
 
     def packed(self):
         return self.bits.to_bytes(self.size // 8, "little")
@@ -47,9 +53,12 @@
         return cls(int.from_bytes(data, "little"), 8 * len(data))
 
 
-class Entry:
-    """What the index knows of a block: its number, count of records, first and last time, sources, records by
-    kind, methods, servers, builds, least and greatest RPC, and a filter of the ids taken in it."""
+class IndexEntry:
+    """The index entry of a block.
+
+    It has the block's number, count of records, first and last time, sources, counts of records by kind,
+    methods, servers, builds, lowest and highest RPC number, and a Bloom filter of the ids that arrived in it.
+    """
 
     FIELDS = (
         "number",
@@ -66,9 +75,9 @@
     )
     __slots__ = FIELDS
 
-    def __init__(self, **given):
+    def __init__(self, **fields):
         for name in self.FIELDS:
-            setattr(self, name, given[name])
+            setattr(self, name, fields[name])
 
     def packed(self):
         return [
@@ -78,27 +87,30 @@
 
     @classmethod
     def unpacked(cls, values):
-        given = dict(zip(cls.FIELDS, values, strict=False))  # a newer minor may know more of a block
-        return cls(**given | {"kinds": {kind: count for kind, count in given["kinds"]}})
+        fields = dict(zip(cls.FIELDS, values, strict=False))  # a newer minor version may add fields
+        return cls(**fields | {"kinds": {kind: count for kind, count in fields["kinds"]}})
 
 
-class Wanted:
-    """Records that are wanted: from `since` until before `until` (tenths of a ms; None: no bound), of these
-    methods, servers, builds and kinds (empty: all), of the RPCs with these ids.
+class RecordFilter:
+    """Selects records by time, method, server, build, kind and RPC id.
 
-    What names no method is not of one method; so for server and build."""
+    Times are from `since` to before `until` in tenths of a ms, None for no bound; an empty collection selects
+    all. A record without a method does not match a filter by method; likewise for servers and builds.
+    """
 
     def __init__(self, since=None, until=None, methods=(), servers=(), builds=(), kinds=(), ids=()):
         self.since, self.until = since, until
         self.methods, self.servers, self.builds = set(methods), set(servers), set(builds)
         self.kinds, self.ids = set(kinds), set(ids)
 
-    def only_times(self):
+    def selects_by_time_only(self):
         return not (self.methods or self.servers or self.builds or self.kinds or self.ids)
 
-    def may_hold(self, entry):
-        """Whether a block may hold a wanted record, ids left aside (an id stands in one record of its
-        RPC)."""
+    def may_contain(self, entry):
+        """Whether a block may contain a matching record.
+
+        Ids are not considered, since an id is in only one record of its RPC.
+        """
         return (
             (self.since is None or entry.last >= self.since)
             and (self.until is None or entry.first < self.until)
@@ -108,40 +120,42 @@
             and (not self.kinds or not self.kinds.isdisjoint(entry.kinds))
         )
 
-    def whole(self, entry):
-        """Whether all of a block's records are wanted: it need not be unpacked."""
+    def matches_all(self, entry):
+        """Whether all records of a block match: it need not be decompressed."""
         return (
-            self.only_times()
+            self.selects_by_time_only()
             and (self.since is None or entry.first >= self.since)
             and (self.until is None or entry.last < self.until)
         )
 
-    def in_time(self, time):
+    def in_time_range(self, time):
         return (self.since is None or time >= self.since) and (self.until is None or time < self.until)
 
-    def takes(self, record, kind):
-        """Whether one record, of this Kind, is wanted, ids left aside."""
+    def matches(self, record, kind):
+        """Whether a record of this Kind matches; ids are not considered."""
 
-        def fits(wanted, name):
-            return not wanted or (name in kind.at and record.values[kind.at[name]] in wanted)
+        def field_matches(selected, name):
+            return not selected or (
+                name in kind.positions and record.values[kind.positions[name]] in selected
+            )
 
         return (
-            self.in_time(record.time)
+            self.in_time_range(record.time)
             and (not self.kinds or record.kind in self.kinds)
-            and fits(self.methods, "method")
-            and fits(self.servers, "server")
-            and fits(self.builds, "build")
+            and field_matches(self.methods, "method")
+            and field_matches(self.servers, "server")
+            and field_matches(self.builds, "build")
         )
 
 
-def may_take(entry, ids):
-    """Whether a block may hold the record that takes an RPC of one of these ids."""
-    ids_there = Filter.unpacked(entry.ids)
-    return any(ids_there.may_hold(text) for text in ids)
+def may_contain_arrival(entry, ids):
+    """Whether a block may contain the arrival of an RPC with one of these ids."""
+    block_ids = BloomFilter.unpacked(entry.ids)
+    return any(block_ids.may_contain(text) for text in ids)
 
 
-def may_speak(entry, rpcs):
-    """Whether a block may hold a record of one of these RPCs, given by (source, number)."""
+def may_contain_rpcs(entry, rpcs):
+    """Whether a block may contain a record of one of these RPCs, given as (source, number)."""
     return entry.rpcs is not None and any(
         source in entry.sources and entry.rpcs[0] <= rpc <= entry.rpcs[1] for source, rpc in rpcs
     )
--- a/honeywood/trace/sample.py
+++ b/honeywood/trace/sample.py
@@ -1,5 +1,8 @@
-"""A synthetic hour of traffic, to try the tools at size and to time them. It is drawn, not played: its RPCs
-pass no front, so it shows nothing of the decisions, and `replay` refuses it."""
+"""Generates a synthetic hour of traffic of any size, to test and time the tools.
+
+The records are random: they pass through no balancer, so they show nothing of its decisions, and `replay`
+refuses them.
+"""
 
 from itertools import repeat
 from operator import itemgetter
@@ -12,59 +15,61 @@
     ABORTED,
     ANSWER,
     ANSWERED_OK,
-    LIST,
-    LOOK,
-    NEWS,
-    PICK,
-    PUSHED_BACK,
+    SERVER_LIST,
+    TIMER,
+    RELEASE_UPDATE,
+    ATTEMPT,
+    REJECTED,
     RESULT,
-    TAKEN,
-    TALLY,
+    ARRIVAL,
+    PLATFORM_COUNTS,
 )
 
 HOUR = 3600 * SECOND
 START = 17_964_288_000_000  # tenths of a ms since 1970: 2026-12-05, a Saturday before Christmas
 METHODS = "bin-lookup", "bag-assign", "route-plan", "label-print", "scan-in", "belt-state"
 WEIGHTS = 0.35, 0.2, 0.15, 0.1, 0.15, 0.05
-CUSTOMERS, SERVERS, CHUNK = 9, 40, 20_000
-AN_RPC = 4.05  # records that an RPC brings on average, with looks and tallies
-SECOND_PICKS, FAILED, PUSHED = 0.02, 0.004, 0.01
+CUSTOMERS, SERVERS, CHUNK_RPCS = 9, 40, 20_000
+RECORDS_PER_RPC = 4.05  # records per RPC on average, with those of timers and platform counts
+RETRY_SHARE, FAILED_SHARE, REJECTED_SHARE = 0.02, 0.004, 0.01
 
 
-def about(seed):
+def metadata(seed):
+    """Return the header's map of a sample."""
     return {"front": f"sample{seed}", "run": f"sample-{seed}", "sample": True}
 
 
 def blocks(records, seed):
-    """Lists of records, each MAX_BLOCK_RECORDS long but the last; `records` in all."""
-    chance = numpy.random.default_rng(seed)
-    rpcs = max(1, int(records / AN_RPC))
-    waiting, done, first, given = [*opening()], 0, 1, 0
-    while given < records:
-        count = min(CHUNK, max(1000, rpcs - done))
+    """Yield lists of MAX_BLOCK_RECORDS records, the last one shorter; `records` in total."""
+    generator = numpy.random.default_rng(seed)
+    rpcs = max(1, int(records / RECORDS_PER_RPC))
+    pending, done, first, yielded = [*opening()], 0, 1, 0
+    while yielded < records:
+        count = min(CHUNK_RPCS, max(1000, rpcs - done))
         since, until = START + HOUR * done // rpcs, START + HOUR * (done + count) // rpcs
-        waiting += chunk(chance, count, first, since, until)
+        pending += generate_chunk(generator, count, first, since, until)
         done, first = done + count, first + count
-        waiting.sort(key=itemgetter(0))
-        # What is later than the next chunk's first may still be overtaken.
-        ripe = next((at for at, record in enumerate(waiting) if record[0] >= until), len(waiting))
+        pending.sort(key=itemgetter(0))
+        # Records later than the start of the next chunk may still be preceded by records of that chunk.
+        ready = next((at for at, record in enumerate(pending) if record[0] >= until), len(pending))
         at = 0
-        while (ripe - at >= MAX_BLOCK_RECORDS or given + ripe - at >= records) and given < records:
-            block = waiting[at : at + min(MAX_BLOCK_RECORDS, records - given)]
+        while (ready - at >= MAX_BLOCK_RECORDS or yielded + ready - at >= records) and yielded < records:
+            block = pending[at : at + min(MAX_BLOCK_RECORDS, records - yielded)]
             yield block
-            given += len(block)
+            yielded += len(block)
             at += len(block)
-        del waiting[:at]
+        del pending[:at]
 
 
 def opening():
+    """Yield the first records: the state of the release and the server list."""
     names = tuple(f"s{n:03d}" for n in range(SERVERS))
-    yield START, 0, NEWS.number, (7, 0, 0.1, ReleaseState.ON_TRIAL, 0, 1, 0)
+    yield START, 0, RELEASE_UPDATE.number, (7, 0, 0.1, ReleaseState.ON_TRIAL, 0, 1, 0)
     none = (0,) * SERVERS
     yield (
         START,
         0,
-        LIST.number,
+        SERVER_LIST.number,
         (
             1,
             1,
@@ -79,23 +84,23 @@
     )
 
 
-def chunk(chance, count, first, since, until):
-    """Records of so many RPCs, taken between two times."""
-    taken = numpy.sort(chance.integers(since, until, count))
-    latency = (chance.gamma(2.0, 110.0, count) + 20).astype(int)
-    method = chance.choice(len(METHODS), count, p=WEIGHTS)
-    server = chance.integers(0, SERVERS, count)
-    fate = chance.random(count)
-    outcome = numpy.where(fate < FAILED, ABORTED, ANSWERED_OK)
-    outcome[(fate >= FAILED) & (fate < FAILED + PUSHED)] = PUSHED_BACK
-    ids = chance.integers(0, 1 << 62, count).tolist()
-    parcels = chance.integers(0, 10**10, count).tolist()
-    customers = numpy.minimum(CUSTOMERS - 1, chance.geometric(0.3, count) - 1).tolist()
-    other = chance.integers(0, SERVERS, count).tolist()
-    again = (chance.random(count) < SECOND_PICKS).tolist()
+def generate_chunk(generator, count, first, since, until):
+    """Return the records of `count` RPCs that arrive from `since` to before `until`."""
+    arrivals = numpy.sort(generator.integers(since, until, count))
+    latency = (generator.gamma(2.0, 110.0, count) + 20).astype(int)
+    method = generator.choice(len(METHODS), count, p=WEIGHTS)
+    server = generator.integers(0, SERVERS, count)
+    draw = generator.random(count)
+    outcome = numpy.where(draw < FAILED_SHARE, ABORTED, ANSWERED_OK)
+    outcome[(draw >= FAILED_SHARE) & (draw < FAILED_SHARE + REJECTED_SHARE)] = REJECTED
+    ids = generator.integers(0, 1 << 62, count).tolist()
+    parcels = generator.integers(0, 10**10, count).tolist()
+    customers = numpy.minimum(CUSTOMERS - 1, generator.geometric(0.3, count) - 1).tolist()
+    other = generator.integers(0, SERVERS, count).tolist()
+    retried = (generator.random(count) < RETRY_SHARE).tolist()
     rows = zip(
         range(first, first + count),
-        taken.tolist(),
+        arrivals.tolist(),
         latency.tolist(),
         method.tolist(),
         server.tolist(),
@@ -104,64 +109,128 @@
         parcels,
         customers,
         other,
-        again,
+        retried,
     )
     names = [f"s{n:03d}" for n in range(SERVERS)]
     carriers = [f"carrier-{n}" for n in range(CUSTOMERS)]
-    found = []
-    add = found.append
-    for rpc, at, took, place, chosen, end, name, parcel, customer, drawn, twice in rows:
-        what, one, two = METHODS[place], names[chosen], names[drawn]
+    records_of_chunk = []
+    add = records_of_chunk.append
+    for (
+        rpc,
+        at,
+        duration,
+        method_index,
+        server_index,
+        result,
+        id_number,
+        parcel,
+        customer,
+        other_index,
+        is_retried,
+    ) in rows:
+        method_name, server_name, other_name = METHODS[method_index], names[server_index], names[other_index]
         add(
             (
                 at,
                 0,
-                TAKEN.number,
-                (rpc, f"{name:016x}", what, carriers[customer], f"{parcel:010d}", "", 0, 40_000, 0, 0),
+                ARRIVAL.number,
+                (
+                    rpc,
+                    f"{id_number:016x}",
+                    method_name,
+                    carriers[customer],
+                    f"{parcel:010d}",
+                    "",
+                    0,
+                    40_000,
+                    0,
+                    0,
+                ),
             )
         )
-        if end == PUSHED_BACK:
-            add((at, 0, ANSWER.number, (rpc, what, end, 2, 2500, 0, (), ())))
+        if result == REJECTED:
+            add((at, 0, ANSWER.number, (rpc, method_name, result, 2, 2500, 0, (), ())))
             continue
-        build = 7 if chosen >= 36 else 6
-        add((at, 0, PICK.number, (rpc, 0, one, build, what, 40_000, (one, two), (0, 0), 0)))
-        if twice and place != 1:
-            add((at + took, 0, RESULT.number, (rpc, 0, one, build, what, 2, took, 0, ())))
+        build = 7 if server_index >= 36 else 6
+        add(
+            (
+                at,
+                0,
+                ATTEMPT.number,
+                (rpc, 0, server_name, build, method_name, 40_000, (server_name, other_name), (0, 0), 0),
+            )
+        )
+        if is_retried and method_index != 1:
+            add(
+                (
+                    at + duration,
+                    0,
+                    RESULT.number,
+                    (rpc, 0, server_name, build, method_name, 2, duration, 0, ()),
+                )
+            )
             add(
                 (
-                    at + took,
+                    at + duration,
                     0,
-                    PICK.number,
-                    (rpc, 1, two, 7 if drawn >= 36 else 6, what, 40_000 - took, (two, one), (0, 13), 0),
+                    ATTEMPT.number,
+                    (
+                        rpc,
+                        1,
+                        other_name,
+                        7 if other_index >= 36 else 6,
+                        method_name,
+                        40_000 - duration,
+                        (other_name, server_name),
+                        (0, 13),
+                        0,
+                    ),
                 )
             )
-            one, build, number = two, 7 if drawn >= 36 else 6, 1
+            server_name, build, number = other_name, 7 if other_index >= 36 else 6, 1
         else:
             number = 0
-        at += took * (number + 1)
+        at += duration * (number + 1)
         add(
             (
                 at,
                 0,
                 RESULT.number,
-                (rpc, number, one, build, what, AttemptResult.ERROR if end else 1, took, 1, (2.0,)),
+                (
+                    rpc,
+                    number,
+                    server_name,
+                    build,
+                    method_name,
+                    AttemptResult.ERROR if result else 1,
+                    duration,
+                    1,
+                    (2.0,),
+                ),
+            )
+        )
+        add(
+            (
+                at,
+                0,
+                ANSWER.number,
+                (rpc, method_name, result, 4 if result else 0, 0, duration * (number + 1), (), ()),
             )
         )
-        add((at, 0, ANSWER.number, (rpc, what, end, 4 if end else 0, 0, took * (number + 1), (), ())))
-    looks = range(since, until, SECOND // 10)
-    found += zip(looks, repeat(0), repeat(LOOK.number), repeat(()))
+    timers = range(since, until, SECOND // 10)
+    records_of_chunk += zip(timers, repeat(0), repeat(TIMER.number), repeat(()))
     for at in range(since - since % (2 * SECOND) + 2 * SECOND, until, 2 * SECOND):
-        found += [
-            (at, 0, TALLY.number, (6, what, 1, 200 + place, 260, 15_000))
-            for place, what in enumerate(METHODS)
+        records_of_chunk += [
+            (at, 0, PLATFORM_COUNTS.number, (6, method_name, 1, 200 + method_index, 260, 15_000))
+            for method_index, method_name in enumerate(METHODS)
         ]
     if since // (600 * SECOND) != until // (600 * SECOND):
         step = (until - START) // (600 * SECOND)
-        found.append(
+        records_of_chunk.append(
             (
                 until - 1,
                 0,
-                NEWS.number,
+                RELEASE_UPDATE.number,
                 (
                     7,
                     step,
@@ -173,10 +242,11 @@
                 ),
             )
         )
-    return found
+    return records_of_chunk
 
 
 def write(writer, records, seed, progress):
+    """Write a sample of `records` records to a Writer and close that."""
     for block in blocks(records, seed):
         writer.block(block)
         progress(len(block))
--- a/honeywood/trace/schema.py
+++ b/honeywood/trace/schema.py
@@ -1,47 +1,64 @@
-"""What stands in a trace: kinds of records and their fields. Free of I/O.
+"""The kinds of records in a trace and their fields. Does no I/O.
 
-Figures of kinds, fields and field types stand in files and keep their meaning for ever. What is added raises
-MINOR, which older readers pass over; what changes the meaning of anything there raises MAJOR, which they
-refuse.
+The numbers of kinds, fields and field types are stored in files and never change their meaning. An addition
+raises MINOR: older readers skip what they don't know. A change of meaning raises MAJOR: older readers refuse
+the file.
+
+The constants of kinds and field types are named for what they mean; the names in the table are the ones that
+the tools print.
 """
 
 from collections import namedtuple
 
 MAJOR, MINOR = 1, 1
-# Types of fields: whole number, 64-bit float, one of few texts, a text of its own; and lists of the first
-# three.
-INT, NUMBER, WORD, ID, INTS, NUMBERS, WORDS = range(1, 8)
-EMPTY = {INT: 0, NUMBER: 0.0, WORD: "", ID: "", INTS: (), NUMBERS: (), WORDS: ()}  # where a field is absent
+# Field types: integer, 64-bit float, text out of few distinct ones (stored once in a dictionary), text that
+# seldom repeats; and lists of the first three.
+INT, FLOAT, DICTIONARY_TEXT, PLAIN_TEXT, INTS, FLOATS, DICTIONARY_TEXTS = range(1, 8)
+# Values of absent fields.
+DEFAULTS = {
+    INT: 0,
+    FLOAT: 0.0,
+    DICTIONARY_TEXT: "",
+    PLAIN_TEXT: "",
+    INTS: (),
+    FLOATS: (),
+    DICTIONARY_TEXTS: (),
+}
 
 Field = namedtuple("Field", "number name type")
 
 
 class Kind:
-    """A kind of record. `input` tells the decisions something (replay plays it); the others are what they
-    did. `at` is the place of each field in a record's values."""
+    """A kind of record.
 
-    def __init__(self, number, name, input, *fields):
-        self.number, self.name, self.input = number, name, input
-        self.fields = tuple(Field(at, *field.split(":")) for at, field in enumerate(fields, 1))
+    Records with `is_input` are inputs of the balancer's decisions, which replay passes to them again; the
+    others record what the decisions did. `positions` maps a field's name to its index in a record's values,
+    `defaults` are the values of a record without any field.
+    """
+
+    def __init__(self, number, name, is_input, *fields):
+        self.number, self.name, self.is_input = number, name, is_input
+        self.fields = tuple(Field(index, *field.split(":")) for index, field in enumerate(fields, 1))
         self.fields = tuple(f._replace(type=TYPES[f.type]) for f in self.fields)
-        self.at = {field.name: place for place, field in enumerate(self.fields)}  # place in a record's values
-        self.empty = tuple(EMPTY[field.type] for field in self.fields)
+        self.positions = {field.name: index for index, field in enumerate(self.fields)}
+        self.defaults = tuple(DEFAULTS[field.type] for field in self.fields)
 
     def value(self, values, name):
-        return values[self.at[name]] if name in self.at else None
+        """Return a field of a record's values, None where the kind has no such field."""
+        return values[self.positions[name]] if name in self.positions else None
 
 
 TYPES = {
     "int": INT,
-    "number": NUMBER,
-    "word": WORD,
-    "id": ID,
+    "number": FLOAT,
+    "word": DICTIONARY_TEXT,
+    "id": PLAIN_TEXT,
     "ints": INTS,
-    "numbers": NUMBERS,
-    "words": WORDS,
+    "numbers": FLOATS,
+    "words": DICTIONARY_TEXTS,
 }
 
-TAKEN = Kind(
+ARRIVAL = Kind(
     1,
     "taken",
     True,
@@ -56,7 +73,7 @@
     "work:int",
     "repeat:int",
 )
-PICK = Kind(
+ATTEMPT = Kind(
     2,
     "pick",
     False,
@@ -97,8 +114,8 @@
     "drawn:words",
     "bars:ints",
 )
-LEFT = Kind(5, "left", True, "rpc:int", "method:word")
-NEWS = Kind(
+CLIENT_DISCONNECTED = Kind(5, "left", True, "rpc:int", "method:word")
+RELEASE_UPDATE = Kind(
     6,
     "news",
     True,
@@ -110,7 +127,7 @@
     "result:int",
     "reply:int",
 )
-LIST = Kind(
+SERVER_LIST = Kind(
     7,
     "list",
     True,
@@ -137,54 +154,58 @@
     "of:numbers",
     "expected:numbers",
 )
-TALLY = Kind(9, "tally", True, "build:int", "method:word", "failed:int", "ended:int", "mean:int", "age:int")
-WRONG = Kind(10, "wrong", True, "server:word", "method:word")
+PLATFORM_COUNTS = Kind(
+    9, "tally", True, "build:int", "method:word", "failed:int", "ended:int", "mean:int", "age:int"
+)
+INCORRECT_ANSWER = Kind(10, "wrong", True, "server:word", "method:word")
 PROBE = Kind(11, "probe", True, "server:word", "result:int", "latency:int", "load:numbers")
-LOOK = Kind(12, "look", True)
-LIST_FAILED = Kind(13, "list_failed", True)
-SAID = Kind(14, "said", False, "text:id")
+TIMER = Kind(12, "look", True)
+SERVER_LIST_FAILED = Kind(13, "list_failed", True)
+LOG_LINE = Kind(14, "said", False, "text:id")
 DROPPED = Kind(15, "dropped", False, "records:int", "rpcs:int", "why:word")
-BEGAN = Kind(16, "began", True)
-COMING = Kind(17, "coming", True, "rpc:int", "number:int", "server:word", "method:word")  # since 1.1
+STARTED = Kind(16, "began", True)
+# Since version 1.1.
+RESPONSE_STARTED = Kind(17, "coming", True, "rpc:int", "number:int", "server:word", "method:word")
 
 KINDS = {
     kind.number: kind
     for kind in (
-        TAKEN,
-        PICK,
+        ARRIVAL,
+        ATTEMPT,
         RESULT,
         ANSWER,
-        LEFT,
-        NEWS,
-        LIST,
+        CLIENT_DISCONNECTED,
+        RELEASE_UPDATE,
+        SERVER_LIST,
         VOTE,
-        TALLY,
-        WRONG,
+        PLATFORM_COUNTS,
+        INCORRECT_ANSWER,
         PROBE,
-        LOOK,
-        LIST_FAILED,
-        SAID,
+        TIMER,
+        SERVER_LIST_FAILED,
+        LOG_LINE,
         DROPPED,
-        BEGAN,
-        COMING,
+        STARTED,
+        RESPONSE_STARTED,
     )
 }
-# Final answers, in ANSWER.outcome.
-ANSWERED_OK, PUSHED_BACK, ABORTED = range(3)
-MOST_TEXT = 4096  # characters of a text; a longer one is refused, not cut: it would match others
-MOST_LIST = 100_000  # items of a list
+# Values of ANSWER.outcome, the final answer to an RPC.
+ANSWERED_OK, REJECTED, ABORTED = range(3)
+MAX_TEXT_CHARACTERS = 4096  # longer texts are refused: truncated ones could equal each other
+MAX_LIST_ITEMS = 100_000
 
-# A record: when (tenths of a ms since 1970 by its front's clock), which of the file's sources, kind, values.
+# time: tenths of a ms since 1970 by the balancer's clock; source: index into the file's sources; kind: its
+# number.
 Record = namedtuple("Record", "time source kind values")
 
 
-class Unfit(ValueError):
-    """A record that no trace may hold."""
+class InvalidRecord(ValueError):
+    """A record that can't be stored: a value of the wrong type or out of bounds."""
 
 
-class Unreadable(Exception):
-    """A file, or a part of one, that is no trace, is damaged, or is of a version that is not spoken here."""
+class UnreadableTrace(Exception):
+    """A file or a part of it that is not a trace, is damaged, or has an unsupported version."""
 
 
-class Newer(Unreadable):
-    """A file of a newer major version."""
+class NewerVersion(UnreadableTrace):
+    """A file with a newer major version than this program reads."""
--- a/honeywood/trace/sources.py
+++ b/honeywood/trace/sources.py
@@ -1,9 +1,9 @@
-"""Whose records a file holds: a file that a front wrote has one source, a merged one several."""
+"""The sources of a file's records: one in a file that a balancer wrote, several in a merged file."""
 
-from honeywood.trace.schema import Unreadable
+from honeywood.trace.schema import UnreadableTrace
 
-# What a header says of one front's run, and is handed on when its records are.
-OF_A_RUN = (
+# Header fields that describe one run of a balancer; they are copied together with its records.
+RUN_FIELDS = (
     "front",
     "run",
     "sequence",
@@ -17,15 +17,16 @@
 )
 
 
-def sources(about):
-    """The maps of a header's sources, in the order in which records number them."""
-    listed = about.get("sources")
+def sources(metadata):
+    """Return the maps of a header's sources; a record's source is an index into them."""
+    listed = metadata.get("sources")
     if listed is None:
-        return [{name: about[name] for name in OF_A_RUN if name in about}]
-    if not isinstance(listed, list) or not all(isinstance(one, dict) for one in listed):
-        raise Unreadable("a header whose sources can't be read")
+        return [{name: metadata[name] for name in RUN_FIELDS if name in metadata}]
+    if not isinstance(listed, list) or not all(isinstance(source, dict) for source in listed):
+        raise UnreadableTrace("a header whose sources can't be read")
     return listed
 
 
 def name(source):
+    """Return the display name of a source's run: its balancer and the start of the run's id."""
     return f"{source.get('front', '?')} ({str(source.get('run', '?'))[:8]})"
--- a/honeywood/trace/writer.py
+++ b/honeywood/trace/writer.py
@@ -1,4 +1,4 @@
-"""Writes one trace file: blocks as they come, index and trailer at the end."""
+"""Writes a trace file: blocks as they are passed in, the index and the trailer at the end."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import secrets
 
 from honeywood.trace import format
-from honeywood.trace.rules.selection import Entry
+from honeywood.trace.rules.selection import IndexEntry
 from honeywood.trace.schema import KINDS, MAJOR, MINOR
 
 TYPE_CHECKING = False
@@ -18,77 +18,75 @@
 
 
 def write_fully(file: Any, data: bytes) -> None:
-    """Write all of it to an unbuffered file: the kernel may take less at a time."""
+    """Write all data to an unbuffered file: one write() may accept only a part of it."""
     rest = memoryview(data)
     while rest:
         rest = rest[file.write(rest) :]
 
 
 class Writer:
-    """Appends to a file that is unbuffered and opened by the caller for writing alone.
+    """Appends to an unbuffered file that the caller opened for writing only.
 
-    After an exception (OSError of a write) nothing more may be written: what is there ends with the last
-    complete block, and a reader cuts off the rest.
+    After an OSError of a write nothing more may be written: readers ignore what follows the last complete
+    block.
     """
 
     def __init__(
         self,
         file: Any,
-        about: Mapping[str, Any],
+        metadata: Mapping[str, Any],
         kinds: Mapping[int, Kind] = KINDS,
         version: tuple[int, int] = (MAJOR, MINOR),
     ) -> None:
-        """The header, with `about`, is written at once."""
+        """Write the header, which contains `metadata`."""
         self.file, self.kinds = file, kinds
-        self.entries: list[tuple[int, int, Entry]] = []  # offset, size and index entry of each block
+        self.entries: list[tuple[int, int, IndexEntry]] = []  # offset, size and index entry of each block
         self.seed = secrets.randbits(64)
         self.size = 0
-        self._put(format.header({**about, "seed": self.seed}, *version))
+        self._put(format.header({**metadata, "seed": self.seed}, *version))
 
-    def block(self, records: Sequence[Any], between: Callable[[], Any] | None = None) -> None:
+    def block(self, records: Sequence[Any], on_column: Callable[[], Any] | None = None) -> None:
         """Write records (time, source, kind, values) as one block.
 
-        Raises Unfit, with nothing written. `between` is called between columns.
+        Raises InvalidRecord, with nothing written. `on_column` is called after each column.
         """
-        data, entry = format.block(self.seed, len(self.entries), records, self.kinds, between)
+        data, entry = format.block(self.seed, len(self.entries), records, self.kinds, on_column)
         self._add(data, entry)
 
-    def copy(self, entry: Entry, start: bytes, body: bytes) -> None:
-        """Write a block of another file, as it is packed there.
-
-        Its head is made anew, its body is not unpacked.
-        """
-        entry = Entry.unpacked(entry.packed())
+    def copy(self, entry: IndexEntry, start: bytes, body: bytes) -> None:
+        """Write a block of another file with a new head, without decompressing its body."""
+        entry = IndexEntry.unpacked(entry.packed())
         entry.number = len(self.entries)
-        self._add(format.headed(self.seed, start, entry, body), entry)
+        self._add(format.with_new_head(self.seed, start, entry, body), entry)
 
     def sync(self) -> None:
-        """Have the disk hold what is written."""
+        """Flush what is written to the disk."""
         os.fsync(self.file.fileno())
 
     def close(self) -> None:
-        """End the file with its index. Without it a reader goes through the whole file once."""
-        for data in format.ending(self.seed, self.size, self.entries):
+        """Write the index and the trailer. Without them a reader has to scan the whole file."""
+        for data in format.file_end(self.seed, self.size, self.entries):
             self._put(data)
 
     def _put(self, data: bytes) -> None:
         write_fully(self.file, data)
         self.size += len(data)
 
-    def _add(self, data: bytes, entry: Entry) -> None:
+    def _add(self, data: bytes, entry: IndexEntry) -> None:
         offset = self.size
         self._put(data)
         self.entries.append((offset, len(data), entry))
 
 
-def create(path: str | os.PathLike[str], about: Mapping[str, Any]) -> Writer:
-    """A writer of a new file, which only its owner may read: identifiers stand in it in clear.
+def create(path: str | os.PathLike[str], metadata: Mapping[str, Any]) -> Writer:
+    """Return a writer of a new file that only its owner may read: it contains identifiers in clear text.
 
-    Raises FileExistsError: one that is there already is never written to.
+    Raises:
+        FileExistsError: an existing file is never overwritten.
     """
     file = open(path, "xb", buffering=0, opener=_open_private)
     try:
-        return Writer(file, about)
+        return Writer(file, metadata)
     except BaseException:
         file.close()
         raise
--- a/tests/trace/test_recorded_trace.py
+++ b/tests/trace/test_recorded_trace.py
@@ -1,7 +1,6 @@
-"""Trace files against one recorded by commit ae67546: read as they were, written with the same bytes.
+"""Compares reading and writing with a trace file recorded at commit ae67546: same records, same bytes.
 
-The accessors below are the only place where this file names the program's parts: a rename edits them and
-never an expectation.
+Only the accessors below use names of the program: a rename changes them, never an expectation.
 """
 
 import json
@@ -34,9 +33,9 @@
 
 # Accessors.
 def kinds():
-    """What each kind of record is: number, name, whether it is an input, its fields."""
+    """(number, name, whether it is an input, fields) of each kind of record."""
     return [
-        [kind.number, kind.name, kind.input, [list(field) for field in kind.fields]]
+        [kind.number, kind.name, kind.is_input, [list(field) for field in kind.fields]]
         for kind in schema.KINDS.values()
     ]
 
@@ -49,28 +48,30 @@
     """(the header's map, blocks of records, each (time, source, kind, values))."""
     with Reader(path) as reader:
         blocks = [[list(record) for record in found.records()] for _, found in reader.blocks()]
-        return reader.about, blocks
+        return reader.metadata, blocks
 
 
 def index(path):
-    """(offset, size, packed head) of each block, by the file's index."""
+    """(offset, size, packed head) of each block, from the file's index."""
     with Reader(path) as reader:
         return [[offset, size, entry.packed()] for offset, size, entry in reader.entries()]
 
 
-def write(path, about, blocks, monkeypatch):
-    """The file anew, under the seed of its header's map."""
-    about = dict(about)
-    monkeypatch.setattr(writer.secrets, "randbits", lambda bits, seed=about.pop("seed"): seed)
-    made = writer.create(path, about)
+def write(path, metadata, blocks, monkeypatch):
+    """Write the file again, with the seed of its header's map."""
+    metadata = dict(metadata)
+    monkeypatch.setattr(writer.secrets, "randbits", lambda bits, seed=metadata.pop("seed"): seed)
+    trace_writer = writer.create(path, metadata)
     for block in blocks:
-        made.block([schema.Record(time, source, kind, values) for time, source, kind, values in block])
-    made.close()
-    made.file.close()
+        trace_writer.block(
+            [schema.Record(time, source, kind, values) for time, source, kind, values in block]
+        )
+    trace_writer.close()
+    trace_writer.file.close()
 
 
 def recorded_calls():
-    """What a front's recorder holds after one call of each kind."""
+    """The records of a call recorder after one call of each kind."""
     calls = CallRecorder(1000, -500_000, ("x-customer",), ("x-parcel", "x-other"))
     fields = {"x-customer": "c" * 5000, "x-other": "p1"}
     request = types.SimpleNamespace(get=fields.get)
@@ -109,42 +110,42 @@
     calls.on_server_list_failed(1401)
     calls.on_log(1402, "s" * 5000)
     calls.shedding.lost, calls.shedding.lost_rpcs = 3, 1
-    return [list(record) for record in [*calls.queue, *calls.drop_note(1403, "queue")]]
+    return [list(record) for record in [*calls.queue, *calls.loss_records(1403, "queue")]]
 
 
-# The recorded cases.
+# Recorded cases.
 def recorded(name):
     return json.loads((RECORDED / name).read_text())
 
 
 def plain(value):
-    """As JSON has it: tuples are lists."""
+    """The value after a round trip through JSON: tuples become lists."""
     return json.loads(json.dumps(value))
 
 
-def test_kinds_and_fields_have_the_figures_that_they_had():
+def test_kinds_and_fields_keep_their_numbers():
     assert plain(kinds()) == recorded("kinds.json") and version() == [1, 1]
 
 
-def test_a_recorded_file_is_read_as_it_was():
-    about, blocks = read(ALL_KINDS)
-    assert plain([about, blocks]) == recorded("all_kinds.json")
+def test_a_recorded_file_is_read_as_recorded():
+    metadata, blocks = read(ALL_KINDS)
+    assert plain([metadata, blocks]) == recorded("all_kinds.json")
     assert {record[2] for block in blocks for record in block} == {kind[0] for kind in recorded("kinds.json")}
 
 
 def test_a_recorded_file_written_again_has_the_same_bytes(tmp_path, monkeypatch):
-    about, blocks = read(ALL_KINDS)
-    write(tmp_path / "again", about, blocks, monkeypatch)
+    metadata, blocks = read(ALL_KINDS)
+    write(tmp_path / "again", metadata, blocks, monkeypatch)
     assert (tmp_path / "again").read_bytes() == ALL_KINDS.read_bytes()
 
 
-def test_the_index_of_a_recorded_file_says_what_its_blocks_do(tmp_path):
-    whole = ALL_KINDS.read_bytes()
+def test_the_index_of_a_recorded_file_matches_its_blocks(tmp_path):
+    data = ALL_KINDS.read_bytes()
     by_index = index(ALL_KINDS)
     end = by_index[-1][0] + by_index[-1][1]
-    (tmp_path / "cut").write_bytes(whole[:end])
-    assert index(tmp_path / "cut") == by_index and whole[end : end + 4] == format.INDEX
+    (tmp_path / "cut").write_bytes(data[:end])
+    assert index(tmp_path / "cut") == by_index and data[end : end + 4] == format.INDEX_MAGIC
 
 
-def test_a_fronts_calls_become_the_records_that_they_became():
+def test_calls_become_the_recorded_records():
     assert plain(recorded_calls()) == recorded("recorder_calls.json")
