--- a/honeywood/trace/format.py
+++ b/honeywood/trace/format.py
@@ -160,7 +160,8 @@
             raise InvalidRecord(f"records of {kind.name} with different numbers of fields") from None
         if len(columns_by_kind[kind_number]) != len(kind.fields):
             raise InvalidRecord(
-                f"a record of {kind.name} with {len(columns_by_kind[kind_number])} of {len(kind.fields)} fields"
+                f"a record of {kind.name} with {len(columns_by_kind[kind_number])} "
+                f"of {len(kind.fields)} fields"
             )
         for field, column in zip(kind.fields, columns_by_kind[kind_number]):
             parts.append(section(kind_number, field.number, field.type, column))
@@ -260,10 +261,10 @@
 
 def index(seed, entries):
     """Yield the chunks of the index; `entries` are (offset, size, IndexEntry)."""
-    for offset in range(0, len(entries), ENTRIES_PER_INDEX_CHUNK):
-        part = entries[offset : offset + ENTRIES_PER_INDEX_CHUNK]
+    for first in range(0, len(entries), ENTRIES_PER_INDEX_CHUNK):
+        part = entries[first : first + ENTRIES_PER_INDEX_CHUNK]
         raw = msgpack.packb([[offset, size, entry.packed()] for offset, size, entry in part])
-        yield chunk(INDEX_MAGIC, seed, {"first": offset, "count": len(part)}, raw)
+        yield chunk(INDEX_MAGIC, seed, {"first": first, "count": len(part)}, raw)
 
 
 def file_end(seed, index_offset, entries):
--- a/honeywood/trace/reader.py
+++ b/honeywood/trace/reader.py
@@ -97,8 +97,8 @@
         All checksums are verified, also of bodies, since a crash of the machine may leave holes in the tail.
         """
         scan = RecoveryScan(self.first_block_offset, self.size)
-        while not scan.finished and not self.is_trailer_at(scan.offset):
-            offset = scan.offset
+        while not scan.finished and not self.is_trailer_at(scan.position):
+            offset = scan.position
             try:
                 found, size = self.verify_chunk(offset)
                 data, problem = scan.on_valid_chunk(found, size)
--- a/honeywood/trace/rules/replaying.py
+++ b/honeywood/trace/rules/replaying.py
@@ -60,22 +60,22 @@
         self.saw_start, self.dropped_records = False, 0
         self.balancer = Balancer(settings, self)
         self.handlers = {
-            ARRIVAL.number: self.on_arrival,
-            ATTEMPT.number: self.on_attempt,
-            RESULT.number: self.on_result,
-            ANSWER.number: self.on_answer,
-            CLIENT_DISCONNECTED.number: self.on_client_disconnected,
-            RELEASE_UPDATE.number: self.on_release_update,
-            SERVER_LIST.number: self.on_server_list,
-            VOTE.number: self.on_vote,
-            PLATFORM_COUNTS.number: self.on_platform_counts,
-            INCORRECT_ANSWER.number: self.on_incorrect_answer,
-            PROBE.number: self.on_probe_result,
-            TIMER.number: self.on_timer,
-            SERVER_LIST_FAILED.number: self.on_server_list_failed,
-            RESPONSE_STARTED.number: self.on_response_started,
-            DROPPED.number: self.on_dropped,
-            STARTED.number: self.on_start,
+            ARRIVAL.number: self.replay_arrival,
+            ATTEMPT.number: self.compare_attempt,
+            RESULT.number: self.replay_result,
+            ANSWER.number: self.compare_answer,
+            CLIENT_DISCONNECTED.number: self.replay_disconnect,
+            RELEASE_UPDATE.number: self.replay_release_update,
+            SERVER_LIST.number: self.replay_server_list,
+            VOTE.number: self.compare_vote,
+            PLATFORM_COUNTS.number: self.replay_platform_counts,
+            INCORRECT_ANSWER.number: self.replay_incorrect_answer,
+            PROBE.number: self.replay_probe_result,
+            TIMER.number: self.replay_timer,
+            SERVER_LIST_FAILED.number: self.replay_server_list_failed,
+            RESPONSE_STARTED.number: self.replay_response_started,
+            DROPPED.number: self.count_dropped,
+            STARTED.number: self.replay_start,
         }
 
     # Calls from the decisions.
@@ -105,14 +105,14 @@
         if record.kind in self.handlers:
             self.handlers[record.kind](SimpleNamespace(**dict(zip(kind.positions, record.values))))
 
-    def on_start(self, fields):
+    def replay_start(self, fields):
         self.saw_start = True
         self.balancer.on_start(self.now)
 
-    def on_dropped(self, fields):
+    def count_dropped(self, fields):
         self.dropped_records += fields.records
 
-    def on_arrival(self, fields):
+    def replay_arrival(self, fields):
         if fields.method not in self.methods:
             return
         rpc = self.rpcs[fields.rpc] = Rpc(
@@ -125,12 +125,12 @@
         )
         self.balancer.on_request(self.now, rpc)
 
-    def on_attempt(self, fields):
+    def compare_attempt(self, fields):
         if fields.rpc in self.rpcs:
             replayed = self.sends.pop((fields.rpc, fields.number), None)
             self.compare("pick", replayed, fields.server, f"RPC {fields.rpc} pick {fields.number}")
 
-    def on_result(self, fields):
+    def replay_result(self, fields):
         rpc = self.rpcs.get(fields.rpc)
         if rpc is None or fields.number >= len(rpc.attempts):
             return  # the replay made no such attempt: reported where its record was compared
@@ -144,12 +144,12 @@
             )
         self.forget_if_finished(rpc)
 
-    def on_response_started(self, fields):
+    def replay_response_started(self, fields):
         rpc = self.rpcs.get(fields.rpc)
         if rpc and fields.number < len(rpc.attempts) and rpc.attempts[fields.number].result is None:
             self.balancer.on_response_started(self.now, rpc.attempts[fields.number])
 
-    def on_answer(self, fields):
+    def compare_answer(self, fields):
         rpc = self.rpcs.get(fields.rpc)
         if rpc is None:
             return
@@ -180,12 +180,12 @@
                     where = f"RPC {rpc.host} pick {attempt.number}"
                     self.compare("pick", attempt.server.host, None, where)
 
-    def on_client_disconnected(self, fields):
+    def replay_disconnect(self, fields):
         if rpc := self.rpcs.get(fields.rpc):
             self.balancer.on_client_disconnected(self.now, rpc)
             self.forget_if_finished(rpc)
 
-    def on_release_update(self, fields):
+    def replay_release_update(self, fields):
         counts = fields.result == AttemptResult.OK
         update = ReleaseUpdate(
             fields.build, fields.step, fields.cap, ReleaseState(fields.standing), fields.age
@@ -195,7 +195,7 @@
         elif counts:
             self.balancer.on_release_update(self.now, update)
 
-    def on_server_list(self, fields):
+    def replay_server_list(self, fields):
         entries = []
         rows = zip(
             fields.servers,
@@ -216,14 +216,14 @@
             self.servers = {name: self.servers[name] for name in fields.servers if name in self.servers}
         self.balancer.on_server_list(self.now, entries, bool(fields.whole))
 
-    def on_server_list_failed(self, fields):
+    def replay_server_list_failed(self, fields):
         self.balancer.on_server_list_failed(self.now)
 
-    def on_vote(self, fields):
+    def compare_vote(self, fields):
         replayed = self.votes.popleft() if self.votes else None
         self.compare("vote", replayed, (fields.build, fields.step, fields.verdict), f"vote at {self.now}")
 
-    def on_platform_counts(self, fields):
+    def replay_platform_counts(self, fields):
         if fields.method in self.methods:
             method = self.methods[fields.method]
             counts = PlatformCounts(
@@ -231,13 +231,13 @@
             )
             self.balancer.on_platform_counts(self.now, counts)
 
-    def on_incorrect_answer(self, fields):
+    def replay_incorrect_answer(self, fields):
         if fields.server in self.servers and fields.method in self.methods:
             self.balancer.on_incorrect_answer(
                 self.now, self.servers[fields.server], self.methods[fields.method]
             )
 
-    def on_probe_result(self, fields):
+    def replay_probe_result(self, fields):
         if fields.server in self.servers:
             self.balancer.on_probe_result(
                 self.now,
@@ -247,7 +247,7 @@
                 fields.load,
             )
 
-    def on_timer(self, fields):
+    def replay_timer(self, fields):
         self.balancer.on_timer(self.now)
 
     def compare(self, what, replayed, recorded, where):
--- a/honeywood/trace/schema.py
+++ b/honeywood/trace/schema.py
@@ -40,7 +40,7 @@
         self.number, self.name, self.is_input = number, name, is_input
         self.fields = tuple(Field(index, *field.split(":")) for index, field in enumerate(fields, 1))
         self.fields = tuple(f._replace(type=TYPES[f.type]) for f in self.fields)
-        self.positions = {field.name: index for index, field in enumerate(self.fields)}
+        self.positions = {field.name: position for position, field in enumerate(self.fields)}
         self.defaults = tuple(DEFAULTS[field.type] for field in self.fields)
 
     def value(self, values, name):
--- a/tests/trace/test_rules.py
+++ b/tests/trace/test_rules.py
@@ -230,8 +230,8 @@
         return types.SimpleNamespace(number=number)
 
     scan = RecoveryScan(10, 100)
-    assert scan.on_valid_chunk(block(0), 20) == (True, None) and scan.offset == 30
-    assert scan.on_invalid_chunk("damaged", 50) == "damaged at byte 30" and scan.offset == 50
+    assert scan.on_valid_chunk(block(0), 20) == (True, None) and scan.position == 30
+    assert scan.on_invalid_chunk("damaged", 50) == "damaged at byte 30" and scan.position == 50
     assert scan.on_valid_chunk(block(2), 10) == (True, "block 2 at byte 50 where 1 belongs")
     assert scan.on_valid_chunk(block(2), 10) == (False, "block 2 at byte 60 where 3 belongs: not taken twice")
     assert scan.on_valid_chunk(None, 10) == (False, None) and not scan.finished
--- a/tests/trace/test_tools.py
+++ b/tests/trace/test_tools.py
@@ -184,8 +184,8 @@
         got = list(reader.records())
     assert [record.time for record in got] == sorted(record.time for record in got)
     assert len(got) == sum(map(len, true_times.values()))
-    for source, front in enumerate(fronts):
-        times = [record.time for record in got if record.source == source]
+    for source_index, front in enumerate(fronts):
+        times = [record.time for record in got if record.source == source_index]
         assert max(abs(a - b) for a, b in zip(times, true_times[front], strict=True)) <= 200  # 20 ms
 
 
