--- a/honeywood/cli/trace.py
+++ b/honeywood/cli/trace.py
@@ -154,11 +154,11 @@
 @skip_option
 @click.option("-o", "--out", default="-", show_default=True)
 @click.argument("path")
-def cut(path, out, skip, **given):
+def cut(path, out, skip, **filter_arguments):
     """Cuts a part out of a trace."""
     from honeywood.trace import cutting
     with open_reader(path, skip) as reader:
-        record_filter = build_filter(reader, **given)
+        record_filter = build_filter(reader, **filter_arguments)
         with progress("cut", reader.size if record_filter.selects_by_time_only()
                       else count_records(reader)) as advance:
             cutting.cut(reader, open_writer(out, cutting.metadata_of(reader)), record_filter, advance)
@@ -174,14 +174,14 @@
     """Merges traces of several fronts, whose clocks may differ, or of several files of one."""
     from honeywood.trace.merging import Merge, UnknownSkew
     from honeywood.trace.sources import name
-    given = {}
+    given_offsets = {}
     for text in skew:
         front, _, seconds = text.rpartition("=")
         try:
-            given[front] = float(seconds)
+            given_offsets[front] = float(seconds)
         except ValueError:
             raise click.UsageError(f"--skew: {text!r} is not FRONT=SECONDS") from None
-    with Merge(paths, skip, given) as merging:
+    with Merge(paths, skip, given_offsets) as merging:
         for path in merging.duplicate_paths:
             click.echo(f"{path}: the same file again, left out", err=True)
         try:
@@ -196,8 +196,8 @@
                        f"within {estimate.uncertainty / SECOND:.4f} s, by {estimate.pairs} events", err=True)
         with progress("merge", sum(map(count_records, merging.readers))) as advance:
             count = merging.write(open_writer(out, merging.metadata()), advance)
-        click.echo(f"{count} records of {len(merging.runs)} runs; {merging.duplicates()} stood in two files "
-                   "and were taken once", err=True)
+        click.echo(f"{count} records of {len(merging.runs)} runs; {merging.duplicates()} were in two files "
+                   "and merged once", err=True)
 
 
 @command.command()
@@ -274,14 +274,14 @@
 @skip_option
 @click.option("--json", "plain", is_flag=True, help="Print JSON, one line per record.")
 @click.argument("paths", nargs=-1, required=True)
-def show(paths, skip, plain, **given):
+def show(paths, skip, plain, **filter_arguments):
     """Shows records; with --rpc the history of an RPC with the reasons, also across several files."""
     from honeywood.trace.finding import find_records
     from honeywood.trace.rules.rpc_history import collect_histories, describe
     with ExitStack() as stack:
         readers = [stack.enter_context(open_reader(path, skip)) for path in paths]
-        found = find_records(readers, [build_filter(reader, **given) for reader in readers])
-        if not given["rpc"] or plain:
+        found = find_records(readers, [build_filter(reader, **filter_arguments) for reader in readers])
+        if not filter_arguments["rpc"] or plain:
             for record in found:
                 show_record(record, plain)
             return
--- a/honeywood/trace/columns.py
+++ b/honeywood/trace/columns.py
@@ -14,15 +14,15 @@
 from operator import sub
 
 from honeywood.trace.schema import (
-    PLAIN_TEXT,
+    DICTIONARY_TEXT,
+    DICTIONARY_TEXTS,
+    FLOAT,
+    FLOATS,
     INT,
     INTS,
     MAX_LIST_ITEMS,
     MAX_TEXT_CHARACTERS,
-    FLOAT,
-    FLOATS,
-    DICTIONARY_TEXT,
-    DICTIONARY_TEXTS,
+    PLAIN_TEXT,
     InvalidRecord,
     UnreadableTrace,
 )
--- a/honeywood/trace/format.py
+++ b/honeywood/trace/format.py
@@ -11,15 +11,15 @@
 import zstandard
 
 from honeywood.trace import columns
-from honeywood.trace.rules.selection import IndexEntry, BloomFilter
+from honeywood.trace.rules.selection import BloomFilter, IndexEntry
 from honeywood.trace.schema import (
     INT,
     KINDS,
     MAJOR,
     MINOR,
+    InvalidRecord,
     NewerVersion,
     Record,
-    InvalidRecord,
     UnreadableTrace,
 )
 
--- a/honeywood/trace/merging.py
+++ b/honeywood/trace/merging.py
@@ -20,11 +20,11 @@
     """
 
     def __init__(self, metadata):
-        self.metadata, self.parts, self.skew, self.union = metadata, [], Skew(), None
+        self.metadata, self.parts, self.skew, self.deduplicated = metadata, [], Skew(), None
 
     def records(self, kinds=()):
-        self.union = DeduplicatedRun([self.part_records(*part, kinds) for part in self.parts])
-        return iter(self.union)
+        self.deduplicated = DeduplicatedRun([self.part_records(*part, kinds) for part in self.parts])
+        return iter(self.deduplicated)
 
     @staticmethod
     def part_records(reader, number, kinds):
@@ -84,9 +84,9 @@
         events = None
         unknown_runs = []
         for run in runs:
-            front = run.metadata.get("front")
-            if front in self.given_offsets:
-                run.skew = Skew(offset=self.given_offsets[front] * 10_000)
+            balancer_name = run.metadata.get("front")
+            if balancer_name in self.given_offsets:
+                run.skew = Skew(offset=self.given_offsets[balancer_name] * 10_000)
             elif run is not runs[0]:
                 events = events or runs[0].events()
                 run.skew = estimate(events, run.events())
@@ -113,4 +113,4 @@
 
     def duplicates(self):
         """Return how many duplicate records of several files were dropped so far."""
-        return sum(run.union.duplicates for run in self.runs.values() if run.union)
+        return sum(run.deduplicated.duplicates for run in self.runs.values() if run.deduplicated)
--- a/honeywood/trace/reader.py
+++ b/honeywood/trace/reader.py
@@ -5,8 +5,8 @@
 from honeywood.trace import format
 from honeywood.trace.format import CHUNK_START, HEADER_START, TRAILER
 from honeywood.trace.rules.recovery import RecoveryScan
-from honeywood.trace.rules.selection import IndexEntry, RecordFilter, may_contain_rpcs, may_contain_arrival
-from honeywood.trace.schema import KINDS, MAJOR, ARRIVAL, UnreadableTrace
+from honeywood.trace.rules.selection import IndexEntry, RecordFilter, may_contain_arrival, may_contain_rpcs
+from honeywood.trace.schema import ARRIVAL, KINDS, MAJOR, UnreadableTrace
 
 SCAN_STEP_BYTES = 1 << 20  # bytes searched at a time for the next block after a damaged one
 
--- a/honeywood/trace/rules/anonymity.py
+++ b/honeywood/trace/rules/anonymity.py
@@ -9,12 +9,12 @@
 
 from honeywood.trace.schema import (
     ANSWER,
-    DEFAULTS,
+    ARRIVAL,
+    ATTEMPT,
     CLIENT_DISCONNECTED,
+    DEFAULTS,
     RELEASE_UPDATE,
-    ATTEMPT,
     RESULT,
-    ARRIVAL,
     Record,
 )
 
--- a/honeywood/trace/rules/load_shedding.py
+++ b/honeywood/trace/rules/load_shedding.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from honeywood.trace.schema import TIMER, PROBE, ARRIVAL
+from honeywood.trace.schema import ARRIVAL, PROBE, TIMER
 
 # Fill levels of the queue, as shares of its capacity, from which records are shed, the least informative
 # first. The last quarter is reserved for RPCs whose arrival is recorded, so that few of them are incomplete;
--- a/honeywood/trace/rules/recovery.py
+++ b/honeywood/trace/rules/recovery.py
@@ -32,8 +32,8 @@
         self.next_number = max(self.next_number, entry.number + 1)
         if entry.number == expected:
             return True, None
-        suffix = "" if is_accepted else ": not taken twice"
-        return is_accepted, f"block {entry.number} at byte {position} where {expected} belongs{suffix}"
+        suffix = "" if is_accepted else ": duplicate skipped"
+        return is_accepted, f"block {entry.number} at byte {position} where {expected} is expected{suffix}"
 
     def on_invalid_chunk(self, problem, next_block):
         """Report that there is no complete chunk here.
--- a/honeywood/trace/rules/rpc_history.py
+++ b/honeywood/trace/rules/rpc_history.py
@@ -5,13 +5,13 @@
     ABORTED,
     ANSWER,
     ANSWERED_OK,
-    RESPONSE_STARTED,
-    KINDS,
-    CLIENT_DISCONNECTED,
+    ARRIVAL,
     ATTEMPT,
+    CLIENT_DISCONNECTED,
+    KINDS,
     REJECTED,
+    RESPONSE_STARTED,
     RESULT,
-    ARRIVAL,
 )
 
 MAX_OPEN_RPCS = 100_000  # RPCs tracked at the same time
@@ -155,7 +155,7 @@
                 f"by {fields['server']} after {milliseconds(fields['latency'])}{load}"
             )
         elif kind is RESPONSE_STARTED:
-            lines.append(f"{at}  pick {fields['number']}: the answer of {fields['server']} started")
+            lines.append(f"{at}  pick {fields['number']}: the answer started from {fields['server']}")
         elif kind is ANSWER:
             reason = GIVE_UP_REASONS.get(fields["why"], f"reason {fields['why']}")
             lines.append(
--- a/honeywood/trace/rules/skew.py
+++ b/honeywood/trace/rules/skew.py
@@ -9,7 +9,7 @@
 from itertools import product
 from statistics import median
 
-from honeywood.trace.schema import KINDS, SERVER_LIST, RELEASE_UPDATE, PLATFORM_COUNTS, INCORRECT_ANSWER
+from honeywood.trace.schema import INCORRECT_ANSWER, KINDS, PLATFORM_COUNTS, RELEASE_UPDATE, SERVER_LIST
 
 MAX_DRIFT = 500e-6  # of a working clock: 200 ppm is a poor crystal
 DELIVERY_SPREAD = 1000  # tenths of a ms within which an event reaches two balancers
--- a/honeywood/trace/rules/summing.py
+++ b/honeywood/trace/rules/summing.py
@@ -4,16 +4,16 @@
 
 import numpy
 
-from honeywood.trace.rules.rpc_history import OUTCOME_TEXTS, RESULT_TEXTS, GIVE_UP_REASONS, exclusion_text
+from honeywood.trace.rules.rpc_history import GIVE_UP_REASONS, OUTCOME_TEXTS, RESULT_TEXTS, exclusion_text
 from honeywood.trace.schema import (
     ANSWER,
     ANSWERED_OK,
+    ARRIVAL,
+    ATTEMPT,
     DROPPED,
     KINDS,
     RELEASE_UPDATE,
-    ATTEMPT,
     RESULT,
-    ARRIVAL,
     VOTE,
 )
 
--- a/honeywood/trace/sample.py
+++ b/honeywood/trace/sample.py
@@ -15,14 +15,14 @@
     ABORTED,
     ANSWER,
     ANSWERED_OK,
-    SERVER_LIST,
-    TIMER,
-    RELEASE_UPDATE,
+    ARRIVAL,
     ATTEMPT,
+    PLATFORM_COUNTS,
     REJECTED,
+    RELEASE_UPDATE,
     RESULT,
-    ARRIVAL,
-    PLATFORM_COUNTS,
+    SERVER_LIST,
+    TIMER,
 )
 
 HOUR = 3600 * SECOND
@@ -30,7 +30,7 @@
 METHODS = "bin-lookup", "bag-assign", "route-plan", "label-print", "scan-in", "belt-state"
 WEIGHTS = 0.35, 0.2, 0.15, 0.1, 0.15, 0.05
 CUSTOMERS, SERVERS, CHUNK_RPCS = 9, 40, 20_000
-RECORDS_PER_RPC = 4.05  # records per RPC on average, with those of timers and platform counts
+RECORDS_PER_RPC = 4.05  # on average, with the records of timers and platform counts
 RETRY_SHARE, FAILED_SHARE, REJECTED_SHARE = 0.02, 0.004, 0.01
 
 
@@ -50,7 +50,7 @@
         pending += generate_chunk(generator, count, first, since, until)
         done, first = done + count, first + count
         pending.sort(key=itemgetter(0))
-        # Records later than the start of the next chunk may still be preceded by records of that chunk.
+        # Later records than the start of the next chunk may still be preceded by records of that chunk.
         ready = next((at for at, record in enumerate(pending) if record[0] >= until), len(pending))
         at = 0
         while (ready - at >= MAX_BLOCK_RECORDS or yielded + ready - at >= records) and yielded < records:
