--- a/honeywood/trace/columns.py
+++ b/honeywood/trace/columns.py
@@ -196,10 +196,10 @@
     def dictionary_texts(self, count):
         (size,) = struct.unpack("<I", self.take(4))
         if size > MAX_VALUES:
-            raise UnreadableTrace(f"a column of {size} words")
+            raise UnreadableTrace(f"a dictionary of {size} texts")
         dictionary, positions = self.texts(size), self.ints(count)
         if positions and not 0 <= min(positions) <= max(positions) < size:
-            raise UnreadableTrace("a word outside of the dictionary")
+            raise UnreadableTrace("a text outside of the dictionary")
         return [dictionary[position] for position in positions]
 
     def lists(self, unpack_items, count):
--- a/honeywood/trace/reader.py
+++ b/honeywood/trace/reader.py
@@ -35,7 +35,7 @@
             self.file.close()
             raise
         self.seed, self.first_block_offset = self.metadata["seed"], HEADER_START.size + size
-        self.cached_entries = None  # result of entries()
+        self.cached_entries = None  # result of entries(); few enough to keep
 
     def __enter__(self):
         return self
--- a/tests/trace/test_rules.py
+++ b/tests/trace/test_rules.py
@@ -115,7 +115,7 @@
     assert estimate(reference_events, single).uncertainty >= 500  # by a single event
 
 
-def test_order_within_a_front_is_never_changed():
+def test_order_within_a_balancer_is_never_changed():
     generator = random.Random(4)
     streams = [
         [
