--- a/honeywood/cli/lab.py
+++ b/honeywood/cli/lab.py
@@ -68,11 +68,11 @@
 def recorder(rate, seconds, count, plain):
     """Measure the cost of the recorder: a balancer without it and with it, in turn."""
     require("operator", "trace-tools")
-    from honeywood.lab.recording import pairs, told
+    from honeywood.lab.recording import format_table, pairs
 
     with tempfile.TemporaryDirectory(prefix="honeywood-") as folder:
         rows = pairs(folder, rate, seconds, count)
-    click.echo(json.dumps(rows) if plain else told(rows))
+    click.echo(json.dumps(rows) if plain else format_table(rows))
 
 
 @command.command()
@@ -85,11 +85,11 @@
 def slow(rates, counts, seconds, turns, record, plain):
     """Measure healthy clients beside slow ones and beside answers that trickle."""
     require("operator", "trace-tools")
-    from honeywood.lab.slow import rows, told
+    from honeywood.lab.slow import format_table, rows
 
     with tempfile.TemporaryDirectory(prefix="honeywood-") as folder:
         found = list(rows(folder, rates, counts, seconds, turns, record))
-    click.echo(json.dumps(found, indent=1) if plain else told(found))
+    click.echo(json.dumps(found, indent=1) if plain else format_table(found))
 
 
 @command.command("fleet-count")
--- a/honeywood/lab/recording.py
+++ b/honeywood/lab/recording.py
@@ -37,7 +37,7 @@
     return rows
 
 
-def told(rows):
+def format_table(rows):
     lines = ["| pair | CPU ms an RPC | MB | p50 ms | p95 | p99 | ok |", "| --- " * 7 + "|"]
     for number, (off, on) in enumerate(rows, 1):
         cells = [f"{off[key]:.{digits}f}, {on[key]:.{digits}f}" for key, digits in
--- a/honeywood/lab/slow.py
+++ b/honeywood/lab/slow.py
@@ -105,7 +105,7 @@
                 yield one(f"{folder}/{turn}-{rate}-{count}", rate, count, seconds, record)
 
 
-def told(found):
+def format_table(found):
     head = ("slow peers", "RPCs/s", "ok", "pushed back", "p50 ms", "p95", "p99", "p99.9", "core", "MB",
             "descriptors", "threads")
     lines = [f"| {' | '.join(head)} |", "| --- " * len(head) + "|"]
