--- a/honeywood/lab/model/__init__.py
+++ b/honeywood/lab/model/__init__.py
@@ -1,5 +1,5 @@
-"""Model checking of the register and of rollouts: every order of messages and faults, up to a depth.
+"""Model checking of the register and of rollouts: all orders of messages and faults up to a given depth.
 
-Start reading at search.py (the search), then register_model.py (what is searched). disk_model.py,
-faulty_file_operations.py and crash_histories.py test the register's files against loss of power.
+Start reading at search.py (the search), then register_model.py (the model that is searched). disk_model.py,
+faulty_file_operations.py and crash_histories.py test how the register's files survive power loss.
 """
--- a/honeywood/lab/model/call_faults.py
+++ b/honeywood/lab/model/call_faults.py
@@ -1,4 +1,4 @@
-"""Faults at the calls that the register's files make, and random plans of them."""
+"""Faults that are injected into the register's file operations, and random plans of such faults."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class CallFault(StrEnum):
-    """What happens at a call. POWER_LOSS, KILL and HANG end the process, the others refuse the call."""
+    """The fault injected at a call. POWER_LOSS, KILL and HANG end the process; the others fail the call."""
 
     POWER_LOSS = "power"
     """Power is lost after the call."""
     KILL = "kill"
     """The process is killed after the call."""
     HANG = "hang"
-    """The process is killed in a call that has no effect and does not return."""
+    """The call has no effect and does not return; the process is killed meanwhile."""
     REFUSED = "refused"
-    """The call fails without effect."""
+    """The call fails and has no effect."""
     DISK_FULL = "full"
-    """The call fails with half its effect."""
+    """The call fails after half of its effect."""
     REFUSED_AFTER_EFFECT = "doubt"
-    """The call fails with all its effect."""
+    """The call fails although it had its full effect."""
 
 
 ENDS = (CallFault.POWER_LOSS, CallFault.KILL, CallFault.HANG)
@@ -33,16 +33,16 @@
 LASTING_REFUSALS = (CallFault.DISK_FULL, CallFault.DISK_FULL, CallFault.REFUSED)
 
 FaultPlan: TypeAlias = dict[int, CallFault]
-"""Faults by the number of the call in one process, from 1 on."""
+"""Faults by the number of the call within one process, counted from 1."""
 
 
 def draw_fault_plan(random: random.Random) -> FaultPlan:
-    """Return a plan: refusals one by one, or a disk that is full for some calls, and an end."""
+    """Return a plan: single refusals, possibly a disk that stays full for a while, and the process's end."""
     last = random.randrange(1, MAX_PLANNED_CALL)
     plan: FaultPlan = {}
     for _ in range(random.choice((0, 0, 1, 1, 2, 4))):
         plan[random.randrange(1, MAX_PLANNED_CALL)] = random.choice(REFUSALS)
-    if random.random() < MANY_FAULTS_PROBABILITY:  # done but refused, and its file can't be removed
+    if random.random() < MANY_FAULTS_PROBABILITY:  # fails after its effect; its file can't be removed
         first = random.randrange(1, MAX_PLANNED_CALL)
         plan[first] = CallFault.REFUSED_AFTER_EFFECT
         plan[first + 1] = plan[first + 2] = CallFault.REFUSED
--- a/honeywood/lab/model/crash_histories.py
+++ b/honeywood/lab/model/crash_histories.py
@@ -1,11 +1,12 @@
-"""Faults at every call of the register's files, process after process: what a returned put wrote is found.
-
-At each call power may be lost, the process be killed (in a call that hangs, too), or the call be refused:
-before it had any effect, half-way as on a full disk, or after it had all. When power is lost, each file is
-what its last sync left, with every sector that changed since present, missing or cut at random; a file whose
-folder was not synced since it was made may be gone, and removals not synced so may be undone, each by itself.
-A kill leaves all files as they are, but makes nothing durable that was not synced: a later loss of power may
-still take it.
+"""Histories of processes that use one row store with injected faults: rows of returned puts must survive.
+
+At each file operation power may be lost, the process may be killed (also during a call that hangs), or the
+call may fail: without any effect, half-way as on a full disk, or after its full effect.
+
+After a power loss each file has the content of its last sync, and every sector that changed since is present,
+missing or cut off at random. A file whose folder was not synced since the file was created may be missing,
+and a removal that was not synced in this way may be undone, each independently of the others. A kill leaves
+all files as they are but makes no unsynced write durable, so a later power loss may still discard it.
 """
 
 from __future__ import annotations
@@ -30,22 +31,22 @@
     from honeywood.gateway.register.json_value import JsonValue
 
     Rows: TypeAlias = dict[str, JsonValue]
-    """The rows of a store by key; the first item of a row is unique."""
+    """The rows of a store by key; the first item of each row is unique."""
 
 
-PROCESSES_OF_A_HISTORY = 5
+PROCESSES_PER_HISTORY = 5
 KEYS = 3
 MAX_PUTS = 7
 VALUE_CHARACTERS = (1, 40, 700, 5000)
 
 
 class DurabilityError(AssertionError):
-    """A store was opened without a row that a returned put had written, or with one that it must not have."""
+    """An opened store lacks a row that a returned put wrote, or contains one that it must not contain."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreTypes:
-    """The store under test and its file operations; tests replace them by ones without a safeguard."""
+    """The store under test and its file operations; tests substitute versions that lack a safeguard."""
 
     store: type[RowStore] = RowStore
     operations: type[FaultyFileOperations] = FaultyFileOperations
@@ -55,9 +56,10 @@
 
 
 class _Workload:
-    """Random puts on a store; `possible_rows` are the states that the next process may find.
+    """Random puts on a store; `possible_rows` are the contents that the next process may find.
 
-    These are what all returned puts wrote, and that with one later put that was refused or interrupted.
+    These are the result of all returned puts, and that result with any one later put that failed or was
+    interrupted.
     """
 
     def __init__(self, random: random.Random, possible_rows: Sequence[Rows]) -> None:
@@ -65,12 +67,12 @@
         self.possible_rows = list(possible_rows)
 
     def run(self, folder: str, operations: FileOperations, store_type: type[RowStore]) -> None:
-        """Open the store, check what it has, and write to it."""
+        """Open the store, check its rows, and write to it."""
         store = _open(folder, operations, store_type)
         found = store.rows()
         if found not in self.possible_rows:
             expected = [_first_items(rows) for rows in self.possible_rows]
-            raise DurabilityError(f"{_first_items(found)} is none of {expected}")
+            raise DurabilityError(f"found rows {_first_items(found)}, expected one of {expected}")
         self.possible_rows = [found]
         for _ in range(self._random.randrange(1, MAX_PUTS)):
             self._put(store)
@@ -88,12 +90,12 @@
         try:
             store.put(rows)
         except OSError:
-            return  # it may be found until a later put has returned
+            return  # its rows may or may not be found, until a later put returns
         self.possible_rows = [after]
 
 
 def _open(folder: str, operations: FileOperations, store_type: type[RowStore]) -> RowStore:
-    """Open the store, again and again where that is refused."""
+    """Open the store, and retry until that succeeds."""
     while True:
         try:
             return store_type(folder, operations)
@@ -102,17 +104,17 @@
 
 
 def _first_items(rows: Rows) -> Rows:
-    """Return rows as messages show them."""
+    """Return the rows shortened to their first items, for messages."""
     return {key: row and row[0] for key, row in rows.items()}
 
 
 class CrashHistory:
-    """Processes that use one store, one after the other."""
+    """A sequence of processes that use the same store, one after another."""
 
     def __init__(
         self, folder: str, random: random.Random, unsynced: UnsyncedWrites, types: StoreTypes = DEFAULT_TYPES
     ) -> None:
-        """Start with an empty store; `unsynced` is what a loss of power does."""
+        """Start with an empty store; `unsynced` is the effect of a power loss on unsynced writes."""
         self._folder = os.path.join(folder, "d")
         self._random = random
         self._types = types
@@ -121,9 +123,9 @@
         self.unsynced = unsynced
 
     def run_process(self, plan: FaultPlan) -> int:
-        """Run one process to its end; return how many calls it made.
+        """Run one process until it ends; return the number of its file operations.
 
-        Raises DurabilityError.
+        Raises DurabilityError if it finds rows that it must not find.
         """
         operations = self._types.operations(self._disk_model, plan)
         workload = _Workload(self._random, self._possible_rows)
@@ -136,7 +138,7 @@
         return operations.calls
 
     def lose_power(self) -> None:
-        """Lose power while no process runs."""
+        """Simulate a power loss while no process runs."""
         self._disk_model.lose_power(self._folder, self._random, self.unsynced)
 
 
@@ -145,26 +147,27 @@
     types: StoreTypes = DEFAULT_TYPES,
     draw_plan: Callable[[random.Random], FaultPlan] = draw_fault_plan,
 ) -> int:
-    """Run processes that each end by a drawn plan, and one without faults; return the number of faults.
+    """Run processes with drawn fault plans, then one without faults; return the number of injected faults.
 
-    Raises DurabilityError.
+    Raises DurabilityError if a process finds rows that it must not find.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     faults = 0
     with tempfile.TemporaryDirectory(ignore_cleanup_errors=True) as folder:
-        history = CrashHistory(folder, chance, UnsyncedWrites.KEPT, types)
-        for process in range(PROCESSES_OF_A_HISTORY):
-            plan = draw_plan(chance) if process < PROCESSES_OF_A_HISTORY - 1 else {}
-            history.unsynced = chance.choice(tuple(UnsyncedWrites))
+        history = CrashHistory(folder, rng, UnsyncedWrites.KEPT, types)
+        for process in range(PROCESSES_PER_HISTORY):
+            plan = draw_plan(rng) if process < PROCESSES_PER_HISTORY - 1 else {}
+            history.unsynced = rng.choice(tuple(UnsyncedWrites))
             calls = history.run_process(plan)
             faults += sum(call <= calls for call in plan)
     return faults
 
 
 def fault_at_every_call(seed: int, unsynced: UnsyncedWrites, fault: CallFault = CallFault.POWER_LOSS) -> int:
-    """Run the same process with `fault` at each of its calls in turn; return how many calls it makes.
+    """Run the same process with `fault` at each of its calls in turn; return the number of its calls.
 
-    Power is lost after the process where it is not lost at that call. Raises DurabilityError.
+    If `fault` is not a power loss, power is lost after the process has ended. Raises DurabilityError if a
+    process finds rows that it must not find.
     """
     faulty_call = 0
     while True:
--- a/honeywood/lab/model/disk_model.py
+++ b/honeywood/lab/model/disk_model.py
@@ -1,4 +1,4 @@
-"""What a loss of power leaves of files: each as of its last sync, or with later writes present, or torn."""
+"""The effect of a power loss on files: later writes than the last sync may be present, missing or torn."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from enum import StrEnum
 
 SECTOR_BYTES = 512
-"""Usually written completely or not at all, but not even that is relied on."""
+"""Disks usually write a sector completely or not at all, but the model tears sectors as well."""
 
 NAME_LOST_PROBABILITY = 0.5
 FILE_LOST_PROBABILITY = 0.3
@@ -15,7 +15,7 @@
 
 
 class UnsyncedWrites(StrEnum):
-    """What a loss of power does to writes that were not synced."""
+    """The effect of a power loss on writes that were not synced."""
 
     KEPT = "all kept"
     DISCARDED = "all gone"
@@ -23,29 +23,29 @@
 
 
 class DiskModel:
-    """What is durable of the files in one folder.
+    """Tracks which contents and names of the files in one folder are durable.
 
-    `durable_contents` are the contents as of the last syncs, by name; `durable_names` the files whose folder
-    was synced since they were made.
+    `durable_contents` are the contents as of each file's last sync, by name; `durable_names` are the files
+    whose folder was synced after they were created.
     """
 
     def __init__(self) -> None:
-        """Start with nothing durable."""
+        """Start with no durable files."""
         self.durable_contents: dict[str, bytes] = {}
         self.durable_names: set[str] = set()
 
     def lose_power(self, folder: str, random: random.Random, unsynced: UnsyncedWrites) -> None:
-        """Leave the folder as a loss of power leaves it; what is left is durable."""
+        """Apply a power loss to the folder; everything that remains is durable."""
         contents = _read_folder(folder)
         for name in sorted({*contents, *self.durable_contents}):
             content = contents.get(name)
-            left = surviving_content(self.durable_contents.get(name), content, random, unsynced)
+            remaining = surviving_content(self.durable_contents.get(name), content, random, unsynced)
             lost = unsynced is UnsyncedWrites.DISCARDED or (
                 unsynced is UnsyncedWrites.MIXED and random.random() < NAME_LOST_PROBABILITY
             )
             if name not in self.durable_names and (lost or content is None):
-                left = None  # made, and perhaps removed, since the folder was last synced
-            _replace_file(os.path.join(folder, name), left)
+                remaining = None  # created, and perhaps removed, since the folder was last synced
+            _replace_file(os.path.join(folder, name), remaining)
         self.durable_contents = _read_folder(folder)
         self.durable_names = set(self.durable_contents)
 
@@ -53,9 +53,9 @@
 def surviving_content(
     synced: bytes | None, current: bytes | None, random: random.Random, unsynced: UnsyncedWrites
 ) -> bytes | None:
-    """Return what a loss of power leaves of a file; None stands for no file.
+    """Return the content of a file after a power loss; None means that the file does not exist.
 
-    `synced` is the content as of the last sync, `current` the present one.
+    `synced` is the content as of the last sync, `current` the content before the power loss.
     """
     if unsynced is UnsyncedWrites.DISCARDED or synced == current:
         return synced
@@ -70,7 +70,7 @@
 
 
 def _torn(synced: bytes, current: bytes, random: random.Random) -> bytes:
-    """Return `synced` with some sectors of `current`, or the beginnings of some, written over it."""
+    """Return `synced`, overwritten with some sectors of `current`, or with only the beginning of a sector."""
     length = random.choice((len(synced), len(current), max(len(synced), len(current))))
     content = bytearray(synced.ljust(length, b"\0")[:length])
     for start in range(0, length, SECTOR_BYTES):
@@ -81,7 +81,7 @@
 
 
 def _read_folder(folder: str) -> dict[str, bytes]:
-    """Return the contents of a folder's files by name; empty where there is no folder."""
+    """Return the contents of a folder's files by name; empty if the folder does not exist."""
     if not os.path.isdir(folder):
         return {}
     return {name: _read_file(os.path.join(folder, name)) for name in os.listdir(folder)}
--- a/honeywood/lab/model/faulty_file_operations.py
+++ b/honeywood/lab/model/faulty_file_operations.py
@@ -1,4 +1,4 @@
-"""File operations of the register's row store that meet the faults of a plan."""
+"""File operations of the register's row store, with the faults of a plan injected."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class ProcessTerminated(BaseException):
-    """The process is gone; no handler of the program may run, so it is no Exception."""
+    """The simulated process has ended. Not an Exception, so that no handler of the program catches it."""
 
 
 class FaultyFileOperations(FileOperations):
-    """Operations that really work on files, and note in a disk model what is durable.
+    """Operations that work on real files and record in a disk model which writes are durable.
 
-    `calls` counts the calls so far.
+    `calls` is the number of calls so far.
     """
 
     def __init__(self, disk_model: DiskModel, plan: FaultPlan) -> None:
@@ -39,10 +39,11 @@
         needs_space: bool = True,
         error: type[Exception] = OSError,
     ) -> T:
-        """Perform an operation, or what the plan has for this call.
+        """Perform an operation, or inject the fault that is planned for this call.
 
-        `partial_operation` is what a full disk performs of it. One that needs no space succeeds on a full
-        disk. Raises `error` where the call is refused, ProcessTerminated where the process ends.
+        `partial_operation` is the part that is performed on a full disk. With `needs_space` false the
+        operation succeeds on a full disk. Raises `error` if the call fails, ProcessTerminated if the process
+        ends.
         """
         self.calls += 1
         fault = self.plan.get(self.calls)
@@ -57,11 +58,11 @@
         if fault is CallFault.POWER_LOSS or fault is CallFault.KILL:
             raise ProcessTerminated
         if fault is CallFault.REFUSED_AFTER_EFFECT:
-            raise error("refused after its effect")
+            raise error("refused after taking effect")
         return result
 
     def open(self, path: str, read_only: bool) -> lmdb.Environment:
-        """Open an environment; opening one for writing may meet a fault."""
+        """Open an environment; faults are injected only when it is opened for writing."""
         if read_only:
             return super().open(path, True)
 
@@ -73,7 +74,7 @@
         return self.call(open_for_writing, open_for_writing, error=lmdb.DiskError)
 
     def commit(self, environment: lmdb.Environment, rows: Mapping[bytes, bytes | None]) -> None:
-        """Write rows; a full disk takes half of them."""
+        """Write rows; on a full disk only the first half is written."""
         first_half = dict(list(rows.items())[: len(rows) // 2])
         self.call(
             lambda: FileOperations.commit(self, environment, rows),
@@ -91,12 +92,12 @@
         self.call(sync, needs_space=False, error=lmdb.DiskError)
 
     def _mark_durable(self, path: str) -> None:
-        """Record that the file as it is survives a loss of power."""
+        """Record that the file's current content survives a power loss."""
         with open(path, "rb") as file:
             self.disk_model.durable_contents[os.path.basename(path)] = file.read()
 
     def write(self, path: str, content: bytes) -> None:
-        """Write a small file, and sync it by a second call."""
+        """Write a small file and sync it; these count as two calls."""
 
         def write(written: bytes) -> None:
             with open(path, "wb") as file:
@@ -106,11 +107,11 @@
         self.call(lambda: self._mark_durable(path), needs_space=False)
 
     def remove(self, path: str) -> None:
-        """Remove a file; a loss of power may undo it."""
+        """Remove a file; a power loss may undo the removal."""
         self.call(lambda: FileOperations.remove(self, path), needs_space=False)
 
     def sync_path(self, path: str) -> None:
-        """Sync a file that was found, or the names in a folder."""
+        """Sync an existing file, or the names in a folder."""
 
         def sync() -> None:
             if os.path.isdir(path):
@@ -127,6 +128,6 @@
             del self.disk_model.durable_contents[removed]
 
     def close(self) -> None:
-        """Close the files as the end of the process does."""
+        """Close all environments, as the end of the process would."""
         for environment in self._environments:
             environment.close()
--- a/honeywood/lab/model/incarnation_table.py
+++ b/honeywood/lab/model/incarnation_table.py
@@ -1,4 +1,4 @@
-"""Incarnation numbers as a hashable mapping, so that replies of the program may be part of a state."""
+"""Incarnation numbers as a hashable mapping, so that the program's replies can be part of a state."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class IncarnationTable(Mapping[str, int]):
-    """Immutable incarnation numbers by the address of the disk."""
+    """An immutable mapping from the address of a disk to its incarnation number."""
 
     __slots__ = ("_by_address", "_numbers")
 
@@ -26,7 +26,7 @@
         return len(self._numbers)
 
     def items(self) -> ItemsView[str, int]:
-        """Return the items; faster than those of Mapping."""
+        """Return the items; faster than the inherited Mapping.items."""
         return self._by_address.items()
 
     def __eq__(self, other: object) -> bool:
@@ -37,11 +37,11 @@
 
 
 def address_of(disk: int) -> str:
-    """Return the address by which the program's rules know the disk of an index."""
+    """Return the address that identifies a disk in the program's rules, given the disk's index."""
     return str(disk)
 
 
 @cache
 def incarnation_table(numbers: tuple[int, ...]) -> IncarnationTable:
-    """Return the table of these numbers, one object for equal ones."""
+    """Return the table of these numbers; equal numbers share one cached table."""
     return IncarnationTable(numbers)
--- a/honeywood/lab/model/invariants.py
+++ b/honeywood/lab/model/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold in every state of the register's model."""
+"""Invariants that hold in every state of the register's model."""
 
 from __future__ import annotations
 
@@ -26,16 +26,18 @@
         misses: Callable[[JsonValue, JsonValue], bool],
         conflict: Callable[[Sequence[JsonValue]], bool],
     ) -> None:
-        """`misses(stored, acknowledged)` tells whether a stored value lacks an acknowledged one.
+        """Set the conditions of the scenario.
 
-        `conflict(acknowledged)` tells that values can't all have been acknowledged.
+        `misses(stored, acknowledged)` returns whether a stored value lacks an acknowledged one.
+        `conflict(acknowledged)` returns whether values contradict each other, so that they must not all be
+        acknowledged.
         """
         self._chain = chain
         self._misses = misses
         self._conflict = conflict
 
     def violation(self, state: SystemState, acknowledged: Sequence[JsonValue]) -> str:
-        """Return the invariant that is violated, given all values acknowledged so far; empty where none."""
+        """Return the violated invariant, given all values acknowledged so far; empty if none is violated."""
         if state.has_stale_read:
             return STALE_READ
         if not acknowledged:
@@ -48,13 +50,13 @@
         return ""
 
     def _majority_values(self, state: SystemState) -> Iterator[JsonValue]:
-        """Return the value that a ballot would find at each majority of each epoch."""
+        """Yield the value that a ballot would find at each majority of each epoch."""
         for epoch in range(FIRST_EPOCH, state.agreed_epoch + 1):
             members = [state.disks[index] for index in self._chain.members(epoch)]
-            able = [disk for disk in members if _is_open(disk, epoch)]
-            for quorum in combinations(able, self._chain.majority(epoch)):
+            available = [disk for disk in members if _accepts_requests(disk, epoch)]
+            for quorum in combinations(available, self._chain.majority(epoch)):
                 yield max(quorum, key=lambda disk: disk.row.accepted).row.value
 
 
-def _is_open(disk: DiskState, epoch: int) -> bool:
+def _accepts_requests(disk: DiskState, epoch: int) -> bool:
     return disk.intact and not disk.sealed and disk.epoch == epoch
--- a/honeywood/lab/model/membership_chain.py
+++ b/honeywood/lab/model/membership_chain.py
@@ -1,4 +1,4 @@
-"""The members of each epoch of a model, agreed in advance; a model's search only decides when they change."""
+"""The members of each epoch of a model, fixed in advance; the search varies only when the epoch changes."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
     @property
     def last_epoch(self) -> int:
-        """The epoch after which no other follows."""
+        """The number of the last epoch."""
         return len(self.epochs)
 
     @property
     def disks(self) -> tuple[int, ...]:
-        """The indices of all disks that are a member at any time."""
+        """The indices of all disks that are members in any epoch."""
         return tuple(range(max(disk for members in self.epochs for disk in members) + 1))
 
     def members(self, epoch: int) -> tuple[int, ...]:
@@ -31,11 +31,11 @@
         return self.epochs[epoch - FIRST_EPOCH]
 
     def majority(self, epoch: int) -> int:
-        """Return how many members of an epoch decide."""
+        """Return the number of members that form a majority in an epoch."""
         return len(self.members(epoch)) // 2 + 1
 
     def configuration(self, epoch: int, sealed: bool = False) -> MembershipConfiguration:
-        """Return the configuration of an epoch as the program's rules take it."""
+        """Return the configuration of an epoch, in the type that the program's rules use."""
         successor = self._members_of(epoch + 1) if sealed else None
         return MembershipConfiguration(epoch, self._members_of(epoch).members, successor)
 
--- a/honeywood/lab/model/membership_steps.py
+++ b/honeywood/lab/model/membership_steps.py
@@ -1,4 +1,4 @@
-"""How epochs follow each other and lost disks are rebuilt in the register's model, by the program's rules."""
+"""Epoch changes and the rebuilding of lost disks in the register's model, by the program's own rules."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class MembershipSteps:
-    """The steps of disks that are lost, that seal an epoch or have stayed behind in one."""
+    """The steps by which members agree on a new epoch, disks enter it, and lost disks are rebuilt."""
 
     def __init__(self, chain: MembershipChain) -> None:
-        """`chain` names the members of each epoch."""
+        """`chain` holds the members of each epoch."""
         self._chain = chain
 
     def steps(self, state: SystemState) -> Iterator[Step[SystemState]]:
-        """Return each step that changes the membership or rebuilds a disk."""
+        """Yield each step that changes the membership or rebuilds a disk."""
         if state.agreed_epoch < self._chain.last_epoch:
             yield from self._agree(state)
         for index, disk in enumerate(state.disks):
@@ -40,18 +40,18 @@
                 yield from self._advance(state, index)
 
     def _agree(self, state: SystemState) -> Iterator[Step[SystemState]]:
-        """Each majority of the newest epoch may agree on the next one."""
+        """Yield a step for each majority of the newest epoch, which may agree on the next epoch."""
         epoch = state.agreed_epoch
         members = self._chain.members(epoch)
-        able = [index for index in members if _is_intact_in(state.disks[index], epoch)]
-        for quorum in combinations(able, self._chain.majority(epoch)):
+        available = [index for index in members if _is_intact_in(state.disks[index], epoch)]
+        for quorum in combinations(available, self._chain.majority(epoch)):
             after = state
             for index in quorum:
                 after = after.with_disk(index, replace(after.disks[index], accepted_successor=True))
             yield Step(f"{quorum} agree on the next members", replace(after, agreed_epoch=epoch + 1))
 
     def _advance(self, state: SystemState, index: int) -> Iterator[Step[SystemState]]:
-        """A disk of the previous epoch may enter the newest, once a majority of its own has sealed."""
+        """Yield the steps by which a disk enters the next epoch, once a majority sealed its current one."""
         disk = state.disks[index]
         epoch = disk.epoch
         members = self._chain.members(epoch)
@@ -71,7 +71,7 @@
             yield Step(f"{index} enters the next epoch", entered)
 
     def _rebuild(self, state: SystemState, index: int) -> Iterator[Step[SystemState]]:
-        """A lost disk may first start a new incarnation, then enter an epoch as that."""
+        """Yield the steps of a lost disk: it starts a new incarnation, then enters an epoch with it."""
         disk = state.disks[index]
         if not disk.incarnation:
             yield from self._start_incarnation(state, index)
@@ -90,7 +90,7 @@
             yield Step(f"{index} is rebuilt", entered)
 
     def _start_incarnation(self, state: SystemState, index: int) -> Iterator[Step[SystemState]]:
-        """Each set of intact disks with a quorum in it may reply which incarnation comes next."""
+        """Yield a step for each set of intact disks whose replies determine the next incarnation."""
         address = address_of(index)
         intact = [(other, disk) for other, disk in enumerate(state.disks) if disk.intact]
         for count in range(MIN_INCARNATION_REPLIES, len(intact) + 1):
--- a/honeywood/lab/model/reader_steps.py
+++ b/honeywood/lab/model/reader_steps.py
@@ -1,4 +1,4 @@
-"""What the reader may do next in the register's model, by the program's agreement rules."""
+"""The possible steps of the reader in the register's model, by the program's agreement rules."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class ReaderSteps:
-    """The steps of the one reader, which asks the disks one after another."""
+    """The steps of the single reader, which queries the disks one after another."""
 
     def __init__(
         self,
@@ -35,13 +35,13 @@
         misses: Callable[[JsonValue, JsonValue], bool],
         acknowledged: Callable[[SystemState], tuple[JsonValue, ...]],
     ) -> None:
-        """`misses` tells whether a value that was read lacks an acknowledged one."""
+        """`misses(read, acknowledged)` returns whether a value that was read lacks an acknowledged one."""
         self._chain = chain
         self._misses = misses
         self._acknowledged = acknowledged
 
     def steps(self, state: SystemState) -> Iterator[Step[SystemState]]:
-        """Return a step for each disk that may reply to the reader next."""
+        """Yield a step for each disk that may reply to the reader next."""
         if not state.remaining_reads:
             return
         for index in self._chain.disks:
@@ -57,9 +57,9 @@
                 yield Step(f"{index} replies to the reader", successor)
 
     def _receive(self, state: SystemState, read: Read, index: int, majority: int) -> SystemState | None:
-        """Return the state after the disk's reply; None where only a ballot could decide the read."""
+        """Return the state after the disk's reply; None if only a ballot could decide the read."""
         sent = SentReadReply(index, _read_reply(state.disks[index], index))
-        replies = tuple(sorted((*read.replies, sent), key=lambda one: one.sender))
+        replies = tuple(sorted((*read.replies, sent), key=lambda reply: reply.sender))
         current = current_replies({address_of(sender): reply for sender, reply in replies})
         if len(current) < majority:
             return replace(state, read=replace(read, replies=replies))
--- a/honeywood/lab/model/register_model.py
+++ b/honeywood/lab/model/register_model.py
@@ -1,16 +1,19 @@
-"""One key of the register on three or more disks, with the real rules of honeywood/gateway/register.
+"""A model of one key of the register on three or more disks, with the rules of honeywood/gateway/register.
 
-Writers send each request to all members. A request reaches a disk or never does, a reply is received or never
-is, both after any time. A writer may give up and retry with a higher ballot. A disk may be lost and rebuilt,
-power may be lost, a member may be replaced. A row that was staged and lost with power is a request that never
-arrived; one that was kept though its reply was not sent is a reply that is never received: both are among the
-orders searched. So is a large value that is still being transferred: its accept request has not arrived yet.
+Writers send each request to all members. Each request and each reply may arrive after any delay, or never. A
+writer may give up and retry with a higher ballot. A disk may be lost and rebuilt, power may be lost, and a
+member may be replaced. The following cases need no steps of their own, since the search covers them anyway:
 
-A reader asks the disks one after another and takes what `find_agreed_view` finds in their rows, as the
-program's reads do; a read that is in doubt proposes as a writer does. A value that was read counts as
-acknowledged from then on, and must include what had been acknowledged when the read began.
+- A staged row that a power loss discards is equivalent to a request that never arrived.
+- A row that was kept although its reply was not sent is equivalent to a reply that is never received.
+- A large value that is still being transferred is equivalent to an accept request that has not arrived yet.
 
-That an epoch's members agree on the next one is one step here: it is a key like any other, changed once.
+The reader queries the disks one after another and takes the value that `find_agreed_view` finds in their
+rows, as the program's reads do; a read that is in doubt proposes, as a writer does. A value that was read
+counts as acknowledged from then on, and must include everything that was acknowledged before the read began.
+
+The agreement of an epoch's members on the next epoch is a single step in this model: it is a key like any
+other, changed once.
 """
 
 from __future__ import annotations
@@ -33,17 +36,17 @@
     from honeywood.gateway.register.json_value import JsonValue
 
 INITIAL_BALLOT = Ballot(1, "0")
-"""Under which the initial value was accepted."""
+"""The ballot under which the initial value was accepted."""
 
 FIRST_COUNTER = 2
-"""Of the writers' ballots."""
+"""The counter of the writers' first ballots."""
 
 
 @dataclass(frozen=True, slots=True)
 class ModelOptions:
-    """How often faults, retries of each writer and reads may come, and the members by epoch.
+    """The maximum numbers of faults, of retries per writer and of reads, and the members of each epoch.
 
-    `replies_before_sync` is a fault for tests: a disk replies before its row is durable.
+    `replies_before_sync` injects a fault for tests: a disk replies before its row is durable.
     """
 
     disk_losses: int = 1
@@ -56,11 +59,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """What the writers do, and how their values are judged.
+    """The updates that the writers make, and the conditions that their values must meet.
 
-    `updates` are the writers': the stored value to the new one. `misses` and `conflict` are as in
-    invariants.py. `initial_value` is stored on all disks at first; or, where `initial_disks` are given, on
-    these alone, and has been acknowledged.
+    `updates` holds one function per writer, which maps the stored value to the new one. `misses` and
+    `conflict` are described in invariants.py. `initial_value` is stored on all disks at the start. If
+    `initial_disks` is given, it is stored on these only, and counts as acknowledged.
     """
 
     updates: tuple[Callable[[JsonValue], JsonValue], ...]
@@ -71,10 +74,10 @@
 
 
 class RegisterModel:
-    """The model; `start` is its first state and may be set to a later one."""
+    """The model; `start` is the initial state, and may be set to a later one to begin a search there."""
 
     def __init__(self, scenario: Scenario, options: ModelOptions) -> None:
-        """Build the first state of a scenario."""
+        """Build the initial state of a scenario."""
         self._scenario = scenario
         self._chain = options.chain
         self._replies_before_sync = options.replies_before_sync
@@ -101,7 +104,7 @@
         return DiskState((FIRST_INCARNATION,) * len(self._chain.disks), row=row, synced_row=row)
 
     def steps(self, state: SystemState) -> Iterator[Step[SystemState]]:
-        """Return each step that may come next."""
+        """Yield each possible next step."""
         yield from self._writers.steps(state)
         yield from self._reader.steps(state)
         yield from self._storage_steps(state)
@@ -117,11 +120,11 @@
                 yield Step(f"disk {index} is lost", _lose_disk(state, index))
 
     def violation(self, state: SystemState) -> str:
-        """Return the invariant that the state violates; empty where it violates none."""
+        """Return the invariant that the state violates; empty if it violates none."""
         return self._invariants.violation(state, self._acknowledged(state))
 
     def _acknowledged(self, state: SystemState) -> tuple[JsonValue, ...]:
-        """Return the values acknowledged by writers, before the start, and by reads."""
+        """Return the values acknowledged by writers, before the start and by reads."""
         done = [writer for writer in state.writers if writer.phase is WriterPhase.ACKNOWLEDGED]
         written = [writer.value for writer in done if writer.value is not None]
         scenario = self._scenario
--- a/honeywood/lab/model/scenarios.py
+++ b/honeywood/lab/model/scenarios.py
@@ -23,10 +23,10 @@
     proposing_reader: bool = False,
     highest_first: bool = False,
 ) -> RegisterModel:
-    """Writers of versions 1, 2 ...; the register keeps the highest.
+    """Return a model whose writers write versions 1, 2 and so on; the register keeps the highest.
 
-    With `proposing_reader` one more reads by a ballot. With `highest_first` the higher ballot has the lower
-    version.
+    With `proposing_reader`, one more proposer reads by a ballot. With `highest_first`, the higher ballot
+    proposes the lower version.
     """
     updates = [_raise_to(version) for version in range(1, writers + 1)]
     if proposing_reader:
@@ -37,13 +37,13 @@
 
 
 def acknowledged_version_model(options: ModelOptions, holders: tuple[int, ...]) -> RegisterModel:
-    """Version 1 has been acknowledged and is stored by `holders`; nobody writes."""
+    """Return a model without writers, in which version 1 is acknowledged and stored by `holders`."""
     scenario = Scenario((), _misses_version, initial_value=1, initial_disks=holders)
     return RegisterModel(scenario, options)
 
 
 def outcomes_model(options: ModelOptions = DEFAULT_OPTIONS) -> RegisterModel:
-    """Two controllers end one rollout differently."""
+    """Return a model in which two controllers end the same rollout with different outcomes."""
     rollout = start_rollout(None, "s", "v2", ROLLOUT_S, 0.0)
     assert rollout is not None
     updates = (_end(rollout, RolloutState.DONE), _end(rollout, RolloutState.REVERTED))
--- a/honeywood/lab/model/search.py
+++ b/honeywood/lab/model/search.py
@@ -1,4 +1,4 @@
-"""Breadth-first search through the states of a model, so that the first violation has the shortest trace."""
+"""Breadth-first search through the states of a model: the first violation found has a shortest trace."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 
 class Step(NamedTuple, Generic[S]):
-    """A transition: what happens, unique among the steps of one state, and the state it leads to."""
+    """A transition to `state`; `label` describes it and is unique among the steps from the same state."""
 
     label: str
     state: S
 
 
 class Model(Protocol[S]):
-    """What can be searched."""
+    """A model that can be searched."""
 
     start: S
 
     def steps(self, state: S) -> Iterator[Step[S]]:
-        """Return each step that may come next, in a fixed order."""
+        """Yield each possible next step, in a fixed order."""
 
     def violation(self, state: S) -> str:
-        """Return the invariant that the state violates; empty where it violates none."""
+        """Return the invariant that the state violates; empty if it violates none."""
 
 
 @dataclass(frozen=True, slots=True)
 class SearchResult:
-    """How many distinct states were found and how many steps deep.
+    """The number of distinct states found, and the greatest number of steps from the start.
 
-    `exhaustive` is true where no state lies beyond. `violation` names the violated invariant, if any, and
-    `trace` the steps that lead there.
+    `exhaustive` is true if all reachable states were visited. `violation` is the violated invariant, if any,
+    and `trace` the labels of the steps that lead to the violation.
     """
 
     states: int
@@ -47,7 +47,7 @@
 
 
 class WalkResult(NamedTuple):
-    """How many steps a random walk took, the invariant that it violated, if any, and the steps' labels."""
+    """The number of steps of a random walk, the violated invariant, if any, and the labels of the steps."""
 
     steps: int
     violation: str
@@ -55,7 +55,7 @@
 
 
 class _Frontier(Generic[S]):
-    """The visited states, each with the step that first led to it, and those of the greatest depth."""
+    """The visited states, each with the step that first led to it, and the states at the current depth."""
 
     def __init__(self, start: S, max_states: int) -> None:
         self.predecessors: dict[S, tuple[S, str] | None] = {start: None}
@@ -64,7 +64,7 @@
         self._max_states = max_states
 
     def add_successors(self, state: S, steps: Iterable[Step[S]]) -> bool:
-        """Add the states not visited before; return False once there is no room for another."""
+        """Add the states that were not visited before; return False if there would be too many."""
         for label, successor in steps:
             if successor in self.predecessors:
                 continue
@@ -75,7 +75,7 @@
         return True
 
     def advance(self) -> None:
-        """Go on to the states that were added."""
+        """Continue with the states that were added."""
         self.states, self._next = self._next, []
 
     def trace(self, state: S) -> tuple[str, ...]:
@@ -88,7 +88,7 @@
 
 
 def explore(model: Model[S], max_depth: int, max_states: int = DEFAULT_MAX_STATES) -> SearchResult:
-    """Search up to a depth or a number of states, or until an invariant is violated."""
+    """Search until an invariant is violated or the maximum depth or number of states is reached."""
     frontier = _Frontier(model.start, max_states)
     visited = frontier.predecessors
     for depth in range(max_depth + 1):
@@ -121,7 +121,10 @@
 
 
 def replay(model: Model[S], labels: Sequence[str]) -> S:
-    """Return the state that the named steps lead to from the start; KeyError where one isn't possible."""
+    """Return the state that the labelled steps lead to from the start.
+
+    Raises KeyError if one of the steps isn't possible.
+    """
     state = model.start
     for label in labels:
         successors = {step.label: step.state for step in model.steps(state)}
--- a/honeywood/lab/model/state.py
+++ b/honeywood/lab/model/state.py
@@ -1,4 +1,4 @@
-"""What a state of the register's model consists of: disks, writers, a read in progress. All hashable."""
+"""The state of the register's model: disks, writers and a read in progress. All types are hashable."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class WriterPhase(StrEnum):
-    """What a writer does."""
+    """The phase that a writer has reached."""
 
     PREPARE = "prepare"
     ACCEPT = "accept"
@@ -31,7 +31,7 @@
 
 
 class Delivery(StrEnum):
-    """How far a request to one disk, or its reply, has come."""
+    """The progress of a request to one disk and of its reply."""
 
     REQUEST_IN_FLIGHT = "request in flight"
     REPLY_IN_FLIGHT = "reply in flight"
@@ -40,13 +40,13 @@
 
 @dataclass(frozen=True, slots=True)
 class DiskState:
-    """One disk; `intact` is false where it was lost and not rebuilt yet.
+    """One disk; `intact` is false after the disk was lost and until it is rebuilt.
 
-    `known_incarnations` are those of all disks, by index, as this one knows them; its own is `incarnation`, 0
-    while it is not known. `synced_row` is what a loss of power leaves of `row`. `sealed` tells that the next
-    epoch is known and no request of this one is served any more, `accepted_successor` that this disk has
-    accepted that there is a next one. `transfers` are the states received so far by a disk that enters an
-    epoch.
+    `known_incarnations` holds the incarnations of all disks, by index, as far as this disk knows them; its
+    own is `incarnation`, which is 0 while unknown. `synced_row` is the row that remains after a power loss.
+    `sealed` is true once the disk knows the next epoch and no longer serves requests of its current one;
+    `accepted_successor` is true once the disk has accepted that there is a next epoch. `transfers` are the
+    states that a disk which is entering an epoch has received so far.
     """
 
     known_incarnations: tuple[int, ...]
@@ -60,12 +60,12 @@
     transfers: tuple[Transfer, ...] = ()
 
     def reported_incarnations(self, own_index: int) -> IncarnationTable:
-        """Return the incarnations that the disk of that index names in its replies."""
+        """Return the incarnations that this disk, whose index is `own_index`, reports in its replies."""
         return incarnation_table(replace_item(self.known_incarnations, own_index, self.incarnation))
 
 
 class Transfer(NamedTuple):
-    """The complete state of another disk, received at one moment."""
+    """The complete state of another disk, as of the moment at which it was sent."""
 
     sender: int
     disk: DiskState
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Writer:
-    """A proposer; how far its requests have come and what was replied to them, by the index of the disk."""
+    """A proposer, with the progress of its requests and the replies to them, by the index of the disk."""
 
     phase: WriterPhase
     epoch: int
@@ -85,7 +85,7 @@
 
 
 class SentReadReply(NamedTuple):
-    """A disk's reply to the reader."""
+    """A reply to the reader, with the index of the disk that sent it."""
 
     sender: int
     reply: ReadReply
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """A read in progress; `acknowledged` are the values that had been acknowledged when it began."""
+    """A read in progress; `acknowledged` holds the values that were acknowledged before it began."""
 
     epoch: int
     acknowledged: tuple[JsonValue, ...]
@@ -102,10 +102,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SystemState:
-    """The whole system at one moment, with the numbers of faults and reads that may still come.
+    """The state of the whole system, with the numbers of faults and reads that may still occur.
 
-    `agreed_epoch` is the newest epoch. `read_values` are the results of all reads; `has_stale_read` tells
-    that one of them missed a value that had been acknowledged before it began.
+    `agreed_epoch` is the newest epoch. `read_values` are the results of all reads; `has_stale_read` is true
+    if any of them missed a value that was acknowledged before the read began.
     """
 
     disks: tuple[DiskState, ...]
@@ -119,27 +119,27 @@
     has_stale_read: bool = False
 
     def with_disk(self, index: int, disk: DiskState) -> SystemState:
-        """Return this state with another disk at an index."""
+        """Return this state with the disk at `index` replaced."""
         return replace(self, disks=replace_item(self.disks, index, disk))
 
     def with_writer(self, index: int, writer: Writer) -> SystemState:
-        """Return this state with another writer at an index."""
+        """Return this state with the writer at `index` replaced."""
         return replace(self, writers=replace_item(self.writers, index, writer))
 
 
 def replace_item(items: tuple[T, ...], index: int, item: T) -> tuple[T, ...]:
-    """Return a tuple with another item at an index."""
+    """Return a copy of a tuple with the item at `index` replaced."""
     return (*items[:index], item, *items[index + 1 :])
 
 
 def to_carried(value: JsonValue) -> CarriedValue:
-    """Return a value as messages of the model carry it, whatever its size."""
+    """Return a value in the form used in the model's messages: always inline, whatever its size."""
     return None if value is None else InlineValue(value)
 
 
 def from_carried(carried: CarriedValue) -> JsonValue:
-    """Return the value that a message of the model carried."""
+    """Return the value contained in a message of the model."""
     if carried is None:
         return None
-    assert isinstance(carried, InlineValue), "the model sends no references"
+    assert isinstance(carried, InlineValue), "the model sends values inline only"
     return carried.value
--- a/honeywood/lab/model/state_transfer.py
+++ b/honeywood/lab/model/state_transfer.py
@@ -1,4 +1,4 @@
-"""Transfers of a disk's state in the register's model, and the disk that enters an epoch with them."""
+"""State transfers between disks in the register's model, and entering an epoch with the received states."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from honeywood.lab.model.state import DiskState, SystemState, Transfer, from_carried, to_carried
 
 KEY = "key"
-"""The register's one key."""
+"""The only key of the modelled register."""
 
 
 def transfer_reply(chain: MembershipChain, sender: int, disk: DiskState) -> TransferStateReply:
-    """Return what an intact disk replies to a request for its state."""
+    """Return the reply of an intact disk to a request for its state."""
     row = disk.row
     rows = {KEY: TransferredRow(row.promised, row.accepted, to_carried(row.value))}
     if disk.accepted_successor:
@@ -42,9 +42,9 @@
 def transfer_steps(
     state: SystemState, receiver: int, on_request: Callable[[int, DiskState], DiskState | None]
 ) -> Iterator[Step[SystemState]]:
-    """Return a step for each disk that may send its state to the receiver.
+    """Yield a step for each disk that may send its state to the receiver.
 
-    `on_request(index, disk)` is the sender after the request; None where it doesn't reply.
+    `on_request(index, disk)` returns the sender's state after the request, or None if it doesn't reply.
     """
     received = state.disks[receiver].transfers
     for index, disk in enumerate(state.disks):
@@ -54,7 +54,7 @@
         if sender is None:
             continue
         transfer = Transfer(index, replace(sender, transfers=()))
-        transfers = tuple(sorted((*received, transfer), key=lambda one: one.sender))
+        transfers = tuple(sorted((*received, transfer), key=lambda item: item.sender))
         after_request = state.with_disk(index, sender)
         after = replace(after_request.disks[receiver], transfers=transfers)
         yield Step(f"{index} transfers to {receiver}", after_request.with_disk(receiver, after))
@@ -66,7 +66,7 @@
     configuration: MembershipConfiguration,
     replies: Sequence[TransferStateReply],
 ) -> SystemState:
-    """Return the state once a disk has entered a configuration with what `replies` transferred."""
+    """Return the state after a disk has entered a configuration with the rows transferred in `replies`."""
     disk = state.disks[index]
     row = _merged_row(replies)
     entered = DiskState(
--- a/honeywood/lab/model/writer_steps.py
+++ b/honeywood/lab/model/writer_steps.py
@@ -1,4 +1,4 @@
-"""What writers may do next in the register's model, by the program's acceptor and proposal."""
+"""The possible steps of writers in the register's model, by the program's acceptor and proposal."""
 
 from __future__ import annotations
 
@@ -38,9 +38,10 @@
         updates: Sequence[Callable[[JsonValue], JsonValue]],
         replies_before_sync: bool,
     ) -> None:
-        """`updates` are those of the writers: the stored value to the new one.
+        """Set the writers' updates.
 
-        `replies_before_sync` is a fault for tests: a disk replies before its row is durable.
+        `updates` holds one function per writer, which maps the stored value to the new one.
+        `replies_before_sync` injects a fault for tests: a disk replies before its row is durable.
         """
         self._chain = chain
         self._updates = updates
@@ -56,7 +57,7 @@
         return replace(writer, deliveries=(Delivery.REQUEST_IN_FLIGHT,) * count, replies=(None,) * count)
 
     def steps(self, state: SystemState) -> Iterator[Step[SystemState]]:
-        """Return each step that a writer may take."""
+        """Yield each possible step of a writer."""
         for index, writer in enumerate(state.writers):
             if writer.phase is WriterPhase.ACKNOWLEDGED:
                 continue
@@ -117,7 +118,7 @@
 
 
 def _handle(writer: Writer, row: Row) -> Row | BallotConflict:
-    """Return what a disk with `row` makes of the writer's request."""
+    """Return the result of the writer's request at a disk with `row`: the new row or a conflict."""
     if writer.phase is WriterPhase.PREPARE:
         return acceptor.prepare(row, writer.ballot)
     return acceptor.accept(row, writer.ballot, writer.value)
@@ -133,7 +134,7 @@
 
 
 def _on_reply(proposal: Proposal, writer: Writer, disk: int) -> bool:
-    """Give the proposal the reply of a disk; return whether a majority has now agreed."""
+    """Pass a disk's reply to the proposal; return whether a majority has now agreed."""
     reply = writer.replies[disk]
     if writer.phase is WriterPhase.PREPARE:
         assert isinstance(reply, Promise | BallotConflict)
--- a/tests/gateway/lab/model/test_register_model.py
+++ b/tests/gateway/lab/model/test_register_model.py
@@ -1,4 +1,4 @@
-"""The rules of register and rollouts in every order; the search finds each safeguard that is removed."""
+"""Model checking of the register and of rollouts; the search detects the removal of each safeguard."""
 
 import random
 
@@ -13,21 +13,21 @@
 from honeywood.lab.model.search import explore, random_walk, replay
 
 
-@test("one writer, a lost disk and lost power: the search is exhaustive and finds no violation")
+@test("one writer, one disk loss and one power loss: the search is exhaustive and finds no violation")
 def _():
     result = explore(versions_model(1), 40)
     assert result.exhaustive and not result.violation and result.states > 5000
 
 
-@test("two writers in {build_model.__name__}: all states up to eight steps, and random walks")
+@test("two writers in {build_model.__name__}: no violation within eight steps or in random walks")
 def _(build_model=each(versions_model, outcomes_model)):
     result = explore(build_model(), 8)
     assert not result.violation
     assert result.states > 10_000
-    chance = random.Random(1)
+    rng = random.Random(1)
     model = build_model(options=ModelOptions(retries=1))
     for _ in range(300):
-        walk = random_walk(model, chance, 60)
+        walk = random_walk(model, rng, 60)
         assert not walk.violation, walk.trace
 
 
@@ -44,11 +44,11 @@
 
 
 def finds_violation(model):
-    """Whether a search, or else random walks, find a violation."""
+    """Return whether a search, or else one of many random walks, finds a violation."""
     if explore(model, 16, 150_000).violation:
         return True
-    chance = random.Random(1)
-    return any(random_walk(model, chance, 40).violation for _ in range(3000))
+    rng = random.Random(1)
+    return any(random_walk(model, rng, 40).violation for _ in range(3000))
 
 
 @test("without {safeguard} the search finds a lost value")
@@ -59,8 +59,9 @@
     mutation=each(keep_all_replies, accept_any_ballot, merge_to_empty_row, None),
     writers=each(1, 2, 1, 1),
 ):
-    # `incarnations` was found by this search: a disk was lost after it had accepted, and rebuilt from one
-    # that had not received the change yet; the writer counted its old reply and its new one as a majority.
+    # `incarnations` guards against a fault that this search found: a disk was lost after it had accepted, and
+    # was rebuilt from a disk that had not received the change yet. The writer then counted the old and the
+    # new reply of the same disk as a majority.
     options = ModelOptions(
         replies_before_sync=module is None,
         disk_losses=int(writers == 1),
@@ -76,15 +77,15 @@
             setattr(module, name, original)
 
 
-# Reads. Writer 1's ballot is promised at 1 and 2, where what 0 accepted was unknown.
+# Reads. Disks 1 and 2 have promised writer 1's ballot without knowing the value that disk 0 accepted.
 
 
-DOUBT = (
+IN_DOUBT = (
     "prepare of 0 at 0; reply of 0 to 0; prepare of 0 at 1; reply of 1 to 0; accept of 0 at 0; "
     "prepare of 1 at 1; reply of 1 to 1; prepare of 1 at 2; reply of 2 to 1; "
 )
-COPIED = DOUBT + "disk 1 is lost"
-READ_BEFORE_LOSS = DOUBT + "accept of 1 at 0; 0 replies to the reader; disk 0 is lost"
+COPIED = IN_DOUBT + "disk 1 is lost"
+READ_BEFORE_LOSS = IN_DOUBT + "accept of 1 at 0; 0 replies to the reader; disk 0 is lost"
 
 
 def always_accepted(row):
@@ -98,7 +99,7 @@
     return explore(model, 40, 30_000)
 
 
-@test("a read {situation}: all states, no violation; without {safeguard} the search finds one")
+@test("a read {situation}: no violation in any state; without {safeguard} the search finds one")
 def _(
     situation=each("of a copied row", "of a disk that is lost before the read ends"),
     safeguard=each("counts_as_accepted", "incarnations"),
@@ -108,12 +109,15 @@
     path=each(COPIED, READ_BEFORE_LOSS),
     min_states=each(18_000, 29_000),
 ):
-    # `counts_as_accepted`, found by review: the copy on a rebuilt disk counted as accepted there, a read
-    # returned its value, and a ballot promised before put another in its place. All 18,780 states from there
-    # hold; without the safeguard one is violated 7 steps on (4074 states). The model's own start, ten steps
-    # before, has too many states for a test. `incarnations`, found by this search: a reply that a disk sent
-    # the reader before it was lost, beside what another accepted once it had sent the lost one its rows
-    # (29,158 states hold; without, 6 steps, 3117).
+    # Both safeguards guard against faults that occurred:
+    #
+    # - `counts_as_accepted`, found by review: a value copied to a rebuilt disk counted as accepted there. A
+    #   read returned it, and then a ballot that had been promised earlier replaced it. The search from `path`
+    #   visits all 18,780 states without a violation; without the safeguard it finds one after 7 steps (4074
+    #   states). From the model's initial state, ten steps earlier, there are too many states for a test.
+    # - `incarnations`, found by this search: the reader combined the reply of a disk that was lost afterwards
+    #   with that of another disk, which accepted a value only after sending its rows to the lost one. All
+    #   29,158 states have no violation; without the safeguard there is one after 6 steps (3117 states).
     result = explore_read_after(path)
     assert result.exhaustive and not result.violation and result.states > min_states, result
     original = getattr(module, name)
@@ -124,16 +128,16 @@
         setattr(module, name, original)
 
 
-@test("two writers that retry, two reads and {name}: random walks")
+@test("two writers that retry, two reads and {name}: random walks find no violation")
 def _(
     name=each("three members", "a replacement"),
     chain=each(THREE_MEMBERS, REPLACED_MEMBER),
     walks=each(200, 100),
 ):
     options = ModelOptions(retries=1, chain=chain, reads=2)
-    model, chance = versions_model(2, options, highest_first=True), random.Random(1)
+    model, rng = versions_model(2, options, highest_first=True), random.Random(1)
     for _ in range(walks):
-        walk = random_walk(model, chance, 100)
+        walk = random_walk(model, rng, 100)
         assert not walk.violation, walk.trace
 
 
@@ -141,11 +145,11 @@
 
 
 def acknowledged_model(options):
-    """A value that was acknowledged before, on a majority that the replaced disk belongs to."""
+    """Return a model with an acknowledged value on a majority that includes the disk to be replaced."""
     return acknowledged_version_model(options, holders=(0, 2))
 
 
-@test("a member is replaced, {disk_losses} disks lost, {power_losses} times power: no value is lost")
+@test("a member is replaced, {disk_losses} disk losses, {power_losses} power losses: no value is lost")
 def _(disk_losses=each(0, 1), power_losses=each(1, 0), min_states=each(5000, 10_000)):
     options = ModelOptions(disk_losses, power_losses, chain=REPLACED_MEMBER)
     result = explore(acknowledged_model(options), 40, 10_000)
@@ -153,13 +157,13 @@
     assert result.exhaustive or disk_losses  # docs/design/control.md has the exhaustive search with a loss
 
 
-@test("two writers and a reader while a member of {size} is replaced: five steps, and random walks")
+@test("two writers and a reader while one of {size} members is replaced: no violation is found")
 def _(size=each(3, 5), chain=each(REPLACED_MEMBER, REPLACED_MEMBER_OF_FIVE), walks=each(150, 60)):
     model = versions_model(2, ModelOptions(retries=1, chain=chain), proposing_reader=True)
     assert not explore(model, 5, 8000).violation
-    chance = random.Random(1)
+    rng = random.Random(1)
     for _ in range(walks):
-        walk = random_walk(model, chance, 100)
+        walk = random_walk(model, rng, 100)
         assert not walk.violation, walk.trace
 
 
@@ -168,7 +172,7 @@
 
 
 def entering(*disks):
-    """The steps by which each disk enters the next epoch."""
+    """Return the labels of the steps by which each disk enters the next epoch."""
     return "; ".join(
         f"0 transfers to {disk}; 1 transfers to {disk}; {disk} enters the next epoch" for disk in disks
     )
@@ -213,14 +217,14 @@
 original_merge_rows, original_join_quorum = acceptor.merge_rows, membership_rules.join_quorum
 
 
-@test("without {safeguard} a member's replacement loses an acknowledged value; with it, it doesn't")
+@test("replacing a member loses an acknowledged value without {safeguard}, but not with it")
 def _(
     safeguard=each(
         "epochs in requests",
         "a majority of the old members",
-        "rows before a disk is a voter",
+        "the transfer of rows to a new member",
         "the transfer of promises",
-        "a lost disk's wait for an epoch that may be over",
+        "a lost disk's refusal to enter an epoch that may be over",
     ),
     module=each(membership_rules, membership_rules, acceptor, acceptor, membership_rules),
     name=each("accepts_epoch", "transition_quorum", "merge_rows", "merge_rows", "join_quorum"),
@@ -229,8 +233,9 @@
     disk_losses=each(0, 0, 0, 0, 1),
     path=each(PREPARED + ENTERED, "", "", CONCURRENT, ENTERED + "; 0 retries" + ACCEPTED),
 ):
-    # The last one was found by reasoning: a disk that had been in the new epoch was lost, and came back with
-    # the rows of the old one from two that had not left it yet; with these it entered the new one again.
+    # The last case was found by reasoning: a disk that had entered the new epoch was lost, and was rebuilt
+    # with rows of the old epoch from two disks that had not left it yet. With these it entered the new epoch
+    # again.
     def explore_from_path():
         options = ModelOptions(disk_losses, 0, retries=int(writers > 0), chain=REPLACED_MEMBER)
         if writers:
