--- a/honeywood/cli/soak.py
+++ b/honeywood/cli/soak.py
@@ -1,4 +1,4 @@
-"""`honeywood lab soak`: the system's own processes on this machine, under troubles that overlap."""
+"""`honeywood lab soak`: runs the real programs on this machine under overlapping faults."""
 
 import sys
 from pathlib import Path
@@ -10,20 +10,29 @@
 @click.option("--seeds", type=click.IntRange(1), default=20, show_default=True, help="Number of seeds.")
 @click.option("--first", type=int, default=1, show_default=True, help="The first seed.")
 @click.option(
-    "--seconds", type=click.FloatRange(3), default=12.0, show_default=True, help="Seconds of traffic of each."
+    "--seconds",
+    type=click.FloatRange(3),
+    default=12.0,
+    show_default=True,
+    help="Seconds of traffic per soak.",
 )
-@click.option("--jobs", type=click.IntRange(1), default=2, show_default=True, help="Soaks that run at once.")
-@click.option("--keep", type=click.Path(path_type=Path), help="Folder in which logs and disks are kept.")
+@click.option(
+    "--jobs", type=click.IntRange(1), default=2, show_default=True, help="Number of parallel soaks."
+)
+@click.option("--keep", type=click.Path(path_type=Path), help="Folder in which logs and data are kept.")
 def command(seeds, first, seconds, jobs, keep):
-    """Run real proxies and controllers on loopback, killed, stopped, paused and partitioned at random.
+    """Run real proxies and controllers on loopback, and kill, stop, pause and partition them at random.
 
-    Clients leave before their answers, and tenants' keys move. The status is 1 if a rule was broken.
+    Some clients disconnect before their response, and API keys move between tenants. The exit status is 1 if
+    a rule was violated.
     """
     from honeywood.lab.soak.series import run_series, summary
 
     outcomes = run_series(first, seeds, seconds, jobs, keep, lambda outcome: click.echo(summary(outcome)))
-    broken = sum(bool(outcome.violations) for outcome in outcomes)
+    failed = sum(bool(outcome.violations) for outcome in outcomes)
     requests = sum(outcome.requests for outcome in outcomes)
-    left = sum(outcome.disconnected for outcome in outcomes)
-    click.echo(f"{len(outcomes)} soaks, {requests} requests, {left} left by their clients; {broken} broken")
-    sys.exit(bool(broken))
+    disconnected = sum(outcome.disconnected for outcome in outcomes)
+    click.echo(
+        f"{len(outcomes)} soaks, {requests} requests, {disconnected} abandoned by clients; {failed} failed"
+    )
+    sys.exit(bool(failed))
--- a/honeywood/lab/soak/clients.py
+++ b/honeywood/lab/soak/clients.py
@@ -1,4 +1,4 @@
-"""The scripted clients of a soak, some of which disconnect before their response."""
+"""The scripted clients of a soak test, some of which disconnect before they have received their response."""
 
 from __future__ import annotations
 
@@ -11,18 +11,21 @@
 from honeywood.lab.soak.record import ClientRequest, Record
 
 DEADLINE_S = 1.5
-MAX_STAY_S = 0.4
-"""Of a client that disconnects."""
+MAX_DISCONNECT_DELAY_S = 0.4
+"""The maximum time after which a disconnecting client leaves."""
 IDEMPOTENT_SHARE = 0.7
+"""Of the clients; the others send requests that are not idempotent."""
+
 PIPELINED_SHARE = 0.2
-"""Of clients with idempotent requests: they send two at once."""
+"""Of the clients with idempotent requests; these send two requests at once."""
 RESET_SHARE = 0.3
-"""Of connections: they end by a reset."""
+"""Of the connections; these are closed by a reset."""
 NO_LINGER = struct.pack("ii", 1, 0)
+"""The value of SO_LINGER with which closing a connection resets it."""
 
 
 class SoakClients:
-    """Clients that send requests to proxies; `disconnecting_share` of them leave before their response."""
+    """Clients that send requests to proxies; `disconnecting_share` of them disconnect early."""
 
     def __init__(
         self,
@@ -32,7 +35,7 @@
         clock: Callable[[], float],
         known_keys: Callable[[], Sequence[str]],
     ) -> None:
-        """`proxies` are addresses by name; `known_keys()` are the API keys that may be sent now."""
+        """`proxies` holds addresses by name; `known_keys()` returns the API keys that may be sent now."""
         self.disconnecting_share = 0.0
         self._record = record
         self._proxies = proxies
@@ -40,24 +43,24 @@
         self._clock = clock
         self._known_keys = known_keys
         self._last_id = 0
-        self._open: set[asyncio.Future[None]] = set()
+        self._running_clients: set[asyncio.Future[None]] = set()
 
     async def run(self, seconds: float, requests_per_s: float) -> None:
-        """Send requests at a rate, then wait for those that are open."""
+        """Send requests at a given mean rate for a time, then wait for the requests still open."""
         end = self._clock() + seconds
         while self._clock() < end:
             client = asyncio.ensure_future(self._run_client())
-            self._open.add(client)
-            client.add_done_callback(self._open.discard)
+            self._running_clients.add(client)
+            client.add_done_callback(self._running_clients.discard)
             await asyncio.sleep(self._random.expovariate(requests_per_s))
-        if self._open:
-            await asyncio.wait(set(self._open), timeout=DEADLINE_S + 1.0)
+        if self._running_clients:
+            await asyncio.wait(set(self._running_clients), timeout=DEADLINE_S + 1.0)
 
     async def _run_client(self) -> None:
         proxy = self._random.choice(sorted(self._proxies))
         idempotent = self._random.random() < IDEMPOTENT_SHARE
         count = 2 if idempotent and self._random.random() < PIPELINED_SHARE else 1
-        stay_s = self._draw_stay_s()
+        disconnect_delay_s = self._draw_disconnect_delay_s()
         requests = [self._new_request(proxy, idempotent) for _ in range(count)]
         try:
             async with asyncio.timeout(DEADLINE_S):
@@ -66,14 +69,14 @@
             return
         self._send(requests, writer)
         try:
-            await self._read_responses(reader, requests, stay_s)
+            await self._read_responses(reader, requests, disconnect_delay_s)
         finally:
             self._close(writer)
 
-    def _draw_stay_s(self) -> float | None:
-        """Return after how long a client disconnects; None where it stays."""
+    def _draw_disconnect_delay_s(self) -> float | None:
+        """Return the time after which a client disconnects; None if it waits for its response."""
         if self._random.random() < self.disconnecting_share:
-            return self._random.uniform(0.0, MAX_STAY_S)
+            return self._random.uniform(0.0, MAX_DISCONNECT_DELAY_S)
         return None
 
     def _new_request(self, proxy: str, idempotent: bool) -> ClientRequest:
@@ -87,16 +90,19 @@
         writer.write(b"".join(_encode(request) for request in requests))
 
     async def _read_responses(
-        self, reader: asyncio.StreamReader, requests: Sequence[ClientRequest], stay_s: float | None
+        self,
+        reader: asyncio.StreamReader,
+        requests: Sequence[ClientRequest],
+        disconnect_delay_s: float | None,
     ) -> None:
-        """Read the responses until the client's deadline or its disconnect."""
+        """Read the responses until the client's deadline or until it disconnects."""
         try:
-            async with asyncio.timeout(DEADLINE_S if stay_s is None else stay_s):
+            async with asyncio.timeout(DEADLINE_S if disconnect_delay_s is None else disconnect_delay_s):
                 for request in requests:
                     await _read_response(reader, request)
-        except TimeoutError:  # before OSError, of which it is one
+        except TimeoutError:  # caught before OSError, its base class
             for request in requests:
-                if stay_s is not None and request.status is None:
+                if disconnect_delay_s is not None and request.status is None:
                     request.disconnected_at = self._clock()
         except (OSError, EOFError):
             pass
--- a/honeywood/lab/soak/cluster.py
+++ b/honeywood/lab/soak/cluster.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: started, killed, stopped, paused and partitioned."""
+"""Starts, kills, stops, pauses and partitions the processes of a soak test."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 CONTROLLERS, PROXIES = 3, 3
 HTTP_PORT, READY_PORT, CONTROL_PORT, METRICS_PORT = 18080, 18081, 18082, 19464
 FIRST_PORT, LAST_PORT = 18090, 18099
-STOP_TIMEOUT_S = 8.0  # longer than the bound grace_s, in which a process that was asked to end does
+STOP_TIMEOUT_S = 8.0  # longer than the setting grace_s, the time limit of a graceful shutdown
 ERROR_EVENTS = re.compile(r'"event": "(invariant violated|periodic task failed|library)"')
-EXPECTED_ERRORS = re.compile(r'"foreseen": true')  # periodic tasks that failed for what peers did
+EXPECTED_ERRORS = re.compile(r'"foreseen": true')  # periodic tasks that failed because of a peer
 
 
 class Cluster:
-    """All processes of one soak, by IP address: 127.`slot`.0.x, so that several soaks may run at once."""
+    """All processes of one soak, by IP address 127.`slot`.0.x, so that several soaks can run in parallel."""
 
     def __init__(self, folder: Path, slot: int) -> None:
-        """Settings, logs and disks are kept in `folder`."""
+        """`folder` is where the processes keep their settings, logs and data."""
         self.controllers = [f"127.{slot}.0.{11 + index}" for index in range(CONTROLLERS)]
         self.proxies = [f"127.{slot}.0.{21 + index}" for index in range(PROXIES)]
         self._folder = folder
@@ -48,7 +48,7 @@
         self._is_first_start = False
 
     async def start(self, ip: str) -> None:
-        """Start a process unless it runs; two faults may restart one process at the same time."""
+        """Start a process unless it is running; two faults may restart the same process concurrently."""
         async with self._start_locks[ip]:
             process = self._processes.get(ip)
             if process is None or process.returncode is not None:
@@ -81,7 +81,7 @@
         return path
 
     def send_signal(self, ip: str, number: signal.Signals) -> None:
-        """Send a signal to a process, if it runs."""
+        """Send a signal to a process if it is running."""
         process = self._processes[ip]
         if process.returncode is None:
             process.send_signal(number)
@@ -92,7 +92,7 @@
         await self._processes[ip].wait()
 
     async def stop(self, ip: str) -> None:
-        """Ask a process to end and wait until it has; kill it where it takes too long."""
+        """Terminate a process gracefully and wait for its end; kill it after STOP_TIMEOUT_S."""
         self.send_signal(ip, signal.SIGTERM)
         try:
             await asyncio.wait_for(self._processes[ip].wait(), STOP_TIMEOUT_S)
@@ -100,11 +100,11 @@
             await self.kill(ip)
 
     def partition(self, ip: str, others: Set[str]) -> None:
-        """Block `others` for a process, and it for those of them that are processes of the cluster."""
+        """Block `others` for a process, and the process for those of them that belong to the cluster."""
         self._change_blocked(ip, others, set.update)
 
     def heal(self, ip: str, others: Set[str]) -> None:
-        """End a partition."""
+        """End the partition between a process and `others`."""
         self._change_blocked(ip, others, set.difference_update)
 
     def _change_blocked(
@@ -120,16 +120,16 @@
         return self._folder / f"{ip}.blocked"
 
     def _write_blocked(self, ip: str) -> None:
-        """Replace the file atomically: the process may read it at any moment."""
-        written = self._folder / f"{ip}.blocked.new"
-        written.write_text(json.dumps(sorted(self._blocked[ip])))
-        written.rename(self._blocked_path(ip))
+        """Replace the file of blocked addresses atomically, since the process may read it at any time."""
+        temporary_path = self._folder / f"{ip}.blocked.new"
+        temporary_path.write_text(json.dumps(sorted(self._blocked[ip])))
+        temporary_path.rename(self._blocked_path(ip))
 
     def _log_path(self, ip: str) -> Path:
         return self._folder / f"{ip}.log"
 
     def logged_errors(self) -> list[str]:
-        """Return the lines of all logs that report a fault of the system's own."""
+        """Return the lines of all logs that report an error of the system itself."""
         errors = []
         for ip in self.nodes:
             lines = self._log_path(ip).read_text(errors="replace").splitlines()
@@ -139,7 +139,7 @@
         return errors
 
     async def close(self) -> None:
-        """Kill all processes, paused ones too."""
+        """Kill all processes, including paused ones."""
         for ip, process in self._processes.items():
             if process.returncode is None:
                 self.send_signal(ip, signal.SIGCONT)
--- a/honeywood/lab/soak/fault_injector.py
+++ b/honeywood/lab/soak/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a soak."""
+"""Injects the faults of a soak test."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from honeywood.lab.soak.record import Record
 
 FAULTY_SHARE = 0.4
-"""Of the requests of machines, or of clients, that a fault touches."""
+"""Of the requests of the affected machines, or of the clients."""
 
 
 class FaultInjector:
@@ -30,7 +30,7 @@
         operator: OperatorClient,
         clock: Callable[[], float],
     ) -> None:
-        """Note in `record` which processes a fault touches, and when."""
+        """Record in `record` which processes each fault affects, and when."""
         self._record = record
         self._cluster = cluster
         self._machines = machines
@@ -51,13 +51,13 @@
         }
 
     async def inject(self, fault: Fault) -> None:
-        """Wait for the fault's time, inject it, and end it after its duration."""
+        """Wait until the fault's start, inject it, and end it after its duration."""
         await asyncio.sleep(fault.at_s)
         began_at = self._clock()
         for ip in await self._handlers[fault.kind](fault):
             self._record.disturbances[ip].append((began_at, self._clock()))
 
-    # Each handler returns the processes that the fault touched.
+    # Each handler returns the addresses of the processes that the fault affected.
 
     async def _kill(self, fault: Fault) -> Collection[str]:
         ip = self._target_node(fault)
@@ -119,7 +119,7 @@
     async def _disturb_machines(
         self, fault: Fault, set_share: Callable[[MachineFaults, float], None]
     ) -> Collection[str]:
-        """Set a share on every other machine for the fault's duration."""
+        """Set a share of faulty requests on every second machine for the fault's duration."""
         machines = self._machines[int(fault.target * 2) :: 2]
         for machine in machines:
             set_share(machine.faults, FAULTY_SHARE)
@@ -135,7 +135,7 @@
         return []
 
     async def _change_configuration(self, fault: Fault) -> Collection[str]:
-        await self._operator.order_configuration()
+        await self._operator.replace_configuration()
         return []
 
     def _target_node(self, fault: Fault) -> str:
--- a/honeywood/lab/soak/faults.py
+++ b/honeywood/lab/soak/faults.py
@@ -1,4 +1,4 @@
-"""Which faults come when, drawn from a seed. Pure."""
+"""Draws the faults of a soak test and their times from a seed. Pure."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 from enum import StrEnum
 
 FIRST_FAULT_S = 0.5
-"""Of traffic before the first fault."""
+"""Seconds of traffic before the first fault."""
 
 QUIET_END_S = 1.0
-"""Of traffic in which no fault begins."""
+"""Seconds at the end of the traffic in which no fault begins."""
 
 MEAN_CONCURRENT_FAULTS = 2.5
 MIN_DURATION_S, MAX_DURATION_S = 0.4, 2.0
 
 
 class FaultKind(StrEnum):
-    """What fails; the values are shown to operators."""
+    """The kinds of faults; the values are shown to operators."""
 
     KILL = "kill"
-    """A process is killed, and started again after the fault."""
+    """A process is killed, and restarted after the fault's duration."""
     STOP = "stop"
-    """A process is asked to end, and started again once it has."""
+    """A process is terminated gracefully, and restarted once it has ended."""
     PAUSE = "pause"
-    """A process doesn't run for a while."""
+    """A process is suspended for the fault's duration."""
     PARTITION = "cut"
-    """A process and some others of the system can't reach each other."""
+    """A process and some other processes of the system can't reach each other."""
     MACHINE_PARTITION = "cut from machines"
     """A proxy can't connect to some machines."""
     LOST_RESPONSES = "lost answers"
-    """Machines execute requests and close the connection."""
+    """Machines execute requests, then close the connection without a response."""
     STRAY_RESPONSES = "stray answers"
-    """Machines respond for another request first."""
+    """Machines send a response for another request first."""
     SLOW_MACHINES = "slow machines"
     DISCONNECTING_CLIENTS = "leaving clients"
     CONFIGURATION_CHANGE = "configure"
@@ -41,7 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: `at_s` seconds of traffic, for `duration_s`. `target`, 0 to 1, stands for what it hits."""
+    """One fault, which begins after `at_s` seconds of traffic and lasts for `duration_s` seconds.
+
+    `target`, in [0, 1), selects what the fault affects.
+    """
 
     kind: FaultKind
     at_s: float
@@ -51,10 +54,10 @@
 
 def draw_faults(seed: int, traffic_s: float) -> tuple[Fault, ...]:
     """Return the faults of a run, in the order in which they begin."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     mean_duration_s = (MIN_DURATION_S + MAX_DURATION_S) / 2
     count = max(2, round(MEAN_CONCURRENT_FAULTS * traffic_s / mean_duration_s))
-    faults = [_draw_fault(chance, traffic_s) for _ in range(count)]
+    faults = [_draw_fault(rng, traffic_s) for _ in range(count)]
     return tuple(sorted(faults, key=lambda fault: fault.at_s))
 
 
--- a/honeywood/lab/soak/http_probe.py
+++ b/honeywood/lab/soak/http_probe.py
@@ -1,4 +1,4 @@
-"""GET requests to the processes of a soak."""
+"""GET requests to the processes of a soak test."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 async def get(ip: str, port: int, path: str) -> bytes:
-    """Return the response with its head; empty where there is none."""
+    """Return the response including its head; empty if there is no response in time."""
     request = f"GET {path} HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n"
     try:
         async with asyncio.timeout(TIMEOUT_S):
--- a/honeywood/lab/soak/machine.py
+++ b/honeywood/lab/soak/machine.py
@@ -1,4 +1,4 @@
-"""The scripted service machines of a soak."""
+"""The scripted service machines of a soak test."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class MachineFaults:
-    """The shares of requests whose response is lost, follows a stray one, or is slow."""
+    """The shares of requests whose response is lost, is preceded by a stray response, or is slow."""
 
     lost_share: float = 0.0
     stray_share: float = 0.0
@@ -37,7 +37,7 @@
         random: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Note each execution in `record`."""
+        """Record each execution in `record`."""
         self.id = machine_id
         self.faults = MachineFaults()
         self._record = record
@@ -49,17 +49,17 @@
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        """Listen on a port of its own."""
+        """Start listening on a free port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
 
     def close(self) -> None:
-        """Listen no longer."""
+        """Stop listening."""
         if self._server is not None:
             self._server.close()
 
     @property
     def address(self) -> str:
-        """The address as ip:port, once it is open."""
+        """The address as ip:port; available once the machine is open."""
         assert self._server is not None, "the machine is not open"
         return f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
@@ -110,7 +110,7 @@
     async def _execute(
         self, request_id: bytes, fields: dict[bytes, bytes], reader: asyncio.StreamReader
     ) -> bool:
-        """Execute a request and note it; return whether the connection ended meanwhile."""
+        """Execute a request and record it; return whether the client disconnected meanwhile."""
         tenant = fields.get(b"x-tenant", b"").decode()
         execution = Execution(request_id, tenant, b"x-api-key" in fields, self._clock())
         self._record.executions.append(execution)
@@ -121,14 +121,14 @@
         return disconnected
 
     async def _work(self, reader: asyncio.StreamReader, max_s: float) -> bool:
-        """Work for a random time; stop early and return True where the connection ends meanwhile."""
+        """Work for a random time; stop early and return True if the client disconnects meanwhile."""
         mean_s = MEAN_SLOW_WORK_S if self._random.random() < self.faults.slow_share else MEAN_WORK_S
         disconnect = asyncio.ensure_future(reader.read(1))
         work_s = min(max_s, self._random.expovariate(1 / mean_s))
         done, _ = await asyncio.wait((disconnect,), timeout=work_s)
         if done:
-            disconnect.exception()  # a reset is a disconnect as well
+            disconnect.exception()  # retrieves the exception of a reset, which is a disconnect as well
             return True
         disconnect.cancel()
-        await asyncio.wait((disconnect,))  # else the next read finds this one in progress
+        await asyncio.wait((disconnect,))  # otherwise the next read would find this one still in progress
         return False
--- a/honeywood/lab/soak/node.py
+++ b/honeywood/lab/soak/node.py
@@ -1,7 +1,7 @@
-"""One process of a soak: the real program, with partitions.
+"""One process of a soak test: the real program, with simulated partitions.
 
-`python -m honeywood.lab.soak.node proxy|controller` reads the addresses that it can't reach from the file
-named by the environment variable BLOCKED_ADDRESSES_FILE. Calls and connections to these time out.
+`python -m honeywood.lab.soak.node proxy|controller` reads its blocked addresses from the file that the
+environment variable BLOCKED_ADDRESSES_FILE specifies. Calls and connections to these addresses time out.
 """
 
 from __future__ import annotations
@@ -34,16 +34,16 @@
 
 
 class BlockedAddresses:
-    """The addresses that this process can't reach now."""
+    """The addresses that this process currently can't reach."""
 
     def __init__(self, path: Path) -> None:
-        """`path` is a JSON list of "ip" and "ip:port", which the soak replaces atomically."""
+        """`path` is a file with a JSON list of "ip" and "ip:port", which the soak replaces atomically."""
         self._path = path
         self._read_at = 0.0
         self._addresses: frozenset[str] = frozenset()
 
     def blocks(self, ip: str, port: int) -> bool:
-        """Return whether an address can't be reached."""
+        """Return whether an address is blocked."""
         now = time.monotonic()
         if now - self._read_at > REREAD_INTERVAL_S:
             self._addresses = frozenset(json.loads(self._path.read_text(encoding="utf-8")))
@@ -55,14 +55,14 @@
     """A caller whose calls to blocked addresses time out."""
 
     def __init__(self, blocked: BlockedAddresses) -> None:
-        """Make calls except to `blocked`."""
+        """Calls to the addresses in `blocked` time out."""
         super().__init__()
         self._blocked = blocked
 
     async def call(
         self, ip: str, port: int, path: str, body: JsonObject, timeout_s: float, idempotent: bool = False
     ) -> JsonObject:
-        """Make a call as Caller.call does; raises CallFailed after the time-out where it is blocked."""
+        """Make a call as Caller.call does; raise CallFailed after the timeout if the address is blocked."""
         if self._blocked.blocks(ip, port):
             await asyncio.sleep(timeout_s)
             raise CallFailed(path, "cut off", f"{ip}:{port}")
@@ -84,7 +84,7 @@
 
 
 def main() -> None:
-    """Run the program that the first argument names."""
+    """Run the program that the first argument specifies."""
     role, *arguments = sys.argv[1:]
     blocked = BlockedAddresses(Path(os.environ[BLOCKED_ADDRESSES_FILE]))
     caller = PartitionedCaller(blocked)
--- a/honeywood/lab/soak/operator_client.py
+++ b/honeywood/lab/soak/operator_client.py
@@ -1,4 +1,4 @@
-"""The operator of a soak: configurations in which API keys are added, removed and moved between tenants."""
+"""The operator of a soak test, who adds and removes API keys and moves them between tenants."""
 
 from __future__ import annotations
 
@@ -18,28 +18,29 @@
 TENANTS = 4
 MAX_KEYS = 12
 REMOVED_SHARE = 0.2
-"""Of the keys, in each configuration but the first."""
+"""Of the keys, in each configuration after the first."""
 MAX_ATTEMPTS = 60
 RETRY_INTERVAL_S = 0.1
 CALL_TIMEOUT_S = 1.0
 UNKNOWN_KEY = "none"
+"""The key that clients send before the first configuration is acknowledged."""
 
 
 class OperatorClient:
-    """Calls any controller that responds; `known_keys` are those of the last acknowledged configuration."""
+    """Calls any available controller; `known_keys` are the keys of the last acknowledged configuration."""
 
     def __init__(self, record: Record, controllers: list[str], random: random.Random) -> None:
-        """Note in `record` what was ordered, acknowledged and read back."""
+        """Record in `record` the configurations that were sent, acknowledged and read back."""
         self.known_keys = [UNKNOWN_KEY]
         self._record = record
         self._controllers = controllers
         self._random = random
         self._caller = Caller()
         self._version = 0
-        self._order_lock = asyncio.Lock()
+        self._replace_lock = asyncio.Lock()
 
     async def call(self, name: str, body: JsonObject) -> JsonObject | None:
-        """Return the first response; None where a controller rejects the call, or none responds."""
+        """Return the first response; None if a controller rejects the call, or if none responds."""
         path = f"/v1/rpc?call={name}"
         for _ in range(MAX_ATTEMPTS):
             ip = self._random.choice(self._controllers)
@@ -51,12 +52,12 @@
             await asyncio.sleep(RETRY_INTERVAL_S)
         return None
 
-    async def order_configuration(self) -> None:
-        """Order the next configuration, and note it once it is acknowledged."""
-        async with self._order_lock:
+    async def replace_configuration(self) -> None:
+        """Send the next configuration, and record its version once it is acknowledged."""
+        async with self._replace_lock:
             self._version += 1
             owners = self._draw_owners()
-            for key, owner in owners.items():  # may be active anywhere from now on
+            for key, owner in owners.items():  # any process may apply it from now on
                 self._record.owners[key].add(owner)
             response = await self.call("config.replace", configuration(self._version, owners))
             if response is not None:
@@ -73,13 +74,13 @@
         return {f"key-{number}": f"tenant-{self._random.randrange(TENANTS)}" for number in kept or [0]}
 
     async def read_back(self) -> None:
-        """Read the newest configuration."""
+        """Read the newest configuration and record its version."""
         response = await self.call("config.read", {})
         self._record.read_back_version = int(response["ver"], 16) if response is not None else None
 
 
 def configuration(version: int, owners: dict[str, str]) -> JsonObject:
-    """Return two routes to two services, and the tenants that own `owners`' keys."""
+    """Return a configuration with two routes to two services, and the tenants that own the given keys."""
     kinds = ("safe", "unsafe")
     items = [_route(kind) for kind in kinds]
     items += [_service(kind) for kind in kinds]
--- a/honeywood/lab/soak/record.py
+++ b/honeywood/lab/soak/record.py
@@ -1,4 +1,4 @@
-"""What a soak has observed. All times are seconds on the soak's monotonic clock."""
+"""The observations of a soak test. All times are seconds on its monotonic clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 class ClientRequest:
     """One request of a client and its outcome.
 
-    `disconnected_at` is None unless the client left before the response; `status` is None without one.
+    `disconnected_at` is None unless the client disconnected early; `status` is None without a response.
     """
 
     id: bytes
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class Execution:
-    """One execution of a request by a machine; `ended_at` is None while it lasts."""
+    """One execution of a request by a machine; `ended_at` is None while it is in progress."""
 
     request_id: bytes
     tenant: str
@@ -36,12 +36,13 @@
 
 @dataclass(slots=True)
 class Record:
-    """All that a soak has observed.
+    """All observations of a soak.
 
-    `disturbances` are the begin and end of the faults that touched a process, by its address; `owners` the
-    tenants that any configuration has named for a key. `open_at_end` counts requests and attempts that a
-    proxy has open after all clients have left. `errors` are log lines that report a fault of the system's
-    own; `observer_lag_s` is the longest time for which the soak itself did not run.
+    `disturbances` holds the begin and end of each fault that affected a process, by the process's address;
+    `owners` holds the tenants that owned a key in any configuration. `open_at_end` is the number of requests
+    and attempts that a proxy still has open after all clients have left. `errors` are log lines that report
+    an error of the system itself; `observer_lag_s` is the longest time by which the soak's own event loop
+    was late.
     """
 
     requests: dict[bytes, ClientRequest] = field(default_factory=dict)
--- a/honeywood/lab/soak/rules.py
+++ b/honeywood/lab/soak/rules.py
@@ -1,4 +1,4 @@
-"""The rules that a soak checks on its record. Pure."""
+"""The rules that a soak test checks on its record. Pure."""
 
 from __future__ import annotations
 
@@ -12,25 +12,28 @@
 from honeywood.lab.soak.record import ClientRequest, Execution, Record
 
 UNDISTURBED_S = 1.0
-"""Before and after a disconnect in which no fault may touch the proxy, or its cancellation isn't checked."""
+"""The time before and after a disconnect in which no fault may affect the proxy.
+
+Otherwise the cancellation isn't checked.
+"""
 
 MIN_SERVED_SHARE = 0.5
-"""Of requests whose clients stay."""
+"""Of the requests whose clients do not disconnect early."""
 
 
 class Rule(StrEnum):
-    """What must hold."""
+    """A rule that every soak must satisfy; the values are shown to operators."""
 
     CANCELLATION = "cancellation"
     """Machines stop an idempotent request within CANCELLATION_TIMEOUT_S of its client's disconnect."""
     AT_MOST_ONCE = "at most once"
-    """A request that is not idempotent is executed once at the most."""
+    """A request that is not idempotent is executed at most once."""
     NOT_EXECUTED = "not executed"
     """A request that is not idempotent and was answered 408, 421, 429 or 503 is never executed."""
     OWN_RESPONSE = "own response"
-    """A success carries the response to its own request."""
+    """A successful response belongs to the request that the client sent."""
     TENANT = "tenant"
-    """A machine receives the name of a tenant that a configuration named as the owner of the client's key."""
+    """A machine receives the name of a tenant that owned the client's key in some configuration."""
     API_KEY = "api key"
     """No request with an unknown key is executed, and no machine receives a key."""
     DURABILITY = "durability"
@@ -40,12 +43,12 @@
     NO_ERROR = "no error"
     """No process logs a violated invariant or an unexpected failure."""
     AVAILABILITY = "availability"
-    """Most requests of clients that stay are served."""
+    """At least MIN_SERVED_SHARE of the requests whose clients do not disconnect early are served."""
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that was violated, and how."""
+    """A violated rule, with details of the violation."""
 
     rule: Rule
     details: str
@@ -70,7 +73,7 @@
     if not request.idempotent:
         yield from _check_executions(request, len(executions))
     if request.status == HTTPStatus.OK and request.body != request.id:
-        yield Violation(Rule.OWN_RESPONSE, f"{name} got {request.body!r}")
+        yield Violation(Rule.OWN_RESPONSE, f"{name} received {request.body!r}")
     for execution in executions:
         yield from _check_identity(request, execution, record)
     if request.idempotent and not _is_disturbed(request, record):
@@ -88,7 +91,7 @@
 def _check_identity(request: ClientRequest, execution: Execution, record: Record) -> Iterator[Violation]:
     name = request.id.decode()
     if execution.has_api_key:
-        yield Violation(Rule.API_KEY, f"{name} carried a key to its machine")
+        yield Violation(Rule.API_KEY, f"{name} reached its machine with an API key")
     if request.key not in record.owners:
         yield Violation(Rule.API_KEY, f"{name} was executed with an unknown key")
     elif execution.tenant not in record.owners[request.key]:
@@ -111,7 +114,7 @@
 
 
 def _is_disturbed(request: ClientRequest, record: Record) -> bool:
-    """Return whether a fault touched the proxy around the client's disconnect."""
+    """Return whether a fault affected the proxy around the time of the client's disconnect."""
     if request.disconnected_at is None:
         return False
     begin, end = request.disconnected_at - UNDISTURBED_S, request.disconnected_at + UNDISTURBED_S
@@ -119,14 +122,14 @@
 
 
 def _check_end(record: Record) -> Iterator[Violation]:
-    """Check what holds once the soak is over."""
+    """Check the rules about the state at the end of the soak."""
     read, acknowledged = record.read_back_version, record.acknowledged_version
     if read != acknowledged:
-        yield Violation(Rule.DURABILITY, f"{read} is read back, not {acknowledged}")
+        yield Violation(Rule.DURABILITY, f"{read} is read back instead of {acknowledged}")
     for proxy, count in record.open_at_end.items():
         if count:
-            yield Violation(Rule.NO_LEAK, f"{proxy}: {count:g} open")
+            yield Violation(Rule.NO_LEAK, f"{proxy}: {count:g} requests and attempts open")
     stayed = [request for request in record.requests.values() if request.disconnected_at is None]
     served = sum(request.status == HTTPStatus.OK for request in stayed)
     if served < MIN_SERVED_SHARE * len(stayed):
-        yield Violation(Rule.AVAILABILITY, f"{served} of {len(stayed)}")
+        yield Violation(Rule.AVAILABILITY, f"{served} served of {len(stayed)}")
--- a/honeywood/lab/soak/series.py
+++ b/honeywood/lab/soak/series.py
@@ -1,4 +1,4 @@
-"""Soaks of many seeds, several at once."""
+"""Runs soak tests of several seeds, some of them in parallel."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from honeywood.lab.soak.soak import Outcome, run_soak
 
 SLOTS = 200
-"""Addresses 127.1 to 127.200, one for each soak that runs."""
+"""The networks 127.1 to 127.200, one for each running soak."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,9 +36,10 @@
     folder: Path | None,
     on_outcome: Callable[[Outcome], None],
 ) -> list[Outcome]:
-    """Run `count` seeds; `on_outcome` is called with each outcome as its soak ends.
+    """Run `count` soaks of consecutive seeds, `concurrency` at a time.
 
-    Logs and disks are kept in `folder`, a subfolder for each seed, where it is given.
+    `on_outcome` is called with each outcome as soon as its soak ends. Logs and data are kept in `folder`, in
+    a subfolder for each seed, if it is given.
     """
     jobs = [
         SoakJob(seed, traffic_s, slot_of_process(index), folder / str(seed) if folder else None)
@@ -53,17 +54,17 @@
 
 
 def slot_of_process(index: int = 0) -> int:
-    """Return the slot of a soak of this process; those of other processes on the machine differ."""
+    """Return the slot of a soak of this process; processes with different ids mostly get different slots."""
     return 1 + (os.getpid() + index) % SLOTS
 
 
 def summary(outcome: Outcome) -> str:
-    """Return one soak as a line, with a line for each violation."""
+    """Return a line that describes one soak, followed by a line for each violation."""
     kinds = ", ".join(fault.kind.value for fault in outcome.faults)
     head = (
         f"seed {outcome.seed}: {outcome.requests} requests, {outcome.served} served,"
-        f" {outcome.disconnected} left by their clients, {outcome.executions} runs,"
-        f" observer late by {outcome.observer_lag_s:.2f} s, {len(outcome.violations)} broken ({kinds})"
+        f" {outcome.disconnected} abandoned by clients, {outcome.executions} executions,"
+        f" observer lag {outcome.observer_lag_s:.2f} s, {len(outcome.violations)} violations ({kinds})"
     )
     return "\n".join(
         [head, *(f"  {violation.rule}: {violation.details}" for violation in outcome.violations)]
--- a/honeywood/lab/soak/soak.py
+++ b/honeywood/lab/soak/soak.py
@@ -1,6 +1,7 @@
-"""One soak by a seed: starts everything, injects the drawn faults, and checks what was observed.
+"""Runs one soak test: starts all processes, injects faults drawn from a seed, and checks the observations.
 
-The processes are the real ones; machines, clients and operator are scripted here, over real sockets.
+The proxies and controllers are the real programs; machines, clients and operator are scripted in this process
+and communicate over real sockets.
 """
 
 from __future__ import annotations
@@ -29,13 +30,13 @@
     from honeywood.gateway.rpc.client import JsonObject
 
 SERVICES = ("safe", "unsafe")
-MACHINES_OF_A_SERVICE = 4
+MACHINES_PER_SERVICE = 4
 REQUESTS_PER_S = 60.0
 HEARTBEAT_INTERVAL_S = 0.5
 READY_TIMEOUT_S = 20.0
 READY_POLL_INTERVAL_S = 0.05
 SETTLING_S = 4.0
-"""After the faults, before the end is checked."""
+"""The time after the faults, before the state at the end is checked."""
 LAG_CHECK_INTERVAL_S = 0.02
 OPEN_GAUGES = ("honeywood_open_requests", "honeywood_open_attempts")
 
@@ -55,7 +56,7 @@
 
 
 class Soak:
-    """The parts of one soak."""
+    """One soak test, with its processes, machines, clients and operator."""
 
     def __init__(self, seed: int, traffic_s: float, slot: int, folder: Path) -> None:
         """`slot` selects the addresses of the processes, which keep their files in `folder`."""
@@ -64,15 +65,15 @@
         self._clock = time.monotonic
         self._record = Record()
         self._faults = draw_faults(seed, traffic_s)
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         self._cluster = Cluster(folder, slot)
-        self._operator = OperatorClient(self._record, self._cluster.controllers, chance)
+        self._operator = OperatorClient(self._record, self._cluster.controllers, rng)
         self._machines = [
-            SoakMachine(self._record, f"i-{service}-{index}", service, chance, self._clock)
+            SoakMachine(self._record, f"i-{service}-{index}", service, rng, self._clock)
             for service in SERVICES
-            for index in range(MACHINES_OF_A_SERVICE)
+            for index in range(MACHINES_PER_SERVICE)
         ]
-        self._clients = self._make_clients(chance)
+        self._clients = self._make_clients(rng)
         self._injector = FaultInjector(
             self._record, self._cluster, self._machines, self._clients, self._operator, self._clock
         )
@@ -100,7 +101,7 @@
         return self._outcome()
 
     async def _run_traffic(self) -> None:
-        await self._operator.order_configuration()
+        await self._operator.replace_configuration()
         await self._wait_until_ready()
         injected = [asyncio.ensure_future(self._injector.inject(fault)) for fault in self._faults]
         await self._clients.run(self._traffic_s, REQUESTS_PER_S)
@@ -144,14 +145,14 @@
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def _measure_lag(self) -> None:
-        """Note for how long this process itself did not run: what it observed then is late."""
+        """Record for how long this process did not run, since its observations are delayed by that time."""
         while True:
             due = self._clock() + LAG_CHECK_INTERVAL_S
             await asyncio.sleep(LAG_CHECK_INTERVAL_S)
             self._record.observer_lag_s = max(self._record.observer_lag_s, self._clock() - due)
 
     async def _wait_until_ready(self) -> None:
-        """Wait until all proxies report ready; note those that don't in time as an error."""
+        """Wait until all proxies report ready; record an error for each that doesn't in time."""
         deadline = self._clock() + READY_TIMEOUT_S
         for ip in self._cluster.proxies:
             while b" 200 " not in await http_probe.get(ip, READY_PORT, "/v1/readyz"):
@@ -171,10 +172,10 @@
 def run_soak(seed: int, traffic_s: float, slot: int = 1, folder: Path | None = None) -> Outcome:
     """Run one soak.
 
-    Logs and disks are kept in `folder`, which must not exist yet, or in a temporary one.
+    Logs and data are kept in `folder`, which must not exist yet, or else in a temporary folder.
     """
     if folder is not None:
-        folder.mkdir(parents=True)  # an earlier run's disks and logs must not be taken for this one's
+        folder.mkdir(parents=True)  # fails if it exists, so that data and logs of an earlier run are not used
         return asyncio.run(Soak(seed, traffic_s, slot, folder).run())
     with tempfile.TemporaryDirectory(prefix="honeywood-soak-") as temporary:
         return asyncio.run(Soak(seed, traffic_s, slot, Path(temporary)).run())
--- a/tests/gateway/lab/soak/test_faults.py
+++ b/tests/gateway/lab/soak/test_faults.py
@@ -1,11 +1,11 @@
-"""The faults that a soak draws."""
+"""Tests of the faults that are drawn for a soak test."""
 
 from ward import test
 
 from honeywood.lab.soak.faults import FaultKind, draw_faults
 
 
-@test("faults overlap: at least two last at one moment, of every kind over a few seeds")
+@test("drawn faults overlap, are the same for the same seed, and include every kind within a few seeds")
 def _():
     kinds = set()
     for seed in range(1, 9):
--- a/tests/gateway/lab/soak/test_rules.py
+++ b/tests/gateway/lab/soak/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules of the soak: each is violated by a record with one fault."""
+"""Tests of the soak's rules: a record with a single fault violates the corresponding rule."""
 
 from ward import each, test
 
@@ -7,7 +7,7 @@
 
 
 def good_record():
-    """A served request, one whose client left, and one that is not idempotent."""
+    """Return a record of a served request, one whose client disconnected, and one that is not idempotent."""
     record = Record(acknowledged_version=3, read_back_version=3, open_at_end={"p": 0.0})
     record.owners["k"].add("t")
     record.requests = {
@@ -29,7 +29,7 @@
     return {violation.rule for violation in find_violations(record)}
 
 
-@test("a record without a fault violates nothing; {rule} is violated by one")
+@test("a record without a fault violates no rule; a fault violates {rule}")
 def _(
     rule=each(
         *(Rule.CANCELLATION, Rule.CANCELLATION, Rule.AT_MOST_ONCE, Rule.NOT_EXECUTED, Rule.OWN_RESPONSE),
@@ -55,7 +55,7 @@
     assert rule in violated_rules(change)
 
 
-@test("late work after a disconnect is allowed where its proxy was disturbed, or the observer late")
+@test("a late end of work after a disconnect is allowed if its proxy was disturbed or the observer was late")
 def _():
     def late(record):
         record.executions[1].ended_at = 2.7
--- a/tests/gateway/lab/soak/test_soak.py
+++ b/tests/gateway/lab/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak: real processes under faults that overlap."""
+"""A short soak test: real processes under overlapping faults."""
 
 from ward import each, test
 
