--- a/honeywood/lab/model/crash_histories.py
+++ b/honeywood/lab/model/crash_histories.py
@@ -72,7 +72,7 @@
         found = store.rows()
         if found not in self.possible_rows:
             expected = [_first_items(rows) for rows in self.possible_rows]
-            raise DurabilityError(f"found rows {_first_items(found)}, expected one of {expected}")
+            raise DurabilityError(f"{_first_items(found)} was found, expected one of {expected}")
         self.possible_rows = [found]
         for _ in range(self._random.randrange(1, MAX_PUTS)):
             self._put(store)
