--- a/honeywood/lab/__init__.py
+++ b/honeywood/lab/__init__.py
@@ -1,4 +1,4 @@
-"""Experiments with real fronts and stand-ins on loopback; what they print is kept under docs/measured/.
+"""Experiments with real balancers and stubs on loopback; their results are kept under docs/measured/.
 
-Start with world.py, which puts a front among its stand-ins.
+Start reading at world.py, which runs a balancer with the stubs of its peers.
 """
--- a/honeywood/lab/demo.py
+++ b/honeywood/lab/demo.py
@@ -1,4 +1,4 @@
-"""One front through a release, recorded; then what its trace tells."""
+"""Runs one balancer through a release and records a trace of it."""
 import threading
 from collections import Counter
 
@@ -6,27 +6,29 @@
 from honeywood.standins.release import Load
 
 SERVERS, NEW, RATE, CLIENTS = 8, 4, 150, 24
-RELEASE_AT = 2.0               # seconds after the start
+RELEASE_AT_S = 2.0             # after the start of the load
 TRACE = """trace {{
   folder = "{folder}"
 }}
 """
 
 
-def demo(folder, seconds, failing, say):
-    """Plays it and returns (the trace's path, the world's history of steps)."""
+def demo(folder, seconds, failing, echo):
+    """Runs the demo and returns (the paths of the trace's files, the answers of the load).
+
+    `failing` is the share of RPCs that the new build fails; `echo` prints a line."""
     with World(folder, SERVERS) as world:
         world.start(TRACE.format(folder=world.folder / "trace"), "demo")
-        say(f"front on loopback, {SERVERS} servers of build 1, {RATE} RPCs a second")
-        release = threading.Timer(RELEASE_AT, world.release, (2, NEW, failing))
+        echo(f"balancer on loopback, {SERVERS} servers of build 1, {RATE} RPCs per second")
+        release = threading.Timer(RELEASE_AT_S, world.release, (2, NEW, failing))
         release.start()
         answers = Load(world.listen, RATE, CLIENTS, seconds).run()
         release.join()
-        code = world.stop()
+        exit_code = world.stop()
         counts = sorted(Counter(status for _, status, _ in answers).items())
-        say(f"{len(answers)} RPCs: "
-            + ", ".join(f"{count} answered {status or 'nothing'}" for status, count in counts))
-        say(f"the front ended with {code}; steps of build 2: "
-            + ", ".join(f"{step} {standing}" for _, step, standing in world.platform.history))
+        echo(f"{len(answers)} RPCs: "
+             + ", ".join(f"{count} with status {status or 'none'}" for status, count in counts))
+        echo(f"the balancer exited with status {exit_code}; steps of build 2: "
+             + ", ".join(f"{step} {state}" for _, step, state in world.platform.history))
         paths = sorted((world.folder / "trace").glob("*.trace"))
         return [str(path) for path in paths], answers
