--- a/honeywood/lab/soak/clients.py
+++ b/honeywood/lab/soak/clients.py
@@ -13,15 +13,12 @@
 DEADLINE_S = 1.5
 MAX_DISCONNECT_DELAY_S = 0.4
 """The maximum time after which a disconnecting client leaves."""
-IDEMPOTENT_SHARE = 0.7
-"""Of the clients; the others send requests that are not idempotent."""
-
+IDEMPOTENT_SHARE = 0.7  # of the clients; the others send requests that are not idempotent
 PIPELINED_SHARE = 0.2
 """Of the clients with idempotent requests; these send two requests at once."""
 RESET_SHARE = 0.3
 """Of the connections; these are closed by a reset."""
-NO_LINGER = struct.pack("ii", 1, 0)
-"""The value of SO_LINGER with which closing a connection resets it."""
+NO_LINGER = struct.pack("ii", 1, 0)  # the value of SO_LINGER with which closing a connection resets it
 
 
 class SoakClients:
--- a/honeywood/lab/soak/operator_client.py
+++ b/honeywood/lab/soak/operator_client.py
@@ -22,8 +22,7 @@
 MAX_ATTEMPTS = 60
 RETRY_INTERVAL_S = 0.1
 CALL_TIMEOUT_S = 1.0
-UNKNOWN_KEY = "none"
-"""The key that clients send before the first configuration is acknowledged."""
+UNKNOWN_KEY = "none"  # sent by clients before the first configuration is acknowledged
 
 
 class OperatorClient:
