--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -28,7 +28,7 @@
 from honeywood.gateway.rpc.headers import end_to_end  # noqa: E402
 from honeywood.gateway.rpc.request_context import CONTEXT  # noqa: E402
 from honeywood.gateway.rpc.server import HttpServer  # noqa: E402
-from honeywood.lab.emulator.boot import boot  # noqa: E402
+from honeywood.lab.emulator.boot import settings_text  # noqa: E402
 
 CLIENTS, BODY = 8, b"x" * 1500
 
@@ -114,7 +114,9 @@
 async def work(count, pipe):
     port = pipe.recv()
     proxy = Proxy(
-        read_settings(boot("127.0.0.1", tolerated_failures=0, ports=(18180, 18181, 18182, 7000, 7010)))
+        read_settings(
+            settings_text("127.0.0.1", tolerated_failures=0, ports=(18180, 18181, 18182, 7000, 7010))
+        )
     )
     proxy.records.apply("config", json.dumps(config(5)))
     for n in range(4):
--- a/honeywood/lab/emulator/boot.py
+++ b/honeywood/lab/emulator/boot.py
@@ -49,7 +49,7 @@
 """
 
 
-def boot(
+def settings_text(
     node: str,
     zone: str = "z",
     seeds: Sequence[str] = (),
@@ -84,7 +84,7 @@
     bounds: Mapping[str, float] = BOUNDS,
 ) -> Settings:
     """Return the settings of a program in a world, whose network has no addresses: names stand for them."""
-    text = boot(
+    text = settings_text(
         node,
         zone,
         fresh=fresh,
--- a/honeywood/lab/emulator/loopback.py
+++ b/honeywood/lab/emulator/loopback.py
@@ -27,7 +27,7 @@
 from honeywood.gateway.rpc.connection import Connection
 from honeywood.gateway.rpc.reply import ExchangeFailure
 from honeywood.gateway.rpc.statuses import INTERNAL_ERROR, status_of
-from honeywood.lab.emulator.boot import boot
+from honeywood.lab.emulator.boot import settings_text
 from honeywood.standins.sorting import Machine
 
 if TYPE_CHECKING:
@@ -126,7 +126,7 @@
         settings = self._folder / f"{ip}.toml"
         seeds = [f"{controller}:{CONTROL_PORT}" for controller in CONTROLLERS]
         ports = HTTP_PORT, READY_PORT, CONTROL_PORT, FIRST_PORT, LAST_PORT
-        settings.write_text(boot(ip, "hall", seeds, data=str(self._folder / ip), ports=ports))
+        settings.write_text(settings_text(ip, "hall", seeds, data=str(self._folder / ip), ports=ports))
         with open(self._folder / f"{ip}.log", "ab") as log:
             self._processes[ip] = await asyncio.create_subprocess_exec(
                 *(sys.executable, "-m", f"honeywood.gateway.{role}"),
--- a/honeywood/lab/soak/cluster.py
+++ b/honeywood/lab/soak/cluster.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Set
 from pathlib import Path
 
-from honeywood.lab.emulator.boot import boot
+from honeywood.lab.emulator.boot import settings_text
 from honeywood.lab.soak.node import BLOCKED_ADDRESSES_FILE
 
 CONTROLLERS, PROXIES = 3, 3
@@ -77,7 +77,7 @@
         ports = HTTP_PORT, READY_PORT, CONTROL_PORT, FIRST_PORT, LAST_PORT
         data = str(self._folder / ip)
         path = self._folder / f"{ip}.toml"
-        path.write_text(boot(ip, "hall", seeds, data=data, ports=ports, fresh=self._is_first_start))
+        path.write_text(settings_text(ip, "hall", seeds, data=data, ports=ports, fresh=self._is_first_start))
         return path
 
     def send_signal(self, ip: str, number: signal.Signals) -> None:
--- a/tests/gateway/configuration/test_settings.py
+++ b/tests/gateway/configuration/test_settings.py
@@ -4,9 +4,9 @@
 
 from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.errors import InvalidInput
-from honeywood.lab.emulator.boot import boot
+from honeywood.lab.emulator.boot import settings_text
 
-GOOD = boot("n", seeds=["10.0.0.1:82"], ip="10.0.0.9")
+GOOD = settings_text("n", seeds=["10.0.0.1:82"], ip="10.0.0.9")
 
 
 @test("settings with {was!r} as {made!r} are refused, and the error names {named}")
--- a/tests/gateway/socket_scene.py
+++ b/tests/gateway/socket_scene.py
@@ -10,7 +10,7 @@
 from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.proxy.program import Proxy
 from honeywood.gateway.rpc.server import HttpServer
-from honeywood.lab.emulator.boot import boot
+from honeywood.lab.emulator.boot import settings_text
 from honeywood.lab.emulator.silent_log import SilentLog
 from honeywood.standins.requests import read_request
 
@@ -128,7 +128,7 @@
         self.scripts, self.kind, self.timeout = scripts, kind, timeout
 
     async def __aenter__(self):
-        text = boot(
+        text = settings_text(
             "127.0.0.1", tolerated_failures=0, ports=(free_port(), free_port(), free_port(), 7000, 7010)
         )
         self.proxy = Proxy(read_settings(text), log=SilentLog())
--- a/tests/gateway/test_pinned_proxy.py
+++ b/tests/gateway/test_pinned_proxy.py
@@ -41,7 +41,7 @@
 from honeywood.gateway.routing.outcomes import AttemptOutcome
 from honeywood.gateway.routing.rejection import RejectionReason
 from honeywood.gateway.rpc.server import HttpServer
-from honeywood.lab.emulator.boot import BOUNDS, boot
+from honeywood.lab.emulator.boot import BOUNDS, settings_text
 from honeywood.lab.emulator.silent_log import SilentLog
 
 RECORDED = json.loads((Path(__file__).parent / "recorded" / "proxy.json").read_text())
@@ -264,7 +264,7 @@
     first = controller - 1 if controller else free_port()
     ports = free_port(), free_port(), free_port(), first, 65535
     seeds = (f"127.0.0.1:{ports[2]}",) if controller else ()
-    text = boot("f", ip="127.0.0.1", tolerated_failures=0, seeds=seeds, ports=ports)
+    text = settings_text("f", ip="127.0.0.1", tolerated_failures=0, seeds=seeds, ports=ports)
     for name, value in case.bounds:
         text = text.replace(f"{name} = {BOUNDS[name]}\n", f"{name} = {value}\n")
     proxy = make_proxy(text, frozen)
--- a/tests/gateway/test_pinned_register.py
+++ b/tests/gateway/test_pinned_register.py
@@ -26,7 +26,7 @@
 from honeywood.gateway.register.row_store import RowStore
 from honeywood.gateway.register.state_update import HeartbeatRecord
 from honeywood.gateway.rpc.statuses import status_of
-from honeywood.lab.emulator.boot import boot
+from honeywood.lab.emulator.boot import settings_text
 from honeywood.lab.emulator.silent_log import SilentLog
 
 RECORDED = Path(__file__).parent / "recorded"
@@ -195,7 +195,7 @@
 
 
 def settings_of(ip, fresh, folder=None):
-    return read_settings(boot(f"core-{ip}", seeds=SEEDS, fresh=fresh, ip=ip, data=folder or ip))
+    return read_settings(settings_text(f"core-{ip}", seeds=SEEDS, fresh=fresh, ip=ip, data=folder or ip))
 
 
 class Network:
--- a/tests/gateway/test_pinned_rpc.py
+++ b/tests/gateway/test_pinned_rpc.py
@@ -25,7 +25,7 @@
 from honeywood.gateway.rpc import asgi, client, connection, reply, request_context, server
 from honeywood.gateway.rpc import headers as header_module
 from honeywood.gateway.rpc.statuses import status_of
-from honeywood.lab.emulator.boot import boot
+from honeywood.lab.emulator.boot import settings_text
 from honeywood.lab.emulator.silent_log import SilentLog
 
 RECORDED = Path(__file__).resolve().parent / "recorded"
@@ -133,7 +133,7 @@
 def make_program(role: str, folder: str) -> tuple[Any, dict[str, int]]:
     """A controller or proxy that runs no loops, and its ports by what comes in there."""
     ports = [free_port() for _ in range(4)]
-    settings = read_settings(boot("127.0.0.1", data=folder, ports=(*ports, ports[3] + 3)))
+    settings = read_settings(settings_text("127.0.0.1", data=folder, ports=(*ports, ports[3] + 3)))
     program = {"controller": Controller, "proxy": Proxy}[role]
     made = program(settings, log=SilentLog())
     inside = settings.controller_port if role == "controller" else settings.proxy_port
--- a/tests/gateway/test_settings_file.py
+++ b/tests/gateway/test_settings_file.py
@@ -9,10 +9,10 @@
 from honeywood.gateway.configuration.settings import read_settings
 from honeywood.gateway.proxy.program import Proxy
 from honeywood.gateway.settings_file import SettingsFile
-from honeywood.lab.emulator.boot import boot
+from honeywood.lab.emulator.boot import settings_text
 from honeywood.lab.emulator.silent_log import SilentLog
 
-GOOD = boot("n", seeds=["10.0.0.1:82"], ip="10.0.0.9")
+GOOD = settings_text("n", seeds=["10.0.0.1:82"], ip="10.0.0.9")
 
 
 @test("settings that change are reloaded: seeds are taken over, what can't be used leaves all as it was")
--- a/tests/gateway/test_startup.py
+++ b/tests/gateway/test_startup.py
@@ -10,7 +10,7 @@
 from ports import free_port
 from ward import each, test
 
-from honeywood.lab.emulator.boot import boot
+from honeywood.lab.emulator.boot import settings_text
 
 UNUSED = ("_ssl", "click", "multiprocessing", "hashlib")
 
@@ -19,7 +19,7 @@
 def _(role=each("proxy", "controller"), listener=each("ready", "ctl"), told=each(b"503", b"404")):
     with tempfile.TemporaryDirectory() as folder:
         ports = [free_port() for _ in range(4)]
-        text = boot("127.0.0.1", tolerated_failures=0, data=f"{folder}/data", ports=(*ports, 65535))
+        text = settings_text("127.0.0.1", tolerated_failures=0, data=f"{folder}/data", ports=(*ports, 65535))
         path = os.path.join(folder, "boot.toml")
         with open(path, "w") as file:
             file.write(text)
