--- a/honeywood/cli/emulator.py
+++ b/honeywood/cli/emulator.py
@@ -164,9 +164,9 @@
         f"{found.states} states, {found.depth} steps deep, {whole}: {found.violation or 'nothing is broken'}"
     )
     click.echo("\n".join(found.trace))
-    chance, wrong, steps = Random(1), found.violation, 0
+    rng, wrong, steps = Random(1), found.violation, 0
     for _ in range(walks):
-        taken, broken, trace = random_walk(build(ModelOptions(retries=1)), chance, 80)
+        taken, broken, trace = random_walk(build(ModelOptions(retries=1)), rng, 80)
         steps, wrong = steps + taken, wrong or broken
         if broken:
             click.echo("\n".join([broken, *trace]))
--- a/honeywood/lab/emulator/__init__.py
+++ b/honeywood/lab/emulator/__init__.py
@@ -1,6 +1,7 @@
-"""The whole system in a simulated world: real programs on one simulated clock, faults drawn from a seed.
+"""A deterministic simulation of the whole system: real programs on one simulated clock, with random faults.
 
-Start reading at world.py (programs and disks), network.py (calls between them) and process.py; then day.py
-(what a day adds: fleet.py, clients.py, operators.py), faults/ (what fails) and rules/ (what must hold).
-loopback.py shows the same programs as processes on this machine.
+A simulation run is called a day; its random seed determines everything that happens in it. Start reading at
+world.py (programs and disks), network.py (calls between programs) and process.py. Then read day.py, fleet.py,
+clients.py and operators.py (the load of a day), faults/ (what fails) and rules/ (what must always hold).
+loopback.py is a demonstration that runs the same programs as real processes on this machine.
 """
--- a/honeywood/lab/emulator/boot.py
+++ b/honeywood/lab/emulator/boot.py
@@ -1,4 +1,4 @@
-"""The settings file of a process in worlds and tests, and what their routes ask for."""
+"""The settings file of a program in worlds and tests, and the limits of requests in worlds."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
     "canary_slack": 50,
     "rollback_s": 5,
 }
-PORTS = 80, 81, 82, 7000, 7010  # http, ready, ctl, and the range for our own
+PORTS = 80, 81, 82, 7000, 7010  # http, ready, ctl, and the first and last port for calls between programs
 
-TEXT = """
+SETTINGS_TEMPLATE = """
 node = "{node}"
 role = "r"
 ip = "{ip}"
@@ -60,8 +60,11 @@
     ports: tuple[int, int, int, int, int] = PORTS,
     bounds: Mapping[str, float] = BOUNDS,
 ) -> str:
-    """Return the file's text; `seeds` are addresses, the node's name stands for what isn't given."""
-    text = TEXT.format(
+    """Return the text of a settings file.
+
+    `seeds` are addresses of controllers. `ip` and `data` (the data folder) default to the node's name.
+    """
+    text = SETTINGS_TEMPLATE.format(
         node=node,
         ip=ip or node,
         zone=zone,
@@ -83,7 +86,7 @@
     tolerated_failures: int = 1,
     bounds: Mapping[str, float] = BOUNDS,
 ) -> Settings:
-    """Return the settings of a program in a world, whose network has no addresses: names stand for them."""
+    """Return the settings of a program in a world, whose network uses names of programs as addresses."""
     text = settings_text(
         node,
         zone,
@@ -93,7 +96,7 @@
         data=node,
         bounds=bounds,
     )
-    found = read_settings(text)
+    parsed = read_settings(text)
     seeds = tuple(Address(name, PORTS[2]) for name in controllers)
-    listen = {key: Address(node, address.port) for key, address in found.listen.addresses.items()}
-    return replace(found, ip=node, seeds=seeds, listen=ListenAddresses(listen))
+    listen = {key: Address(node, address.port) for key, address in parsed.listen.addresses.items()}
+    return replace(parsed, ip=node, seeds=seeds, listen=ListenAddresses(listen))
--- a/honeywood/lab/emulator/clients.py
+++ b/honeywood/lab/emulator/clients.py
@@ -69,31 +69,31 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """What a client requests; it disconnects `stay_s` after it began."""
+    """What a client requests; it disconnects `disconnect_after_s` after it began."""
 
     began_at: float
     zone: str
     service: str
     idempotent: bool
     path: bytes
-    stay_s: float
+    disconnect_after_s: float
 
 
 class Clients:
     """All clients of a day.
 
     `non_compliant_share` is the share that ignores Retry-After and retry limits, `disconnecting_share` that
-    of those that leave, at the latest `max_stay_s` after they began.
+    of those that leave, at the latest `max_disconnect_after_s` after they began.
     """
 
     def __init__(self, world: EmulatedDay) -> None:
         """Clients of a world."""
         self.non_compliant_share = 0.0
         self.disconnecting_share = 0.0
-        self.max_stay_s = LATENCY_TARGET_S
+        self.max_disconnect_after_s = LATENCY_TARGET_S
         self.attempts = 0
         self._world = world
-        self._random = world.chance
+        self._random = world.traffic_rng
         self._now = world.loop.time
         self._ready = set(world.proxies)
 
@@ -116,9 +116,9 @@
         outcome.record(int(request.began_at), self._worth(request, result), result.name)
 
     def _draw_request(self, idempotent: bool) -> ClientRequest:
-        began_at, stay_s = self._now(), self._draw_stay_s()
+        began_at, disconnect_after_s = self._now(), self._draw_disconnect_after_s()
         zone, path = self._random.choice(self._world.zone_names), self._draw_path(idempotent)
-        return ClientRequest(began_at, zone, "s" if idempotent else "u", idempotent, path, stay_s)
+        return ClientRequest(began_at, zone, "s" if idempotent else "u", idempotent, path, disconnect_after_s)
 
     def _worth(self, request: ClientRequest, result: AttemptResult) -> float:
         if result.end != HTTPStatus.OK:
@@ -137,11 +137,11 @@
             await asyncio.sleep(min(result.retry_after_s, remaining_s / 3) if compliant else 0.0)
         return result
 
-    def _draw_stay_s(self) -> float:
+    def _draw_disconnect_after_s(self) -> float:
         """Return after how long a client disconnects."""
         if not self.disconnecting_share or self._random.random() >= self.disconnecting_share:
             return inf
-        return self._random.uniform(0.0, self.max_stay_s)
+        return self._random.uniform(0.0, self.max_disconnect_after_s)
 
     def _draw_path(self, idempotent: bool) -> bytes:
         """Return a path on a route that all proxies in contact must know by now."""
@@ -176,13 +176,13 @@
         context = RequestContext(request.path)
         scope = _scope(attempt_id, remaining_s, context)
         handling = process.run(program.app.clients.handle(scope, _empty_body))
-        remaining_stay_s = max(0.0, request.began_at + request.stay_s - self._now())
-        await asyncio.wait((handling,), timeout=min(remaining_s, remaining_stay_s))
+        until_disconnect_s = max(0.0, request.began_at + request.disconnect_after_s - self._now())
+        await asyncio.wait((handling,), timeout=min(remaining_s, until_disconnect_s))
         if handling.cancelled():
             return AttemptResult(NoResponse.BROKEN)
         if not handling.done():
             self._disconnect(proxy, process, attempt_id, context)
-            left = remaining_stay_s < remaining_s
+            left = until_disconnect_s < remaining_s
             return AttemptResult(NoResponse.DISCONNECTED if left else NoResponse.TIMEOUT)
         return self._on_response(proxy, attempt_id, request, handling.result())
 
--- a/honeywood/lab/emulator/day.py
+++ b/honeywood/lab/emulator/day.py
@@ -1,4 +1,4 @@
-"""What is played in a day, and what came of it."""
+"""The parameters of a day, which is one simulation run, and its outcome."""
 
 from __future__ import annotations
 
@@ -11,12 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """What is played: requests over proxies in zones, with faults.
-
-    `machines` are those of each service. `tolerated_failures` disks may be lost at once. `bounds` are those
-    that differ from boot.BOUNDS. With `omniscient_routing` a router that sees the true state of all machines
-    takes the place of ours. `configuration_changes` come one after the other, besides those that faults make.
-    `max_faults` come in each eight seconds of traffic. A proxy's link takes `link_bytes_per_s`; 0: any rate.
+    """The parameters of one simulation run.
+
+    `machines` is the number of machines of each service. `tolerated_failures` is the number of disks that may
+    be lost at once. `bounds` are the bounds that differ from boot.BOUNDS. With `omniscient_routing`, a router
+    that sees the true state of all machines replaces the real one. `configuration_changes` is the number of
+    consecutive configuration changes, in addition to those that faults cause. At most `max_faults` faults are
+    drawn for each eight seconds of traffic. `link_bytes_per_s` is the bandwidth of a proxy's link; 0 means
+    unlimited.
     """
 
     seed: int
@@ -36,7 +38,7 @@
 
 @dataclass(slots=True)
 class SecondOfTraffic:
-    """Requests that began in one second, and the worth that they earned."""
+    """The number of requests that began in one second, and the sum of their worth."""
 
     requests: int = 0
     worth: float = 0.0
@@ -44,10 +46,11 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What came of a day: the worth of its requests, their results by name, and violated rules.
+    """The outcome of a day: the worth of its requests, counts of results by name, and violations of rules.
 
-    `retries` are arrivals of a request at machines beyond the first, `resets` connections that machines
-    reset.
+    The worth of a request is its score from 0 to 1: 1 for a success within the latency target, less for a
+    later one, 0 for a failure. `retries` counts the arrivals of a request at machines after its first
+    arrival, `resets` counts the connections that machines reset, and `attempts` counts attempts of clients.
     """
 
     violations: list[Violation] = field(default_factory=list)
@@ -61,11 +64,11 @@
 
     @property
     def mean_worth(self) -> float:
-        """The worth of a request, from 0 to 1."""
+        """The mean worth of a request, from 0 to 1."""
         return self.worth / max(1, self.requests)
 
     def record(self, second: int, worth: float, result: str) -> None:
-        """Record the end of a request that began in a second."""
+        """Record the worth and result of a request that began in the given second."""
         self.worth += worth
         of_second = self.seconds.setdefault(second, SecondOfTraffic())
         of_second.requests += 1
--- a/honeywood/lab/emulator/disk.py
+++ b/honeywood/lab/emulator/disk.py
@@ -12,14 +12,14 @@
     from honeywood.gateway.register.json_value import JsonValue
 
     Disks: TypeAlias = dict[str, dict[str, JsonValue]]
-    """The rows of each disk, by the folder that stands for it."""
+    """The rows of each disk, by its folder name."""
 
 
 class MemoryStore:
-    """A row store whose rows stay until the disk is wiped."""
+    """A row store in memory; its rows survive restarts of the program until the disk is wiped."""
 
     def __init__(self, disks: Disks, folder: str) -> None:
-        """`folder` names the disk."""
+        """Open the disk that is identified by `folder`, and create it if it does not exist."""
         self._rows = disks.setdefault(folder, {})
 
     def rows(self) -> dict[str, JsonValue]:
@@ -27,10 +27,10 @@
         return dict(self._rows)
 
     def put(self, rows: Mapping[str, JsonValue]) -> None:
-        """Write rows, or remove those that are None."""
+        """Write rows; rows that are None are deleted."""
         self._rows.update(json.loads(json.dumps(rows)))
         for key in [key for key, row in rows.items() if row is None]:
             del self._rows[key]
 
     def close(self) -> None:
-        """Need nothing."""
+        """Do nothing; there is nothing to release."""
--- a/honeywood/lab/emulator/emulated_day.py
+++ b/honeywood/lab/emulator/emulated_day.py
@@ -1,4 +1,4 @@
-"""Plays a day: machines with heartbeats, clients, operators and faults on one clock, drawn from a seed."""
+"""Plays a day: machines with heartbeats, clients, operators and faults on one clock, determined by a seed."""
 
 from __future__ import annotations
 
@@ -32,26 +32,30 @@
     from honeywood.gateway.rpc.connection import Connection
 
 WARM_UP_S = 2.0
-"""Before traffic, in which programs discover one another."""
+"""The time before traffic in which programs discover one another."""
 SETTLING_S = 4.0
-"""After traffic, in which what was acknowledged must become readable."""
+"""The time after traffic in which everything that was acknowledged must become readable."""
 PENDING_CHECK_S = 0.5
 READ_BACK_S = 3.0
-"""That the last read may take."""
+"""The maximum duration of the last read."""
 READ_BACK_ATTEMPTS = 12
 CONTROLLER_LINK_FACTOR = 12
-"""Links of controllers are so many times wider than proxies', as on the larger sites."""
+"""The bandwidth of a controller's link divided by that of a proxy's link, as at the larger sites."""
 WORK_S = {"s": 0.04, "u": 0.06}
-"""Of a request, by service."""
+"""The mean execution time of a request by service; "s" is idempotent, "u" is not."""
 FIRST_VERSION = 1
 MIN_WORTH_SHARE = 0.5
 
 
 class EmulatedDay(World):
-    """The world of a day. Each part draws from a random generator of its own."""
+    """The world of one day.
+
+    Each part has a separate random generator, so that a change of one part does not change the random numbers
+    of the others.
+    """
 
     def __init__(self, day: Day) -> None:
-        """Nothing runs before `play`."""
+        """Prepare a day; nothing runs before `play`."""
         self.day = day
         self.zone_names = [f"z{index}" for index in range(day.zones)]
         controllers = tuple(f"b{index}" for index in range(2 * day.tolerated_failures + 1))
@@ -65,21 +69,21 @@
         super().__init__(controllers, proxies, day.seed, day.tolerated_failures, zones, bounds)
         self.monitor = Monitor(bounds)
         self.outcome = Outcome()
-        self.chance = random.Random(day.seed + 1)  # of clients, and of machines' calls
-        machine_chance = random.Random(day.seed + 2)
-        self.machines = MachineNetwork(self, machine_chance, self.monitor.requests, WORK_S.__getitem__)
+        self.traffic_rng = random.Random(day.seed + 1)  # for clients, and for calls of machines
+        machine_rng = random.Random(day.seed + 2)
+        self.machines = MachineNetwork(self, machine_rng, self.monitor.requests, WORK_S.__getitem__)
         self.fleet = Fleet(self, random.Random(day.seed + 3))
         self.operators = Operators(self, random.Random(day.seed + 4))
         self.clients = Clients(self)
-        self.start_chance = random.Random(day.seed + 5)  # of when programs start that start together
-        self.replacements = 0  # new machines that took the place of controllers
+        self.start_rng = random.Random(day.seed + 5)  # for the start times of programs that start together
+        self.replacements = 0  # the number of controllers that were replaced by new ones
         if day.link_bytes_per_s:
             controller_rate = day.link_bytes_per_s * CONTROLLER_LINK_FACTOR
             self.bytes_per_s = dict.fromkeys(controllers, controller_rate)
             self.bytes_per_s |= dict.fromkeys(proxies, day.link_bytes_per_s)
 
     def connect_of(self, name: str) -> Connect:
-        """Return what opens a proxy's connections to the machines of this world."""
+        """Return the function that opens a proxy's connections to the simulated machines."""
 
         async def connect(
             ip: str, port: int, timeout_s: float, on_count_change: Callable[[int], None]
@@ -101,7 +105,7 @@
         proxy.selector.select = select  # type: ignore[method-assign]
 
     def play(self) -> Outcome:
-        """Play the day."""
+        """Play the day and return its outcome."""
         self._start()
         self.run(WARM_UP_S, self._check)
         self.fresh = False
@@ -129,7 +133,7 @@
             self.loop.create_task(self.operators.change_configurations(end))
 
     def _check(self) -> None:
-        """Check the state of the programs by the rules."""
+        """Check the current state of the programs against the rules."""
         now = self.loop.time()
         for name in self.proxies:
             proxy = self.nodes.get(name)
@@ -137,7 +141,7 @@
             if proxy is not None:
                 self._check_proxy(now, name, proxy)
         if self.partitions or self.loss_share or self.operators.lost_share:
-            self.monitor.context.disturb_links(now)
+            self.monitor.context.record_link_disturbance(now)
         self.monitor.orders.check_pending(now)
 
     def _check_proxy(self, now: float, name: str, proxy: Proxy) -> None:
@@ -156,7 +160,7 @@
             self.run(self.loop.time() + PENDING_CHECK_S, self._check)
 
     def _read_back(self) -> None:
-        """Read what was acknowledged for the last time, from any controllers that respond."""
+        """Read the configuration a last time, from any controller that responds, and close the rules."""
         call = self.fleet.call(CallName.READ_CONFIGURATION, "", {}, READ_BACK_ATTEMPTS)
         reading = self.loop.create_task(call)
         self.run(self.loop.time() + READ_BACK_S, self._check)
@@ -183,5 +187,5 @@
 
 
 def play(day: Day) -> Outcome:
-    """Play a day."""
+    """Play a day and return its outcome."""
     return EmulatedDay(day).play()
--- a/honeywood/lab/emulator/faults/__init__.py
+++ b/honeywood/lab/emulator/faults/__init__.py
@@ -1,5 +1,6 @@
-"""What fails in a day: drawn from a seed (draw.py), caused on the day's clock (causes.py), a module a kind.
+"""Fault injection: faults are drawn from the seed of a day (draw.py) and caused at their times (causes.py).
 
-All faults are tolerable: at most `tolerated_failures` disks are lost or down for long at once, and the rest
-comes back.
+The other modules implement the faults, one module for each group of kinds. The system must tolerate all of
+them: at most `tolerated_failures` controllers lose their disks or are down for long at once, and everything
+else recovers.
 """
--- a/honeywood/lab/emulator/faults/causes.py
+++ b/honeywood/lab/emulator/faults/causes.py
@@ -23,7 +23,7 @@
     FaultKind.WIPE_CONTROLLERS: disks.wipe_controllers,
     FaultKind.WIPE_AFTER_ACKNOWLEDGEMENT: disks.wipe_after_acknowledgement,
     FaultKind.WIPE_AFTER_ORDER: disks.wipe_after_order,
-    FaultKind.DISK_FAULT: disks.disturb_disk,
+    FaultKind.DISK_FAULT: disks.degrade_disk,
     FaultKind.DISK_REFUSES: disks.refuse_writes,
     FaultKind.REMOVE_CONTROLLERS: membership.remove_controllers,
     FaultKind.REPLACE_CONTROLLER: membership.replace_controller,
@@ -50,6 +50,6 @@
 
 
 async def cause(world: EmulatedDay, fault: Fault, traffic_began_at: float) -> None:
-    """Wait for the fault's time, and cause it."""
+    """Wait until the time of a fault, and cause it."""
     await asyncio.sleep(traffic_began_at + fault.at_s - world.loop.time())
     await CAUSES[fault.kind](world, fault)
--- a/honeywood/lab/emulator/faults/disks.py
+++ b/honeywood/lab/emulator/faults/disks.py
@@ -1,4 +1,4 @@
-"""Faults of disks: lost, also right after an acknowledgement, slow, hanging, or refusing writes."""
+"""Disk faults: loss, also right after an acknowledgement, and disks that are slow, hang or refuse writes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from honeywood.gateway.controller.call import CallName
 from honeywood.lab.emulator.faults.disturbance import (
     RESTART_S,
-    disturb_while,
+    record_until_fault_ends,
     restart,
     target_controllers,
     target_of,
@@ -29,30 +29,31 @@
     from honeywood.lab.emulator.emulated_day import EmulatedDay
 
     Continuation: TypeAlias = Coroutine[Any, Any, None]
-    """What goes on after an order was sent and disks were lost."""
+    """The steps that follow after an order was sent and disks were lost."""
 
 HANGING_DISK, SLOW_DISK = DiskFault(slowdown=1000.0), DiskFault(slowdown=30.0)
 DISK_FAULTS = (REFUSING_DISK, REFUSING_AFTER_EFFECT, HANGING_DISK, SLOW_DISK)
 EARLY_SHARE = 0.3
-"""Of losses: they come before the acknowledgement, within MAX_EARLY_S."""
+"""The share of losses that occur within MAX_EARLY_S, without waiting for the acknowledgement."""
 MAX_EARLY_S = 0.3
 POWER_LOSS_SHARE = 0.6
-"""Of losses of disks: all other controllers lose power, half of these times with all proxies."""
+"""The share of disk losses with which all controllers lose power; in half of these all proxies do as well."""
 LONG_GRACE_S = 6.0
-"""That a machine which drains serves on after drain_s, at times."""
+"""How much longer than drain_s a draining machine continues to serve in some days."""
 ROLLOUT_S = 3.0
 
 
 async def wipe_controllers(world: EmulatedDay, fault: Fault) -> None:
-    """As many controllers as may fail lose their disks."""
+    """Delete the disks of as many controllers as may fail, and restart these after the fault's duration."""
     names = target_controllers(world, fault)
     await restart(world, names, fault.duration_s, True, names)
 
 
 async def wipe_after_acknowledgement(world: EmulatedDay, fault: Fault) -> None:
-    """The controller that acknowledges a version loses its disk at once.
+    """Cut the power of all controllers once one of them acknowledges a configuration, and delete some disks.
 
-    So do as many others as may fail, while the rest lose power.
+    For a low variant, as many controllers as may fail lose their disks, starting with the one that was sent
+    the configuration.
     """
     await _send_configuration(world, fault, target_of(world.controllers, fault))
     wiped = target_controllers(world, fault) if fault.variant < 0.5 else []
@@ -60,18 +61,18 @@
 
 
 async def wipe_after_order(world: EmulatedDay, fault: Fault) -> None:
-    """A controller loses its disk right after it acknowledged an order, or soon after the order was sent.
+    """Delete a controller's disk right after it acknowledged an order, or soon after the order was sent.
 
-    As many others as may fail lose theirs, at times while all lose power. The order is a configuration, a
-    rollout, a machine's draining, or its end.
+    As many controllers as may fail lose their disks, including that one. For a low variant all controllers
+    lose power at the same time. The order is a configuration, a rollout, a machine's draining, or its end.
     """
-    chance = Random(fault.target)
+    rng = Random(fault.target)
     controller = target_of(world.controllers, fault)
-    send = chance.choice((_send_configuration, _send_rollout, _send_draining, _send_leave))
-    is_early = chance.random() < EARLY_SHARE
+    send = rng.choice((_send_configuration, _send_rollout, _send_draining, _send_leave))
+    is_early = rng.random() < EARLY_SHARE
     sending = world.loop.create_task(send(world, fault, controller))
     if is_early:
-        await asyncio.wait((sending,), timeout=MAX_EARLY_S * chance.random())
+        await asyncio.wait((sending,), timeout=MAX_EARLY_S * rng.random())
     else:
         await sending
     wiped = target_controllers(world, fault)
@@ -93,7 +94,7 @@
 
 
 async def _send_rollout(world: EmulatedDay, fault: Fault, controller: str) -> Continuation | None:
-    """Order a rollout of a service of its own, so that it meets no other one."""
+    """Order a rollout of a new service, so that it does not conflict with other rollouts."""
     version = world.operators.next_version()
     world.operators.service_versions.append(version)
     if await world.operators.configure(version, timeout_s=fault.duration_s):
@@ -105,7 +106,7 @@
 
 
 def _begin_draining(world: EmulatedDay, fault: Fault) -> Machine | None:
-    """Return the machine that drains from now on, another in its place; None where it isn't ready."""
+    """Start to drain a machine and start its replacement; return the former, or None if it is not ready."""
     machine = target_machine(world, fault)
     if machine is None or machine.state != READY:
         return None
@@ -115,7 +116,7 @@
 
 
 async def _send_draining(world: EmulatedDay, fault: Fault, controller: str) -> Continuation | None:
-    """Report to one controller that a machine drains; it serves on for long, and leaves."""
+    """Report to one controller that a machine drains; it continues to serve for LONG_GRACE_S and leaves."""
     machine = _begin_draining(world, fault)
     if machine is None:
         return None
@@ -127,7 +128,7 @@
 
 
 async def _send_leave(world: EmulatedDay, fault: Fault, controller: str) -> Continuation | None:
-    """Report to one controller that a machine that has drained has ended."""
+    """Report to one controller that a drained machine has ended."""
     machine = _begin_draining(world, fault)
     if machine is None:
         return None
@@ -142,15 +143,21 @@
 
 
 async def refuse_writes(world: EmulatedDay, fault: Fault) -> None:
-    """As many disks as may fail refuse all writes to the end of the day; the core is not disturbed."""
+    """Make as many disks as may fail refuse all writes until the end of the day.
+
+    The core does not count as disturbed.
+    """
     for name in target_controllers(world, fault):
-        world.monitor.context.disturb(world.loop.time(), name, False)
+        world.monitor.context.record_disturbance(world.loop.time(), name, False)
         world.set_disk_fault(name, REFUSING_DISK)
 
 
-async def disturb_disk(world: EmulatedDay, fault: Fault) -> None:
-    """A disk refuses writes, perhaps after their effect, hangs, or is slow; the core is not disturbed."""
+async def degrade_disk(world: EmulatedDay, fault: Fault) -> None:
+    """Make a disk refuse writes (before or after they take effect), hang, or be slow for a while.
+
+    The core does not count as disturbed.
+    """
     name = target_of(world.controllers, fault)
     world.set_disk_fault(name, DISK_FAULTS[int(fault.variant * len(DISK_FAULTS))])
-    await disturb_while(world, fault, [name], False)
+    await record_until_fault_ends(world, fault, [name], False)
     world.set_disk_fault(name, HEALTHY_DISK)
--- a/honeywood/lab/emulator/faults/draw.py
+++ b/honeywood/lab/emulator/faults/draw.py
@@ -9,10 +9,10 @@
 from honeywood.lab.emulator.day import Day
 from honeywood.lab.emulator.faults.fault import Fault, FaultKind
 
-STRETCH_S = 8.0
-"""Of traffic that gets one fault at least, and the day's max_faults at most."""
+FAULT_PERIOD_S = 8.0
+"""The duration of traffic for which at least one and at most the day's `max_faults` faults are drawn."""
 MIN_DURATION_S, MAX_DURATION_S = 0.5, 3.0
-FIRST_FAULT_S, QUIET_END_S = 0.5, 1.0
+FIRST_FAULT_S, FAULT_FREE_END_S = 0.5, 1.0
 
 LARGE_FAULTS = frozenset(
     {
@@ -27,24 +27,24 @@
         FaultKind.REPLACE_CONTROLLER,
     }
 )
-"""One a day, so that what is lost stays tolerable."""
+"""At most one of these occurs in a day, so that the system can tolerate the loss."""
 
 ROLLOUTS = frozenset({FaultKind.GOOD_ROLLOUT, FaultKind.BAD_ROLLOUT, FaultKind.SUPERSEDED_ROLLOUT})
-"""One a day as well."""
+"""At most one of these occurs in a day as well."""
 
 
 def draw_day(day: Day) -> Day:
-    """Return a day with the faults of its seed."""
+    """Return a day with the faults that are determined by its seed."""
     return replace(day, faults=_draw_faults(random.Random(day.seed), day))
 
 
 def _draw_faults(random: random.Random, day: Day) -> tuple[Fault, ...]:
-    stretches = max(1, round(day.traffic_s / STRETCH_S))
-    count = sum(random.randrange(1, day.max_faults + 1) for _ in range(stretches))
+    periods = max(1, round(day.traffic_s / FAULT_PERIOD_S))
+    count = sum(random.randrange(1, day.max_faults + 1) for _ in range(periods))
     faults: list[Fault] = []
     for _ in range(count):
         kind = random.choice(sorted(FaultKind))
-        at_s = random.uniform(FIRST_FAULT_S, day.traffic_s - QUIET_END_S)
+        at_s = random.uniform(FIRST_FAULT_S, day.traffic_s - FAULT_FREE_END_S)
         duration_s = random.uniform(MIN_DURATION_S, MAX_DURATION_S)
         if _is_excluded(kind, faults):
             continue
@@ -54,6 +54,6 @@
 
 
 def _is_excluded(kind: FaultKind, faults: Sequence[Fault]) -> bool:
-    """Return whether a fault of a group of which there is one a day is there already."""
+    """Return whether `kind` is in a group that may occur once a day and already occurs in `faults`."""
     groups = [group for group in (LARGE_FAULTS, ROLLOUTS) if kind in group]
     return any(fault.kind in group for group in groups for fault in faults)
--- a/honeywood/lab/emulator/faults/fault.py
+++ b/honeywood/lab/emulator/faults/fault.py
@@ -7,7 +7,11 @@
 
 
 class FaultKind(StrEnum):
-    """What fails; the values are stored in files of days and shown, and faults are drawn in their order."""
+    """The kinds of faults.
+
+    The values are stored in files of days and shown in reports. Faults are drawn from the values in sorted
+    order, so a change of a value changes the faults of every seed.
+    """
 
     KILL_PROXY = "kill_front"
     KILL_CONTROLLERS = "kill_controller"
@@ -46,9 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault at `at_s` seconds of traffic for `duration_s`.
+    """A fault that begins `at_s` seconds after the start of traffic and lasts `duration_s` seconds.
 
-    `target`, 0 to 1, stands for what it hits, `variant`, 0 to 1, for its form or strength.
+    `target`, from 0 to 1, selects the affected program or machine. `variant`, from 0 to 1, selects the form
+    or the severity of the fault.
     """
 
     kind: FaultKind
--- a/honeywood/lab/emulator/faults/machines.py
+++ b/honeywood/lab/emulator/faults/machines.py
@@ -13,17 +13,17 @@
 
     from honeywood.lab.emulator.emulated_day import EmulatedDay
 
-TOUCHED_SHARE = 0.3
-"""Of all machines, by a fault of responses."""
+AFFECTED_SHARE = 0.3
+"""The share of all machines that is affected by a fault of responses."""
 SPREAD_STEP = 0.37
-"""Spreads the touched machines over all."""
+"""Distributes the affected machines evenly over all machines."""
 MIN_MACHINES = 3
-"""Of a service, with fewer of which none is stopped."""
+"""No machine of a service with fewer running machines is stopped."""
 USUAL_WORK_FACTOR = 1.0
 
 
 async def crash(world: EmulatedDay, fault: Fault) -> None:
-    """A machine crashes, and another starts in its place later."""
+    """Crash a machine, and start a replacement after the fault's duration."""
     machine = target_machine(world, fault)
     if machine is not None:
         machine.stop(MachineEnd.SILENT if fault.variant < 0.5 else MachineEnd.REFUSES)
@@ -32,7 +32,7 @@
 
 
 async def drain(world: EmulatedDay, fault: Fault) -> None:
-    """A machine leaves as planned, and another starts in its place."""
+    """Drain a machine as planned, and start a replacement."""
     machine = target_machine(world, fault)
     if machine is not None and machine.state == READY:
         world.fleet.start(machine.service, version=machine.version)
@@ -40,7 +40,10 @@
 
 
 def target_machine(world: EmulatedDay, fault: Fault) -> Machine | None:
-    """Return a machine by the fault's target, of a service by its variant; None where few are left."""
+    """Return the machine selected by a fault; None if too few are running.
+
+    The fault's variant selects the service and its target the machine.
+    """
     service = "s" if fault.variant < 0.6 else "u"
     running = sorted(world.machines.running(service), key=lambda machine: machine.id)
     return running[int(fault.target * len(running))] if len(running) >= MIN_MACHINES else None
@@ -49,22 +52,22 @@
 async def _change_machines(
     world: EmulatedDay, fault: Fault, change: Callable[[Machine], None], restore: Callable[[Machine], None]
 ) -> None:
-    """Change some machines for the fault's duration."""
+    """Change a share of the machines for the fault's duration, and then restore them."""
     machines = sorted(world.machines.running(), key=lambda machine: machine.id)
-    touched = [
+    affected = [
         machine
         for index, machine in enumerate(machines)
-        if (index * SPREAD_STEP + fault.target) % 1 < TOUCHED_SHARE
+        if (index * SPREAD_STEP + fault.target) % 1 < AFFECTED_SHARE
     ]
-    for machine in touched:
+    for machine in affected:
         change(machine)
     await asyncio.sleep(fault.duration_s)
-    for machine in touched:
+    for machine in affected:
         restore(machine)
 
 
 async def lose_responses(world: EmulatedDay, fault: Fault) -> None:
-    """Machines execute requests and their responses are lost."""
+    """Make machines lose a share of their responses after they executed the requests."""
 
     def set_share(machine: Machine, share: float) -> None:
         machine.lost_share = share
@@ -73,7 +76,7 @@
 
 
 async def send_stray_responses(world: EmulatedDay, fault: Fault) -> None:
-    """Machines respond with what belongs to another request."""
+    """Make machines send responses that carry the id of another request."""
 
     def set_share(machine: Machine, share: float) -> None:
         machine.stray_share = share
@@ -82,7 +85,7 @@
 
 
 async def fail_responses(world: EmulatedDay, fault: Fault) -> None:
-    """Machines fail a share of their requests."""
+    """Make machines fail a share of their requests."""
 
     def set_share(machine: Machine, share: float) -> None:
         machine.failing_share = share
@@ -99,7 +102,7 @@
 
 
 async def slow_machines(world: EmulatedDay, fault: Fault) -> None:
-    """Machines take many times as long as usual."""
+    """Make machines 5 to 25 times as slow as usual."""
 
     def slow(machine: Machine) -> None:
         machine.work_factor = 5.0 + 20.0 * fault.variant
@@ -111,16 +114,16 @@
 
 
 async def disconnect_clients(world: EmulatedDay, fault: Fault) -> None:
-    """Clients leave, soon or only just before their deadline, and don't retry."""
+    """Make clients disconnect, early or only shortly before their deadline, without a retry."""
     clients = world.clients
     clients.disconnecting_share = 0.2 + 0.6 * fault.variant
-    clients.max_stay_s = 0.02 + 0.6 * fault.target
+    clients.max_disconnect_after_s = 0.02 + 0.6 * fault.target
     await asyncio.sleep(fault.duration_s)
     clients.disconnecting_share = 0.0
 
 
 async def ignore_retry_limits(world: EmulatedDay, fault: Fault) -> None:
-    """Clients ignore Retry-After and retry limits."""
+    """Make clients ignore Retry-After and retry limits."""
     world.clients.non_compliant_share = 0.3 + 0.6 * fault.variant
     await asyncio.sleep(fault.duration_s)
     world.clients.non_compliant_share = 0.0
--- a/honeywood/lab/emulator/faults/orders.py
+++ b/honeywood/lab/emulator/faults/orders.py
@@ -1,4 +1,4 @@
-"""Orders that meet one another: configurations and rollouts, late, duplicated, or in conflict."""
+"""Concurrent orders: configurations and rollouts that are late, duplicated, or in conflict."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     from honeywood.lab.emulator.emulated_day import EmulatedDay
 
 COPIES = 8
-"""Of one order at once, to any controllers."""
+"""The number of copies of one order that are sent at once, each to a random controller."""
 FAILING_VERSION = VersionFaults(failing_share=0.5)
 SLOW_VERSION = VersionFaults(slow_share=0.6)
 ROLLOUT_S, SUPERSEDED_ROLLOUT_S, DUPLICATED_ROLLOUT_S = 6.0, 5.0, 3.0
@@ -20,7 +20,7 @@
 
 
 async def change_configurations(world: EmulatedDay, fault: Fault) -> None:
-    """Two operators order configurations at once, and then comes a late older one."""
+    """Send two configurations concurrently, and then an older one late."""
     operators = world.operators
     version = operators.next_version(9)
     operators.next_version()
@@ -29,7 +29,10 @@
 
 
 async def send_conflicting_configurations(world: EmulatedDay, fault: Fault) -> None:
-    """Two operators send two contents under one number, each until it is answered; responses may be lost."""
+    """Send two contents under one version number concurrently, each until it is answered.
+
+    Responses may be lost.
+    """
     operators = world.operators
     version = operators.next_version(2)
     operators.lost_share = fault.variant / 2
@@ -39,9 +42,9 @@
 
 
 async def duplicate_orders(world: EmulatedDay, fault: Fault) -> None:
-    """Copies of one order are sent to all controllers at once, and responses are lost.
+    """Send copies of one order to random controllers at once, while responses are lost.
 
-    The order is a configuration that brings a service, then a rollout of that service.
+    The first order is a configuration that adds a service, the second one a rollout of that service.
     """
     operators = world.operators
     version = operators.next_version()
@@ -54,19 +57,19 @@
 
 
 async def roll_out_good_version(world: EmulatedDay, fault: Fault) -> None:
-    """A good version is rolled out."""
+    """Roll out a good version."""
     copies = COPIES if fault.variant < 0.3 else 1
     await world.operators.roll_out("s", "v2", ROLLOUT_S, GOOD_VERSION, copies)
 
 
 async def roll_out_bad_version(world: EmulatedDay, fault: Fault) -> None:
-    """A version whose responses fail or are slow is rolled out."""
+    """Roll out a version whose responses fail or are slow."""
     faults = FAILING_VERSION if fault.variant < 0.5 else SLOW_VERSION
     await world.operators.roll_out("s", "v2", ROLLOUT_S, faults)
 
 
 async def supersede_rollout(world: EmulatedDay, fault: Fault) -> None:
-    """A rollout is superseded by another, and copies of the first order arrive late, within ack_s."""
+    """Supersede a rollout by another one, and send late copies of the first order, within ack_s."""
     operators, began_at = world.operators, world.loop.time()
     faults = FAILING_VERSION if fault.variant < 0.5 else GOOD_VERSION
     first = operators.roll_out("s", "v2", SUPERSEDED_ROLLOUT_S, faults)
--- a/honeywood/lab/emulator/fleet.py
+++ b/honeywood/lab/emulator/fleet.py
@@ -26,10 +26,10 @@
 
 
 class Fleet:
-    """Starts machines in a world's zones and makes their calls to its controllers."""
+    """Starts machines in the zones of a world and makes their calls to its controllers."""
 
     def __init__(self, world: EmulatedDay, random: random.Random) -> None:
-        """`random` draws zones and speeds."""
+        """Create a fleet without machines; `random` draws their zones and speeds."""
         self._world = world
         self._random = random
 
@@ -41,7 +41,7 @@
         failing_share: float = 0.0,
         slow_share: float = 0.0,
     ) -> Machine:
-        """Return a machine that starts now and sends heartbeats until it ends."""
+        """Start a machine that sends heartbeats until it ends, and return it."""
         zone = self._random.choice(self._world.zone_names)
         machine = self._world.machines.start(
             service,
@@ -58,10 +58,10 @@
         while machine.end is None:
             body = machine.next_heartbeat(self._world.loop.time())
             await self.call(CallName.HEARTBEAT, machine.id, body, HEARTBEAT_ATTEMPTS)
-            await asyncio.sleep(HEARTBEAT_INTERVAL_S * (0.9 + 0.2 * self._world.chance.random()))
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S * (0.9 + 0.2 * self._world.traffic_rng.random()))
 
     async def drain(self, machine: Machine) -> None:
-        """End a machine as planned: it drains, serves on for a while, and leaves."""
+        """End a machine as planned: it drains, continues to serve for a while, and leaves."""
         machine.state = DRAINING
         body = machine.next_heartbeat(self._world.loop.time())
         result = await self.call(CallName.HEARTBEAT, machine.id, body, DRAIN_ATTEMPTS)
@@ -70,7 +70,7 @@
         await self.leave(machine, GRACE_S)
 
     async def leave(self, machine: Machine, grace_s: float) -> None:
-        """End a draining machine: it serves on for drain_s and `grace_s`."""
+        """End a draining machine after it has served for another drain_s plus `grace_s` seconds."""
         await asyncio.sleep(self._world.bounds["drain_s"] + grace_s)
         result = await self.call(CallName.LEAVE, machine.id, {}, LEAVE_ATTEMPTS)
         machine.stop(MachineEnd.LEFT)
@@ -78,9 +78,9 @@
             self._world.monitor.proxies.on_retired(self._world.loop.time(), machine.id)
 
     async def call(self, call: str, subject: str, body: object, max_attempts: int) -> CallResult:
-        """Call one controller after the other until one responds."""
+        """Call controllers in random order until one responds, or `max_attempts` were made."""
         controllers = self._world.controllers
-        names = self._world.chance.sample(controllers, len(controllers))
+        names = self._world.traffic_rng.sample(controllers, len(controllers))
         for attempt in range(max_attempts):
             result = await self._world.ask(names[attempt % len(names)], call, subject, body)
             if result.status != NO_RESPONSE and result.status < HTTPStatus.INTERNAL_SERVER_ERROR:
--- a/honeywood/lab/emulator/handles.py
+++ b/honeywood/lab/emulator/handles.py
@@ -1,4 +1,4 @@
-"""Handles of the simulated loop, which are deferred while their process is frozen or slowed."""
+"""Handles of the simulated loop; they are deferred while their process is frozen or slowed."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Timer(asyncio.TimerHandle):
-    """A callback that is due at a time."""
+    """A callback that is due at a certain time."""
 
     __slots__ = ()
     if TYPE_CHECKING:
@@ -55,7 +55,7 @@
 
 
 def _delayed_process(context: Context) -> Process | None:
-    """Return the process that a handle belongs to; None where it may run at once."""
+    """Return the process of a context if it is frozen or slowed; None if its handles may run at once."""
     process = context.get(CURRENT)
     if process is None or process.slowdown == FULL_SPEED:
         return None
--- a/honeywood/lab/emulator/loop.py
+++ b/honeywood/lab/emulator/loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next event, and on which a day is repeated exactly by its seed."""
+"""A deterministic event loop whose clock jumps to the next event, so that days are reproducible."""
 
 from __future__ import annotations
 
@@ -24,13 +24,17 @@
 Ts = TypeVarTuple("Ts")
 
 SYNC_S = 0.002
-"""That a disk's write takes."""
+"""The duration of a write to a healthy disk."""
 POWER_LOSS_WRITTEN_PROBABILITY = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class DiskFault:
-    """How a disk behaves: `slowdown` times slower; refusing writes, though they may have taken effect."""
+    """A fault of a disk.
+
+    Writes take `slowdown` times as long. If `refused`, they raise OSError; if `takes_effect` as well, the
+    data is written nevertheless.
+    """
 
     slowdown: float = 1.0
     refused: bool = False
@@ -43,7 +47,7 @@
 
 
 def _perform(fault: DiskFault, write: Callable[[], T]) -> T:
-    """Return the result of a write to a disk; raises OSError where it is refused."""
+    """Return the result of a write to a disk with a fault; raises OSError if the fault refuses writes."""
     if not fault.refused:
         return write()
     if fault.takes_effect:
@@ -51,23 +55,27 @@
     raise OSError("the disk takes no writes")
 
 
-class JumpingSelector:
-    """A selector that waits for nothing: the clock passes the time-out at once."""
+class ClockAdvancingSelector:
+    """A selector that advances the simulated clock by the time-out instead of waiting."""
 
     def __init__(self, loop: Loop, selector: BaseSelector) -> None:
-        """All but `select` is left to `selector`."""
+        """Delegate everything except `select` to `selector`."""
         self._loop = loop
         self._selector = selector
 
     def select(self, timeout: float | None) -> list[Any]:
-        """Return no events once the loop's clock has passed `timeout`."""
+        """Advance the loop's clock by `timeout` and return no events.
+
+        Raises:
+            RuntimeError: Nothing is scheduled, so that the clock could never advance.
+        """
         if timeout is None:
-            raise RuntimeError("nothing is scheduled in this world")
+            raise RuntimeError("deadlock: no event is scheduled in this world")
         self._loop.now += max(0.0, timeout)
         return []
 
     def __getattr__(self, name: str) -> Any:
-        """Return what the real selector has."""
+        """Return an attribute of the real selector."""
         return getattr(self._selector, name)
 
 
@@ -78,10 +86,10 @@
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """An event loop on a clock of its own, `now`, in seconds.
+    """An event loop with a simulated clock, `now`, in seconds.
 
-    Work for an executor is a write of the disk that it stands for: it takes `sync_s`, unless `disk_faults`
-    has a fault of the executor.
+    Each executor represents a disk, and work that is run in it represents a write to that disk. A write takes
+    `sync_s` seconds unless `disk_faults` contains a fault for the executor.
     """
 
     if TYPE_CHECKING:
@@ -90,20 +98,20 @@
         _selector: Any
 
     def __init__(self) -> None:
-        """A loop at second 0."""
+        """Create a loop whose clock is at 0."""
         super().__init__()
         self.now = 0.0
         self.sync_s = SYNC_S
         self.disk_faults: dict[Executor | None, DiskFault] = {}
         self._writes: dict[asyncio.Future[Any], _DiskWrite] = {}
-        self._selector = JumpingSelector(self, self._selector)
+        self._selector = ClockAdvancingSelector(self, self._selector)
         restart_numbers()
 
     def time(self) -> float:
-        """Return the seconds since the loop was made."""
+        """Return the simulated time in seconds since the loop was created."""
         return self.now
 
-    # asyncio makes all its handles by these two
+    # asyncio creates all of its handles through `_call_soon` and `call_at`.
     def _call_soon(
         self, callback: Callable[..., object], args: Sequence[Any], context: Context | None
     ) -> asyncio.Handle:
@@ -118,14 +126,14 @@
         *args: *Ts,
         context: Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Schedule a callback as asyncio does, by a handle that its process may defer."""
+        """Schedule a callback as asyncio does, with a timer that its process can defer."""
         timer = Timer(when, callback, args, self, context)
         heapq.heappush(self._scheduled, timer)
         timer._scheduled = True
         return timer
 
     def run_soon(self, handles: Sequence[asyncio.Handle]) -> None:
-        """Run deferred handles next, in this order."""
+        """Schedule deferred handles to run next, in the given order."""
         self._ready.extend(handles)
 
     def create_task(
@@ -135,7 +143,7 @@
         name: object = None,
         context: Context | None = None,
     ) -> asyncio.Task[T]:
-        """Make a task as asyncio does; it belongs to the process of its context."""
+        """Create a task as asyncio does and register it with the process of its context."""
         task: Task[T] = Task(coro, loop=self, name=name, context=context)
         process = CURRENT.get() if context is None else context.get(CURRENT)
         if process is not None:
@@ -143,13 +151,13 @@
         return task
 
     def create_future(self) -> asyncio.Future[Any]:
-        """Make a future with a number."""
+        """Create a future that is hashed by its number (see ordered_tasks.py)."""
         return Future(loop=self)
 
     def run_in_executor(
         self, executor: Executor | None, func: Callable[[*Ts], T], *args: *Ts
     ) -> asyncio.Future[T]:
-        """Return the result of a disk's write, after the time that its disk takes."""
+        """Perform a write after the time that the executor's disk takes; return the future of its result."""
         result: asyncio.Future[T] = self.create_future()
         fault = self.disk_faults.get(executor, HEALTHY_DISK)
 
@@ -158,7 +166,7 @@
                 return
             try:
                 result.set_result(_perform(fault, lambda: func(*args)))
-            except Exception as error:  # whoever awaits the write gets it
+            except Exception as error:  # raised where the result is awaited
                 result.set_exception(error)
 
         self._writes[result] = _DiskWrite(executor, lambda: func(*args))
@@ -166,7 +174,7 @@
         return result
 
     def lose_power(self, executor: Executor, random: Callable[[], float]) -> None:
-        """End the writes of a process that ends: each takes effect or doesn't."""
+        """End all writes in progress on a disk: each takes effect or is lost, as drawn by `random`."""
         for result, write in list(self._writes.items()):
             if write.executor is executor:
                 del self._writes[result]
--- a/honeywood/lab/emulator/machine.py
+++ b/honeywood/lab/emulator/machine.py
@@ -1,4 +1,4 @@
-"""A simulated service machine: slots, a queue, a speed, and faulty responses."""
+"""A simulated service machine with slots, a queue, a speed, and faulty responses."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
     from honeywood.lab.emulator.machine_connection import MachineConnection
 
 WARM_UP_S = 3.0
-"""After its start, in which a machine is slower."""
+"""The period after its start in which a machine is slower."""
 HEARTBEAT_INTERVAL_S = 1.5
 GRACE_S = 0.5
-"""That a machine serves on after drain_s."""
+"""How much longer than drain_s a draining machine continues to serve requests."""
 MAX_QUEUE = 8
 READY, DRAINING = "ready", "draining"
 
 
 class MachineEnd(Enum):
-    """How a machine that has ended behaves."""
+    """How a machine ended, which determines how its address behaves."""
 
     REFUSES = auto()
-    """Its address refuses connections."""
+    """It crashed, and its address refuses connections."""
     SILENT = auto()
-    """Its address doesn't respond, and its connections hang."""
+    """It crashed, its address does not respond, and its connections hang."""
     LEFT = auto()
-    """It has ended as planned."""
+    """It left as planned; its address refuses connections."""
 
 
 @dataclass(eq=False)
 class Machine:
-    """One incarnation.
+    """One incarnation of a service machine.
 
-    `work_factor` multiplies the time of its work. `failing_share`, `slow_share`, `stray_share` and
-    `lost_share` are the shares of its responses that fail, take eight times as long, belong to no request, or
-    are lost after the execution.
+    `work_factor` multiplies the time that a request takes. `failing_share`, `slow_share`, `stray_share` and
+    `lost_share` are the shares of its responses that fail, take eight times as long, carry the id of another
+    request, or are lost after the execution.
     """
 
     id: str
@@ -57,7 +57,7 @@
     running: int = 0
     heartbeats: int = 0
     queue: list[asyncio.Future[None]] = field(default_factory=list)
-    # A dict keeps their order, so that a day can be repeated.
+    # A dict in place of a set keeps the order of insertion, so that days are reproducible.
     connections: dict[MachineConnection, None] = field(default_factory=dict)
 
     def next_heartbeat(self, now: float) -> dict[str, object]:
@@ -75,14 +75,14 @@
         }
 
     def stop(self, end: MachineEnd) -> None:
-        """End the machine; what it executes is lost, and the connections of a silent one hang."""
+        """End the machine; requests in progress are lost. Connections hang if it is SILENT, or else close."""
         self.end = end
         if end is not MachineEnd.SILENT:
             for connection in list(self.connections):
                 connection.close()
 
     async def acquire_slot(self) -> bool:
-        """Wait for a slot; return False where the queue is full."""
+        """Wait for a free slot and take it; return False at once if the queue is full."""
         if self.running >= self.slots:
             if len(self.queue) >= MAX_QUEUE:
                 return False
@@ -96,12 +96,12 @@
         try:
             await turn
         except asyncio.CancelledError:
-            if not turn.cancelled():  # its turn had come: the next one has it
+            if not turn.cancelled():  # the slot was already assigned to this request: pass it on
                 self._wake_next()
             raise
 
     def release_slot(self) -> None:
-        """Release a slot to the next request in the queue."""
+        """Release a slot and wake the next request in the queue."""
         self.running -= 1
         self._wake_next()
 
--- a/honeywood/lab/emulator/machine_connection.py
+++ b/honeywood/lab/emulator/machine_connection.py
@@ -1,4 +1,4 @@
-"""A proxy's simulated connection to a machine, with what rpc.connection.Connection offers."""
+"""A proxy's simulated connection to a machine, with the interface of rpc.connection.Connection."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 class MachineConnection:
-    """One connection of a proxy.
+    """One simulated connection of a proxy to a machine.
 
-    `response_after_stray` is the response behind a stray one, `serving` the machine's task for the request.
+    `response_after_stray` is the response that follows a stray one, `serving` the machine's task for the
+    current request.
     """
 
     def __init__(
@@ -29,7 +30,7 @@
         machine: Machine,
         on_count_change: Callable[[int], None],
     ) -> None:
-        """`on_count_change` is called with +1 now and with -1 when it ends."""
+        """Open the connection; `on_count_change` is called with +1 now and with -1 when it ends."""
         self.proxy = proxy
         self.machine = machine
         self.reusable = True
@@ -45,11 +46,11 @@
 
     @property
     def ended(self) -> bool:
-        """Whether it has ended."""
+        """Whether the connection has ended."""
         return self not in self.machine.connections
 
     def close(self) -> None:
-        """End the connection and what is in progress on it."""
+        """End the connection and the request in progress on it."""
         if not self.reusable and self.ended:
             return
         self.reusable = False
@@ -80,7 +81,7 @@
         return await self._reply_by(deadline, serving, expected_header)
 
     async def read_on(self, deadline: float) -> Reply | ExchangeFailure:
-        """Return what follows a stray response: the request's own, or nothing until the deadline."""
+        """Return the response after a stray one, or a failure if none arrives before the deadline."""
         if self.response_after_stray is None:
             self.response_after_stray = asyncio.get_running_loop().create_future()
         return await self._reply_by(deadline, self.response_after_stray, None)
@@ -104,7 +105,7 @@
         return ExchangeFailure("time is up" if timed_out else "reset", True, timed_out)
 
     def _mark_surplus(self, reply: Reply, expected_header: HeaderField | None) -> Reply:
-        """Return the reply, marked where it belongs to another request."""
+        """Return the reply, marked as surplus if it belongs to another request."""
         if expected_header is None:
             return reply
         name, value = expected_header
--- a/honeywood/lab/emulator/machine_network.py
+++ b/honeywood/lab/emulator/machine_network.py
@@ -1,4 +1,4 @@
-"""The service machines of a world, and what they make of requests."""
+"""The service machines of a world, and how they process requests."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 WARM_UP_FACTOR = 2.0
 SLOW_RESPONSE_FACTOR = 8.0
 WORK_MU, WORK_SIGMA = -0.08, 0.4
-"""Of the lognormal distribution of a request's work, around its mean."""
+"""Parameters of the lognormal distribution by which the mean time of a request is multiplied."""
 NEVER_S = 3600.0
-"""Longer than any day."""
+"""Longer than any day: a sleep of this length never ends in it."""
 OTHER_ZONE_FACTOR = 3
 LATENCY_SPREAD = 0.2
 TRY_ID = b"x-try-id"
@@ -40,7 +40,11 @@
     def __init__(
         self, world: World, random: random.Random, rules: RequestRules, work_s: Callable[[str], float]
     ) -> None:
-        """`rules` are notified of what machines execute; `work_s(service)` is the mean time of a request."""
+        """Create a network without machines.
+
+        `rules` are notified of requests that machines receive and execute. `work_s(service)` returns the mean
+        execution time of a request in seconds.
+        """
         self._world = world
         self._random = random
         self._rules = rules
@@ -58,7 +62,7 @@
         failing_share: float = 0.0,
         slow_share: float = 0.0,
     ) -> Machine:
-        """Return a machine that starts now."""
+        """Start a machine now and return it."""
         self._last_number += 1
         number = self._last_number
         ip = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}"
@@ -77,7 +81,7 @@
         return machine
 
     def running(self, service: str | None = None) -> list[Machine]:
-        """Return the machines that have not ended, of one service or of all."""
+        """Return the running machines of one service, or of all services if it is None."""
         return [
             machine
             for machine in self._machines.values()
@@ -85,7 +89,7 @@
         ]
 
     def _latency_s(self, proxy: str, machine: Machine) -> float:
-        """Draw the latency of one way between a proxy and a machine."""
+        """Draw the one-way latency between a proxy and a machine."""
         is_same_zone = self._world.zones.get(proxy, DEFAULT_ZONE) == machine.zone
         zone_factor = 1 if is_same_zone else OTHER_ZONE_FACTOR
         return self._world.latency_s * zone_factor * (1 + LATENCY_SPREAD * self._random.random())
@@ -96,7 +100,12 @@
     async def connect(
         self, proxy: str, ip: str, timeout_s: float, on_count_change: Callable[[int], None]
     ) -> MachineConnection:
-        """Open a proxy's connection; raises httpcore.ConnectError or ConnectTimeout."""
+        """Open a connection from a proxy to a machine.
+
+        Raises:
+            httpcore.ConnectError: The address refuses connections, or the machine has too many of them.
+            httpcore.ConnectTimeout: The machine is silent or unreachable.
+        """
         machine = self._machines.get(ip)
         latency_s = self._latency_s(proxy, machine) * 2 if machine else self._world.latency_s
         await asyncio.sleep(latency_s)
@@ -111,7 +120,7 @@
         return MachineConnection(self, proxy, machine, on_count_change)
 
     async def serve(self, connection: MachineConnection, fields: dict[bytes, bytes]) -> Reply | None:
-        """Serve a request; return None where the connection breaks instead of a reply."""
+        """Serve a request and return the reply; None if the connection breaks without one."""
         machine, loop = connection.machine, asyncio.get_running_loop()
         await asyncio.sleep(self._latency_s(connection.proxy, machine))
         if machine.end is not None or self._is_partitioned(connection.proxy, machine):
@@ -135,7 +144,7 @@
         return await self._respond(connection, request_id, deadline, fails)
 
     async def _execute(self, connection: MachineConnection, request_id: bytes, deadline: float) -> bool:
-        """Execute a request; return whether it fails."""
+        """Execute a request, at most until its deadline; return whether it fails."""
         machine, loop = connection.machine, asyncio.get_running_loop()
         fails = self._random.random() < machine.failing_share
         self._rules.on_execution(loop.time(), request_id, machine, connection.proxy, fails)
@@ -150,7 +159,7 @@
     async def _respond(
         self, connection: MachineConnection, request_id: bytes, deadline: float, fails: bool
     ) -> Reply | None:
-        """Return the response to an executed request, or what the machine's faults make of it."""
+        """Return the response to an executed request, subject to the faults of the machine."""
         machine, loop = connection.machine, asyncio.get_running_loop()
         if machine.end is not None:
             await asyncio.sleep(NEVER_S)
@@ -168,7 +177,7 @@
         return await self._reply(connection, status, own_fields, request_id)
 
     async def cancel_serving(self, connection: MachineConnection) -> None:
-        """Let the machine notice that a connection has ended, and stop its work for it."""
+        """Cancel the machine's work on a closed connection, after the latency with which it notices that."""
         await asyncio.sleep(self._latency_s(connection.proxy, connection.machine))
         if connection.serving is not None and not self._is_partitioned(connection.proxy, connection.machine):
             connection.serving.cancel()
@@ -190,5 +199,5 @@
 
 
 def _sends_own_response_after_stray(machine: Machine) -> bool:
-    """Return whether a machine sends the request's own response as well: every second one does."""
+    """Return whether the machine sends the right response after a stray one, as every second machine does."""
     return int(machine.id.removeprefix("i-")) % 2 == 1
--- a/honeywood/lab/emulator/network.py
+++ b/honeywood/lab/emulator/network.py
@@ -1,6 +1,6 @@
-"""The network of a world: calls between programs, and from outside, delayed, lost, duplicated or cut off.
+"""The simulated network: calls between programs and from outside are delayed, lost, duplicated or blocked.
 
-What is in transit belongs to no process, and goes on when its sender ends.
+A message in transit belongs to no process and is delivered even if its sender has terminated.
 """
 
 from __future__ import annotations
@@ -29,20 +29,20 @@
     """The names of the sender and the receiver."""
 
 OUTSIDE = "outside"
-"""Clients, machines and operators, as one end of a link."""
+"""The name of all clients, machines and operators together as one end of a link."""
 OPERATOR = "op"
-"""The peer of calls from outside, as programs see it."""
+"""The peer address of calls from outside, as seen by the programs."""
 NO_RESPONSE = 0
-"""The status of a call without a response."""
+"""The status of a call that received no response."""
 MIN_DUPLICATE_DELAY_S = 0.2
 MAX_DUPLICATE_DELAY_S = 6.0
-"""Beyond the least."""
+"""Added to MIN_DUPLICATE_DELAY_S."""
 MAX_ROLLOUT_DUPLICATE_DELAY_S = 1.6
-"""Of orders of rollouts, which are sent for ack_s at the most, duplicates too."""
+"""For orders of rollouts, which, including duplicates, are only sent within ack_s."""
 
 
 class CallResult(NamedTuple):
-    """The status of a call and its response, or the error; NO_RESPONSE without either."""
+    """The status of a call with its response or error; the status is NO_RESPONSE if there is neither."""
 
     status: int
     response: object
@@ -60,19 +60,20 @@
 
 
 class Network:
-    """Links between programs.
+    """The links between programs.
 
-    `partitions` are the directed links that carry nothing; an end may be OUTSIDE. `nodes`, `processes` and
-    `incarnations` are the programs that run now, by name. `latency_s`, `loss_share` and `duplicate_share` are
-    those of every link; `bytes_per_s` are the rates of some programs' own. `unexpected_errors` are what
-    handlers raised that none should.
+    `partitions` are the directed links that are blocked; either end may be OUTSIDE. `nodes` and `processes`
+    hold the running programs and their processes by name; `incarnations` counts the starts and kills of each
+    program. `latency_s`, `loss_share` and `duplicate_share` apply to every link;
+    `bytes_per_s` limits the bandwidth of individual programs. `unexpected_errors` collects exceptions of
+    handlers that are not GatewayErrors.
     """
 
     def __init__(self, loop: Loop, seed: int) -> None:
-        """All random numbers of the network and of programs' starts are drawn from `seed`."""
+        """Create a network whose random numbers, and those of programs' starts, are determined by `seed`."""
         self.loop = loop
         self.random = random.Random(seed)
-        self.nodes: dict[str, Any] = {}  # Controller or Proxy, by whether the name is in `controllers`
+        self.nodes: dict[str, Any] = {}  # a Controller if the name is in `controllers`, otherwise a Proxy
         self.processes: dict[str, Process] = {}
         self.incarnations: dict[str, int] = {}
         self.controllers: Sequence[str] = ()
@@ -85,25 +86,25 @@
         self._link_free_at: dict[str, float] = {}
 
     def partition(self, name: str, others: Iterable[str]) -> None:
-        """Cut the links of a program with others, both ways."""
+        """Block the links between a program and others in both directions."""
         others = list(others)
         self.partitions |= {(name, other) for other in others} | {(other, name) for other in others}
 
     def heal(self) -> None:
-        """End all partitions."""
+        """Unblock all links."""
         self.partitions.clear()
 
-    def _loses(self, source: str, target: str) -> bool:
-        """Return whether what is sent now on a link is lost."""
+    def _is_lost(self, source: str, target: str) -> bool:
+        """Return whether a message sent now on a link is lost; the loss is drawn at random."""
         if (source, target) in self.partitions:
             return True
         return self.loss_share > 0 and self.random.random() < self.loss_share
 
-    def _duplicates(self) -> bool:
+    def _is_duplicated(self) -> bool:
         return self.duplicate_share > 0 and self.random.random() < self.duplicate_share
 
     def _queueing_s(self, name: str, size_bytes: int) -> float:
-        """Return after how many seconds the bytes have left by a program's link."""
+        """Queue bytes on a program's link; return the seconds until they have been sent."""
         if name not in self.bytes_per_s:
             return 0.0
         now = self.loop.time()
@@ -115,20 +116,20 @@
         return self.latency_s * (1 + self.random.random())
 
     def send(self, message: Message) -> asyncio.Future[Any]:
-        """Send a call; return the future of its response, which may be lost though the call was not."""
+        """Send a call and return the future of its response, which may be lost although the call arrived."""
         response: asyncio.Future[Any] = self.loop.create_future()
-        self.loop.create_task(self._carry(message, response), context=Context())
+        self.loop.create_task(self._deliver(message, response), context=Context())
         return response
 
-    async def _carry(self, message: Message, response: asyncio.Future[Any] | None) -> None:
-        """Carry a call to its target and the response back; a duplicate's response is not awaited."""
+    async def _deliver(self, message: Message, response: asyncio.Future[Any] | None) -> None:
+        """Deliver a call to its target and return the response; `response` is None for a duplicate."""
         source, target = message.source, message.target
         latency_s = self._draw_latency_s()
         incarnation = self.incarnations.get(target)
         await asyncio.sleep(latency_s + self._queueing_s(source, len(message.body)))
-        if self._loses(source, target):
+        if self._is_lost(source, target):
             return
-        if message.idempotent and response is not None and self._duplicates():
+        if message.idempotent and response is not None and self._is_duplicated():
             self.loop.create_task(self._send_duplicate(message))
         node = self.nodes.get(target)
         if node is None:
@@ -139,11 +140,11 @@
         try:
             text = json.dumps(await self.processes[target].run(self._handle(message, node)))
         except asyncio.CancelledError:
-            return  # the process has ended
-        except Exception as raised:  # any is the handler's, and is recorded unless it is expected
+            return  # the process was terminated
+        except Exception as raised:  # raised by the handler; recorded unless it is a GatewayError
             error = self._as_gateway_error(raised, message)
         await asyncio.sleep(self._draw_latency_s() + self._queueing_s(target, len(text)))
-        if response is None or response.done() or self._loses(target, source):
+        if response is None or response.done() or self._is_lost(target, source):
             return
         if incarnation != self.incarnations.get(target):
             return
@@ -153,7 +154,7 @@
             response.set_exception(error)
 
     def _handle(self, message: Message, node: Any) -> Coroutine[Any, Any, object]:
-        """Return the handling of a call of another program."""
+        """Return the coroutine in which a program handles a call from another program."""
         body = message.body.encode()
         handling: Coroutine[Any, Any, object]
         if message.target in self.controllers:
@@ -163,7 +164,7 @@
         return handling
 
     def _refuse(self, message: Message, response: asyncio.Future[Any] | None) -> None:
-        """Refuse a call to a program that isn't there; a frozen process doesn't even refuse."""
+        """Refuse a call to a program that is not running; a frozen or slowed process does not respond."""
         process = self.processes.get(message.target)
         if response is None or response.done():
             return
@@ -177,37 +178,40 @@
         return CallFailed(message.path, repr(error), message.target)
 
     async def _send_duplicate(self, message: Message) -> None:
-        """Send a call a second time, seconds later; its response is not awaited."""
+        """Deliver a call a second time, seconds later; its response is not awaited."""
         await asyncio.sleep(MIN_DUPLICATE_DELAY_S + MAX_DUPLICATE_DELAY_S * self.random.random())
-        await self._carry(message, None)
+        await self._deliver(message, None)
 
     async def ask(
         self,
         name: str,
         call: str,
-        of: str = "",
+        subject: str = "",
         body: object = None,
-        within: float = 1.0,
-        again: bool = True,
+        timeout_s: float = 1.0,
+        may_duplicate: bool = True,
     ) -> CallResult:
-        """Make an operator's or machine's call to one controller.
+        """Call one controller as an operator or a machine and return the result.
 
-        `of` is its subject, `within` the time-out in seconds; with `again` it may be duplicated.
+        `subject` is what the call is about, such as a machine's id. With `may_duplicate`, the network may
+        deliver the call twice.
         """
         raw = body if isinstance(body, bytes) else json.dumps(body or {}).encode()
         incarnation, node = self.incarnations.get(name), self.nodes.get(name)
         if node is None:
             return CallResult(NO_RESPONSE, None)
-        if self._loses(OUTSIDE, name):
-            await asyncio.sleep(within)
+        if self._is_lost(OUTSIDE, name):
+            await asyncio.sleep(timeout_s)
             return CallResult(NO_RESPONSE, None)
-        if again and self._duplicates():
-            self.loop.create_task(self._ask_again(name, call, of, raw))
+        if may_duplicate and self._is_duplicated():
+            self.loop.create_task(self._send_duplicate_call(name, call, subject, raw))
         handler = node.app.operations.handlers[call]
-        handling = self.processes[name].run(handler(Call(of, raw, OPERATOR)))
+        handling = self.processes[name].run(handler(Call(subject, raw, OPERATOR)))
         handling.add_done_callback(self._record_unexpected_error)
-        await asyncio.wait((handling,), timeout=within)  # the program goes on with what is given up
-        if not handling.done() or handling.cancelled() or self._loses(name, OUTSIDE):
+        await asyncio.wait(
+            (handling,), timeout=timeout_s
+        )  # after a time-out the program still completes the call
+        if not handling.done() or handling.cancelled() or self._is_lost(name, OUTSIDE):
             return CallResult(NO_RESPONSE, None)
         if incarnation != self.incarnations.get(name):
             return CallResult(NO_RESPONSE, None)
@@ -223,8 +227,8 @@
         if error is not None and not isinstance(error, GatewayError):
             self.unexpected_errors.append(error)
 
-    async def _ask_again(self, name: str, call: str, of: str, raw: bytes) -> None:
+    async def _send_duplicate_call(self, name: str, call: str, subject: str, raw: bytes) -> None:
         is_rollout = call == CallName.START_ROLLOUT
         max_delay_s = MAX_ROLLOUT_DUPLICATE_DELAY_S if is_rollout else MAX_DUPLICATE_DELAY_S
         await asyncio.sleep(MIN_DUPLICATE_DELAY_S + max_delay_s * self.random.random())
-        await self.ask(name, call, of, raw, again=False)
+        await self.ask(name, call, subject, raw, may_duplicate=False)
--- a/honeywood/lab/emulator/ordered_tasks.py
+++ b/honeywood/lab/emulator/ordered_tasks.py
@@ -1,6 +1,7 @@
-"""Tasks and futures whose order in sets is that in which they were made, so that a day can be repeated.
+"""Tasks and futures whose order in sets does not depend on memory addresses, so that days are reproducible.
 
-A set keeps its items by their hash, which is the address unless a class defines another.
+The order of a set depends on the hashes of its items. By default a hash is derived from the memory address;
+here it is a serial number.
 """
 
 from __future__ import annotations
@@ -26,13 +27,13 @@
 
 
 class Task(_Ordered, asyncio.Task[T]):
-    """A task that is hashed by its number."""
+    """A task that is hashed by its serial number."""
 
 
 class Future(_Ordered, asyncio.Future[T]):
-    """A future that is hashed by its number."""
+    """A future that is hashed by its serial number."""
 
 
 def restart_numbers() -> None:
-    """Number tasks and futures from 0 on again."""
+    """Restart the serial numbers of tasks and futures at 0."""
     _Ordered.numbers = count()
--- a/honeywood/lab/emulator/process.py
+++ b/honeywood/lab/emulator/process.py
@@ -1,7 +1,7 @@
 """Simulated processes on one event loop.
 
-Each handle (a callback that is due) belongs to the process whose task made it, so a process can be delayed
-alone: frozen, slowed, or terminated with all that it had in progress.
+Each handle (a callback that is due) belongs to the process whose task created it. A single process can
+therefore be frozen, slowed, or terminated with all of its tasks while the others run on.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
 T = TypeVar("T")
 
 CURRENT: ContextVar[Process | None] = ContextVar("process", default=None)
-"""The process whose code runs; None for the world's own."""
+"""The process whose code is running; None for code of the simulation itself."""
 
 FROZEN = inf
 FULL_SPEED = 1.0
 HANDLE_S = 0.0002
-"""That a handle takes at full speed; a slowed process runs one in so many times this."""
+"""The simulated time per handle, multiplied by the slowdown of a slowed process."""
 
 
 class Process:
-    """One incarnation of a program.
+    """The process of one incarnation of a program.
 
-    `slowdown` is FULL_SPEED, how many times slower it runs, or FROZEN. `tasks` are in the order in which they
-    were made; a set's order would be that of addresses.
+    `slowdown` is FULL_SPEED, FROZEN, or the factor by which the process runs more slowly. `tasks` is an
+    ordered mapping and keeps the order of creation; the order of a set would depend on memory addresses.
     """
 
     def __init__(self, loop: Loop, name: str) -> None:
-        """A process that runs nothing yet."""
+        """Create a process that runs nothing yet."""
         self.name = name
         self.slowdown = FULL_SPEED
         self.tasks: WeakKeyDictionary[asyncio.Task[Any], None] = WeakKeyDictionary()
@@ -51,16 +51,16 @@
         self._context.run(CURRENT.set, self)
 
     def run(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
-        """Run a coroutine as this process: return its task."""
+        """Run a coroutine in this process and return its task."""
         return self._loop.create_task(work, context=self._context.copy())
 
     def defer_callback(self, handle: Handle) -> None:
-        """Keep a callback that is due while the process is frozen or slowed."""
+        """Defer a callback that is due while the process is frozen or slowed."""
         self._deferred_callbacks.append(handle)
         self._schedule_turn()
 
     def defer_timer(self, timer: Timer) -> None:
-        """Keep a timer that is due while the process is frozen or slowed."""
+        """Defer a timer that is due while the process is frozen or slowed."""
         self._deferred_timers.append(timer)
         self._schedule_turn()
 
@@ -69,7 +69,7 @@
             self._take_turn()
 
     def _take_turn(self) -> None:
-        """Run one handle now, and the next when a slowed process gets to it."""
+        """Run one deferred handle now and schedule the next one after the time that a slowed handle takes."""
         self._next_turn = None
         if self._deferred_callbacks:
             self._deferred_callbacks.popleft().run_now()
@@ -81,10 +81,10 @@
         self._next_turn = self._loop.call_later(delay_s, self._take_turn, context=Context())
 
     def set_slowdown(self, slowdown: float) -> None:
-        """Freeze the process, slow it, or let it run at full speed.
+        """Freeze the process, slow it, or return it to full speed.
 
-        At full speed all that came due runs at once: first what arrived, then what its clock is due for, as a
-        real loop does.
+        On return to full speed all deferred handles run at once, callbacks before timers, as in a real loop
+        after a pause: a response that has arrived is processed before its time-out.
         """
         self.slowdown = slowdown
         if self._next_turn is not None:
@@ -97,7 +97,7 @@
             self._next_turn = self._loop.call_soon(self._take_turn, context=Context())
 
     def terminate(self) -> None:
-        """Cancel all that it has in progress."""
+        """Cancel all tasks of the process."""
         for task in list(self.tasks):
             task.cancel()
         self.set_slowdown(FULL_SPEED)
--- a/honeywood/lab/emulator/rules/__init__.py
+++ b/honeywood/lab/emulator/rules/__init__.py
@@ -1,4 +1,5 @@
-"""The rules that must hold on every day, checked while it is played. Pure: all times are parameters.
+"""The rules that must hold on every day; they are checked while the day is played.
 
-Start reading at rule.py (the rules), then monitor.py.
+The modules are free of I/O and clocks: all times are parameters. Start reading at rule.py (the list of
+rules), then monitor.py.
 """
--- a/honeywood/lab/emulator/rules/context.py
+++ b/honeywood/lab/emulator/rules/context.py
@@ -1,4 +1,7 @@
-"""What all rules share: the violations found, and when a program, the core or a link was last disturbed."""
+"""State that all rules share: the violations, and when a program, the core or a link was last disturbed.
+
+The core is the group of all controllers.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +11,14 @@
 
 
 class RuleContext:
-    """Disturbances and violations of a day.
+    """The disturbances and violations of a day.
 
-    `core_disturbed_at` and `links_disturbed_at` are when the core, and any link, last were.
+    `core_disturbed_at` is the time of the last disturbance of the core, `links_disturbed_at` that of the last
+    disturbance of any link.
     """
 
     def __init__(self, bounds: Mapping[str, float]) -> None:
-        """`bounds` are those of the settings file."""
+        """Create a context without violations; `bounds` are the bounds in the settings file."""
         self.bounds = bounds
         self.violations: list[Violation] = []
         self.core_disturbed_at = 0.0
@@ -25,21 +29,21 @@
         """Record a violation."""
         self.violations.append(Violation(rule, round(now, 3), details))
 
-    def disturb(self, now: float, name: str, affects_core: bool) -> None:
-        """Record that a program is disturbed, and perhaps the core with it."""
+    def record_disturbance(self, now: float, name: str, affects_core: bool) -> None:
+        """Record that a program is disturbed, and the core as well if `affects_core`."""
         self._disturbed_at[name] = now
         if affects_core:
             self.core_disturbed_at = now
 
-    def disturb_links(self, now: float) -> None:
+    def record_link_disturbance(self, now: float) -> None:
         """Record that a link is disturbed."""
         self.links_disturbed_at = now
 
     def is_in_contact(self, now: float, proxy: str) -> bool:
-        """Return whether neither a proxy nor the core was disturbed for contact_s."""
+        """Return whether neither the proxy nor the core was disturbed in the last contact_s seconds."""
         since = now - self.bounds["contact_s"]
         return self._disturbed_at.get(proxy, 0.0) < since and self.core_disturbed_at < since
 
     def undisturbed_since(self) -> float:
-        """Return since when acknowledgements are due."""
+        """Return the time since which acknowledgements are due again."""
         return max(self.core_disturbed_at + self.bounds["contact_s"], self.links_disturbed_at)
--- a/honeywood/lab/emulator/rules/monitor.py
+++ b/honeywood/lab/emulator/rules/monitor.py
@@ -1,4 +1,4 @@
-"""All rules of a day in one place."""
+"""The checks of all rules of a day in one object."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Monitor:
-    """The rules by what they observe."""
+    """The checks of a day, grouped by what they observe: trials, requests, orders and proxies."""
 
     def __init__(self, bounds: Mapping[str, float]) -> None:
-        """`bounds` are those of the settings file."""
+        """Create the checks for a day with the given bounds of the settings file."""
         self.context = RuleContext(bounds)
         self.trials = TrialRules(self.context)
         self.requests = RequestRules(self.context, self.trials)
@@ -23,7 +23,10 @@
         self.proxies = ProxyRules(self.context, self.orders)
 
     def close(self, now: float, read_back_version: int | None) -> None:
-        """Check what needs the complete day; the version was read from a majority, None where that failed."""
+        """Check the rules that need the complete day.
+
+        `read_back_version` is the version that was read from a majority at the end; None if that failed.
+        """
         self.orders.close(now, read_back_version)
         self.proxies.close(now)
         self.requests.close()
--- a/honeywood/lab/emulator/rules/orders.py
+++ b/honeywood/lab/emulator/rules/orders.py
@@ -16,7 +16,7 @@
 
     @classmethod
     def of(cls, number: int, body: object) -> ConfigurationOrder:
-        """Return the order of a configuration given as JSON values."""
+        """Return the order for a configuration that is given as JSON values."""
         return cls(number, json.dumps(body))
 
     def __str__(self) -> str:
--- a/honeywood/lab/emulator/rules/request_rules.py
+++ b/honeywood/lab/emulator/rules/request_rules.py
@@ -1,4 +1,4 @@
-"""Rules of requests: at most once, promises kept, own responses, drains, retry budget and cancellation."""
+"""Rules of requests: execution at most once, correct responses, drains, retry budget and cancellation."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from honeywood.lab.emulator.machine import Machine
 
 CANCELLATION_TIMEOUT_S = 0.5
-"""After a client's disconnect, in which machines must have stopped an idempotent request."""
+"""The time after a client's disconnect within which machines must have stopped an idempotent request."""
 
 NOT_EXECUTED_STATUSES = (
     HTTPStatus.REQUEST_TIMEOUT,
@@ -24,20 +24,21 @@
     HTTPStatus.TOO_MANY_REQUESTS,
     HTTPStatus.SERVICE_UNAVAILABLE,
 )
-"""Responses that promise that nothing was executed."""
+"""The statuses that guarantee that the request was not executed."""
 
 SUCCESS_STATUSES = range(200, 300)
 
 
 class RequestRules:
-    """Observes requests, by the id of the client's attempt, from clients to machines and back.
+    """Observes requests from clients to machines and back, by the id of the client's attempt.
 
-    `sent_times` are the times of clients' attempts by service, `retry_times` those of further arrivals of an
-    attempt at machines; `resets` counts connections that machines reset.
+    `sent_times` are the times of clients' attempts by service. `retry_times` are the times at which an
+    attempt arrived at a machine again after its first arrival, by service. `resets` counts connections that
+    machines reset.
     """
 
     def __init__(self, context: RuleContext, trials: TrialRules) -> None:
-        """`trials` is notified of what machines execute."""
+        """Observe the requests of a day; `trials` is notified of requests that machines execute."""
         self.resets = 0
         self.sent_times: defaultdict[str, list[float]] = defaultdict(list)
         self.retry_times: defaultdict[str, list[float]] = defaultdict(list)
@@ -48,17 +49,17 @@
         self._executions: Counter[bytes] = Counter()
         self._promised_not_executed: set[bytes] = set()
         self._arrived: set[bytes] = set()
-        self._draining_since: dict[str, float] = {}  # by the id of the machine
-        self._disconnects: dict[bytes, tuple[float, str]] = {}  # when, and at which proxy
+        self._draining_since: dict[str, float] = {}  # by machine id
+        self._disconnects: dict[bytes, tuple[float, str]] = {}  # the time and the proxy
 
     def on_sent(self, now: float, request_id: bytes, service: str, idempotent: bool) -> None:
-        """Record an attempt that a client sends."""
+        """Record that a client sends an attempt."""
         self._idempotent[request_id] = idempotent
         self._sent_at[request_id] = now
         self.sent_times[service].append(now)
 
     def on_arrival(self, now: float, request_id: bytes, machine: Machine, proxy: str) -> None:
-        """Check an attempt that arrives at a machine."""
+        """Check that a machine at which an attempt arrives has not been draining for too long."""
         if request_id in self._arrived:
             self.retry_times[machine.service].append(now)
         self._arrived.add(request_id)
@@ -70,29 +71,29 @@
             self._context.report(Rule.DRAIN, now, details)
 
     def on_execution(self, now: float, request_id: bytes, machine: Machine, proxy: str, fails: bool) -> None:
-        """Check an attempt that a machine begins to execute."""
+        """Check that an attempt that a machine begins to execute may be executed."""
         self._executions[request_id] += 1
         if not self._idempotent[request_id]:
             name = request_id.decode()
             if self._executions[request_id] > 1:
-                details = f"{name} is executed again at {machine.id}"
+                details = f"{name} was executed again at {machine.id}"
                 self._context.report(Rule.AT_MOST_ONCE, now, details)
             if request_id in self._promised_not_executed:
-                details = f"{name} is executed after its response"
+                details = f"{name} was executed after a response that guaranteed that it was not"
                 self._context.report(Rule.NOT_EXECUTED, now, details)
         self._trials.on_execution(now, machine, proxy, self._sent_at[request_id], fails)
 
     def on_disconnect(self, now: float, request_id: bytes, proxy: str) -> None:
-        """Record that a client closes its connection before its response."""
+        """Record that a client closes its connection before it received a response."""
         self._disconnects[request_id] = now, proxy
 
     def on_execution_end(self, now: float, request_id: bytes) -> None:
-        """Check an execution that ends, completed or cancelled, against its client's disconnect."""
-        left_at, proxy = self._disconnects.get(request_id, (now, ""))
-        is_late = self._idempotent.get(request_id) and now - left_at > CANCELLATION_TIMEOUT_S
+        """Check that an execution ends, completed or cancelled, soon after its client's disconnect."""
+        disconnected_at, proxy = self._disconnects.get(request_id, (now, ""))
+        is_late = self._idempotent.get(request_id) and now - disconnected_at > CANCELLATION_TIMEOUT_S
         in_contact = self._context.is_in_contact
-        if is_late and in_contact(left_at, proxy) and in_contact(now, proxy):
-            details = f"{request_id.decode()} ran {now - left_at:.2f} s after its client left"
+        if is_late and in_contact(disconnected_at, proxy) and in_contact(now, proxy):
+            details = f"{request_id.decode()} ran {now - disconnected_at:.2f} s after its client disconnected"
             self._context.report(Rule.CANCELLATION, now, details)
 
     def on_response(self, now: float, request_id: bytes, status: int, body: bytes) -> None:
@@ -101,28 +102,28 @@
         if status in NOT_EXECUTED_STATUSES:
             self._promised_not_executed.add(request_id)
             if not self._idempotent[request_id] and self._executions[request_id]:
-                details = f"{name} was answered {status} and had been executed"
+                details = f"{name} was answered {status} but had been executed"
                 self._context.report(Rule.NOT_EXECUTED, now, details)
         if status in SUCCESS_STATUSES and body != request_id:
-            self._context.report(Rule.OWN_RESPONSE, now, f"{name} got the response of {body!r}")
+            self._context.report(Rule.OWN_RESPONSE, now, f"{name} received the response to {body!r}")
 
     def on_reset(self) -> None:
-        """Count a connection that a machine resets since it has as many as it takes."""
+        """Count a connection that a machine resets because it has reached its maximum of connections."""
         self.resets += 1
 
     def on_draining(self, now: float, machine_id: str) -> None:
-        """Record that a machine's draining is acknowledged."""
+        """Record that a machine's draining was acknowledged."""
         self._draining_since.setdefault(machine_id, now)
 
     def close(self) -> None:
-        """Check the retries against the requests of the same time."""
+        """Check the number of retries against the number of requests of the same period."""
         for service, times in self.retry_times.items():
             for index, time in enumerate(times):
                 if self._check_budget(service, time, times, index):
                     break
 
     def _check_budget(self, service: str, time: float, times: Sequence[float], index: int) -> bool:
-        """Check the retries of the window that ends at one of them; return whether they are too many."""
+        """Check the retries in the window that ends at retry `index`; return whether there are too many."""
         bounds = self._context.bounds
         window_s = bounds["retry_win_s"]
         retries = index + 1 - bisect_left(times, time - window_s)
@@ -135,7 +136,7 @@
 
     @staticmethod
     def _most_requests(sent_times: Sequence[float], time: float, window_s: float) -> int:
-        """Return the most requests in the window that ends at a time, the previous one, or half of each."""
+        """Return the most requests in the window that ends at `time`, half a window or one window earlier."""
         return max(
             bisect_left(sent_times, time - back * window_s)
             - bisect_left(sent_times, time - (back + 1) * window_s)
--- a/honeywood/lab/emulator/rules/trial_rules.py
+++ b/honeywood/lab/emulator/rules/trial_rules.py
@@ -1,4 +1,4 @@
-"""Rules of a bad version on trial: its exposure."""
+"""The rule of exposure: how many requests may reach a bad version during its rollout."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     from honeywood.lab.emulator.machine import Machine
 
 BAD_RESPONSES = 50
-"""After which a bad version must be stopped."""
+"""The number of bad responses after which a version must be stopped within rollback_s."""
 
 
 @dataclass(slots=True)
 class Trial:
-    """A bad version: what reached it since its order, and the time by which it must have been stopped."""
+    """A bad version, the requests that reached it since its order, and the deadline for stopping it."""
 
     version: str
     ordered_at: float
@@ -30,19 +30,19 @@
 
 
 class TrialRules:
-    """Observes what reaches bad versions."""
+    """Observes the requests that reach bad versions."""
 
     def __init__(self, context: RuleContext) -> None:
-        """`context` knows which proxies are in contact."""
+        """Observe the rollouts of a day; `context` provides which proxies are in contact."""
         self._context = context
         self._trials: dict[str, Trial | None] = {}  # by service
 
     def on_ordered(self, now: float, service: str, version: str, is_bad: bool) -> None:
-        """Record a rollout that is about to be ordered; that of a good version is not observed."""
+        """Record a rollout that is about to be ordered; a rollout of a good version is not observed."""
         self._trials[service] = Trial(version, now) if is_bad else None
 
     def on_execution(self, now: float, machine: Machine, proxy: str, sent_at: float, fails: bool) -> None:
-        """Check a request, first sent at `sent_at`, that a machine executes."""
+        """Check a request that was sent at `sent_at` and that a machine executes now."""
         trial = self._trials.get(machine.service)
         if trial is None or machine.version != trial.version:
             return
@@ -56,7 +56,7 @@
             trial.stop_deadline = now + rollback_s
         was_undisturbed = self._context.core_disturbed_at < trial.stop_deadline - rollback_s
         if sent_at > trial.stop_deadline and was_undisturbed:
-            details = f"{sent_at - trial.stop_deadline:.2f} s too late"
+            details = f"a request was sent {sent_at - trial.stop_deadline:.2f} s after the stop deadline"
             self._context.report(Rule.EXPOSURE, now, details)
 
     def close(self, now: float, sent_times: Mapping[str, Sequence[float]]) -> None:
@@ -68,4 +68,6 @@
             times = sent_times[service]
             requests = len(times) - bisect_left(times, trial.ordered_at)
             if trial.requests > share * requests + slack:
-                self._context.report(Rule.EXPOSURE, now, f"{service}: {trial.requests} of {requests}")
+                self._context.report(
+                    Rule.EXPOSURE, now, f"{service}: {trial.requests} of {requests} requests"
+                )
--- a/honeywood/lab/emulator/world.py
+++ b/honeywood/lab/emulator/world.py
@@ -1,7 +1,7 @@
-"""Controllers and proxies, the real programs, on one clock that jumps from event to event.
+"""Runs controllers and proxies, the real programs, on one simulated clock that jumps from event to event.
 
-Calls between them cross a network that delays, cuts and loses (network.py). Disks sync after a while, and
-what was being written when power was lost is there or not.
+Calls between them cross a simulated network with delays, partitions and message loss (network.py). A write to
+a disk takes some time; a write in progress when power is lost takes effect or is lost, at random.
 """
 
 from __future__ import annotations
@@ -30,35 +30,37 @@
 __all__ = ["OUTSIDE", "Loop", "World"]
 
 START_TIME_OF_DAY_S = 1e9
-"""The time of day at which a world begins."""
+"""The wall-clock time at which a world starts, in seconds since the epoch."""
 CHECK_INTERVAL_S = 0.05
 CLOSING_ROUNDS = 4
-"""In each the tasks end that waited for those of the one before."""
+"""Each round ends the tasks that waited for tasks of the previous round."""
 CLOSING_ROUND_S = 0.01
-SEEDS = 3
-"""Controllers that every program's settings name."""
+SEED_COUNT = 3
+"""The number of controllers that are listed as seeds in each program's settings."""
 DEFAULT_ZONE = "z"
 
 
 class FailureLog(SilentLog):
-    """Records only periodic tasks that failed for a reason that nobody foresaw."""
+    """A log that records only unexpected failures of periodic tasks."""
 
     def __init__(self, unexpected_errors: list[BaseException]) -> None:
-        """Append to a list."""
+        """Append the failures to `unexpected_errors`."""
         self._unexpected_errors = unexpected_errors
 
     def info(self, event: str, min_interval_s: float = 0.0, **fields: object) -> None:
-        """Take an event of a program."""
+        """Record the event if it reports an unexpected failure of a periodic task."""
         if event == "periodic task failed" and not fields["foreseen"]:
             self._unexpected_errors.append(RuntimeError(f"{fields['step']}: {fields['why']}"))
 
 
 class World(Network):
-    """Programs by name: `controllers` a b c ..., `proxies` f g h ...
+    """A simulated system whose programs are identified by name.
 
-    A name that has no zone in `zones` is in DEFAULT_ZONE. `fresh` tells programs that the whole system starts
-    for the first time; `clock_offsets_s` and `slowdowns` are those of some programs, `seeds` the controllers
-    that some are told of instead of the first ones. `removed` are machines that were removed for good.
+    `controllers` and `proxies` are the names of the programs. A program that is not listed in `zones` is in
+    DEFAULT_ZONE. `fresh` is the setting by which programs know that the whole system starts for the first
+    time. `clock_offsets_s` and `slowdowns` hold the wall-clock offsets and slowdowns of individual programs,
+    and `seeds` the seed controllers of programs that do not use the default ones. `removed` are the programs
+    that were removed permanently.
     """
 
     def __init__(
@@ -70,7 +72,11 @@
         zones: Mapping[str, str] | None = None,
         bounds: Mapping[str, float] = BOUNDS,
     ) -> None:
-        """`tolerated_failures` disks may be lost at once; `bounds` are those of the settings file."""
+        """Create a world in which no program runs yet.
+
+        `tolerated_failures` is the number of disks that may be lost at once; `bounds` are the bounds in the
+        settings file.
+        """
         super().__init__(Loop(), seed)
         self.controllers = controllers
         self.proxies = proxies
@@ -87,7 +93,7 @@
         self._log = FailureLog(self.unexpected_errors)
 
     def start(self, name: str) -> None:
-        """Start a program, unless its machine was removed for good."""
+        """Start a program, unless it was removed permanently."""
         if name in self.removed:
             return
         program = self._make_program(name)
@@ -101,15 +107,15 @@
         process.run(self._begin(name, program, incarnation))
 
     def _attach_disk(self, name: str, executor: Executor) -> None:
-        """Give the disk's fault, if it has one, to the executor that stands for it from now on."""
+        """Assign a controller's disk, with its current fault, to the executor of a new incarnation."""
         previous = self._executors.get(name)
         fault = self.loop.disk_faults.pop(previous, HEALTHY_DISK)
         self.loop.disk_faults[executor] = fault
         self._executors[name] = executor
 
     def _make_program(self, name: str) -> Controller | Proxy:
-        """Return the real program of a name, which writes no log."""
-        seeds = self.seeds.get(name, self.controllers[:SEEDS])
+        """Create the real controller or proxy with the given name; it writes no log."""
+        seeds = self.seeds.get(name, self.controllers[:SEED_COUNT])
         made_settings = settings(
             name,
             seeds,
@@ -126,30 +132,30 @@
 
         common = made_settings, caller, clock, wall_clock
         connect = None if name in self.controllers else self.connect_of(name)
-        chance = random.Random(self.random.random())
+        rng = random.Random(self.random.random())
         if name in self.controllers:
-            return Controller(*common, random=chance, log=self._log, disk=self.open_disk)
+            return Controller(*common, random=rng, log=self._log, disk=self.open_disk)
         if connect is None:
-            return Proxy(*common, random=chance, log=self._log)
-        return Proxy(*common, random=chance, log=self._log, connect=connect)
+            return Proxy(*common, random=rng, log=self._log)
+        return Proxy(*common, random=rng, log=self._log, connect=connect)
 
     def open_disk(self, folder: str) -> Store:
-        """Return the row store of a controller's disk."""
+        """Return the row store on the disk with the given folder name."""
         return MemoryStore(self.disks, folder)
 
     def connect_of(self, name: str) -> Connect | None:
-        """Return what opens a proxy's connections to machines; None for real ones."""
+        """Return the function that opens a proxy's connections to machines; None for real connections."""
         return None
 
     async def _begin(self, name: str, program: Controller | Proxy, incarnation: int) -> None:
         if isinstance(program, Controller):
             await program.register.manager.open()
-        if self.incarnations[name] == incarnation:  # not killed meanwhile
+        if self.incarnations[name] == incarnation:  # not killed or restarted while it opened its disk
             self.nodes[name] = program
             program.begin()
 
     def kill(self, name: str) -> None:
-        """Terminate a program; what it was writing is there or not."""
+        """Terminate a program; each of its writes in progress takes effect or is lost, at random."""
         self.incarnations[name] = self.incarnations.get(name, 0) + 1
         self.nodes.pop(name, None)
         if name in self._executors:
@@ -158,22 +164,22 @@
             self.processes.pop(name).terminate()
 
     def wipe(self, name: str) -> None:
-        """Terminate a program and lose its disk."""
+        """Terminate a program and delete its disk."""
         self.kill(name)
         self.disks.pop(name, None)
 
     def set_slowdown(self, name: str, slowdown: float) -> None:
-        """Freeze a program's process (FROZEN), slow it, or let it run at FULL_SPEED, after restarts too."""
+        """Set the slowdown of a program's process, FULL_SPEED to FROZEN; it also applies after restarts."""
         self.slowdowns[name] = slowdown
         if name in self.processes:
             self.processes[name].set_slowdown(slowdown)
 
     def set_disk_fault(self, name: str, fault: DiskFault) -> None:
-        """Set how a controller's disk behaves."""
+        """Set the fault of a controller's disk; HEALTHY_DISK clears it."""
         self.loop.disk_faults[self._executors[name]] = fault
 
     def version(self, name: str) -> int | None:
-        """Return the version of the configuration that a program stores; None without one."""
+        """Return the version of the configuration that a program stores; None if it has none or is down."""
         program = self.nodes.get(name)
         if program is None:
             return None
@@ -181,13 +187,13 @@
         return stamp[0] if stamp else None
 
     def state(self, name: str, machine_id: str) -> str:
-        """Return a machine's state as a program knows it."""
+        """Return a machine's state in the records of a program, or "unknown"."""
         record = self.nodes[name].publisher.store.get(f"machine/{machine_id}")
         state: str = record["state"] if record else "unknown"
         return state
 
     def run(self, until: float, on_check: Callable[[], object] = lambda: None) -> None:
-        """Let time pass up to `until`; `on_check` is called every CHECK_INTERVAL_S."""
+        """Run the world until the given time in seconds and call `on_check` every CHECK_INTERVAL_S."""
 
         async def pass_time() -> None:
             while self.loop.time() < until:
