--- a/honeywood/cli/emulator.py
+++ b/honeywood/cli/emulator.py
@@ -1,4 +1,4 @@
-"""`honeywood lab emulator ...`: the whole system on a simulated clock, with faults drawn by seed."""
+"""`honeywood lab emulator ...`: simulates the whole system, with faults that are drawn from a seed."""
 
 import json
 import sys
@@ -8,14 +8,14 @@
 
 @click.group("emulator")
 def command():
-    """Run days of the system on one simulated clock, with simulated machines, network and clients."""
+    """Simulate days of the system on one clock, with simulated machines, network and clients."""
 
 
-def shape(function):
-    """Options of a command that change the world."""
+def day_options(function):
+    """Add the options that set the parameters of a day to a command."""
     for option in (
         click.option("--fronts", type=click.IntRange(1), default=4, show_default=True),
-        click.option("--per-s", type=float, default=40.0, show_default=True, help="Requests a second."),
+        click.option("--per-s", type=float, default=40.0, show_default=True, help="Requests per second."),
         click.option("--seconds", type=click.FloatRange(3), default=8.0, show_default=True),
         click.option(
             "--bear",
@@ -29,10 +29,12 @@
             type=click.IntRange(1),
             default=6,
             show_default=True,
-            help="In each eight seconds.",
+            help="Maximum number of faults in each eight seconds.",
+        ),
+        click.option("--changes", type=click.IntRange(0), default=0, help="Configuration changes."),
+        click.option(
+            "--link", type=float, default=0.0, help="Bytes per second of a proxy's link; 0: unlimited."
         ),
-        click.option("--changes", type=click.IntRange(0), default=0, help="Changes of the configuration."),
-        click.option("--link", type=float, default=0.0, help="Bytes a second of a proxy's link."),
     ):
         function = option(function)
     return function
@@ -40,14 +42,14 @@
 
 @command.command()
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--chart", type=click.Path(), help="A PNG of the score a second.")
-@shape
-def run(seed, chart, **given):
-    """Run one day of a seed and print its outcome."""
+@click.option("--chart", type=click.Path(), help="Write a PNG chart of the score per second.")
+@day_options
+def run(seed, chart, **options):
+    """Run the day of one seed and print its outcome."""
     from honeywood.lab.emulator import day_codec, hunt, report
     from honeywood.lab.emulator.faults.draw import draw_day
 
-    day = draw_day(day_codec.from_options({**given, "seed": seed}))
+    day = draw_day(day_codec.from_options({**options, "seed": seed}))
     outcome = hunt.play(day)
     click.echo(report.describe(day, outcome))
     if chart:
@@ -59,46 +61,45 @@
 @click.option("--days", type=click.IntRange(1), default=1000, show_default=True)
 @click.option("--first", type=int, default=0, show_default=True, help="The first seed.")
 @click.option("--jobs", type=click.IntRange(1), help="Cores to use; all of them by default.")
-@click.option("--out", type=click.Path(), help="File for failing days, minimised, for replay.")
-@shape
-def hunt(days, first, jobs, out, **given):
-    """Run many days with random faults to find a broken rule; failing days are minimised."""
+@click.option("--out", type=click.Path(), help="File for the minimised failing days, for replay.")
+@day_options
+def hunt(days, first, jobs, out, **options):
+    """Run many days with random faults to find violations of rules; failing days are minimised."""
     from rich.progress import Progress
 
     from honeywood.lab.emulator import day_codec
     from honeywood.lab.emulator import hunt as hunts
 
-    with Progress(transient=True) as shown:
-        bar = shown.add_task("days", total=days)
+    with Progress(transient=True) as progress_display:
+        task = progress_display.add_task("days", total=days)
 
-        def progress(done, broken):
-            shown.update(bar, completed=done, description=f"days, {broken} broken")
+        def progress(done, failed):
+            progress_display.update(task, completed=done, description=f"days, {failed} failed")
 
-        result = hunts.hunt(day_codec.from_options(given), first, days, jobs, progress)
+        result = hunts.hunt(day_codec.from_options(options), first, days, jobs, progress)
     totals = result.totals
     click.echo(
         f"{totals.days} days, {totals.faults} faults, {totals.requests} requests "
-        f"in {totals.duration_s:.0f} s "
-        f"({60 * totals.days / totals.duration_s:.0f} a minute), worth {totals.worth / totals.requests:.3f}, "
-        f"{len(result.failures)} with a broken rule"
+        f"in {totals.duration_s:.0f} s ({60 * totals.days / totals.duration_s:.0f} per minute), "
+        f"worth {totals.worth / totals.requests:.3f}, {len(result.failures)} with a violated rule"
     )
-    small = []
+    minimized_days = []
     for seed, failure in sorted(result.failures.items())[:10]:
         violation = failure.violations[0]
-        least = hunts.minimize(failure.day, violation.rule)
-        small.append(day_codec.encode(least))
-        kinds = [str(fault.kind) for fault in least.faults]
-        click.echo(f"seed {seed}: {violation}; least faults: {kinds}")
-    if out and small:
+        minimized = hunts.minimize(failure.day, violation.rule)
+        minimized_days.append(day_codec.encode(minimized))
+        kinds = [str(fault.kind) for fault in minimized.faults]
+        click.echo(f"seed {seed}: {violation}; minimal faults: {kinds}")
+    if out and minimized_days:
         with open(out, "w") as file:
-            json.dump(small, file, indent=1)
+            json.dump(minimized_days, file, indent=1)
     sys.exit(bool(result.failures))
 
 
 @command.command()
 @click.argument("file", type=click.Path(exists=True))
 def replay(file):
-    """Run the days of a FILE that a hunt wrote."""
+    """Run the days of a FILE that was written by a hunt."""
     from honeywood.lab.emulator import day_codec, report
     from honeywood.lab.emulator import hunt as hunts
 
@@ -114,25 +115,25 @@
 @click.option("--sizes", default="2,4,8,16", show_default=True, help="Numbers of proxies.")
 @click.option("--days", type=click.IntRange(1), default=8, show_default=True)
 def sweep(sizes, days):
-    """Run the same days with several numbers of proxies, at the same load per proxy."""
+    """Run the same days with several numbers of proxies."""
     from honeywood.lab.emulator import hunt as hunts
     from honeywood.lab.emulator import report
 
-    numbers = [int(one) for one in sizes.split(",")]
-    click.echo(report.sweep(numbers, hunts.play, range(days)))
+    proxy_counts = [int(size) for size in sizes.split(",")]
+    click.echo(report.sweep(proxy_counts, hunts.play, range(days)))
 
 
 @command.command("report")
 @click.option("--days", type=click.IntRange(1), default=100, show_default=True)
 @click.option("--first", type=int, default=0, show_default=True)
-@click.option("--chart", type=click.Path(), help="A PNG of the four days with the lowest scores.")
-@shape
-def report_(days, first, chart, **given):
-    """Print by kind of fault the score beside that of a router that knows the state of all machines."""
+@click.option("--chart", type=click.Path(), help="Write a PNG chart of the four days with the lowest scores.")
+@day_options
+def report_(days, first, chart, **options):
+    """Compare the score by kind of fault with that of a router that knows the state of all machines."""
     from honeywood.lab.emulator import day_codec, report
     from honeywood.lab.emulator import hunt as hunts
 
-    shape = day_codec.from_options(given)
+    shape = day_codec.from_options(options)
     text, played = report.compare_with_omniscient_router(shape, range(first, first + days), hunts.play)
     click.echo(text)
     if chart:
@@ -143,12 +144,14 @@
 @click.option("--what", type=click.Choice(["versions", "outcomes"]), default="versions", show_default=True)
 @click.option("--writers", type=click.IntRange(1, 3), default=2, show_default=True)
 @click.option("--depth", type=click.IntRange(1), default=10, show_default=True)
-@click.option("--most", type=click.IntRange(1), default=1_000_000, show_default=True, help="States.")
+@click.option(
+    "--most", type=click.IntRange(1), default=1_000_000, show_default=True, help="Maximum number of states."
+)
 @click.option(
     "--walks", type=click.IntRange(0), default=0, show_default=True, help="Number of long random walks."
 )
 def model(what, writers, depth, most, walks):
-    """Check all orders of messages and losses of the register up to a depth; then long random walks."""
+    """Check all orders of messages and losses of the register up to a depth, then run long random walks."""
     from random import Random
 
     from honeywood.lab.model.register_model import ModelOptions
@@ -158,19 +161,20 @@
     def build(options):
         return versions_model(writers, options) if what == "versions" else outcomes_model(options)
 
-    found = explore(build(ModelOptions()), depth, most)
-    whole = "whole" if found.exhaustive else "not whole"
+    exploration = explore(build(ModelOptions()), depth, most)
+    coverage = "complete" if exploration.exhaustive else "incomplete"
     click.echo(
-        f"{found.states} states, {found.depth} steps deep, {whole}: {found.violation or 'nothing is broken'}"
+        f"{exploration.states} states, {exploration.depth} steps deep, {coverage}: "
+        f"{exploration.violation or 'no violation'}"
     )
-    click.echo("\n".join(found.trace))
-    rng, wrong, steps = Random(1), found.violation, 0
+    click.echo("\n".join(exploration.trace))
+    rng, violation, steps = Random(1), exploration.violation, 0
     for _ in range(walks):
-        taken, broken, trace = random_walk(build(ModelOptions(retries=1)), rng, 80)
-        steps, wrong = steps + taken, wrong or broken
-        if broken:
-            click.echo("\n".join([broken, *trace]))
+        walk_steps, walk_violation, trace = random_walk(build(ModelOptions(retries=1)), rng, 80)
+        steps, violation = steps + walk_steps, violation or walk_violation
+        if walk_violation:
+            click.echo("\n".join([walk_violation, *trace]))
             break
     if walks:
-        click.echo(f"{walks} ways, {steps} steps: {wrong or 'nothing is broken'}")
-    sys.exit(bool(wrong))
+        click.echo(f"{walks} walks, {steps} steps: {violation or 'no violation'}")
+    sys.exit(bool(violation))
--- a/honeywood/lab/emulator/clients.py
+++ b/honeywood/lab/emulator/clients.py
@@ -24,33 +24,33 @@
     from honeywood.lab.emulator.emulated_day import EmulatedDay
 
 LATE_WORTH = 0.3
-"""Of a request that is served after its latency target."""
+"""The worth of a request that is served after its latency target."""
 MAX_ATTEMPTS, MAX_NON_COMPLIANT_ATTEMPTS = 3, 9
 MIN_ATTEMPT_S = 0.01
-"""With less time left a client gives up."""
+"""A client gives up if less time is left."""
 IDEMPOTENT_SHARE = 0.7
 ADDED_ROUTE_SHARE = 0.2
-"""Of idempotent requests: they are on routes that were added later."""
+"""The share of idempotent requests that use routes that were added later."""
 READINESS_INTERVAL_S = 1.0
 UNREADY_THRESHOLD = 2
-"""Failed readiness checks after which a proxy gets no new requests."""
+"""The number of consecutive failed readiness checks after which a proxy gets no new requests."""
 REFUSED_DELAY_S = 0.002
 DEFAULT_RETRY_AFTER = b"0.02"
 
 
 class NoResponse(Enum):
-    """How an attempt ends without a response; the values are shown to operators."""
+    """Why an attempt ended without a response; the values are shown in reports."""
 
     TIMEOUT = "silence"
     REFUSED = "refused"
     BROKEN = "cut"
     DISCONNECTED = "left"
-    """The client has left."""
+    """The client disconnected."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """The status of an attempt's response, or why there was none, and the delay before the next attempt."""
+    """The status of an attempt's response, or why there was none, and the delay before a retry."""
 
     end: int | NoResponse
     retry_after_s: float = 0.0
@@ -61,7 +61,7 @@
         return self.end.value if isinstance(self.end, NoResponse) else str(self.end)
 
     def may_be_retried(self, idempotent: bool) -> bool:
-        """Return whether a client tries again; if not idempotent, only what was surely not executed."""
+        """Return whether a client retries: a request that is not idempotent only if it was not executed."""
         if self.end in (HTTPStatus.OK, HTTPStatus.NOT_FOUND):
             return False
         return idempotent or self.end is NoResponse.REFUSED or self.end in NOT_EXECUTED_STATUSES
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """What a client requests; it disconnects `disconnect_after_s` after it began."""
+    """A client's request; the client disconnects `disconnect_after_s` seconds after it began."""
 
     began_at: float
     zone: str
@@ -82,12 +82,13 @@
 class Clients:
     """All clients of a day.
 
-    `non_compliant_share` is the share that ignores Retry-After and retry limits, `disconnecting_share` that
-    of those that leave, at the latest `max_disconnect_after_s` after they began.
+    `non_compliant_share` is the share of clients that ignore Retry-After and retry limits.
+    `disconnecting_share` is the share of clients that disconnect, at most `max_disconnect_after_s` seconds
+    after they began.
     """
 
     def __init__(self, world: EmulatedDay) -> None:
-        """Clients of a world."""
+        """Create the clients of a world; none disconnects or ignores retry limits at first."""
         self.non_compliant_share = 0.0
         self.disconnecting_share = 0.0
         self.max_disconnect_after_s = LATENCY_TARGET_S
@@ -98,7 +99,7 @@
         self._ready = set(world.proxies)
 
     async def run(self, end: float) -> None:
-        """Send requests at the day's rate."""
+        """Start requests at random intervals, at the mean rate of the day, until `end`."""
         while self._now() < end:
             await asyncio.sleep(self._random.expovariate(self._world.day.requests_per_s))
             idempotent = self._random.random() < IDEMPOTENT_SHARE
@@ -111,7 +112,7 @@
         outcome.requests += 1
         result = await self._attempt_until_done(request, compliant)
         if result.end is NoResponse.DISCONNECTED:
-            outcome.requests -= 1  # it needed no response in the end
+            outcome.requests -= 1  # the client no longer needs a response
             return
         outcome.record(int(request.began_at), self._worth(request, result), result.name)
 
@@ -138,13 +139,13 @@
         return result
 
     def _draw_disconnect_after_s(self) -> float:
-        """Return after how long a client disconnects."""
+        """Return the seconds after which a client disconnects; infinity if it does not."""
         if not self.disconnecting_share or self._random.random() >= self.disconnecting_share:
             return inf
         return self._random.uniform(0.0, self.max_disconnect_after_s)
 
     def _draw_path(self, idempotent: bool) -> bytes:
-        """Return a path on a route that all proxies in contact must know by now."""
+        """Return a path on a route that all proxies in contact must already know."""
         if not idempotent:
             return b"/w/x"
         apply_s = self._world.bounds["apply_s"]
@@ -154,13 +155,13 @@
         return b"/t%d/x" % self._random.randrange(min(due, MAX_ADDED_ROUTES))
 
     def _choose_proxy(self, zone: str) -> str:
-        """Return a proxy that seems ready, in the client's zone where there is one."""
+        """Return a proxy that passes its readiness checks, if possible one in the client's zone."""
         ready = [name for name in self._world.proxies if name in self._ready]
         near = [name for name in ready if self._world.zones[name] == zone]
         return self._random.choice(near or ready or self._world.proxies)
 
     async def _attempt(self, request: ClientRequest, remaining_s: float) -> AttemptResult:
-        """Make one attempt at a proxy, over a new connection."""
+        """Make one attempt at a proxy over a new connection."""
         self.attempts += 1
         attempt_id = b"%016x" % self.attempts
         proxy = self._choose_proxy(request.zone)
@@ -197,7 +198,7 @@
         return AttemptResult(response.status, float(retry_after))
 
     def _disconnect(self, proxy: str, process: Process, attempt_id: bytes, context: RequestContext) -> None:
-        """Close the client's connection, and let the proxy notice it."""
+        """Close the client's connection and notify the proxy of it."""
         self._world.monitor.requests.on_disconnect(self._now(), attempt_id, proxy)
 
         async def notify() -> None:
@@ -206,7 +207,7 @@
         process.run(notify())
 
     async def watch_readiness(self) -> None:
-        """Check the readiness of proxies as a load balancer does."""
+        """Check the readiness of proxies periodically, as a load balancer does."""
         failures: Counter[str] = Counter()
         while True:
             for name in self._world.proxies:
@@ -225,7 +226,7 @@
 
 
 def _scope(attempt_id: bytes, remaining_s: float, context: RequestContext) -> dict[str, Any]:
-    """Return a request as the proxy's server hands it on."""
+    """Return a request as an ASGI scope, as the proxy's server passes it to the application."""
     deadline_ms = b"%d" % (remaining_s * 1000)
     headers = [(b"host", b"h"), (b"x-try-id", attempt_id), (b"x-deadline-ms", deadline_ms)]
     return {"headers": headers, "raw_path": context.target, "method": "GET", CONTEXT: context}
--- a/honeywood/lab/emulator/day_codec.py
+++ b/honeywood/lab/emulator/day_codec.py
@@ -1,4 +1,7 @@
-"""Days as JSON objects, for files, and as options of the command; both have names of their own."""
+"""Conversion of days from and to JSON objects in files, and from command-line options.
+
+Some fields have other names there than in Day (STORED_NAMES).
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
     "max_faults": "most_faults",
     "link_bytes_per_s": "link",
 }
-"""By the name of the field, where they differ."""
+"""The stored names by name of the field, for fields whose names differ."""
 
 _FIELDS = {STORED_NAMES.get(field.name, field.name): field.name for field in fields(Day)}
 
@@ -34,13 +37,13 @@
 
 
 def decode(stored: Mapping[str, Any]) -> Day:
-    """Return the day of a JSON object."""
+    """Return the day that is encoded in a JSON object."""
     faults = tuple(_decode_fault(fault) for fault in stored["faults"])
     return from_options({**stored, "faults": faults})
 
 
 def from_options(options: Mapping[str, Any]) -> Day:
-    """Return a day of options by their stored names; its seed is 0 unless one is given."""
+    """Return the day with the given options by stored name; the seed defaults to 0."""
     return Day(**{"seed": 0, **{_FIELDS[name]: value for name, value in options.items()}})
 
 
--- a/honeywood/lab/emulator/hunt.py
+++ b/honeywood/lab/emulator/hunt.py
@@ -1,4 +1,4 @@
-"""Plays many days on many cores, and minimizes the faults by which a day fails."""
+"""Plays many days on several cores, and minimizes the faults of days on which rules are violated."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 def play(day: Day) -> Outcome:
-    """Return a day's outcome; what the emulator itself raises counts as a violation."""
+    """Return a day's outcome; an exception raised by the emulator itself counts as a violation."""
     warnings.simplefilter("ignore")
     try:
         return emulated_day.play(day)
-    except Exception as error:  # no day may raise anything
+    except Exception as error:  # reported as a violation, whatever it is
         return Outcome(violations=[Violation(Rule.EMULATOR, 0.0, repr(error))])
 
 
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class Totals:
-    """Sums over the days of a hunt."""
+    """Totals over the days of a hunt; `duration_s` is the real time that it took."""
 
     days: int = 0
     faults: int = 0
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class HuntResult:
-    """The days that failed, by their seed, and sums over all."""
+    """The failed days by seed, and the totals over all days."""
 
     failures: dict[int, Failure] = field(default_factory=dict)
     totals: Totals = field(default_factory=Totals)
@@ -73,9 +73,10 @@
     jobs: int | None = None,
     on_progress: Callable[[int, int], object] = lambda done, failed: None,
 ) -> HuntResult:
-    """Play days of the seeds from `first_seed` on, which are otherwise as `shape`.
+    """Play `count` days with consecutive seeds from `first_seed`; the other parameters are those of `shape`.
 
-    `on_progress` is called with the numbers of days that were played and that failed.
+    `on_progress` is called with the number of days that were played and the number of days that failed. By
+    default `jobs` is the number of cores.
     """
     result, began_at = HuntResult(), monotonic()
     days = [replace(shape, seed=seed) for seed in range(first_seed, first_seed + count)]
@@ -90,9 +91,9 @@
 
 
 def minimize(day: Day, rule: Rule, play: Callable[[Day], Outcome] = play) -> Day:
-    """Return the day with the fewest faults by which `rule` is still violated.
+    """Return the day with fewer faults, but with `rule` still violated.
 
-    Halves of the faults, quarters, ... and single ones are left out in turn.
+    The search tries to leave out halves of the faults, then quarters, and so on down to single faults.
     """
     faults = list(day.faults)
     step = max(1, len(faults) // 2)
--- a/honeywood/lab/emulator/loopback.py
+++ b/honeywood/lab/emulator/loopback.py
@@ -1,7 +1,7 @@
-"""The system on loopback, shown as it happens.
+"""A demonstration of the system on loopback: `python -m honeywood.lab.emulator.loopback`, or `make emulate`.
 
-Three controllers and two proxies as processes of their own, stand-in machines, a client, a configuration and
-two rollouts: `python -m honeywood.lab.emulator.loopback`, or `make emulate`.
+It runs three controllers and two proxies as real processes, with stand-in machines and a client, sends a
+configuration and two rollouts, and prints what happens.
 """
 
 from __future__ import annotations
@@ -35,7 +35,8 @@
 
     from honeywood.gateway.rpc.client import JsonObject
 
-# Addresses of its own for each run, so that several can run on one machine; 127.1 to 127.200 are the soak's.
+# The network depends on the process id, so that several runs fit on one machine; the soak uses 127.1 to
+# 127.200.
 NETWORK = f"127.{220 + os.getpid() % 30}.0"
 CONTROLLERS = [f"{NETWORK}.{number}" for number in (11, 12, 13)]
 PROXIES = [f"{NETWORK}.{number}" for number in (21, 22)]
@@ -83,7 +84,7 @@
     """The processes, machines and client of the demonstration."""
 
     def __init__(self, folder: Path) -> None:
-        """Files and logs are kept in `folder`."""
+        """Prepare a system that keeps its settings, data and logs in `folder`."""
         self._folder = folder
         self._caller = Caller()
         self._began_at = time.monotonic()
@@ -94,7 +95,7 @@
         self._random = random.Random(1)
 
     def _print(self, text: str) -> None:
-        """Print a line with the time since the beginning."""
+        """Print a line with the time since the start."""
         print(f"{time.monotonic() - self._began_at:6.2f} s  {text}", flush=True)
 
     async def run(self, with_rollouts: bool) -> None:
@@ -110,7 +111,7 @@
         if with_rollouts:
             await self._show_rollouts()
         found = await self._call(CallName.READ_CONFIGURATION)
-        self._print(f"operator: config.read says version {found['ver'] if found else 'nothing'}")
+        self._print(f"operator: config.read returned version {found['ver'] if found else 'nothing'}")
         for task in background:
             task.cancel()
         await self._stop_processes()
@@ -122,7 +123,7 @@
         self._print("three controllers and two proxies start")
 
     async def _start_process(self, role: str, ip: str) -> None:
-        """Start a program as its own process, with its settings in a file."""
+        """Start a program as a process, with its settings in a file."""
         settings = self._folder / f"{ip}.toml"
         seeds = [f"{controller}:{CONTROL_PORT}" for controller in CONTROLLERS]
         ports = HTTP_PORT, READY_PORT, CONTROL_PORT, FIRST_PORT, LAST_PORT
@@ -144,7 +145,7 @@
     async def _call(
         self, name: str, subject: str = "", body: Mapping[str, object] | None = None
     ) -> JsonObject | None:
-        """Return the response of whichever controller responds; None where it rejects, or none responds."""
+        """Return the response of any controller; None if one rejects the call or none responds."""
         path = f"/v1/rpc?call={name}&of={subject}"
         for ip in self._random.sample(CONTROLLERS, len(CONTROLLERS)) * CALL_ROUNDS:
             try:
@@ -180,12 +181,12 @@
         self._results[request.result()] += 1
 
     async def _report_results(self) -> None:
-        """Print the client's results every second."""
+        """Print the counts of the client's results periodically."""
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
             results, self._results = self._results, Counter()
             counts = ", ".join(f"{count} x {result}" for result, count in sorted(results.items()))
-            self._print("the client saw " + counts)
+            self._print("client: " + counts)
 
     async def _show_rollouts(self) -> None:
         """Roll out a good version, then a bad one while a controller is down."""
@@ -196,13 +197,13 @@
         await self._roll_out("v3", BAD_SHARE)
 
     async def _roll_out(self, version: str, failing_share: float) -> None:
-        """Roll out a version until it has an outcome, and stop the machines of the version that lost."""
+        """Roll out a version, wait for the outcome, and stop the machines of the version not in use."""
         self._machines += await _start_machines(version, failing_share)
-        self._print(f"operator: rollouts.start to {version}, of whose answers {failing_share:.0%} fail")
+        self._print(f"operator: rollouts.start to {version}, whose failing share is {failing_share:.0%}")
         order = {"svc": SERVICE, "to_ver": version, "over_s": ROLLOUT_S}
         await self._call(CallName.START_ROLLOUT, "", order)
         state = await self._wait_for_outcome()
-        self._print(f"operator: rollouts.read says {state}")
+        self._print(f"operator: rollouts.read returned {state}")
         is_reverted = state == RolloutState.REVERTED
         for machine in [one for one in self._machines if (one.ver == version) == is_reverted]:
             self._machines.remove(machine)
@@ -223,7 +224,7 @@
 
 
 async def _send_request(number: int) -> str:
-    """Return how a request ended."""
+    """Send a request and return a description of its result."""
     ip = PROXIES[number % len(PROXIES)]
     headers = [(b"host", HOST.encode()), (b"x-try-id", b"%d" % number), (b"x-deadline-ms", b"1000")]
     try:
@@ -234,14 +235,16 @@
     reply = await connection.exchange(b"GET", PATH, headers, b"", deadline)
     connection.close()
     if isinstance(reply, ExchangeFailure):
-        return "broken off"
+        return "no response"
     return f"{reply.status} by {reply.body.decode()[:2]}"
 
 
 def main() -> None:
-    """Run the demonstration in a folder of its own."""
-    parser = argparse.ArgumentParser(description="The system's processes on loopback, shown as it happens.")
-    parser.add_argument("--no-rollouts", action="store_true", help="Only a configuration and requests.")
+    """Run the demonstration in a temporary folder."""
+    parser = argparse.ArgumentParser(
+        description="Run the system's processes on loopback and print what happens."
+    )
+    parser.add_argument("--no-rollouts", action="store_true", help="Send only a configuration and requests.")
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
         asyncio.run(LoopbackSystem(Path(folder)).run(with_rollouts=not options.no_rollouts))
--- a/honeywood/lab/emulator/network_caller.py
+++ b/honeywood/lab/emulator/network_caller.py
@@ -1,4 +1,4 @@
-"""A program's calls to others, over the simulated network."""
+"""A program's calls to other programs over the simulated network."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class NetworkCaller(Caller):
-    """Takes the place of a program's Caller."""
+    """Replaces a program's Caller in worlds."""
 
     def __init__(self, network: Network, node: str) -> None:
-        """`node` is the program that calls."""
+        """Create the caller of the program `node`."""
         self.bytes_by_path: Counter[str] = Counter()
         self._network = network
         self._node = node
@@ -28,7 +28,7 @@
     async def call(
         self, ip: str, port: int, path: str, body: JsonObject, timeout_s: float, idempotent: bool = False
     ) -> JsonObject:
-        """Call the program of the name `ip`; raises CallFailed after `timeout_s` seconds."""
+        """Call the program whose name is `ip`; raises CallFailed if it fails or after `timeout_s` seconds."""
         response = self._network.send(Message(self._node, ip, path, json.dumps(body), idempotent))
         try:
             async with asyncio.timeout(timeout_s):
--- a/honeywood/lab/emulator/omniscient_router.py
+++ b/honeywood/lab/emulator/omniscient_router.py
@@ -1,4 +1,4 @@
-"""An upper bound for routing: the choice of a router that sees each machine's true queue and health."""
+"""An upper bound for routing: the choices of a router that sees each machine's true queue and health."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
     from honeywood.lab.emulator.machine_network import MachineNetwork
 
 FAILURE_COST = 9
-"""Of a response that is sure to fail, in full queues."""
+"""The cost of a certain failure, in units of the cost of one full set of slots at normal speed."""
 
 
 def best_endpoint(
     machines: MachineNetwork, proxy: Proxy, now: float, request: PendingRequest
 ) -> Endpoint | None:
-    """Return the endpoint of the least cost that the proxy may use; None where there is none."""
+    """Return the endpoint with the lowest cost that the proxy may use; None if there is none."""
     best: tuple[float, Endpoint] | None = None
     for machine in machines.running(request.service):
         endpoint = proxy.endpoints.by_id.get(machine.id)
--- a/honeywood/lab/emulator/operators.py
+++ b/honeywood/lab/emulator/operators.py
@@ -1,4 +1,4 @@
-"""Operators: orders that are sent until they are answered, and reads all day at any controller."""
+"""Operators: they send orders until these are answered, and read from random controllers all day."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     from honeywood.lab.emulator.emulated_day import EmulatedDay
 
 MAX_ADDED_ROUTES = 20
-"""That versions add one by one; a higher version has all routes of the lower ones."""
+"""The number of routes that versions add one by one; a version has all routes of the lower ones."""
 MEAN_READ_INTERVAL_S = 0.3
 CONFIGURATION_TIMEOUT_S = 60.0
-"""For which a configuration is sent, until it is answered."""
+"""The time after which an operator stops sending an unanswered configuration."""
 MAX_RETRY_DELAY_S, RETRY_STEP_S = 0.5, 0.05
 ROLLOUT_POLL_INTERVAL_S = 0.25
 ACKNOWLEDGEMENT_SLACK_S = 0.1
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionFaults:
-    """What is wrong with the machines of a version: shares of responses that fail, or are slow."""
+    """The faults of the machines of a version: shares of responses that fail or are slow."""
 
     failing_share: float = 0.0
     slow_share: float = 0.0
@@ -41,14 +41,14 @@
 
 
 class Operators:
-    """All that operators do in a day.
+    """The actions of all operators in a day.
 
-    `lost_share` is the share of responses to orders that are lost; `service_versions` are the numbers of
-    configurations that bring a service of their own.
+    `lost_share` is the share of responses to orders that are lost. `service_versions` are the versions of
+    configurations that add a new service.
     """
 
     def __init__(self, world: EmulatedDay, random: random.Random) -> None:
-        """`random` draws controllers, delays and lost responses."""
+        """Create the operators of a world; `random` draws controllers, delays and lost responses."""
         self.lost_share = 0.0
         self.service_versions: list[int] = []
         self._world = world
@@ -61,10 +61,11 @@
         return self._random.choice(self._world.controllers)
 
     def configuration(self, version: int, mark: str = "") -> dict[str, object]:
-        """Return a configuration; `mark` makes its content differ from another one of the same version.
+        """Return the configuration of a version.
 
-        It has routes of both kinds, one more with each version up to MAX_ADDED_ROUTES, and the services that
-        this version and earlier ones brought.
+        It has a route of each kind, an additional route for each version up to MAX_ADDED_ROUTES, and the
+        services that this version and earlier ones added. `mark` distinguishes several contents of one
+        version.
         """
         routes = [("r", "s", "safe"), ("w", "u", "unsafe")]
         routes += [(f"t{number}", "s", "safe") for number in range(min(version, MAX_ADDED_ROUTES))]
@@ -76,12 +77,12 @@
         return {"ver": f"{version:08x}", "res": resources}
 
     def next_version(self, step: int = 1) -> int:
-        """Return a number above all that were sent."""
+        """Return a version number higher than all that were used before."""
         self._highest_version += step
         return self._highest_version
 
     async def order(self, order: Order, call: str, body: object, timeout_s: float, copies: int = 1) -> bool:
-        """Send an order until it is answered, `copies` of it at once; return whether it was acknowledged."""
+        """Send `copies` of an order, each until it is answered; return whether one was acknowledged."""
         began_at = self._now()
         self._rules.on_sent(began_at, order)
         sent = [self._send(order, call, body, began_at + timeout_s) for _ in range(copies)]
@@ -110,7 +111,7 @@
         return False
 
     async def send_once(self, order: Order, call: str, body: object, controller: str) -> None:
-        """Send an order once, to one controller."""
+        """Send an order to one controller, without retries."""
         self._rules.on_sent(self._now(), order)
         status = (await self._world.ask(controller, call, "", body)).status
         if status == HTTPStatus.OK:
@@ -127,7 +128,7 @@
         copies: int = 1,
         timeout_s: float = CONFIGURATION_TIMEOUT_S,
     ) -> bool:
-        """Order a configuration; return whether it was acknowledged."""
+        """Send the configuration of a version; return whether it was acknowledged."""
         body = self.configuration(version, mark)
         order = ConfigurationOrder.of(version, body)
         return await self.order(order, CallName.REPLACE_CONFIGURATION, body, timeout_s, copies)
@@ -140,7 +141,7 @@
         copies: int = 1,
         timeout_s: float | None = None,
     ) -> bool:
-        """Order a rollout; return whether it was acknowledged."""
+        """Send the order of a rollout; return whether it was acknowledged."""
         body = {"svc": service, "to_ver": version, "over_s": duration_s}
         if timeout_s is None:
             timeout_s = self._world.bounds["ack_s"] - 1.0
@@ -148,7 +149,7 @@
         return await self.order(order, CallName.START_ROLLOUT, body, timeout_s, copies)
 
     async def change_configurations(self, end: float) -> None:
-        """Order one configuration after the other, in uneven steps, all day."""
+        """Send configurations at random intervals until `end`, skipping some version numbers."""
         day = self._world.day
         interval_s = (day.traffic_s - 1.0) / day.configuration_changes
         for _ in range(day.configuration_changes):
@@ -158,7 +159,7 @@
             await self.configure(self.next_version(self._random.randrange(1, 4)))
 
     async def read_continuously(self) -> None:
-        """Read at any controller, all day."""
+        """Read the configuration and rollouts from random controllers all day."""
         create_task = self._world.loop.create_task
         while True:
             await asyncio.sleep(MEAN_READ_INTERVAL_S * 2 * self._random.random())
@@ -178,7 +179,7 @@
             self._rules.on_read(self._now(), highest_before, None, None, controller)
 
     async def _read_rollout(self, controller: str, service: str) -> RolloutReading | None:
-        """Return a rollout as one controller reports it; None where it reports none."""
+        """Return a rollout as reported by one controller; None if it reports none or does not respond."""
         known_before = self._rules.known_rollout_states(service)
         result = await self._world.ask(controller, CallName.READ_ROLLOUT, service)
         if result.status == HTTPStatus.NOT_FOUND:
@@ -194,7 +195,7 @@
     async def roll_out(
         self, service: str, version: str, duration_s: float, faults: VersionFaults, copies: int = 1
     ) -> None:
-        """Start machines of a version beside the old ones, order it, and act on the reported outcome."""
+        """Roll out a version: start its machines, order the rollout, and end the machines that lose."""
         old = self._world.machines.running(service)
         new = [self._start_machine(service, version, faults) for _ in old]
         is_bad = faults != GOOD_VERSION
--- a/honeywood/lab/emulator/report.py
+++ b/honeywood/lab/emulator/report.py
@@ -25,7 +25,7 @@
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
-    """Return rows under a head, in columns, as text that is also a table in Markdown."""
+    """Return a table with a header row as text that is also valid Markdown."""
     cells = [[str(cell) for cell in row] for row in (head, *rows)]
     widths = [max(len(row[column]) for row in cells) for column in range(len(head))]
     lines = [
@@ -44,14 +44,14 @@
     violations = "\n".join(lines) or "  none"
     return (
         f"seed {day.seed}: worth {outcome.mean_worth:.3f} of {outcome.requests} requests\n"
-        f"faults: {faults}\nanswers: {results}\n"
-        f"further arrivals {outcome.retries}, connections reset {outcome.resets}\n"
-        f"broken rules:\n{violations}"
+        f"faults: {faults}\nresults: {results}\n"
+        f"retries at machines {outcome.retries}, connections reset {outcome.resets}\n"
+        f"violated rules:\n{violations}"
     )
 
 
 class _Shares:
-    """The mean worth of days with one kind of fault, and that of an omniscient router."""
+    """The mean worth of days with one kind of fault, with the real router and with an omniscient one."""
 
     def __init__(self) -> None:
         self.days = 0
@@ -59,24 +59,24 @@
         self._best_worth = 0.0
 
     def add(self, outcome: Outcome, best: Outcome) -> None:
-        """Add a day."""
+        """Add a day, given its outcomes with the real router and with the omniscient one."""
         self.days += 1
         self._worth += outcome.mean_worth
         self._best_worth += best.mean_worth
 
     @property
     def share(self) -> float:
-        """The share of the omniscient router's worth that was reached."""
+        """The worth with the real router divided by that with the omniscient one."""
         return self._worth / self._best_worth
 
     def row(self, kind: str) -> tuple[object, ...]:
-        """Return the row of a table."""
+        """Return the row of `kind` in the table."""
         worth, best_worth = self._worth / self.days, self._best_worth / self.days
         return kind, self.days, f"{worth:.3f}", f"{best_worth:.3f}", f"{self.share:.3f}"
 
 
 class Comparison(NamedTuple):
-    """A table of worth by kind of fault, and the played days, that of the least worth first."""
+    """A table of worth by kind of fault, and the played days in ascending order of worth."""
 
     text: str
     played: list[PlayedDay]
@@ -85,7 +85,7 @@
 def compare_with_omniscient_router(
     shape: Day, seeds: Iterable[int], play: Callable[[Day], Outcome]
 ) -> Comparison:
-    """Play days with our router and with an omniscient one."""
+    """Play each day with the real router and with an omniscient one."""
     by_kind: dict[str, _Shares] = {}
     played = []
     for seed in seeds:
@@ -97,11 +97,11 @@
     kinds = sorted(by_kind, key=lambda kind: by_kind[kind].share)
     rows = [by_kind[kind].row(kind) for kind in kinds]
     played.sort(key=lambda one: one.outcome.mean_worth)
-    return Comparison(table(("days with", "days", "ours", "sight of all", "share"), rows), played)
+    return Comparison(table(("days with", "days", "ours", "omniscient router", "share"), rows), played)
 
 
 def sweep(sizes: Iterable[int], play: Callable[[Day], Outcome], seeds: Sequence[int]) -> str:
-    """Return how the system does with several numbers of proxies."""
+    """Return a table of outcomes by number of proxies."""
     rows = []
     for proxies in sizes:
         outcomes = [play(draw_day(Day(seed, proxies=proxies))) for seed in seeds]
@@ -116,11 +116,11 @@
                 sum(bool(outcome.violations) for outcome in outcomes),
             )
         )
-    return table(("fronts", "days", "worth", "further arrivals a request", "resets", "broken days"), rows)
+    return table(("fronts", "days", "worth", "retries per request", "resets", "failed days"), rows)
 
 
 def chart(path: str | Path, days: Mapping[str, PlayedDay]) -> None:
-    """Draw the worth a second of each named day, with its faults."""
+    """Draw the mean worth per second of traffic of each named day, with its faults, into a PNG file."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -136,7 +136,7 @@
             began_at = WARM_UP_S + fault.at_s
             axes.axvspan(began_at, began_at + fault.duration_s, alpha=0.15)
             axes.text(began_at, 0.05, fault.kind, rotation=90, fontsize=7)
-        axes.set(title=name, ylim=(0, 1.05), ylabel="worth of owed")
+        axes.set(title=name, ylim=(0, 1.05), ylabel="mean worth")
     rows[-1, 0].set_xlabel("seconds")
     figure.tight_layout()
     figure.savefig(path, dpi=90)
--- a/honeywood/lab/emulator/rules/order_rules.py
+++ b/honeywood/lab/emulator/rules/order_rules.py
@@ -113,12 +113,12 @@
         """
         number = NO_VERSION if number is None else number
         if number < highest_before:
-            details = f"{controller} returned version {number} after {highest_before} was known"
+            details = f"{controller} returned version {number} after {highest_before}"
             self._context.report(Rule.MONOTONIC_READS, now, details)
         contents = self._acknowledged_contents.get(number, {})
         acknowledged = [one for one, is_acknowledged in contents.items() if is_acknowledged]
         if len(acknowledged) == 1 and content != acknowledged[0] and number == self._newest_sent:
-            details = f"{controller} returned a content for version {number} that was not acknowledged"
+            details = f"{controller} returned an unacknowledged content for version {number}"
             self._context.report(Rule.MONOTONIC_READS, now, details)
         self.highest_seen = max(self.highest_seen, number)
 
@@ -140,7 +140,7 @@
         )
         reopened = state == ACTIVE and known_before.get(read.version, ACTIVE) != ACTIVE
         if superseded or reopened:
-            details = f"{controller} returned {read}: {state}, after {known_before} was known"
+            details = f"{controller} returned {read.service} {read.version} {state} after {known_before}"
             self._context.report(Rule.MONOTONIC_READS, now, details)
         states = self._rollout_states[read.service]
         known = states.get(read.version, ACTIVE)
@@ -153,18 +153,18 @@
     ) -> None:
         """Check a read of a rollout that was answered with the statement that there is none."""
         if known_before:
-            details = f"{controller} returned no rollout of {service} after {known_before} was known"
+            details = f"{controller} returned no rollout of {service} after {known_before}"
             self._context.report(Rule.MONOTONIC_READS, now, details)
 
     def _check_outcome(self, now: float, order: RolloutOrder, outcome: str) -> None:
         first = self._outcomes.setdefault(order, outcome)
         if first != outcome:
-            details = f"{order}: {first}, then {outcome}"
+            details = f"{order.service} {order.version}: {first}, then {outcome}"
             self._context.report(Rule.SINGLE_OUTCOME, now, details)
 
     def close(self, now: float, read_back_version: int | None) -> None:
         """Check the version that was read at the end of the day; None if none was read."""
         newest = max([number for _, number in self._acknowledgements], default=None)
         if newest is not None and (read_back_version is None or read_back_version < newest):
-            details = f"read version {read_back_version} at the end, but {newest} was acknowledged"
+            details = f"read version {read_back_version} at the end, acknowledged {newest}"
             self._context.report(Rule.DURABILITY, now, details)
--- a/honeywood/lab/emulator/rules/trial_rules.py
+++ b/honeywood/lab/emulator/rules/trial_rules.py
@@ -56,7 +56,7 @@
             trial.stop_deadline = now + rollback_s
         was_undisturbed = self._context.core_disturbed_at < trial.stop_deadline - rollback_s
         if sent_at > trial.stop_deadline and was_undisturbed:
-            details = f"a request was sent {sent_at - trial.stop_deadline:.2f} s after the stop deadline"
+            details = f"{sent_at - trial.stop_deadline:.2f} s after the deadline for stopping the version"
             self._context.report(Rule.EXPOSURE, now, details)
 
     def close(self, now: float, sent_times: Mapping[str, Sequence[float]]) -> None:
@@ -69,5 +69,5 @@
             requests = len(times) - bisect_left(times, trial.ordered_at)
             if trial.requests > share * requests + slack:
                 self._context.report(
-                    Rule.EXPOSURE, now, f"{service}: {trial.requests} of {requests} requests"
+                    Rule.EXPOSURE, now, f"{service}: {trial.requests} requests of {requests}"
                 )
--- a/honeywood/lab/emulator/silent_log.py
+++ b/honeywood/lab/emulator/silent_log.py
@@ -1,4 +1,4 @@
-"""A program's log that writes nothing."""
+"""An event log that discards all events."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class SilentLog(EventLog):
-    """Takes the place of an EventLog in worlds and tests."""
+    """Replaces a program's EventLog in worlds and tests."""
 
     def __init__(self) -> None:
-        """Need neither a node nor a clock."""
+        """Create the log, without the node and the clock that an EventLog needs."""
 
     def info(self, event: str, min_interval_s: float = 0.0, **fields: object) -> None:
-        """Write nothing."""
+        """Discard an event."""
--- a/tests/gateway/lab/emulator/test_emulated_day.py
+++ b/tests/gateway/lab/emulator/test_emulated_day.py
@@ -1,4 +1,4 @@
-"""Emulated days violate no rule, and are the same each time they are played."""
+"""Emulated days violate no rule and are reproducible."""
 
 import os
 import subprocess
@@ -16,7 +16,7 @@
     return Fault(kind, at_s, duration_s, target, variant)
 
 
-@test("twelve drawn days with all their faults violate nothing")
+@test("twelve days with randomly drawn faults violate no rule")
 def _():
     for seed in range(12):
         outcome = play(draw_day(Day(seed)))
@@ -24,20 +24,20 @@
         assert outcome.worth > 0.8 * outcome.requests > 200
 
 
-@test("a controller is replaced, and sync_s after that another loses its disk, or is replaced in turn")
+@test("a controller is replaced, and sync_s later another one loses its disk or is replaced as well")
 def _():
-    # Found by the emulator (seed 46): a controller that had not gone on when another lost its disk stayed
-    # among the earlier members for good, since no majority of these was left to ask.
+    # Found by the emulator (seed 46): a controller that had not moved to the next epoch when another one lost
+    # its disk stayed in the previous membership permanently, because no majority of it was left to contact.
     for seed, variant in ((46, 0.136), (46, 0.764), (1, 0.126)):
         replacement = Fault(FaultKind.REPLACE_CONTROLLER, 4.532, 2.0, 0.726, variant)
         outcome = play(Day(seed, (replacement,)))
         assert not outcome.violations, f"seed {seed}, {variant}: {outcome.violations}"
 
 
-@test("no periodic task of a program fails while all start within 0.3 s in any order")
+@test("no periodic task fails while all programs start within 0.3 s in random order")
 def _():
-    # Found by the emulator: a disk that entered the first epoch while it waited for its lock was to move on
-    # from there, to a next epoch that there is not (TypeError, hidden by the task that tried again).
+    # Found by the emulator: a disk that entered the first epoch while it waited for its lock then tried to
+    # move from there to a next epoch that does not exist (TypeError, hidden because the task was retried).
     for seed in (2, 300015, 310063):
         outcome = play(Day(seed, traffic_s=3.0))
         assert not outcome.violations, f"seed {seed}: {outcome.violations}"
@@ -45,7 +45,7 @@
 
 PLAY_AT_OTHER_ADDRESSES = """
 import sys
-kept = [bytearray(n % 999) for n in range(int(sys.argv[1]))]
+allocated = [bytearray(n % 999) for n in range(int(sys.argv[1]))]
 from honeywood.lab.emulator.day import Day
 from honeywood.lab.emulator.emulated_day import play
 from honeywood.lab.emulator.faults.draw import draw_day
@@ -53,36 +53,37 @@
 """
 
 
-@test("days come out the same to the last response in processes whose objects lie at other addresses")
+@test("days have identical outcomes in processes whose objects have different memory addresses")
 def _():
-    # Sets of tasks were iterated in the order of addresses, and random numbers drawn in that order.
+    # Sets of tasks were iterated in the order of memory addresses, and random numbers drawn in that order.
     printed = [
         subprocess.run(
-            [sys.executable, "-W", "ignore", "-c", PLAY_AT_OTHER_ADDRESSES, kept],
+            [sys.executable, "-W", "ignore", "-c", PLAY_AT_OTHER_ADDRESSES, allocated],
             env={**os.environ, "PYTHONHASHSEED": "0", "PYTHONPATH": os.pathsep.join(sys.path)},
             capture_output=True,
             text=True,
             check=True,
         ).stdout
-        for kept in ("0", "50000")
+        for allocated in ("0", "50000")
     ]
     assert printed[0] == printed[1]
     assert "Outcome" in printed[0]
 
 
-@test("five controllers of which each is told three discover one another, and tolerate two lost disks")
+@test("five controllers with three of them as seeds discover one another and tolerate two lost disks")
 def _():
-    # Found by the emulator: who polled was not polled in return, so five never came together, nothing was
-    # acknowledged, and all requests got 503.
+    # Found by the emulator: a controller that polled another one was not polled in return. Five controllers
+    # therefore never discovered one another, nothing was acknowledged, and all requests got 503.
     for seed in range(3):
         outcome = play(draw_day(Day(seed, tolerated_failures=2)))
         assert not outcome.violations, f"seed {seed}: {outcome.violations}"
         assert outcome.worth > 0.8 * outcome.requests, f"seed {seed}"
 
 
-@test("a program that one fault has started again is not started by another one beside it")
+@test("a program that one fault has restarted is not started a second time by a concurrent fault")
 def _():
-    # Two incarnations of one controller on one disk lost an acknowledged rollout (dense days, seed 700002).
+    # Two concurrent incarnations of a controller on one disk lost an acknowledged rollout (found on days with
+    # many faults, seed 700002).
     faults = (
         fault(FaultKind.KILL_MANY, 1.0, target=0.2, variant=0.1),
         fault(FaultKind.KILL_MANY, 1.1, target=0.7, variant=0.1),
@@ -99,7 +100,7 @@
     assert len(started) >= 10 and not any(runs for _, runs in started), started
 
 
-@test("{kind}: what it adds to a day violates nothing")
+@test("a day with the single fault {kind} violates no rule")
 def _(
     kind=each(
         FaultKind.KILL_MANY,
--- a/tests/gateway/lab/emulator/test_hunt.py
+++ b/tests/gateway/lab/emulator/test_hunt.py
@@ -1,4 +1,4 @@
-"""Failing days are minimized, and stored."""
+"""Failing days are minimized and stored."""
 
 import json
 from dataclasses import replace
@@ -40,7 +40,7 @@
     return Day(1, tuple(Fault(kind, 1.0, 3.0, 0.5, 0.4) for kind in kinds))
 
 
-@test("a failing day is minimized to the faults that matter")
+@test("a failing day is minimized to the faults that cause the violation")
 def _():
     def play(day):
         kinds = {fault.kind for fault in day.faults}
@@ -53,7 +53,7 @@
     assert day_codec.decode(day_codec.encode(day)) == day == replace(day)
 
 
-@test("a day is stored under the names of released versions")
+@test("a stored day has the field names of released versions")
 def _():
     stored = json.loads(json.dumps(day_codec.encode(day_of(FaultKind.PARTITION))))
     assert stored == STORED
--- a/tests/gateway/lab/emulator/test_loopback.py
+++ b/tests/gateway/lab/emulator/test_loopback.py
@@ -1,4 +1,4 @@
-"""The demonstration on loopback: requests that are sent before the proxies listen."""
+"""The demonstration on loopback handles requests that are sent before the proxies listen."""
 
 import asyncio
 from pathlib import Path
@@ -10,7 +10,7 @@
 from honeywood.lab.emulator import loopback
 
 
-@test("a request to a proxy that does not listen yet is counted as one without a connection")
+@test("a request to a proxy that does not listen yet is counted as 'no connection'")
 def _():
     async def results_of_one_request():
         system = loopback.LoopbackSystem(Path())
--- a/tests/gateway/lab/emulator/test_process.py
+++ b/tests/gateway/lab/emulator/test_process.py
@@ -1,4 +1,4 @@
-"""Simulated processes that are frozen, slowed or terminated."""
+"""Simulated processes can be frozen, slowed and terminated."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 def start_processes(*names):
-    """A loop with processes that each note, twenty times a second, when they ran."""
+    """Return a loop, and processes that record the times at which they run, twenty times per second."""
     loop, times = Loop(), {name: [] for name in names}
 
     async def note_times(name):
@@ -30,9 +30,7 @@
     loop.close()
 
 
-@test(
-    "a frozen process runs nothing while others go on, and then what arrived before what its clock is due for"
-)
+@test("a frozen process runs nothing while others continue; afterwards it runs callbacks before due timers")
 def _():
     loop, times, (a, b) = start_processes("a", "b")
     received = []
@@ -57,9 +55,7 @@
     close(loop, a, b)
 
 
-@test(
-    "a slowed process gets through a thirtieth of its work, and a frozen one that is terminated runs no more"
-)
+@test("a slowed process does a thirtieth of its work, and a frozen one that is terminated never runs again")
 def _():
     loop, times, (a, b) = start_processes("a", "b")
 
--- a/tests/gateway/lab/emulator/test_rules.py
+++ b/tests/gateway/lab/emulator/test_rules.py
@@ -1,4 +1,4 @@
-"""Each rule of the emulator is violated once its safeguard is removed from the programs."""
+"""Mutation tests: each rule of the emulator is violated when its safeguard is removed from the programs."""
 
 import asyncio
 import json
@@ -38,8 +38,8 @@
     return Fault(kind, at_s, duration_s, target, variant)
 
 
-def without_rejection(name):
-    """Patches of the attempt policy without one of its rejections."""
+def patches_without_rejection(name):
+    """Return patches that remove one reason for rejection from the attempt policy."""
 
     def without(method):
         original = AttemptPolicy.__dict__[method]
@@ -67,12 +67,12 @@
     self, incarnation, revision, private, known=None, since=ChangeFeed.since
 ):
     found = [record for record in since(self, incarnation, revision, private) if record.key != "config"]
-    held = self.store.records.get("config")
-    again = [Record("config", held.stamp, held.value)] if held else []
+    stored = self.store.records.get("config")
+    again = [Record("config", stored.stamp, stored.value)] if stored else []
     return found + again
 
 
-async def wait_idle(self):
+async def sleep_without_polling(self):
     await asyncio.sleep(9.0)
 
 
@@ -81,21 +81,21 @@
 
 
 async def write_without_rollouts(self, update, write=PersistentState.write):
-    """Rollouts are kept in memory alone."""
+    """Keep rollouts in memory only."""
     rows = {key: row for key, row in update.registers.items() if "rollout/" not in key}
     await write(self, replace(update, registers=rows))
     self.apply(update)
 
 
-async def give_up_without_controllers(self, listen=UpdateSubscription.poll_once):
-    """A proxy that finds nobody listening at its start asks no more."""
+async def stop_polling_without_controllers(self, listen=UpdateSubscription.poll_once):
+    """Stop polling if no controller responds at the start of a proxy."""
     await listen(self)
     if not self.subscriber.positions:
         await asyncio.sleep(99.0)
 
 
 async def acknowledge_by_number(self, call, replace=Operations.replace_configuration):
-    """A configuration is confirmed by its number, whatever it holds."""
+    """Acknowledge a configuration by its number, whatever its content."""
     try:
         return await replace(self, call)
     except GatewayError:
@@ -106,7 +106,7 @@
 
 
 async def start_only_once(self, call, start=Operations.start_rollout):
-    """An order that is known is refused."""
+    """Reject an order for a service that has a rollout already."""
     svc = json.loads(call.body)["svc"]
     if self.rollouts.store.get(f"rollout/{svc}"):
         raise VersionConflict("rollouts.start", "there is one", call.peer)
@@ -114,38 +114,38 @@
 
 
 async def read_own_configuration(self, call):
-    """A configuration is read from this controller's store."""
-    held = self.rollouts.store.get("config")
-    return packing.unpack(held) if held else b'{"ver":"00000000"}'
+    """Read the configuration from this controller's store instead of a majority."""
+    stored = self.rollouts.store.get("config")
+    return packing.unpack(stored) if stored else b'{"ver":"00000000"}'
 
 
 async def read_own_rollout(self, call, read=Operations.read_rollout):
-    """So is a rollout."""
-    held = self.rollouts.store.get(f"rollout/{call.subject}")
-    return {"state": held["state"], "to_ver": held["to_ver"]} if held else await read(self, call)
+    """Read a rollout from this controller's store instead of a majority."""
+    stored = self.rollouts.store.get(f"rollout/{call.subject}")
+    return {"state": stored["state"], "to_ver": stored["to_ver"]} if stored else await read(self, call)
 
 
-def start_without_previous_orders(held, *order, start=transitions.start_rollout):
-    """Orders before the one that is held are forgotten."""
-    return start(replace(held, previous_orders=()) if held else held, *order)
+def start_without_previous_orders(stored, *order, start=transitions.start_rollout):
+    """Forget the orders before the stored one."""
+    return start(replace(stored, previous_orders=()) if stored else stored, *order)
 
 
 async def raise_key_error(self, call):
     return {}["nothing"]
 
 
-async def acknowledge_only(self, call):
-    """A machine's leaving is confirmed, and forgotten."""
+async def acknowledge_without_recording(self, call):
+    """Acknowledge that a machine leaves, without recording it."""
     return {}
 
 
 def decode_as_ready(id, body, peer, decode=heartbeat.decode_heartbeat):
-    """Whatever a machine says, it is ready."""
+    """Decode every heartbeat as that of a ready machine."""
     return decode(id, {**body, "state": "ready"}, peer)
 
 
 def keep_three_routes(self, config, init=RouteTable.__init__):
-    """Routes beyond the first three of a configuration are forgotten."""
+    """Keep only the first three routes of each host of a configuration."""
     init(self, config)
     self.routes_by_host = {host: dict([*routes.items()][:3]) for host, routes in self.routes_by_host.items()}
 
@@ -157,7 +157,7 @@
 SMALL_BUDGET = {"requests_per_s": 120.0, "bounds": (("retry_slack", 2), ("retry_ratio", 0.02))}
 
 
-@test("without its safeguard the rule {rule} is violated")
+@test("the rule {rule} is violated if its safeguard is removed")
 def _(
     rule=each(
         Rule.AT_MOST_ONCE,
@@ -187,14 +187,14 @@
         Rule.CANCELLATION,
     ),
     patch=each(
-        lambda: without_rejection("may have run"),
+        lambda: patches_without_rejection("may have run"),
         lambda: [(FailureResponses, "no_endpoint", respond_unavailable)],
         lambda: [
             (attempt_sender, "classify_response", classify_any_response),
             (MachineConnection, "exchange", exchange_without_expected_header),
         ],
-        lambda: without_rejection("state"),
-        lambda: [(poll_interval, "POLL_S", 3.0), (UpdateSubscription, "poll_once", wait_idle)],
+        lambda: patches_without_rejection("state"),
+        lambda: [(poll_interval, "POLL_S", 3.0), (UpdateSubscription, "poll_once", sleep_without_polling)],
         lambda: [(Store, "put", put_last_wins), (ChangeFeed, "since", records_with_configuration_again)],
         lambda: [(RetryBudget, "allows", lambda self, now, fronts: True)],
         lambda: [(RolloutTrafficPolicy, "trial_permits", lambda self, now, ask: True)],
@@ -209,13 +209,16 @@
         lambda: [(PersistentState, "write", apply_without_writing)],
         lambda: [(PersistentState, "write", apply_without_writing)],
         lambda: [(PersistentState, "write", write_without_rollouts)],
-        lambda: without_rejection("state"),
+        lambda: patches_without_rejection("state"),
         lambda: [(membership_rules, "majority", lambda configuration: len(configuration.members))],
         lambda: [
-            (UpdateSubscription, "poll_once", give_up_without_controllers),
-            (ControllerPoller, "poll_once", wait_idle),
+            (UpdateSubscription, "poll_once", stop_polling_without_controllers),
+            (ControllerPoller, "poll_once", sleep_without_polling),
+        ],
+        lambda: [
+            (Operations, "leave", acknowledge_without_recording),
+            (heartbeat, "decode_heartbeat", decode_as_ready),
         ],
-        lambda: [(Operations, "leave", acknowledge_only), (heartbeat, "decode_heartbeat", decode_as_ready)],
         lambda: [(RouteTable, "__init__", keep_three_routes)],
         lambda: [(AttemptSender, "abandon", lambda self, request: None)],
     ),
