--- a/honeywood/cli/emulator.py
+++ b/honeywood/cli/emulator.py
@@ -137,7 +137,7 @@
     text, played = report.compare_with_omniscient_router(shape, range(first, first + days), hunts.play)
     click.echo(text)
     if chart:
-        report.chart(chart, {f"seed {one.day.seed}": one for one in played[:4]})
+        report.chart(chart, {f"seed {played_day.day.seed}": played_day for played_day in played[:4]})
 
 
 @command.command()
--- a/honeywood/lab/emulator/clients.py
+++ b/honeywood/lab/emulator/clients.py
@@ -183,8 +183,8 @@
             return AttemptResult(NoResponse.BROKEN)
         if not handling.done():
             self._disconnect(proxy, process, attempt_id, context)
-            left = until_disconnect_s < remaining_s
-            return AttemptResult(NoResponse.DISCONNECTED if left else NoResponse.TIMEOUT)
+            disconnected = until_disconnect_s < remaining_s
+            return AttemptResult(NoResponse.DISCONNECTED if disconnected else NoResponse.TIMEOUT)
         return self._on_response(proxy, attempt_id, request, handling.result())
 
     def _on_response(
--- a/honeywood/lab/emulator/emulated_day.py
+++ b/honeywood/lab/emulator/emulated_day.py
@@ -35,8 +35,8 @@
 """The time before traffic in which programs discover one another."""
 SETTLING_S = 4.0
 """The time after traffic in which everything that was acknowledged must become readable."""
-PENDING_CHECK_S = 0.5
-READ_BACK_S = 3.0
+PENDING_CHECK_INTERVAL_S = 0.5
+READ_BACK_TIMEOUT_S = 3.0
 """The maximum duration of the last read."""
 READ_BACK_ATTEMPTS = 12
 CONTROLLER_LINK_FACTOR = 12
@@ -157,13 +157,13 @@
     def _wait_for_pending_orders(self) -> None:
         deadline = self.loop.time() + self.bounds["contact_s"] + self.bounds["ack_s"] + SETTLING_S
         while self.monitor.orders.pending and self.loop.time() < deadline:
-            self.run(self.loop.time() + PENDING_CHECK_S, self._check)
+            self.run(self.loop.time() + PENDING_CHECK_INTERVAL_S, self._check)
 
     def _read_back(self) -> None:
         """Read the configuration a last time, from any controller that responds, and close the rules."""
         call = self.fleet.call(CallName.READ_CONFIGURATION, "", {}, READ_BACK_ATTEMPTS)
         reading = self.loop.create_task(call)
-        self.run(self.loop.time() + READ_BACK_S, self._check)
+        self.run(self.loop.time() + READ_BACK_TIMEOUT_S, self._check)
         version = None
         if reading.done() and reading.result().status == HTTPStatus.OK:
             response = reading.result().response
--- a/honeywood/lab/emulator/faults/disks.py
+++ b/honeywood/lab/emulator/faults/disks.py
@@ -10,7 +10,7 @@
 
 from honeywood.gateway.controller.call import CallName
 from honeywood.lab.emulator.faults.disturbance import (
-    RESTART_S,
+    RESTART_DELAY_S,
     record_until_fault_ends,
     restart,
     target_controllers,
@@ -57,7 +57,7 @@
     """
     await _send_configuration(world, fault, target_of(world.controllers, fault))
     wiped = target_controllers(world, fault) if fault.variant < 0.5 else []
-    await restart(world, world.controllers, RESTART_S, True, wiped)
+    await restart(world, world.controllers, RESTART_DELAY_S, True, wiped)
 
 
 async def wipe_after_order(world: EmulatedDay, fault: Fault) -> None:
@@ -79,7 +79,7 @@
     without_power = list(world.controllers) if fault.variant < POWER_LOSS_SHARE else list(wiped)
     if fault.variant < POWER_LOSS_SHARE / 2:
         without_power += world.proxies
-    await restart(world, without_power, RESTART_S, True, wiped)
+    await restart(world, without_power, RESTART_DELAY_S, True, wiped)
     continuation = await sending
     if continuation is not None:
         await continuation
--- a/honeywood/lab/emulator/faults/disturbance.py
+++ b/honeywood/lab/emulator/faults/disturbance.py
@@ -12,7 +12,7 @@
     from honeywood.lab.emulator.emulated_day import EmulatedDay
     from honeywood.lab.emulator.network import Link
 
-RESTART_S = 0.6
+RESTART_DELAY_S = 0.6
 """The time after which a killed program is restarted."""
 START_SPREAD_S = 0.3
 """The time within which several programs start, in random order."""
--- a/honeywood/lab/emulator/faults/membership.py
+++ b/honeywood/lab/emulator/faults/membership.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from honeywood.lab.emulator.faults.disturbance import RESTART_S, restart, target_controllers
+from honeywood.lab.emulator.faults.disturbance import RESTART_DELAY_S, restart, target_controllers
 from honeywood.lab.emulator.faults.fault import Fault
 from honeywood.lab.emulator.world import SEED_COUNT
 
@@ -34,7 +34,7 @@
     first = int(fault.variant * VARIANTS)
     names = [world.controllers[(first + offset) % others] for offset in range(world.tolerated_failures)]
     if fault.variant < 0.5:
-        await restart(world, names, RESTART_S, True, names)
+        await restart(world, names, RESTART_DELAY_S, True, names)
         return
     for name in names:
         await _replace(world, name)
@@ -54,7 +54,7 @@
     slowed or partitioned counts as lost for the same time.
     """
     _remove(world, name)
-    await asyncio.sleep(RESTART_S)
+    await asyncio.sleep(RESTART_DELAY_S)
     world.replacements += 1
     replacement = f"c{world.replacements}"
     world.seeds[replacement] = list(world.controllers)[:SEED_COUNT]
--- a/honeywood/lab/emulator/faults/network.py
+++ b/honeywood/lab/emulator/faults/network.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from honeywood.lab.emulator.faults.disturbance import (
-    RESTART_S,
+    RESTART_DELAY_S,
     links,
     record_until_fault_ends,
     restart,
@@ -95,7 +95,7 @@
     world.partitions |= cut
     world.seeds[restarted] = [name, *others][:SEED_COUNT]
     affects_core = restarted in world.controllers
-    restarting = world.loop.create_task(restart(world, [restarted], RESTART_S, affects_core))
+    restarting = world.loop.create_task(restart(world, [restarted], RESTART_DELAY_S, affects_core))
     await record_until_fault_ends(world, fault, [name, restarted], True)
     await restarting
     world.partitions -= cut
--- a/honeywood/lab/emulator/faults/processes.py
+++ b/honeywood/lab/emulator/faults/processes.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from honeywood.lab.emulator.faults.disturbance import (
-    RESTART_S,
+    RESTART_DELAY_S,
     record_until_fault_ends,
     restart,
     target_controllers,
@@ -26,7 +26,7 @@
 
 async def kill_proxy(world: EmulatedDay, fault: Fault) -> None:
     """Kill and restart a proxy."""
-    await restart(world, [target_of(world.proxies, fault)], RESTART_S, False)
+    await restart(world, [target_of(world.proxies, fault)], RESTART_DELAY_S, False)
 
 
 async def kill_controllers(world: EmulatedDay, fault: Fault) -> None:
@@ -36,7 +36,7 @@
 
 async def kill_all(world: EmulatedDay, fault: Fault) -> None:
     """Kill all programs at once and restart them."""
-    await restart(world, [*world.controllers, *world.proxies], RESTART_S, True)
+    await restart(world, [*world.controllers, *world.proxies], RESTART_DELAY_S, True)
 
 
 async def kill_many(world: EmulatedDay, fault: Fault) -> None:
@@ -54,7 +54,7 @@
         core[:SEED_COUNT] + rng.sample(proxies, 1),
         rng.sample(everything, rng.randrange(2, len(everything) + 1)),
     )[int(fault.variant * 4)]
-    await restart(world, names, RESTART_S, any(name in core for name in names))
+    await restart(world, names, RESTART_DELAY_S, any(name in core for name in names))
 
 
 async def freeze(world: EmulatedDay, fault: Fault) -> None:
@@ -97,4 +97,4 @@
         return
     world.kill(name)
     world.clock_offsets_s[name] = offset_s
-    await restart(world, [name], RESTART_S, affects_core)
+    await restart(world, [name], RESTART_DELAY_S, affects_core)
--- a/honeywood/lab/emulator/handles.py
+++ b/honeywood/lab/emulator/handles.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from honeywood.lab.emulator.process import CURRENT, FULL_SPEED
+from honeywood.lab.emulator.process import CURRENT_PROCESS, FULL_SPEED
 
 if TYPE_CHECKING:
     from contextvars import Context
@@ -56,7 +56,7 @@
 
 def _delayed_process(context: Context) -> Process | None:
     """Return the process of a context if it is frozen or slowed; None if its handles may run at once."""
-    process = context.get(CURRENT)
+    process = context.get(CURRENT_PROCESS)
     if process is None or process.slowdown == FULL_SPEED:
         return None
     return process
--- a/honeywood/lab/emulator/loop.py
+++ b/honeywood/lab/emulator/loop.py
@@ -12,7 +12,7 @@
 
 from honeywood.lab.emulator.handles import Handle, Timer
 from honeywood.lab.emulator.ordered_tasks import Future, Task, restart_numbers
-from honeywood.lab.emulator.process import CURRENT
+from honeywood.lab.emulator.process import CURRENT_PROCESS
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine, Generator
@@ -145,7 +145,7 @@
     ) -> asyncio.Task[T]:
         """Create a task as asyncio does and register it with the process of its context."""
         task: Task[T] = Task(coro, loop=self, name=name, context=context)
-        process = CURRENT.get() if context is None else context.get(CURRENT)
+        process = CURRENT_PROCESS.get() if context is None else context.get(CURRENT_PROCESS)
         if process is not None:
             process.tasks[task] = None
         return task
--- a/honeywood/lab/emulator/loopback.py
+++ b/honeywood/lab/emulator/loopback.py
@@ -110,8 +110,8 @@
         await asyncio.sleep(TRAFFIC_BEFORE_ROLLOUTS_S)
         if with_rollouts:
             await self._show_rollouts()
-        found = await self._call(CallName.READ_CONFIGURATION)
-        self._print(f"operator: config.read returned version {found['ver'] if found else 'nothing'}")
+        response = await self._call(CallName.READ_CONFIGURATION)
+        self._print(f"operator: config.read returned version {response['ver'] if response else 'nothing'}")
         for task in background:
             task.cancel()
         await self._stop_processes()
@@ -157,8 +157,8 @@
         return None
 
     async def _order_configuration(self) -> None:
-        found = await self._call(CallName.REPLACE_CONFIGURATION, "", configuration(1))
-        result = "refused" if found is None else "acknowledged"
+        response = await self._call(CallName.REPLACE_CONFIGURATION, "", configuration(1))
+        result = "refused" if response is None else "acknowledged"
         self._print(f"operator: config.replace 00000001: {result}")
 
     async def _send_heartbeats(self) -> None:
@@ -199,13 +199,15 @@
     async def _roll_out(self, version: str, failing_share: float) -> None:
         """Roll out a version, wait for the outcome, and stop the machines of the version not in use."""
         self._machines += await _start_machines(version, failing_share)
-        self._print(f"operator: rollouts.start to {version}, whose failing share is {failing_share:.0%}")
+        self._print(f"operator: rollouts.start to {version}; {failing_share:.0%} of its responses fail")
         order = {"svc": SERVICE, "to_ver": version, "over_s": ROLLOUT_S}
         await self._call(CallName.START_ROLLOUT, "", order)
         state = await self._wait_for_outcome()
         self._print(f"operator: rollouts.read returned {state}")
         is_reverted = state == RolloutState.REVERTED
-        for machine in [one for one in self._machines if (one.ver == version) == is_reverted]:
+        for machine in [
+            candidate for candidate in self._machines if (candidate.ver == version) == is_reverted
+        ]:
             self._machines.remove(machine)
             await self._call(CallName.LEAVE, machine.id)
             machine.close()
@@ -214,8 +216,8 @@
         state: str = RolloutState.ACTIVE
         while state == RolloutState.ACTIVE:
             await asyncio.sleep(ROLLOUT_POLL_INTERVAL_S)
-            found = await self._call(CallName.READ_ROLLOUT, SERVICE)
-            state = RolloutState.ACTIVE if found is None else found["state"]
+            response = await self._call(CallName.READ_ROLLOUT, SERVICE)
+            state = RolloutState.ACTIVE if response is None else response["state"]
         return state
 
 
--- a/honeywood/lab/emulator/ordered_tasks.py
+++ b/honeywood/lab/emulator/ordered_tasks.py
@@ -18,9 +18,9 @@
     _number: int
 
     def __new__(cls, *args: object, **options: object) -> _Ordered:
-        made = super().__new__(cls)
-        made._number = next(_Ordered.numbers)
-        return made
+        instance = super().__new__(cls)
+        instance._number = next(_Ordered.numbers)
+        return instance
 
     def __hash__(self) -> int:
         return self._number
--- a/honeywood/lab/emulator/process.py
+++ b/honeywood/lab/emulator/process.py
@@ -22,12 +22,12 @@
 
 T = TypeVar("T")
 
-CURRENT: ContextVar[Process | None] = ContextVar("process", default=None)
+CURRENT_PROCESS: ContextVar[Process | None] = ContextVar("process", default=None)
 """The process whose code is running; None for code of the simulation itself."""
 
 FROZEN = inf
 FULL_SPEED = 1.0
-HANDLE_S = 0.0002
+HANDLE_DURATION_S = 0.0002
 """The simulated time per handle, multiplied by the slowdown of a slowed process."""
 
 
@@ -48,7 +48,7 @@
         self._deferred_timers: list[Timer] = []
         self._next_turn: asyncio.Handle | None = None
         self._context = Context()
-        self._context.run(CURRENT.set, self)
+        self._context.run(CURRENT_PROCESS.set, self)
 
     def run(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
         """Run a coroutine in this process and return its task."""
@@ -77,7 +77,7 @@
             self._deferred_timers.pop(0).run_now()
         else:
             return
-        delay_s = HANDLE_S * self.slowdown
+        delay_s = HANDLE_DURATION_S * self.slowdown
         self._next_turn = self._loop.call_later(delay_s, self._take_turn, context=Context())
 
     def set_slowdown(self, slowdown: float) -> None:
--- a/honeywood/lab/emulator/report.py
+++ b/honeywood/lab/emulator/report.py
@@ -96,7 +96,7 @@
             by_kind.setdefault(kind, _Shares()).add(outcome, best)
     kinds = sorted(by_kind, key=lambda kind: by_kind[kind].share)
     rows = [by_kind[kind].row(kind) for kind in kinds]
-    played.sort(key=lambda one: one.outcome.mean_worth)
+    played.sort(key=lambda played_day: played_day.outcome.mean_worth)
     return Comparison(table(("days with", "days", "ours", "omniscient router", "share"), rows), played)
 
 
--- a/honeywood/lab/emulator/rules/order_rules.py
+++ b/honeywood/lab/emulator/rules/order_rules.py
@@ -116,7 +116,9 @@
             details = f"{controller} returned version {number} after {highest_before}"
             self._context.report(Rule.MONOTONIC_READS, now, details)
         contents = self._acknowledged_contents.get(number, {})
-        acknowledged = [one for one, is_acknowledged in contents.items() if is_acknowledged]
+        acknowledged = [
+            known_content for known_content, is_acknowledged in contents.items() if is_acknowledged
+        ]
         if len(acknowledged) == 1 and content != acknowledged[0] and number == self._newest_sent:
             details = f"{controller} returned an unacknowledged content for version {number}"
             self._context.report(Rule.MONOTONIC_READS, now, details)
--- a/honeywood/lab/emulator/world.py
+++ b/honeywood/lab/emulator/world.py
@@ -29,7 +29,7 @@
 
 __all__ = ["OUTSIDE", "Loop", "World"]
 
-START_TIME_OF_DAY_S = 1e9
+START_WALL_CLOCK_S = 1e9
 """The wall-clock time at which a world starts, in seconds since the epoch."""
 CHECK_INTERVAL_S = 0.05
 CLOSING_ROUNDS = 4
@@ -116,7 +116,7 @@
     def _make_program(self, name: str) -> Controller | Proxy:
         """Create the real controller or proxy with the given name; it writes no log."""
         seeds = self.seeds.get(name, self.controllers[:SEED_COUNT])
-        made_settings = settings(
+        program_settings = settings(
             name,
             seeds,
             zone=self.zones.get(name, DEFAULT_ZONE),
@@ -128,9 +128,9 @@
         clock = self.loop.time
 
         def wall_clock() -> float:
-            return START_TIME_OF_DAY_S + clock() + self.clock_offsets_s.get(name, 0.0)
+            return START_WALL_CLOCK_S + clock() + self.clock_offsets_s.get(name, 0.0)
 
-        common = made_settings, caller, clock, wall_clock
+        common = program_settings, caller, clock, wall_clock
         connect = None if name in self.controllers else self.connect_of(name)
         rng = random.Random(self.random.random())
         if name in self.controllers:
