--- a/honeywood/lab/emulator/handles.py
+++ b/honeywood/lab/emulator/handles.py
@@ -1,11 +1,11 @@
-"""Handles of the simulated loop, which are deferred while their process is frozen or slowed."""
+"""Handles of the simulated loop; they are deferred while their process is frozen or slowed."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import TYPE_CHECKING
 
-from honeywood.lab.emulator.process import CURRENT, FULL_SPEED
+from honeywood.lab.emulator.process import CURRENT_PROCESS, FULL_SPEED
 
 if TYPE_CHECKING:
     from contextvars import Context
@@ -34,7 +34,7 @@
 
 
 class Timer(asyncio.TimerHandle):
-    """A callback that is due at a time."""
+    """A callback that is due at a certain time."""
 
     __slots__ = ()
     if TYPE_CHECKING:
@@ -55,8 +55,8 @@
 
 
 def _delayed_process(context: Context) -> Process | None:
-    """Return the process that a handle belongs to; None where it may run at once."""
-    process = context.get(CURRENT)
+    """Return the process of a context if it is frozen or slowed; None if its handles may run at once."""
+    process = context.get(CURRENT_PROCESS)
     if process is None or process.slowdown == FULL_SPEED:
         return None
     return process
--- a/tests/gateway/slow_link.py
+++ b/tests/gateway/slow_link.py
@@ -33,17 +33,17 @@
         self.free_at[direction] = max(now, self.free_at.get(direction, 0.0)) + size / self.rate
         return self.free_at[direction] - now
 
-    async def _carry(self, message, answer):
+    async def _deliver(self, message, answer):
         source, target, size = message.source, message.target, len(message.body)
         slow_ends = [name for name in (source, target) if name in self.slow]
         if message.path != "/register" or not slow_ends:
-            return await super()._carry(message, answer)
+            return await super()._deliver(message, answer)
         self.longest = max(self.longest, size)
         await asyncio.sleep(max(self.queue((end, end == source), size) for end in slow_ends))
         if answer is not None and answer.done():
             return  # the caller gave up and closed the connection, so the rest is never transmitted
         reply = asyncio.get_running_loop().create_future()
-        await super()._carry(message, reply)
+        await super()._deliver(message, reply)
         if not reply.done():
             return
         if reply.exception() is not None:
