--- a/honeywood/cli/lab.py
+++ b/honeywood/cli/lab.py
@@ -26,11 +26,11 @@
     require("operator", "trace-tools")
     from honeywood.cli.trace import command as trace
     from honeywood.lab.demo import demo as played
-    from honeywood.standins.release import tenant
+    from honeywood.standins.release import customer_of_client
 
     folder = folder or tempfile.mkdtemp(prefix="honeywood-")
     paths, _ = played(folder, seconds, failing, click.echo)
-    key, middle, customer = f"{folder}/key", f"{folder}/middle.trace", tenant(1)
+    key, middle, customer = f"{folder}/key", f"{folder}/middle.trace", customer_of_client(1)
     for words in (
         ["verify", *paths],
         ["summary", paths[0]],
--- a/honeywood/lab/emulator/loopback.py
+++ b/honeywood/lab/emulator/loopback.py
@@ -28,7 +28,7 @@
 from honeywood.gateway.rpc.reply import ExchangeFailure
 from honeywood.gateway.rpc.statuses import INTERNAL_ERROR, status_of
 from honeywood.lab.emulator.boot import boot
-from honeywood.standins.sorting import Machine
+from honeywood.standins.gateway_machine import Machine
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -163,7 +163,7 @@
     async def _send_heartbeats(self) -> None:
         while True:
             for machine in self._machines:
-                await self._call(CallName.HEARTBEAT, machine.id, machine.beat())
+                await self._call(CallName.HEARTBEAT, machine.id, machine.heartbeat())
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def _send_requests(self) -> None:
--- a/honeywood/lab/world.py
+++ b/honeywood/lab/world.py
@@ -37,8 +37,8 @@
         self.discovery, self.platform = Discovery(), Platform(CAPS, bake)
         self.workers = [Worker(f"s{n}", 1, work, seed=seed * 100 + n) for n in range(servers)]
         for worker in self.workers:
-            worker.booted = 0
-        self.known = self.discovery.members([worker.entry() for worker in self.workers])
+            worker.started_at_ms = 0
+        self.known = self.discovery.publish([worker.entry() for worker in self.workers])
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.listen = free.getsockname()
 
@@ -86,7 +86,7 @@
         """A build on trial on so many new servers."""
         self.workers += [Worker(f"t{n}", build, self.work, failing, seed=self.seed * 100 + 50 + n)
                          for n in range(servers)]
-        self.discovery.members([worker.entry() for worker in self.workers])
+        self.discovery.publish([worker.entry() for worker in self.workers])
         self.platform.change(build, 0, "canary")
 
     def held(self):
--- a/honeywood/standins/control.py
+++ b/honeywood/standins/control.py
@@ -1,38 +1,38 @@
 """Stand-ins for discovery and the platform: they say what a scenario tells them to."""
-from honeywood.standins.peer import Peer, message
+from honeywood.standins.peer import Peer, read_message
 
 
-class DiscoveryStand(Peer):
+class DiscoveryStub(Peer):
     def __init__(self):
         super().__init__()
-        self.since, self.revision, self.watching = [], 1, []
+        self.since, self.revision, self.watchers = [], 1, []
 
     def serve(self, sock):
-        got, _ = message(sock)
+        got, _ = read_message(sock)
         if not got:
             return
         sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self.watching.append(sock)
+        self.watchers.append(sock)
         self.since.append(int(got[0].split("since=")[1].split()[0]))
         while sock.recv(100):
             pass
 
-    def tell(self, text):
+    def send_update(self, text):
         data = text.encode() + b"\n"
-        self.watching[-1].sendall(b"%x\r\n%s\r\n" % (len(data), data))
+        self.watchers[-1].sendall(b"%x\r\n%s\r\n" % (len(data), data))
 
 
-class PlatformStand(Peer):
+class PlatformStub(Peer):
     def __init__(self):
         super().__init__()
-        self.reply, self.votes, self.told, self.welcome = "OK 1 0 stable 1 0", [], [], "OK"
+        self.reply, self.votes, self.subscribers, self.subscribe_reply = "OK 1 0 stable 1 0", [], [], "OK"
 
     def serve(self, sock):
         for line in sock.makefile("rb"):
             if line == b"NOTIFY\r\n":
-                sock.sendall(f"{self.welcome}\r\n".encode())
-                if self.welcome == "OK":
-                    self.told.append(sock)
+                sock.sendall(f"{self.subscribe_reply}\r\n".encode())
+                if self.subscribe_reply == "OK":
+                    self.subscribers.append(sock)
             else:
                 self.votes.append(line.decode().split()[1:])
                 sock.sendall((self.reply + "\r\n").encode() if self.reply != "none" else b"")
--- a/honeywood/standins/sorting.py
+++ b/honeywood/standins/gateway_machine.py
@@ -25,7 +25,7 @@
         assert self.server is not None, "the machine is not open"
         self.server.close()
 
-    def beat(self) -> dict[str, object]:
+    def heartbeat(self) -> dict[str, object]:
         assert self.server is not None, "the machine is not open"
         self.seq += 1
         address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
--- a/honeywood/standins/peer.py
+++ b/honeywood/standins/peer.py
@@ -7,7 +7,7 @@
     """A stand-in that listens: each connection has a thread, which `serve` reads and answers."""
 
     def __init__(self):
-        self.address, self.open = "", []
+        self.address, self.sockets = "", []
         self.listen()
 
     def listen(self):
@@ -24,7 +24,7 @@
                 sock, _ = listener.accept()
             except OSError:
                 return
-            self.open.append(sock)
+            self.sockets.append(sock)
             threading.Thread(target=self.talk, args=(sock,), daemon=True).start()
 
     def talk(self, sock):
@@ -38,14 +38,14 @@
         """Ends all connections; none is taken until listen()."""
         self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
-        for sock in self.open:
+        for sock in self.sockets:
             try:
                 sock.shutdown(socket.SHUT_RDWR)
             except OSError:
                 pass
 
 
-def message(sock, rest=b""):
+def read_message(sock, rest=b""):
     """(first line, fields, body) of the next message, and what is behind it; None where there is none."""
     while b"\r\n\r\n" not in rest:
         some = sock.recv(65536)
@@ -69,7 +69,7 @@
     try:
         with socket.create_connection(address, 15) as sock:
             sock.sendall(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-            return int(message(sock)[0][0].split()[1])
+            return int(read_message(sock)[0][0].split()[1])
     except (OSError, TypeError):
         return None
 
--- a/honeywood/standins/release.py
+++ b/honeywood/standins/release.py
@@ -6,16 +6,16 @@
 import threading
 import time
 
-from honeywood.standins.control import DiscoveryStand, PlatformStand
-from honeywood.standins.peer import Peer, message, rpc
+from honeywood.standins.control import DiscoveryStub, PlatformStub
+from honeywood.standins.peer import Peer, read_message, rpc
 
 
-def tenant(client):
+def customer_of_client(client):
     """The customer that the load's client of this number says it asks for."""
     return f"carrier-{client % 5}"
 
 
-class Platform(PlatformStand):
+class Platform(PlatformStub):
     """One front votes: `go` takes the next step once the last has stood for `bake` seconds, `stop` goes
     back."""
 
@@ -31,14 +31,14 @@
     def change(self, build, step, standing):
         self.build, self.step, self.standing, self.since = build, step, standing, time.monotonic()
         self.history.append((build, step, standing))
-        for sock in self.told:
+        for sock in self.subscribers:
             sock.sendall(f"* stage {self.state()}\r\n".encode())
 
     def serve(self, sock):
         for line in sock.makefile("rb"):
             if line == b"NOTIFY\r\n":
                 sock.sendall(b"OK\r\n")
-                self.told.append(sock)
+                self.subscribers.append(sock)
                 continue
             build, step, verdict = line.decode().split()[1:]
             self.votes.append((int(build), int(step), verdict))
@@ -55,29 +55,29 @@
     """A server that needs `work` seconds an RPC, in the mean, and fails a share of them."""
 
     def __init__(self, name, build, work, failing=0.0, seed=0):
-        self.name, self.build, self.work, self.failing = name, build, work, failing
-        self.chance, self.active, self.ran = random.Random(seed), 0, 0
-        self.booted = int(time.time() * 1000)
+        self.name, self.build, self.mean_work_s, self.failing = name, build, work, failing
+        self.random, self.active, self.ran = random.Random(seed), 0, 0
+        self.started_at_ms = int(time.time() * 1000)
         super().__init__()
 
     def serve(self, sock):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        got, rest = message(sock)
+        got, rest = read_message(sock)
         while got:
             if got[0].startswith("GET /_load"):
                 answer = b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nactive=0"
             else:
                 self.active += 1
-                time.sleep(self.chance.expovariate(1 / self.work) if self.work else 0)
+                time.sleep(self.random.expovariate(1 / self.mean_work_s) if self.mean_work_s else 0)
                 self.active, self.ran = self.active - 1, self.ran + 1
-                status = "500 Oh" if self.chance.random() < self.failing else "200 OK"
+                status = "500 Oh" if self.random.random() < self.failing else "200 OK"
                 size, _, rate = got[1].get("x-answer", "2/0").partition("/")
                 answer = (f"HTTP/1.1 {status}\r\nX-Server-Load: active={max(0, self.active)}\r\n"
                           f"Content-Length: {size}\r\n\r\n{'x' * int(size)}").encode()
                 if int(rate):
                     answer = self.trickle(sock, answer, int(rate))
             sock.sendall(answer)
-            got, rest = message(sock, rest)
+            got, rest = read_message(sock, rest)
 
     def trickle(self, sock, answer, rate):
         """Writes an answer at so many bytes a second, as long as somebody reads it; what is left is b""."""
@@ -88,15 +88,15 @@
 
     def entry(self, phase="up"):
         return {"id": self.name, "host_port": self.address, "locality": "a", "cell": 1, "phase": phase,
-                "size": 1.0, "up_since_ms": self.booted, "release": self.build}
+                "size": 1.0, "up_since_ms": self.started_at_ms, "release": self.build}
 
 
-class Discovery(DiscoveryStand):
-    def members(self, entries):
+class Discovery(DiscoveryStub):
+    def publish(self, entries):
         self.revision += 1
         text = json.dumps({"revision": self.revision, "complete": True, "members": entries})
-        if self.watching:
-            self.tell(text)
+        if self.watchers:
+            self.send_update(text)
         return {"revision": self.revision, "complete": True, "members": entries}
 
 
@@ -132,9 +132,10 @@
                 if sock is None:
                     sock, rest = socket.create_connection(self.address, 10), b""
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                sock.sendall(rpc(verb, f"c{client}-{number}", method, 2, f"X-Tenant-Id: {tenant(client)}",
+                sock.sendall(rpc(verb, f"c{client}-{number}", method, 2,
+                                 f"X-Tenant-Id: {customer_of_client(client)}",
                                  f"X-Route-Key: {chance.randrange(10**9):09d}"))
-                got, rest = message(sock, rest)
+                got, rest = read_message(sock, rest)
             except OSError:
                 got = None
             status = int(got[0].split()[1]) if got else 0
--- a/tests/balancer/fleet/test_real_balancers.py
+++ b/tests/balancer/fleet/test_real_balancers.py
@@ -14,8 +14,8 @@
 
 from socket_player import CONFIGURATION
 
-from honeywood.standins.control import DiscoveryStand
-from honeywood.standins.peer import health, message, rpc
+from honeywood.standins.control import DiscoveryStub
+from honeywood.standins.peer import health, read_message, rpc
 from honeywood.standins.release import Platform, Worker
 
 BALANCERS, SERVERS, MAX_CONNECTIONS = 4, 6, 3
@@ -39,11 +39,11 @@
             self.connections += 1
             full = self.connections > MAX_CONNECTIONS
         try:
-            got, rest = message(sock)
+            got, rest = read_message(sock)
             while got:
                 if got[0].startswith("GET /_load"):
                     sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nactive=0")
-                    got, rest = message(sock, rest)
+                    got, rest = read_message(sock, rest)
                     continue
                 if self.unresponsive.is_set():
                     return self.ignore_until_end(sock)
@@ -54,9 +54,9 @@
                     )
                 with self.lock:
                     self.request_ids.append(got[1]["x-request-id"])
-                time.sleep(self.chance.expovariate(1 / self.work))
+                time.sleep(self.random.expovariate(1 / self.mean_work_s))
                 sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
-                got, rest = message(sock, rest)
+                got, rest = read_message(sock, rest)
         finally:
             with self.lock:
                 self.connections -= 1
@@ -66,7 +66,7 @@
             pass
 
 
-class RefusingDiscovery(DiscoveryStand):
+class RefusingDiscovery(DiscoveryStub):
     """Accepts every third call."""
 
     def __init__(self):
@@ -76,7 +76,7 @@
     def serve(self, sock):
         self.calls += 1
         if self.calls % 3:
-            message(sock)
+            read_message(sock)
             return sock.sendall(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         super().serve(sock)
 
@@ -188,7 +188,7 @@
             balancer.wait()
         deployment.start()
         # Every balancer gets its list, although discovery refuses two of three calls.
-        deployment.wait_until(lambda: len(deployment.discovery.watching) >= BALANCERS)
+        deployment.wait_until(lambda: len(deployment.discovery.watchers) >= BALANCERS)
         deployment.wait_for_answers(200)
         # A third of the servers becomes unresponsive and recovers.
         for worker in deployment.workers[:2]:
@@ -203,8 +203,8 @@
             deployment.configure(number)
             balancer.send_signal(signal.SIGHUP)
         deployment.wait_until(
-            lambda: len(deployment.discovery.watching) >= BALANCERS
-            and len(deployment.platform.told) >= BALANCERS
+            lambda: len(deployment.discovery.watchers) >= BALANCERS
+            and len(deployment.platform.subscribers) >= BALANCERS
         )
         deployment.wait_for_answers(200)
         deployment.stopping.set()
--- a/tests/balancer/program/test_process.py
+++ b/tests/balancer/program/test_process.py
@@ -32,7 +32,7 @@
 ask r2 book
 until ended("r2") or status("r2")
 moved
-until discovery.watching
+until discovery.watchers
 ask r3 read
 until status("r3") == 200
 """
--- a/tests/balancer/socket_player.py
+++ b/tests/balancer/socket_player.py
@@ -12,8 +12,8 @@
 import threading
 import time
 
-from honeywood.standins.control import DiscoveryStand, PlatformStand
-from honeywood.standins.peer import Peer, health, message
+from honeywood.standins.control import DiscoveryStub, PlatformStub
+from honeywood.standins.peer import Peer, health, read_message
 
 
 class ScriptedServer(Peer):
@@ -45,12 +45,12 @@
             self.drop()
             self.sock = socket.create_server(("127.0.0.1", self.port()), backlog=0)
             for _ in range(3):
-                self.open.append(socket.socket())
-                self.open[-1].setblocking(False)
-                self.open[-1].connect_ex(self.sock.getsockname())
+                self.sockets.append(socket.socket())
+                self.sockets[-1].setblocking(False)
+                self.sockets[-1].connect_ex(self.sock.getsockname())
 
     def serve(self, sock):
-        got, rest = message(sock)
+        got, rest = read_message(sock)
         while got:
             if got[0].startswith("GET /_load"):
                 self.probes += 1
@@ -72,7 +72,7 @@
                     sock.sendall(b"HTTP/1.1 " + self.ANSWERS[how].encode())
                 if how in ("last", "short", "endless", "garbage"):
                     return
-            got, rest = message(sock, rest)
+            got, rest = read_message(sock, rest)
 
 
 CONFIGURATION = {
@@ -141,7 +141,7 @@
         self.listen = f"127.{1 + pid % 200}.{pid // 200 % 250}.{SocketPlayer.count}", 9000
         self.folder, self.config, self.process = folder, copy.deepcopy(CONFIGURATION), None
         self.servers, self.answers, self.clients, self.files = {}, {}, {}, []
-        self.discovery, self.platform, self.known = DiscoveryStand(), PlatformStand(), []
+        self.discovery, self.platform, self.known = DiscoveryStub(), PlatformStub(), []
         self.left = ()  # where list and platform were before they moved
 
     def line(self, verb, rest):
@@ -184,7 +184,7 @@
         self.known = self.entries(words)
         self.discovery.revision += 1
         if self.process:
-            self.do_until("discovery.watching")
+            self.do_until("discovery.watchers")
             self.do_lists(
                 json.dumps({"revision": self.discovery.revision, "complete": whole, "members": self.known})
             )
@@ -194,17 +194,17 @@
         self.do_list(*words, whole=False)
 
     def do_lists(self, text):
-        self.discovery.tell(text)
+        self.discovery.send_update(text)
 
     def do_tell(self, text):
-        self.do_until("platform.told")
-        self.platform.told[-1].sendall(f"* {text}\r\n".encode())
+        self.do_until("platform.subscribers")
+        self.platform.subscribers[-1].sendall(f"* {text}\r\n".encode())
 
     def do_reply(self, *words):
         self.platform.reply = " ".join(words)
 
     def do_welcome(self, *words):
-        self.platform.welcome = " ".join(words)
+        self.platform.subscribe_reply = " ".join(words)
 
     def write(self):
         self.config.update(listen=f"{self.listen[0]}:{self.listen[1]}", discovery=self.discovery.address)
@@ -235,7 +235,7 @@
 
     def do_moved(self):
         self.left = self.discovery, self.platform
-        self.discovery, self.platform = DiscoveryStand(), PlatformStand()
+        self.discovery, self.platform = DiscoveryStub(), PlatformStub()
         self.discovery.revision, self.platform.reply = self.left[0].revision, self.left[1].reply
         self.config["pipeline"]["address"] = self.platform.address
         self.do_hup()
@@ -261,7 +261,7 @@
         def read():
             rest, number = b"", 0
             try:
-                while (found := message(sock, rest))[0]:
+                while (found := read_message(sock, rest))[0]:
                     number += 1
                     rest = found[1]
                     self.answers[f"{name}.{number}" if number > 1 else name] = found[0]
