--- a/honeywood/lab/emulator/loopback.py
+++ b/honeywood/lab/emulator/loopback.py
@@ -204,7 +204,7 @@
         state = await self._wait_for_outcome()
         self._print(f"operator: rollouts.read says {state}")
         is_reverted = state == RolloutState.REVERTED
-        for machine in [one for one in self._machines if (one.ver == version) == is_reverted]:
+        for machine in [one for one in self._machines if (one.version == version) == is_reverted]:
             self._machines.remove(machine)
             await self._call(CallName.LEAVE, machine.id)
             machine.close()
--- a/honeywood/standins/__init__.py
+++ b/honeywood/standins/__init__.py
@@ -1,2 +1,4 @@
-"""Scripted peers on loopback, written from our own pages, that tests and lab share. Nothing here is a
-front's."""
+"""Scripted peers on loopback, shared by the tests and the lab.
+
+They are written from the specification of the protocols and import no code of the balancer or the gateway.
+"""
