--- a/honeywood/standins/peer.py
+++ b/honeywood/standins/peer.py
@@ -1,10 +1,10 @@
-"""A peer that listens, and HTTP/1.1 as far as a stand-in needs it."""
+"""The base class of stubs that listen on loopback, and the parts of HTTP/1.1 that the stubs need."""
 import socket
 import threading
 
 
 class Peer:
-    """A stand-in that listens: each connection has a thread, which `serve` reads and answers."""
+    """A listening stub. Each connection has a thread, in which the subclass's `serve` reads and responds."""
 
     def __init__(self):
         self.address, self.sockets = "", []
@@ -25,9 +25,9 @@
             except OSError:
                 return
             self.sockets.append(sock)
-            threading.Thread(target=self.talk, args=(sock,), daemon=True).start()
+            threading.Thread(target=self.handle_connection, args=(sock,), daemon=True).start()
 
-    def talk(self, sock):
+    def handle_connection(self, sock):
         try:
             self.serve(sock)
         except OSError:
@@ -35,7 +35,7 @@
         sock.close()
 
     def drop(self):
-        """Ends all connections; none is taken until listen()."""
+        """Close the listener and all connections; none is accepted until listen() is called."""
         self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
         for sock in self.sockets:
@@ -46,26 +46,35 @@
 
 
 def read_message(sock, rest=b""):
-    """(first line, fields, body) of the next message, and what is behind it; None where there is none."""
+    """Read the next HTTP message.
+
+    Args:
+        sock: the connection.
+        rest: the bytes received after the previous message.
+
+    Returns:
+        (first line, header fields by lower-case name, body), or None if the connection ended before the
+        message was complete; and the bytes received after it.
+    """
     while b"\r\n\r\n" not in rest:
-        some = sock.recv(65536)
-        if not some:
+        data = sock.recv(65536)
+        if not data:
             return None, rest
-        rest += some
+        rest += data
     head, _, rest = rest.partition(b"\r\n\r\n")
     first, *lines = head.decode("latin-1").split("\r\n")
     fields = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
     while len(rest) < int(fields.get("content-length", 0)):
-        some = sock.recv(65536)
-        if not some:
+        data = sock.recv(65536)
+        if not data:
             return None, rest
-        rest += some
+        rest += data
     size = int(fields.get("content-length", 0))
     return (first, fields, rest[:size]), rest[size:]
 
 
 def health(address):
-    """The status of a front's health call, None where it takes no connection or says nothing."""
+    """Return the status of a balancer's health call; None if it can't be reached or doesn't respond."""
     try:
         with socket.create_connection(address, 15) as sock:
             sock.sendall(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -75,7 +84,18 @@
 
 
 def rpc(verb, name, method, timeout, *fields):
-    """The bytes of an RPC without a body, with so many fields of one's own as "Name: value"."""
+    """Encode an RPC without a body.
+
+    Args:
+        verb: the HTTP method.
+        name: the request ID.
+        method: the RPC's method, sent as its priority class.
+        timeout: the RPC's timeout in seconds.
+        *fields: further header fields, each as "Name: value".
+
+    Returns:
+        The bytes of the request.
+    """
     head = (f"{verb} /api HTTP/1.1", "Host: x", f"X-Request-ID: {name}", f"X-Timeout: {timeout}",
             f"X-Priority-Class: {method}", *fields, "Content-Length: 0")
     return ("\r\n".join(head) + "\r\n\r\n").encode()
