--- a/honeywood/standins/__init__.py
+++ b/honeywood/standins/__init__.py
@@ -1,4 +1,5 @@
 """Scripted peers on loopback, shared by the tests and the lab.
 
-They are written from the project's description of the protocols and import no code of the balancer or the gateway.
+They are written from the project's description of the protocols and import no code of the balancer or the
+gateway.
 """
--- a/honeywood/standins/release.py
+++ b/honeywood/standins/release.py
@@ -72,7 +72,7 @@
 
     def __init__(self, name, build, mean_work_s, failing_share=0.0, seed=0):
         self.name, self.build, self.mean_work_s, self.failing_share = name, build, mean_work_s, failing_share
-        self.random, self.active, self.completed = random.Random(seed), 0, 0
+        self.generator, self.active, self.completed = random.Random(seed), 0, 0
         self.started_at_ms = int(time.time() * 1000)
         super().__init__()
 
@@ -84,9 +84,9 @@
                 answer = b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nactive=0"
             else:
                 self.active += 1
-                time.sleep(self.random.expovariate(1 / self.mean_work_s) if self.mean_work_s else 0)
+                time.sleep(self.generator.expovariate(1 / self.mean_work_s) if self.mean_work_s else 0)
                 self.active, self.completed = self.active - 1, self.completed + 1
-                status = "500 Oh" if self.random.random() < self.failing_share else "200 OK"
+                status = "500 Oh" if self.generator.random() < self.failing_share else "200 OK"
                 size, _, rate = got[1].get("x-answer", "2/0").partition("/")
                 answer = (f"HTTP/1.1 {status}\r\nX-Server-Load: active={max(0, self.active)}\r\n"
                           f"Content-Length: {size}\r\n\r\n{'x' * int(size)}").encode()
--- a/tests/balancer/fleet/test_real_balancers.py
+++ b/tests/balancer/fleet/test_real_balancers.py
@@ -54,7 +54,7 @@
                     )
                 with self.lock:
                     self.request_ids.append(got[1]["x-request-id"])
-                time.sleep(self.random.expovariate(1 / self.mean_work_s))
+                time.sleep(self.generator.expovariate(1 / self.mean_work_s))
                 sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
                 got, rest = read_message(sock, rest)
         finally:
