--- a/honeywood/operator/__init__.py
+++ b/honeywood/operator/__init__.py
@@ -1,4 +1,5 @@
-"""The operator file (HCL): what it switches on, read, checked and given defaults in one place.
+"""The operator file (HCL), which switches optional subsystems on: reading, validation and defaults.
 
-Start with operator_file.py, its blocks and keys; reader.py reads files, keys.py the values of keys.
+Start with operator_file.py, which defines the blocks and their keys. reader.py reads files; keys.py parses
+the values of keys.
 """
--- a/honeywood/operator/keys.py
+++ b/honeywood/operator/keys.py
@@ -1,4 +1,7 @@
-"""The values of keys: how each kind is read and bounded. Readers raise ValueError, worded to follow a key."""
+"""Parses and bounds the values of keys, by kind.
+
+The parsers raise ValueError; its text is written to follow the name of the key, as in "queue: is True".
+"""
 
 from __future__ import annotations
 
@@ -22,83 +25,87 @@
 }
 DURATIONS = {"ms": 10, "s": 10_000, "m": 600_000, "h": 36_000_000, "d": 864_000_000}  # in tenths of a ms
 EXAMPLES = {"size": "64KB", "time": "3s"}
-FIGURE = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*([A-Za-z]+)\Z", re.ASCII)
+QUANTITY = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*([A-Za-z]+)\Z", re.ASCII)
 FIELD_NAME = re.compile(r"[a-z0-9-]{1,64}\Z", re.ASCII)
 
 
 class Key:
-    """One key: how its value is read, its default (None: it must be there), and its bounds."""
+    """One key: the parser of its value, its default (None if the key is required), and its bounds."""
 
     def __init__(
         self,
-        read: Callable[[Any], Any],
+        parse: Callable[[Any], Any],
         default: Any,
-        least: Any = None,
-        most: Any = None,
+        minimum: Any = None,
+        maximum: Any = None,
     ) -> None:
-        """Default and bounds are written as in a file."""
-        self._read, self.default, self._least, self._most = read, default, least, most
+        """The default and the bounds are given as they are written in a file."""
+        self._parse, self.default, self._minimum, self._maximum = parse, default, minimum, maximum
 
     def value(self, raw: Any) -> Any:
-        """The value read. Raises ValueError."""
-        value = self._read(raw)
-        if self._least is not None and value < self._read(self._least):
-            raise ValueError(f"is {raw!r}, under the least of {self._least}")
-        if self._most is not None and value > self._read(self._most):
-            raise ValueError(f"is {raw!r}, over the most of {self._most}")
+        """Parse a value from the file and check its bounds.
+
+        Raises:
+            ValueError: the value is malformed or out of bounds.
+        """
+        value = self._parse(raw)
+        if self._minimum is not None and value < self._parse(self._minimum):
+            raise ValueError(f"is {raw!r}, below the minimum of {self._minimum}")
+        if self._maximum is not None and value > self._parse(self._maximum):
+            raise ValueError(f"is {raw!r}, above the maximum of {self._maximum}")
         return value
 
 
 def with_unit(raw: Any, units: Mapping[str, int], kind: str) -> int:
-    """A figure with its unit, as a whole number of the smallest.
+    """Convert a number with a unit to a whole number of the smallest unit.
 
     >>> with_unit("1.5MB", SIZES, "size"), with_unit("2s", DURATIONS, "time")
     (1500000, 20000)
     """
-    match = FIGURE.match(raw) if isinstance(raw, str) else None
+    match = QUANTITY.match(raw) if isinstance(raw, str) else None
     if not match or match[2] not in units:
-        raise ValueError(f'is no {kind}, such as "{EXAMPLES[kind]}" (units: {", ".join(units)})')
+        raise ValueError(f'is not a {kind}, such as "{EXAMPLES[kind]}" (units: {", ".join(units)})')
     return round(float(match[1]) * units[match[2]])
 
 
 def size(raw: Any) -> int:
-    """Bytes."""
+    """Parse a size into bytes."""
     return with_unit(raw, SIZES, "size")
 
 
 def duration(raw: Any) -> int:
-    """Tenths of a millisecond."""
+    """Parse a time into tenths of a millisecond."""
     return with_unit(raw, DURATIONS, "time")
 
 
 def text(raw: Any) -> str:
-    """A text that is not empty."""
+    """Check for a string that is not empty."""
     if not isinstance(raw, str) or not raw:
-        raise ValueError(f"is {raw!r:.60}, not a text")
+        raise ValueError(f"is {raw!r:.60}, not a non-empty string")
     return raw
 
 
 def count(raw: Any) -> int:
-    """A whole number."""
+    """Check for a whole number of at least 0."""
     if type(raw) is not int or raw < 0:
-        raise ValueError(f"is {raw!r:.60}, not a whole number from 0 on")
+        raise ValueError(f"is {raw!r:.60}, not a whole number of at least 0")
     return raw
 
 
 def field_names(raw: Any) -> list[str]:
-    """Names of request fields, in lower case."""
+    """Check for a list of request header names in lower case."""
     if not isinstance(raw, list) or not all(isinstance(name, str) and FIELD_NAME.match(name) for name in raw):
-        raise ValueError(f"is {raw!r:.60}, not a list of field names in lower case")
+        raise ValueError(f"is {raw!r:.60}, not a list of header names in lower case")
     return raw
 
 
 def choice(*words: str) -> Callable[[Any], str]:
-    """One of these words."""
+    """Return a parser that accepts only one of these words."""
 
-    def read(raw: Any) -> str:
+    def parse(raw: Any) -> str:
         if raw not in words:
             raise ValueError(f"is {raw!r:.60}, not one of {', '.join(words)}")
         word: str = raw
         return word
 
-    return read
+    return parse
--- a/honeywood/operator/reader.py
+++ b/honeywood/operator/reader.py
@@ -1,4 +1,7 @@
-"""Reads an operator file: HCL, or what `honeywood check --compile` made of it, which needs no HCL library."""
+"""Reads an operator file, either in HCL or as compiled by `honeywood check --compile`.
+
+The compiled form is JSON and needs no HCL library.
+"""
 
 from __future__ import annotations
 
@@ -21,14 +24,18 @@
 
 
 def read(path: str) -> OperatorFile:
-    """The operator file at `path`. Raises InvalidOperatorFile, whose text names file, block and key."""
+    """Read and validate the operator file at `path`.
+
+    Raises:
+        InvalidOperatorFile: the file can't be used; the text names the file, the block and the key.
+    """
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read(MAX_FILE_BYTES + 1)
     except (OSError, UnicodeDecodeError) as error:
         raise InvalidOperatorFile(f"{path}: {error}") from None
     if len(text) > MAX_FILE_BYTES:
-        raise InvalidOperatorFile(f"{path}: over {MAX_FILE_BYTES} bytes")
+        raise InvalidOperatorFile(f"{path}: larger than {MAX_FILE_BYTES} bytes")
     if not text.lstrip().startswith("{"):
         return parse(_parse_hcl(text, path), path)
     try:
@@ -40,14 +47,17 @@
 
 
 def write_compiled(operator: OperatorFile, path: str | PathLike[str]) -> None:
-    """Write the compiled form."""
+    """Write the compiled form to `path`."""
     with open(path, "w", encoding="utf-8") as file:
         json.dump(compiled(operator), file, indent=1)
         file.write("\n")
 
 
 def _parse_hcl(text: str, path: str) -> dict[str, Any]:
-    """{block: [its keys, ...]}. The library is imported here alone: it costs a balancer some 12 MB."""
+    """Return the blocks of an HCL text as {block: [its keys, ...]}.
+
+    The HCL library is imported only here, because it costs a balancer about 12 MB of memory.
+    """
     import hcl2
     from lark.exceptions import LarkError
 
--- a/tests/operator/test_operator.py
+++ b/tests/operator/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator file: what stands in it is read, checked and defaulted; messages name file, block and key."""
+"""The operator file: reading, validation and defaults; errors name the file, the block and the key."""
 
 import json
 import os
@@ -13,53 +13,53 @@
 GOOD = 'trace {\n  folder = "/var/trace"\n  block_age = "250ms"\n  most_bytes = "1.5GB"\n}\n'
 
 
-def given(tmp_path, text):
+def write(tmp_path, text):
     path = tmp_path / "operator.hcl"
     path.write_text(text)
     return str(path)
 
 
 def test_units_and_defaults(tmp_path):
-    block = read(given(tmp_path, GOOD)).trace
+    block = read(write(tmp_path, GOOD)).trace
     assert (block.folder, block.block_age, block.most_bytes) == ("/var/trace", 2500, 1_500_000_000)
     assert block.file_age == 36_000_000 and block.sync == "file"
-    assert read(given(tmp_path, "# nothing is switched on\n")).trace is None
+    assert read(write(tmp_path, "# no block\n")).trace is None
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, message",
     [
-        ('trace {\n foldr = "/x"\n}', "trace: foldr: unknown key; the nearest known is 'folder'"),
-        ("trcae {\n}", "trcae: unknown block; the nearest known is 'trace'"),
+        ('trace {\n foldr = "/x"\n}', "trace: foldr: unknown key; the closest known is 'folder'"),
+        ("trcae {\n}", "trcae: unknown block; the closest known is 'trace'"),
         ("trace {\n}", "trace: folder: missing"),
-        ('trace {\n folder = "x"\n most_bytes = "1"\n}', "trace: most_bytes: is no size"),
+        ('trace {\n folder = "x"\n most_bytes = "1"\n}', "trace: most_bytes: is not a size"),
         (
             'trace {\n folder = "x"\n most_bytes = "1KB"\n}',
-            "trace: most_bytes: is '1KB', under the least of 1MB",
+            "trace: most_bytes: is '1KB', below the minimum of 1MB",
         ),
-        ('trace {\n folder = "x"\n block_age = "5 fortnights"\n}', "trace: block_age: is no time"),
+        ('trace {\n folder = "x"\n block_age = "5 fortnights"\n}', "trace: block_age: is not a time"),
         ('trace {\n folder = "x"\n sync = "always"\n}', "trace: sync: is 'always', not one of never, file"),
-        ("trace {\n folder = 3\n}", "trace: folder: is 3, not a text"),
+        ("trace {\n folder = 3\n}", "trace: folder: is 3, not a non-empty string"),
         ('trace {\n folder = "x"\n queue = true\n}', "trace: queue: is True, not a whole number"),
         ('trace {\n folder = "x"\n parcel_fields = ["A b"]\n}', "trace: parcel_fields: is"),
         ("trace = 3", "trace: is a value, not a block"),
-        ('trace {\n folder = "a"\n}\ntrace {\n folder = "b"\n}', "trace: stands there 2 times"),
+        ('trace {\n folder = "a"\n}\ntrace {\n folder = "b"\n}', "trace: appears 2 times"),
         ("trace {\n folder = \n}", "line 2, column 11: not HCL"),
-        ("{}", "not compiled by this version: compile it anew"),
+        ("{}", "not compiled by this version: compile it again"),
         ("{", "operator.hcl: Expecting"),
     ],
 )
-def test_what_is_wrong_is_named(tmp_path, text, said):
-    """A misspelt bound that is silently passed over is found on the day it is needed."""
-    with pytest.raises(InvalidOperatorFile) as wrong:
-        read(given(tmp_path, text))
-    assert said.replace("not compiled by this", "compiled by another") in str(wrong.value)
-    assert str(wrong.value).startswith(str(tmp_path))
+def test_an_error_names_the_file_the_block_and_the_key(tmp_path, text, message):
+    """If a misspelt bound were ignored, nobody would notice before the bound is needed."""
+    with pytest.raises(InvalidOperatorFile) as raised:
+        read(write(tmp_path, text))
+    assert message.replace("not compiled by this", "compiled by another") in str(raised.value)
+    assert str(raised.value).startswith(str(tmp_path))
 
 
 def test_compiled_form_needs_no_hcl(tmp_path):
     out = str(tmp_path / "compiled.json")
-    write_compiled(read(given(tmp_path, GOOD)), out)
+    write_compiled(read(write(tmp_path, GOOD)), out)
     code = (
         "import sys; sys.modules['hcl2'] = None; from honeywood.operator.reader import read; "
         f"print(read({out!r}).trace.block_age)"
@@ -68,7 +68,7 @@
     raw = json.loads((tmp_path / "compiled.json").read_text())
     raw["blocks"]["trace"]["later"] = 1
     with pytest.raises(InvalidOperatorFile, match="trace: compiled by another version"):
-        read(given(tmp_path, json.dumps(raw)))
+        read(write(tmp_path, json.dumps(raw)))
 
 
 def run(*words, **environ):
@@ -81,23 +81,24 @@
     )
 
 
-def test_operator_files_under_deploy_start_as_they_stand(pytestconfig):
+def test_operator_files_under_deploy_are_valid(pytestconfig):
     for path in (pytestconfig.rootpath / "deploy").glob("*.hcl"):
         assert read(path).trace, path
 
 
 def test_check_and_version(tmp_path):
-    done = run("check", "--operator", given(tmp_path, GOOD), "--compile", str(tmp_path / "c"))
+    done = run("check", "--operator", write(tmp_path, GOOD), "--compile", str(tmp_path / "c"))
     assert done.returncode == 0 and (tmp_path / "c").exists()
-    done = run("check", "--operator", given(tmp_path, "trcae {}\n"), ROUTER_CONFIG=str(tmp_path / "none"))
-    assert done.returncode == 2 and done.stderr.count("\n") == 2 and "nearest known is 'trace'" in done.stderr
+    done = run("check", "--operator", write(tmp_path, "trcae {}\n"), ROUTER_CONFIG=str(tmp_path / "none"))
+    assert done.returncode == 2 and done.stderr.count("\n") == 2 and "closest known is 'trace'" in done.stderr
     assert "trace files 1." in run("version").stdout
     done = run("serve", "--config", str(tmp_path / "none"))
     assert done.returncode == 2 and "none" in done.stderr
 
 
-def test_a_front_imports_nothing_that_is_not_switched_on(tmp_path):
-    """It lives in 32 MB: of subsystems and their libraries it loads only what the operator file names."""
+def test_a_balancer_imports_no_subsystem_that_is_off(tmp_path):
+    """A balancer has 32 MB of memory, so it loads only the subsystems that the operator file switches on, and
+    their libraries."""
     code = (
         "import sys, honeywood.balancer.program.main; print([name for name in sys.modules if "
         "name.startswith(("
