--- a/honeywood/cli/extras.py
+++ b/honeywood/cli/extras.py
@@ -1,9 +1,9 @@
-"""The optional libraries: which extra of pyproject.toml installs each, and the error where one is missing."""
+"""The optional libraries: the extra of pyproject.toml that installs each, and the error if one is missing."""
 
 from collections.abc import Iterable
 from importlib.util import find_spec
 
-# Top-level modules by extra. `trace-tools` contains `trace`; all commands that read traces need it.
+# Top-level modules by extra. `trace-tools` includes `trace`; all commands that read traces need it.
 LIBRARIES = {
     "cli": ("click", "rich"),
     "operator": ("hcl2",),
@@ -13,7 +13,7 @@
 
 
 class MissingExtrasError(Exception):
-    """A command needs libraries that aren't installed; its text names the extras to install."""
+    """A command needs libraries that aren't installed; the text names the extras to install."""
 
     def __init__(self, extras: Iterable[str]):
         self.extras = tuple(sorted(extras))
@@ -25,7 +25,7 @@
     """Checks that the libraries of these extras are installed, without importing them.
 
     Raises:
-        MissingExtrasError: some aren't; it names all extras that lack one.
+        MissingExtrasError: a library is missing; the error names every extra with a missing library.
     """
     missing = [extra for extra in extras if any(find_spec(module) is None for module in LIBRARIES[extra])]
     if missing:
@@ -33,6 +33,6 @@
 
 
 def extra_with(module: str | None) -> str | None:
-    """The extra that installs a module; None where the module is no optional library."""
+    """Returns the extra that installs a module; None if the module is not an optional library."""
     library = (module or "").partition(".")[0]
     return next((extra for extra, modules in LIBRARIES.items() if library in modules), None)
--- a/honeywood/cli/main.py
+++ b/honeywood/cli/main.py
@@ -13,11 +13,11 @@
     "trace": "honeywood.cli.trace",
     "lab": "honeywood.cli.lab",
 }
-EXTRAS = {"trace": ("trace-tools",)}  # needed to import a group, beside `cli`
+EXTRAS = {"trace": ("trace-tools",)}  # the extras that a group's import needs in addition to `cli`
 
 
 class LazyGroup(click.Group):
-    """Imports a command only when it runs, so that none needs or loads the libraries of another."""
+    """Imports a command only when it runs, so that no command needs or loads the libraries of another."""
 
     def list_commands(self, ctx):
         return list(GROUPS)
@@ -29,7 +29,7 @@
         return importlib.import_module(GROUPS[name]).command
 
     def format_commands(self, ctx, formatter):
-        """Lists the commands with a line each; also those whose extra isn't installed."""
+        """Lists each command on a line, including commands whose extra isn't installed."""
         rows = []
         for name in self.list_commands(ctx):
             try:
--- a/honeywood/cli/version.py
+++ b/honeywood/cli/version.py
@@ -1,4 +1,4 @@
-"""`honeywood version`."""
+"""`honeywood version`: prints versions."""
 
 import click
 
@@ -12,6 +12,6 @@
 
     try:
         number = version("honeywood")
-    except PackageNotFoundError:  # run from its folder, not installed
+    except PackageNotFoundError:  # run from the checkout, not installed
         number = "not installed"
     click.echo(f"honeywood {number}, trace files {MAJOR}.{MINOR}")
--- a/tests/cli/test_sources.py
+++ b/tests/cli/test_sources.py
@@ -1,4 +1,4 @@
-"""Every source file is valid for the Python that runs the tests, also those that no test imports."""
+"""Every source file, even one that no test imports, is valid for the Python version that runs the tests."""
 
 from pathlib import Path
 
