--- a/tests/cli/test_installed.py
+++ b/tests/cli/test_installed.py
@@ -1,7 +1,8 @@
-"""The wheel, built and installed in clean environments: every command that README names runs from another
-folder, and a command whose extra is missing says which.
+"""The wheel, built and installed in clean environments.
 
-Nothing of the checkout is on the path of the commands. pip fetches only what pyproject.toml declares.
+Every command that README names runs from a folder outside the checkout, and a command whose extra is missing
+names it. The checkout is not on the Python path of the commands. pip downloads only what pyproject.toml
+declares.
 """
 
 import json
@@ -18,10 +19,10 @@
 ROOT = Path(__file__).resolve().parents[2]
 BUILT_FROM = ("pyproject.toml", "README.md", "LICENSE")  # and honeywood/
 TRACE_EXTRAS = ("operator", "trace-tools")
-TIMEOUT_S = 120.0  # far beyond the longest step
+TIMEOUT_S = 120.0  # much longer than the longest step
 PIP_OPTIONS = ("--quiet", "--disable-pip-version-check")
 CONFIGURATION = "config.json"
-# What README calls, and a form of it that is as short as its parts allow.
+# The commands that README names, and the arguments of the shortest run of each.
 COMMANDS = {
     "honeywood --help": ("honeywood", "--help"),
     "honeywood check": ("honeywood", "check", "--config", CONFIGURATION),
@@ -34,9 +35,10 @@
         *("python", "-m", "honeywood.lab.emulator.loopback", "--no-rollouts"),
     ),
 }
-NEEDS_TRACES = ("honeywood lab demo",)  # run where the largest libraries are installed
-# A front that README starts runs until it is told to end: here a configuration that it can't use must end it.
-FRONT = ("python", "-m", "honeywood")
+NEEDS_TRACES = ("honeywood lab demo",)  # run in the environment with the largest libraries
+# README also starts a balancer, which would run until it is stopped; in the test it must exit because its
+# configuration can't be used.
+BALANCER = ("python", "-m", "honeywood")
 NAMED_COMMAND = re.compile(r"(?:^ {4}|[`/])((?:honeywood(?= )|python -m honeywood\b)[^`#\n]*)", re.MULTILINE)
 OPTION = re.compile(r" -[^-m].*| --(?!help).*")  # a command's options and their values
 EXAMPLE_CONFIGURATION = re.compile(r'^ {4}\{"listen".*?^(?=\S)', re.MULTILINE | re.DOTALL)
@@ -44,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Installation:
-    """A clean virtual environment and a folder beside it in which commands are run."""
+    """A clean virtual environment, and a folder next to it in which commands are run."""
 
     path: Path
     folder: Path
 
     @classmethod
     def create(cls, path):
-        """Makes the environment, without pip."""
+        """Creates the environment, without pip."""
         run_checked(sys.executable, "-m", "venv", "--without-pip", str(path))
         folder = path.with_name(f"{path.name}-folder")
         folder.mkdir()
@@ -59,29 +61,29 @@
         return cls(path, folder)
 
     def install(self, wheel, *extras):
-        """Installs the wheel with these extras by the pip that runs the tests."""
+        """Installs the wheel with these extras, with the pip of the environment that runs the tests."""
         self.install_requirements(f"{wheel}[{','.join(extras)}]" if extras else str(wheel))
 
     def install_requirements(self, *requirements):
-        """Installs what isn't there yet of these requirements."""
+        """Installs those of the requirements that are not installed yet."""
         pip = (sys.executable, "-m", "pip", "--python", str(self.path / "bin" / "python"), "install")
         run_checked(*pip, *PIP_OPTIONS, "--no-compile", *requirements, cwd=self.folder)
 
     def run(self, program, *arguments):
-        """A finished run of a program of this environment in its folder, without the checkout on the path."""
+        """Runs a program of this environment in its folder to its end, without the checkout on the path."""
         command = [str(self.path / "bin" / program), *arguments]
         return run(*command, cwd=self.folder)
 
     def run_named(self, names):
-        """{name: finished run} of commands by their names in README, all at once."""
+        """Runs commands by their names in README, all at once; returns {name: finished run}."""
         with ThreadPoolExecutor(len(names)) as pool:
             return dict(zip(names, pool.map(lambda name: self.run(*COMMANDS[name]), names)))
 
 
 def run(*command, **options):
-    """A finished run of a command without input and without the checkout on Python's path.
+    """Runs a command to its end, without input and without the checkout on Python's path.
 
-    An editable install leaves its metadata in the checkout: pip would find the package installed there.
+    An editable install leaves its metadata in the checkout, where pip would find the package as installed.
     """
     environment = {name: value for name, value in os.environ.items() if name != "PYTHONPATH"}
     return subprocess.run(
@@ -96,13 +98,13 @@
 
 
 def run_checked(*command, **options):
-    """Runs a command that must end well."""
+    """Runs a command that must exit with status 0."""
     done = run(*command, **options)
     assert done.returncode == 0, f"{command}\n{done.stdout}\n{done.stderr}"
 
 
 def build_wheel(folder):
-    """The path of the wheel, built from a copy, so that files of earlier builds don't get into it."""
+    """Builds the wheel from a copy, which has no files of earlier builds, and returns its path."""
     source = folder / "source"
     shutil.copytree(
         ROOT / "honeywood", source / "honeywood", ignore=shutil.ignore_patterns("__pycache__", "*.pyc")
@@ -118,41 +120,41 @@
 
 
 def declared_libraries(extras):
-    """The requirements that these extras of pyproject.toml stand for, without the package itself."""
+    """Returns the requirements of these extras of pyproject.toml, without the package itself."""
     declared = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]["optional-dependencies"]
     requirements = [requirement for extra in extras for requirement in declared[extra]]
-    own = [requirement for requirement in requirements if requirement.startswith("honeywood[")]
-    nested = [extra for requirement in own for extra in requirement[len("honeywood[") : -1].split(",")]
-    libraries = [requirement for requirement in requirements if requirement not in own]
+    references = [requirement for requirement in requirements if requirement.startswith("honeywood[")]
+    nested = [extra for requirement in references for extra in requirement[len("honeywood[") : -1].split(",")]
+    libraries = [requirement for requirement in requirements if requirement not in references]
     return libraries + (declared_libraries(nested) if nested else [])
 
 
 def example_configuration():
-    """The configuration that README shows."""
+    """Returns the example configuration in README."""
     (text,) = EXAMPLE_CONFIGURATION.findall((ROOT / "README.md").read_text())
     return json.dumps(json.loads(text))
 
 
 def commands_in_readme():
-    """The commands that README names, without their options and values."""
+    """Returns the commands that README names, without their options and values."""
     named = NAMED_COMMAND.findall((ROOT / "README.md").read_text())
     return {OPTION.sub("", command).strip() for command in named}
 
 
 def assert_names_extras(done, extras):
-    """A run that ended with status 2 and one line, which names these extras."""
+    """Checks that a run ended with status 2 and one line of output that names these extras."""
     assert done.returncode == 2 and done.stderr.count("\n") == 1, done
     assert done.stderr.startswith("honeywood: ") and f"[{extras}]'" in done.stderr, done
 
 
 def check_small_installation(folder, wheel):
-    """Runs what needs no trace libraries; each missing extra on the way there is named."""
+    """Runs the commands that need no trace libraries; before, each missing extra must be named."""
     small = Installation.create(folder / "small")
     small.install(wheel.result())
     for program in (("honeywood",), ("python", "-m", "honeywood")):
         assert_names_extras(small.run(*program, "--help"), "cli")
-    front = small.run(*FRONT)
-    assert front.returncode == 2 and "ROUTER_CONFIG" in front.stderr and front.stderr.count("\n") == 1, front
+    done = small.run(*BALANCER)
+    assert done.returncode == 2 and "ROUTER_CONFIG" in done.stderr and done.stderr.count("\n") == 1, done
     small.install(wheel.result(), "cli")
     assert_names_extras(small.run("honeywood", "trace", "summary", "none"), "trace-tools")
     assert_names_extras(small.run("honeywood", "lab", "demo"), "operator,trace-tools")
@@ -164,7 +166,7 @@
 
 
 def check_large_installation(folder, wheel):
-    """Runs what needs the trace libraries, which are installed while the wheel is built."""
+    """Runs the commands that need the trace libraries, which are installed while the wheel is built."""
     large = Installation.create(folder / "large")
     large.install_requirements(*declared_libraries(TRACE_EXTRAS))
     large.install(wheel.result(), *TRACE_EXTRAS)
@@ -172,7 +174,7 @@
 
 
 def test_commands_of_readme_run_from_a_wheel_in_another_folder(tmp_path):
-    assert commands_in_readme() - {" ".join(FRONT)} <= set(COMMANDS)
+    assert commands_in_readme() - {" ".join(BALANCER)} <= set(COMMANDS)
     with ThreadPoolExecutor(3) as pool:
         wheel = pool.submit(build_wheel, tmp_path)
         checks = (check_large_installation, check_small_installation)
