--- a/tests/ci/known_red.py
+++ b/tests/ci/known_red.py
@@ -1,24 +1,24 @@
-"""KNOWN-RED.txt: tests that fail for a real fault which could not be mended yet, one a line as
-`test | cause | issue`.
+"""Reads KNOWN-RED.txt, the list of tests that fail because of a real fault that isn't fixed yet.
 
-A test is named by its file and what it is called there: `tests/trace/test_rules.py::test_name` for pytest,
-`tests/gateway/rollout/test_evaluator.py::description as written` for ward; all its cases are meant.
+Each line is `test | cause | issue`. A test is named by its file and its name there:
+`tests/trace/test_rules.py::test_name` for pytest, `tests/gateway/rollout/test_evaluator.py::description as
+written` for ward. The name covers all cases of the test.
 """
 
 from dataclasses import dataclass
 from pathlib import Path
 
 FILE = "KNOWN-RED.txt"
-MOST_LINES = 3  # the maintainers' rule: rather mend than list
+MAX_LINES = 3  # the maintainers' rule: fix faults rather than list them
 SEPARATOR = " | "
 
 
 class KnownRedError(ValueError):
-    """KNOWN-RED.txt can't be used; says which line and why."""
+    """KNOWN-RED.txt can't be used; the text names the line and the reason."""
 
 
 def is_case_of(name: str, test: str) -> bool:
-    """Whether `name` is the test or one of its cases, `test[case]`."""
+    """Return whether `name` is the test or one of its cases, `test[case]`."""
     return name == test or name.startswith(f"{test}[")
 
 
@@ -31,15 +31,19 @@
     issue: str
 
     def covers(self, name: str) -> bool:
-        """Whether `name` is this test or one of its cases."""
+        """Return whether `name` is this test or one of its cases."""
         return is_case_of(name, self.test)
 
 
 def parse(text: str) -> list[KnownRed]:
-    """The listed tests; KnownRedError where a line lacks a part or there are too many."""
+    """Return the listed tests.
+
+    Raises:
+        KnownRedError: a line lacks a part, or there are too many lines.
+    """
     lines = text.splitlines()
-    if len(lines) > MOST_LINES:
-        raise KnownRedError(f"{FILE}: {len(lines)} lines, {MOST_LINES} at most")
+    if len(lines) > MAX_LINES:
+        raise KnownRedError(f"{FILE}: {len(lines)} lines, {MAX_LINES} at most")
     return [_parse_line(number, line) for number, line in enumerate(lines, 1)]
 
 
@@ -51,13 +55,17 @@
 
 
 def read(root: Path) -> list[KnownRed]:
-    """The tests listed at the root of the repository; none where there is no such file."""
+    """Return the tests listed in the file at the root of the repository; none if there is no file."""
     path = root / FILE
     return parse(path.read_text(encoding="utf-8")) if path.exists() else []
 
 
 def check_collected(known: list[KnownRed], collected: list[str]) -> None:
-    """KnownRedError where a listed test is not among those collected: it was renamed or taken away."""
+    """Check that every listed test was collected.
+
+    Raises:
+        KnownRedError: a listed test doesn't exist; it was renamed or removed.
+    """
     for entry in known:
         if not any(entry.covers(name) for name in collected):
             raise KnownRedError(f"{FILE}: no test is called {entry.test}")
--- a/tests/ci/pytest_known_red.py
+++ b/tests/ci/pytest_known_red.py
@@ -1,5 +1,7 @@
-"""A plugin of pytest's (`-p pytest_known_red`): passes over the tests that the environment variable KNOWN_RED
-names, one a line, each with all its cases. By whole names: `--deselect` would take `test_ab` with `test_a`.
+"""A pytest plugin (`-p pytest_known_red`) that skips the tests listed in the environment variable KNOWN_RED.
+
+The variable has one name per line, which covers all cases of the test. Names are compared as a whole;
+pytest's `--deselect test_a` would also deselect `test_ab`.
 """
 
 import os
@@ -10,6 +12,6 @@
 
 
 def pytest_collection_modifyitems(config, items):
-    """Leaves what isn't listed."""
+    """Remove the listed tests from the collected ones."""
     listed = os.environ.get(VARIABLE, "").splitlines()
     items[:] = [item for item in items if not any(is_case_of(item.nodeid, test) for test in listed)]
--- a/tests/ci/run_tests.py
+++ b/tests/ci/run_tests.py
@@ -1,8 +1,12 @@
-"""Runs all tests in parallel: pytest's by pytest-xdist, then ward's in shards, each a file or a part of one.
+"""Runs all tests in parallel: first pytest's with pytest-xdist, then ward's in shards.
 
-From the root of the repository: `python tests/ci/run_tests.py`. Prints every failing shard's output whole.
-Its status is 1 where a test failed, a shard ended badly, or the tests run are not those collected. Tests of
-KNOWN-RED.txt are run apart, printed with their result, and don't count.
+A shard is a file of tests or a part of one. Run it from the root of the repository:
+
+    python tests/ci/run_tests.py
+
+It prints the whole output of every failed shard. The exit status is 1 if a test or a shard failed, or if the
+number of tests run differs from the number collected. The tests in KNOWN-RED.txt are run separately and
+printed with their result, which doesn't affect the exit status.
 """
 
 import os
@@ -16,29 +20,29 @@
 
 import known_red
 import pytest_known_red
-from shards import Outcome, Report, Shard, compare, plan, read_outcomes
+from shards import Outcome, Report, Shard, count_mismatch, plan, read_outcomes
 from ward_shard import VARIABLE, Selection
 
 ROOT = Path(__file__).resolve().parents[2]
 WARD_TESTS = "tests/gateway"
-# Many tests keep real time on loopback and start processes of their own: half the cores are left to those.
-CORES_A_WORKER = 2
-SHARD_TIMEOUT_S = 900.0  # far beyond the longest shard; a hung one must not take CI's 90 minutes
+# Many tests depend on real time and start further processes: half of the cores are left for these.
+CORES_PER_WORKER = 2
+SHARD_TIMEOUT_S = 900.0  # much longer than the longest shard; a hung one must not use up CI's 90 minutes
 
 
 def workers() -> int:
-    """How many test processes run at once."""
-    return max(1, len(os.sched_getaffinity(0)) // CORES_A_WORKER)
+    """Return the number of test processes that run at once."""
+    return max(1, len(os.sched_getaffinity(0)) // CORES_PER_WORKER)
 
 
 def environment(**more: str) -> dict[str, str]:
-    """What test processes are started with."""
+    """Return the environment variables of the test processes."""
     path = os.pathsep.join((".", WARD_TESTS, "tests/ci"))
     return {**os.environ, "PYTHONDONTWRITEBYTECODE": "1", "PYTHONPATH": path, **more}
 
 
 def run_module(*arguments: str, **more: str) -> subprocess.CompletedProcess[str]:
-    """A Python module's run with its output kept."""
+    """Run a Python module to its end and capture its output."""
     command = [sys.executable, "-m", *arguments]
     try:
         return subprocess.run(
@@ -50,25 +54,27 @@
             text=True,
             timeout=SHARD_TIMEOUT_S,
         )
-    except subprocess.TimeoutExpired as late:
-        output = (late.stdout or b"").decode(errors="replace") + f"\nended after {SHARD_TIMEOUT_S:.0f} s\n"
+    except subprocess.TimeoutExpired as error:
+        output = (error.stdout or b"").decode(
+            errors="replace"
+        ) + f"\ntimed out after {SHARD_TIMEOUT_S:.0f} s\n"
         return subprocess.CompletedProcess(command, 1, output)
 
 
 class PytestSuite:
-    """The tests of the old program and the subsystems beside the gateway."""
+    """The tests of the balancer and of the other subsystems outside the gateway."""
 
     name = "pytest"
 
     def collect(self) -> list[str]:
-        """The names of all tests; the program ends where they can't be collected."""
+        """Return the names of all tests; exit if they can't be collected."""
         done = run_module("pytest", "--collect-only", "-q")
         if done.returncode:
             sys.exit(done.stdout)
         return [line for line in done.stdout.splitlines() if "::" in line]
 
     def run(self, skip: list[str]) -> Report:
-        """All but `skip`, with pytest's own output as it comes."""
+        """Run all tests except `skip`; pytest prints its output directly."""
         with tempfile.TemporaryDirectory() as folder:
             results = Path(folder, "results.xml")
             command = [sys.executable, "-m", "pytest", "-q", "--dist", "worksteal", "-n", str(workers())]
@@ -78,17 +84,17 @@
             return self.report(results, status)
 
     def report(self, results: Path, status: int) -> Report:
-        """The counts in pytest's file of results; a status other than 0 is a failure in any case."""
+        """Return the counts in pytest's results file; an exit status other than 0 is always a failure."""
         if not results.exists():
-            return Report(bad_shards=1)
+            return Report(aborted_shards=1)
         counts = ElementTree.parse(results).getroot().find("testsuite").attrib
         failed = int(counts["failures"]) + int(counts["errors"])
         skipped = int(counts["skipped"])
         passed = int(counts["tests"]) - failed - skipped
-        return Report(passed, failed, skipped, bad_shards=int(status != 0 and not failed))
+        return Report(passed, failed, skipped, aborted_shards=int(status != 0 and not failed))
 
     def run_alone(self, test: str) -> subprocess.CompletedProcess[str]:
-        """One listed test with all its cases."""
+        """Run one listed test with all its cases."""
         return run_module("pytest", "-q", test)
 
 
@@ -101,81 +107,81 @@
         self.collected: list[Outcome] = []
 
     def collect(self) -> list[str]:
-        """The names of all tests, case by case; the program ends where they can't be collected."""
+        """Return the names of all cases of all tests; exit if they can't be collected."""
         with tempfile.TemporaryDirectory() as folder:
             results = Path(folder, "collected.json")
-            done = self.call(WARD_TESTS, Selection(str(results)), "--dry-run")
+            done = self.run_ward(WARD_TESTS, Selection(str(results)), "--dry-run")
             if done.returncode:
                 sys.exit(done.stdout)
             self.collected = read_outcomes(results)
         return [outcome.case_name for outcome in self.collected]
 
-    def call(self, path: str, selection: Selection, *options: str) -> subprocess.CompletedProcess[str]:
-        """One process of ward's."""
+    def run_ward(self, path: str, selection: Selection, *options: str) -> subprocess.CompletedProcess[str]:
+        """Run one ward process."""
         arguments = ("ward", "--path", path, "--hook-module", "ward_shard", *options)
         return run_module(*arguments, **{VARIABLE: selection.encode()})
 
     def run(self, skip: list[str]) -> Report:
-        """All but `skip`, in shards; the output of those that failed."""
+        """Run all tests except `skip` in shards; print the output of the failed shards."""
         with tempfile.TemporaryDirectory() as folder, ThreadPoolExecutor(workers()) as pool:
             shards = plan(self.collected)
             reports = list(pool.map(lambda shard: self.run_shard(shard, folder, skip), shards))
         for shard, report in zip(shards, reports):
-            if not report.good:
-                print(f"failed: {shard}: {report}; its output stands above")
+            if not report.succeeded:
+                print(f"failed: {shard}: {report}; its output is above")
         return sum(reports, Report())
 
     def run_shard(self, shard: Shard, folder: str, skip: list[str]) -> Report:
-        """One shard; prints one line, or all that it said where it failed."""
+        """Run one shard and print one line; if it failed, also its whole output."""
         began = time.monotonic()
-        name = shard.file.replace("/", "-")  # files of one name stand in several folders
+        name = shard.file.replace("/", "-")  # several folders have files of the same name
         results = Path(folder, f"{name}-{shard.part}.json")
         selection = Selection(str(results), shard.part, shard.parts, tuple(skip))
-        done = self.call(shard.file, selection)
+        done = self.run_ward(shard.file, selection)
         report = Report.of(read_outcomes(results), done.returncode)
         line = f"{shard}: {report} in {time.monotonic() - began:.1f} s"
-        print(line if report.good else f"{done.stdout}\nFAILED {line}", flush=True)
+        print(line if report.succeeded else f"{done.stdout}\nFAILED {line}", flush=True)
         return report
 
     def run_alone(self, test: str) -> subprocess.CompletedProcess[str]:
-        """One listed test with all its cases."""
+        """Run one listed test with all its cases."""
         with tempfile.TemporaryDirectory() as folder:
             selection = Selection(str(Path(folder, "results.json")), only=(test,))
-            return self.call(test.partition("::")[0], selection)
+            return self.run_ward(test.partition("::")[0], selection)
 
 
 def run_known_red(suite: PytestSuite | WardSuite, known: list[known_red.KnownRed]) -> None:
-    """Runs the listed tests and prints each with its result."""
+    """Run the listed tests and print each with its result."""
     for entry in known:
         done = suite.run_alone(entry.test)
-        result = "fails, as listed" if done.returncode else f"PASSES NOW: take it out of {known_red.FILE}"
+        result = "fails, as listed" if done.returncode else f"PASSES NOW: remove it from {known_red.FILE}"
         print(f"{done.stdout}\nknown red: {entry.test}: {result} ({entry.cause}; {entry.issue})", flush=True)
 
 
 def run_suite(suite: PytestSuite | WardSuite, listed: list[known_red.KnownRed]) -> bool:
-    """One suite and its line of counts; whether all is well."""
+    """Run one suite and print its counts; return whether it succeeded."""
     began = time.monotonic()
     collected = suite.collect()
     known = [entry for entry in listed if entry.test.startswith(WARD_TESTS) == (suite.name == "ward")]
     known_red.check_collected(known, collected)
-    passed_over = [name for name in collected if any(entry.covers(name) for entry in known)]
+    skipped = [name for name in collected if any(entry.covers(name) for entry in known)]
     report = suite.run([entry.test for entry in known])
     run_known_red(suite, known)
-    problem = compare(len(collected) - len(passed_over), report)
-    took = time.monotonic() - began
-    counts = f"{len(collected)} collected, {report.total} run, {len(passed_over)} known red"
-    print(f"{suite.name}: {counts}, in {took:.0f} s", *([problem] if problem else []), sep="\n")
+    problem = count_mismatch(len(collected) - len(skipped), report)
+    duration_s = time.monotonic() - began
+    counts = f"{len(collected)} collected, {report.total} run, {len(skipped)} known red"
+    print(f"{suite.name}: {counts}, in {duration_s:.0f} s", *([problem] if problem else []), sep="\n")
     print(f"{suite.name}: {report}", flush=True)
-    return report.good and not problem
+    return report.succeeded and not problem
 
 
 def main() -> int:
-    """Runs both suites, the second also where the first failed; the status to end with."""
+    """Run both suites, the second one even if the first fails; return the exit status."""
     try:
         listed = known_red.read(ROOT)
         results = [run_suite(suite, listed) for suite in (PytestSuite(), WardSuite())]
-    except known_red.KnownRedError as wrong:
-        print(wrong)
+    except known_red.KnownRedError as error:
+        print(error)
         return 1
     return 0 if all(results) else 1
 
--- a/tests/ci/test_runner.py
+++ b/tests/ci/test_runner.py
@@ -1,4 +1,4 @@
-"""What CI's runner does with shards, counts and known failures."""
+"""The CI runner: shards, counts and known failures."""
 
 import subprocess
 import sys
@@ -6,23 +6,32 @@
 import pytest
 import run_tests
 from known_red import KnownRed, KnownRedError, check_collected, parse, read
-from shards import TESTS_A_SHARD, Outcome, Report, Shard, compare, plan, read_outcomes, write_outcomes
+from shards import (
+    TESTS_PER_SHARD,
+    Outcome,
+    Report,
+    Shard,
+    count_mismatch,
+    plan,
+    read_outcomes,
+    write_outcomes,
+)
 from ward_shard import Selection
 
 RED = "tests/a.py::t | the clock is read twice | issue 7"
 
 
 def test_every_test_is_in_exactly_one_shard():
-    names = [f"tests/gateway/test_long.py::t{number}" for number in range(TESTS_A_SHARD * 2 + 1)]
+    names = [f"tests/gateway/test_long.py::t{number}" for number in range(TESTS_PER_SHARD * 2 + 1)]
     collected = [Outcome(name, case, "DRYRUN") for name in names for case in range(3)]
     shards = plan([Outcome("tests/gateway/test_short.py::t", 0, "DRYRUN"), *collected])
     assert shards[-1] == Shard("tests/gateway/test_short.py", 0, 1)
     assert {(shard.file, shard.parts) for shard in shards[:-1]} == {("tests/gateway/test_long.py", 3)}
-    picked = [Selection("", shard.part, shard.parts, skip=(names[3],)).pick(names) for shard in shards[:-1]]
-    assert sorted(sum(picked, [])) == [at for at in range(len(names)) if at != 3]
+    selected = [Selection("", shard.part, shard.parts, skip=(names[3],)).pick(names) for shard in shards[:-1]]
+    assert sorted(sum(selected, [])) == [index for index in range(len(names)) if index != 3]
 
 
-def test_a_selection_and_outcomes_survive_their_way(tmp_path):
+def test_a_selection_and_outcomes_are_read_as_written(tmp_path):
     selection = Selection("results", 1, 3, ("a",), ("b",))
     assert Selection.decode(selection.encode()) == selection
     assert selection.pick(["a", "b", "b"]) == [2]
@@ -31,22 +40,22 @@
     assert read_outcomes(tmp_path / "results") == outcomes
 
 
-@pytest.mark.parametrize("word", ["FAIL", "XPASS", "a word of a later ward"])
-def test_what_is_not_known_to_be_good_fails(word):
-    report = Report.of([Outcome("a", 0, "PASS"), Outcome("a", 1, word), Outcome("b", 0, "SKIP")], 1)
-    assert (str(report), report.total, report.good) == ("1 passed, 1 failed, 1 skipped", 3, False)
+@pytest.mark.parametrize("outcome", ["FAIL", "XPASS", "an outcome of a later ward"])
+def test_an_unknown_outcome_counts_as_a_failure(outcome):
+    report = Report.of([Outcome("a", 0, "PASS"), Outcome("a", 1, outcome), Outcome("b", 0, "SKIP")], 1)
+    assert (str(report), report.total, report.succeeded) == ("1 passed, 1 failed, 1 skipped", 3, False)
 
 
-def test_a_shard_without_outcomes_or_with_a_bad_end_fails(tmp_path):
-    gone = Report.of(read_outcomes(tmp_path / "none"), 0)
-    bad_end = Report.of([Outcome("a", 0, "PASS")], 1)
-    for report in (gone, bad_end, gone + Report(5)):
-        assert not report.good and compare(report.total, report)
+def test_a_shard_without_outcomes_or_with_an_error_status_fails(tmp_path):
+    without_outcomes = Report.of(read_outcomes(tmp_path / "none"), 0)
+    with_error_status = Report.of([Outcome("a", 0, "PASS")], 1)
+    for report in (without_outcomes, with_error_status, without_outcomes + Report(5)):
+        assert not report.succeeded and count_mismatch(report.total, report)
 
 
-def test_tests_that_are_not_run_are_told():
-    assert compare(3, Report(passed=3)) is None
-    assert compare(3, Report(passed=2)) == "2 tests were run of 3"
+def test_a_wrong_number_of_tests_is_reported():
+    assert count_mismatch(3, Report(passed=3)) is None
+    assert count_mismatch(3, Report(passed=2)) == "2 of 3 tests were run"
 
 
 def test_known_failures_are_read(tmp_path):
@@ -56,12 +65,12 @@
 
 
 @pytest.mark.parametrize("text", [f"{RED}\n" * 4, "tests/a.py::t | cause", "tests/a.py::t | | 7", "\n"])
-def test_too_many_known_failures_or_one_without_a_reason_are_refused(text):
+def test_too_many_known_failures_or_one_without_a_reason_are_rejected(text):
     with pytest.raises(KnownRedError):
         parse(text)
 
 
-def test_a_known_failure_names_a_test_that_is_there():
+def test_a_known_failure_must_name_an_existing_test():
     check_collected(parse(RED), ["tests/a.py::t[2]"])
     with pytest.raises(KnownRedError):
         check_collected(parse(RED), ["tests/a.py::twice"])
@@ -74,14 +83,14 @@
 def _(one=each(1, 0)):
     assert one
 
-@test("sound")
+@test("passes")
 def _():
     print("said")
 """
 
 
-def ward_in(folder, **fields):
-    """A ward process over WARD_FILE in `folder`; its status, output and outcomes."""
+def run_ward(folder, **fields):
+    """Run ward on WARD_FILE in `folder`; return the finished process and the outcomes."""
     (folder / "test_it.py").write_text(WARD_FILE)
     selection = Selection(str(folder / "results"), **fields)
     command = [sys.executable, "-m", "ward", "--path", "test_it.py", "--hook-module", "ward_shard"]
@@ -91,17 +100,17 @@
     return done, read_outcomes(folder / "results")
 
 
-def test_ward_tells_what_failed_and_passes_over_what_is_listed(tmp_path):
-    done, outcomes = ward_in(tmp_path)
+def test_ward_reports_failures_and_skips_listed_tests(tmp_path):
+    done, outcomes = run_ward(tmp_path)
     assert done.returncode and [outcome.outcome for outcome in outcomes] == ["PASS", "FAIL", "PASS"]
     assert [outcome.case_name for outcome in outcomes][1] == "test_it.py::{one} is true[1]"
-    done, outcomes = ward_in(tmp_path, skip=("test_it.py::{one} is true",))
-    assert not done.returncode and [outcome.name for outcome in outcomes] == ["test_it.py::sound"]
-    done, outcomes = ward_in(tmp_path, only=("test_it.py::{one} is true",))
+    done, outcomes = run_ward(tmp_path, skip=("test_it.py::{one} is true",))
+    assert not done.returncode and [outcome.name for outcome in outcomes] == ["test_it.py::passes"]
+    done, outcomes = run_ward(tmp_path, only=("test_it.py::{one} is true",))
     assert done.returncode and len(outcomes) == 2
 
 
-def test_pytest_passes_over_what_is_listed_and_no_more(tmp_path):
+def test_pytest_skips_exactly_the_listed_tests(tmp_path):
     (tmp_path / "test_it.py").write_text("def test_a(): assert 0\n\n\ndef test_a_b(): pass\n")
     command = [sys.executable, "-m", "pytest", "-q", "-p", "pytest_known_red", "test_it.py"]
     path = str(run_tests.ROOT / "tests/ci")
--- a/tests/ci/ward_shard.py
+++ b/tests/ci/ward_shard.py
@@ -1,7 +1,7 @@
-"""A hook module of ward's (`--hook-module ward_shard`): runs a part of what was collected and writes
-what came of it.
+"""A ward hook module (`--hook-module ward_shard`) that runs a part of the collected tests.
 
-What to run and where to write stands as JSON in the environment variable WARD_SHARD.
+It writes their outcomes to a file. The environment variable WARD_SHARD holds a `Selection` as JSON: the tests
+to run and the file to write.
 """
 
 import json
@@ -17,7 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Selection:
-    """Every `parts`-th test from `part` on, of those not in `skip`; of `only` where any are named."""
+    """Every `parts`-th test, beginning with number `part`, of all tests not in `skip`.
+
+    If `only` names any tests, the others are left out. The outcomes are written to the file `results`.
+    """
 
     results: str
     part: int = 0
@@ -26,40 +29,43 @@
     only: tuple[str, ...] = ()
 
     def encode(self) -> str:
-        """As the environment variable holds it."""
+        """Return the text for the environment variable."""
         return json.dumps(asdict(self))
 
     @classmethod
     def decode(cls, text: str) -> "Selection":
-        """From what the environment variable holds."""
+        """Read the text of the environment variable."""
         fields = json.loads(text)
         return cls(**{**fields, "skip": tuple(fields["skip"]), "only": tuple(fields["only"])})
 
     def pick(self, names: list[str]) -> list[int]:
-        """The places in `names` of what is to be run."""
-        wanted = [at for at, name in enumerate(names) if name not in self.skip]
+        """Return the indexes in `names` of the tests to run."""
+        selected = [index for index, name in enumerate(names) if name not in self.skip]
         if self.only:
-            wanted = [at for at in wanted if names[at] in self.only]
-        return wanted[self.part :: self.parts]
+            selected = [index for index in selected if names[index] in self.only]
+        return selected[self.part :: self.parts]
 
 
 def name_of(test) -> str:
-    """`tests/gateway/test_x.py::description as written`: the function's own description, not a case's."""
+    """Return the name of a test, such as `tests/gateway/test_x.py::description as written`.
+
+    It has the description of the test function, not that of a single case.
+    """
     path = Path(os.path.relpath(test.path, Path.cwd()))
     return f"{path.as_posix()}::{test.fn.ward_meta.description}"
 
 
 @hook
 def preprocess_tests(config, collected_tests):
-    """Leaves what is to be run in ward's list."""
+    """Remove the tests that are not selected from ward's list."""
     selection = Selection.decode(os.environ[VARIABLE])
-    picked = selection.pick([name_of(test) for test in collected_tests])
-    collected_tests[:] = [collected_tests[at] for at in picked]
+    selected = selection.pick([name_of(test) for test in collected_tests])
+    collected_tests[:] = [collected_tests[index] for index in selected]
 
 
 @hook
 def after_session(config, test_results, status_code):
-    """Writes the outcomes for the runner."""
+    """Write the outcomes for the runner."""
     outcomes = [
         Outcome(
             name_of(result.test),
