--- a/tests/ci/run_tests.py
+++ b/tests/ci/run_tests.py
@@ -55,9 +55,7 @@
             timeout=SHARD_TIMEOUT_S,
         )
     except subprocess.TimeoutExpired as error:
-        output = (error.stdout or b"").decode(
-            errors="replace"
-        ) + f"\ntimed out after {SHARD_TIMEOUT_S:.0f} s\n"
+        output = (error.stdout or b"").decode(errors="replace") + f"\nstopped after {SHARD_TIMEOUT_S:.0f} s\n"
         return subprocess.CompletedProcess(command, 1, output)
 
 
--- a/tests/ci/shards.py
+++ b/tests/ci/shards.py
@@ -112,5 +112,5 @@
     if report.aborted_shards:
         return f"{report.aborted_shards} shards failed without a failed test"
     if report.total != expected:
-        return f"{report.total} of {expected} tests were run"
+        return f"{report.total} tests were run, not {expected}"
     return None
--- a/tests/ci/test_runner.py
+++ b/tests/ci/test_runner.py
@@ -55,7 +55,7 @@
 
 def test_a_wrong_number_of_tests_is_reported():
     assert count_mismatch(3, Report(passed=3)) is None
-    assert count_mismatch(3, Report(passed=2)) == "2 of 3 tests were run"
+    assert count_mismatch(3, Report(passed=2)) == "2 tests were run, not 3"
 
 
 def test_known_failures_are_read(tmp_path):
