--- a/honeywood/lab/emulator/loopback.py
+++ b/honeywood/lab/emulator/loopback.py
@@ -28,7 +28,7 @@
 from honeywood.gateway.rpc.reply import ExchangeFailure
 from honeywood.gateway.rpc.statuses import INTERNAL_ERROR, status_of
 from honeywood.lab.emulator.boot import settings_text
-from honeywood.standins.sorting import Machine
+from honeywood.standins.gateway_machine import Machine
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -164,7 +164,7 @@
     async def _send_heartbeats(self) -> None:
         while True:
             for machine in self._machines:
-                await self._call(CallName.HEARTBEAT, machine.id, machine.beat())
+                await self._call(CallName.HEARTBEAT, machine.id, machine.heartbeat())
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def _send_requests(self) -> None:
@@ -206,7 +206,7 @@
         self._print(f"operator: rollouts.read returned {state}")
         is_reverted = state == RolloutState.REVERTED
         for machine in [
-            candidate for candidate in self._machines if (candidate.ver == version) == is_reverted
+            candidate for candidate in self._machines if (candidate.version == version) == is_reverted
         ]:
             self._machines.remove(machine)
             await self._call(CallName.LEAVE, machine.id)
--- a/honeywood/lab/world.py
+++ b/honeywood/lab/world.py
@@ -41,8 +41,8 @@
         self.discovery, self.platform = Discovery(), Platform(CAPS, bake)
         self.workers = [Worker(f"s{number}", 1, work, seed=seed * 100 + number) for number in range(servers)]
         for worker in self.workers:
-            worker.booted = 0
-        self.initial_members = self.discovery.members([worker.entry() for worker in self.workers])
+            worker.started_at_ms = 0
+        self.initial_members = self.discovery.publish([worker.entry() for worker in self.workers])
         with socket.create_server(("127.0.0.1", 0)) as listener:
             self.listen = listener.getsockname()
 
@@ -95,7 +95,7 @@
         `failing` is the share of RPCs that they fail."""
         self.workers += [Worker(f"t{number}", build, self.work, failing, seed=self.seed * 100 + 50 + number)
                          for number in range(servers)]
-        self.discovery.members([worker.entry() for worker in self.workers])
+        self.discovery.publish([worker.entry() for worker in self.workers])
         self.platform.change(build, 0, "canary")
 
     def resource_counts(self):
--- a/tests/balancer/program/test_process.py
+++ b/tests/balancer/program/test_process.py
@@ -35,7 +35,7 @@
 request r2 book
 until ended("r2") or status("r2")
 change_addresses
-until discovery.watching
+until discovery.watchers
 request r3 read
 until status("r3") == 200
 """
--- a/tests/balancer/socket_player.py
+++ b/tests/balancer/socket_player.py
@@ -12,8 +12,8 @@
 import threading
 import time
 
-from honeywood.standins.control import DiscoveryStand, PlatformStand
-from honeywood.standins.peer import Peer, health, message
+from honeywood.standins.control import DiscoveryStub, PlatformStub
+from honeywood.standins.peer import Peer, health, read_message
 
 
 class ScriptedServer(Peer):
@@ -57,12 +57,12 @@
             self.drop()
             self.sock = socket.create_server(("127.0.0.1", self.port()), backlog=0)
             for _ in range(3):
-                self.open.append(socket.socket())
-                self.open[-1].setblocking(False)
-                self.open[-1].connect_ex(self.sock.getsockname())
+                self.sockets.append(socket.socket())
+                self.sockets[-1].setblocking(False)
+                self.sockets[-1].connect_ex(self.sock.getsockname())
 
     def serve(self, sock):
-        request, rest = message(sock)
+        request, rest = read_message(sock)
         while request:
             if request[0].startswith("GET /_load"):
                 self.probes += 1
@@ -84,7 +84,7 @@
                     sock.sendall(b"HTTP/1.1 " + self.RESPONSES[response].encode())
                 if response in ("connection_close", "truncated", "undelimited", "malformed"):
                     return
-            request, rest = message(sock, rest)
+            request, rest = read_message(sock, rest)
 
 
 CONFIGURATION = {
@@ -160,7 +160,7 @@
         self.listen = f"127.{1 + pid % 200}.{pid // 200 % 250}.{SocketPlayer.count}", 9000
         self.folder, self.config, self.process = folder, copy.deepcopy(CONFIGURATION), None
         self.servers, self.answers, self.clients, self.files = {}, {}, {}, []
-        self.discovery, self.platform, self.known = DiscoveryStand(), PlatformStand(), []
+        self.discovery, self.platform, self.known = DiscoveryStub(), PlatformStub(), []
         self.previous_peers = ()  # discovery and platform before change_addresses
 
     def run_command(self, verb, rest):
@@ -203,7 +203,7 @@
         self.known = self.list_entries(words)
         self.discovery.revision += 1
         if self.process:
-            self.do_until("discovery.watching")
+            self.do_until("discovery.watchers")
             self.do_discovery_sends(
                 json.dumps({"revision": self.discovery.revision, "complete": complete, "members": self.known})
             )
@@ -213,17 +213,17 @@
         self.do_list(*words, complete=False)
 
     def do_discovery_sends(self, text):
-        self.discovery.tell(text)
+        self.discovery.send_update(text)
 
     def do_platform_sends(self, text):
-        self.do_until("platform.told")
-        self.platform.told[-1].sendall(f"* {text}\r\n".encode())
+        self.do_until("platform.subscribers")
+        self.platform.subscribers[-1].sendall(f"* {text}\r\n".encode())
 
     def do_vote_reply(self, *words):
         self.platform.reply = " ".join(words)
 
     def do_subscribe_reply(self, *words):
-        self.platform.welcome = " ".join(words)
+        self.platform.subscribe_reply = " ".join(words)
 
     def write_configuration(self):
         self.config.update(listen=f"{self.listen[0]}:{self.listen[1]}", discovery=self.discovery.address)
@@ -254,7 +254,7 @@
 
     def do_change_addresses(self):
         self.previous_peers = self.discovery, self.platform
-        self.discovery, self.platform = DiscoveryStand(), PlatformStand()
+        self.discovery, self.platform = DiscoveryStub(), PlatformStub()
         self.discovery.revision, self.platform.reply = (
             self.previous_peers[0].revision,
             self.previous_peers[1].reply,
@@ -283,7 +283,7 @@
         def read():
             rest, number = b"", 0
             try:
-                while (received := message(sock, rest))[0]:
+                while (received := read_message(sock, rest))[0]:
                     number += 1
                     rest = received[1]
                     self.answers[f"{name}.{number}" if number > 1 else name] = received[0]
